--- /dev/null
+++ b/tests/golden_wire.py
@@ -0,0 +1,101 @@
+"""Every message and stored record type with its codec, and the script that recorded their golden bytes.
+
+`python tests/golden_wire.py` writes tests/golden/wire.json anew. The file was recorded at e2a4940 and is not meant to
+be written again: a newer program reads what that one wrote, and writes the same bytes.
+"""
+
+import json
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import golden_samples
+import msgspec
+
+from rackhub.core import gather as core_gather
+from rackhub.fleet.distribution import decisions, history, messages, store, voting
+from rackhub.fleet.link import frames
+from rackhub.fleet.members import reach
+from rackhub.fleet.overload import records
+from rackhub.fleet.register import voter
+from rackhub.fleet.register import words as register_words
+from rackhub.fleet.rules import holder
+from rackhub.fleet.rules import words as rules_words
+from rackhub.state import ledger
+
+RECORDED = Path(__file__).parent / "golden" / "wire.json"
+
+
+class Codec(NamedTuple):
+    """A family of messages: its types, and how they are read from bytes and written."""
+
+    declared: Any
+    read: Callable[[bytes], Any]
+    write: Callable[[Any], bytes]
+    valid: Callable[[Any], Any] = lambda sample: sample  # what the family's reader asks beyond the declared types
+
+
+def _msgpack(declared: Any) -> Codec:
+    return Codec(declared, msgspec.msgpack.Decoder(declared).decode, msgspec.msgpack.encode)
+
+
+def _json(declared: Any) -> Codec:
+    return Codec(declared, msgspec.json.Decoder(declared).decode, msgspec.json.encode)
+
+
+def _ordered(load: Any) -> Any:
+    """Cells by what was asked, and each minimum below its maximum, as the writer has them."""
+    cells, *rest = msgspec.structs.astuple(load)
+    cells = sorted(cells, key=lambda cell: (-msgspec.structs.astuple(cell)[1], msgspec.structs.astuple(cell)[0]))
+    return type(load)(tuple(cells), *(_sorted_ranges(value) for value in rest))
+
+
+def _sorted_ranges(value: Any) -> Any:
+    if not isinstance(value, records.Lent):
+        return value
+    least_left, most_left, least_want, most_want = msgspec.structs.astuple(value)
+    return records.Lent(*sorted((least_left, most_left)), *sorted((least_want, most_want)))
+
+
+CODECS = {
+    "link frame": Codec(frames.Any, lambda body: frames.frame(msgspec.Raw(body)), frames.encode),
+    "link packet": Codec(
+        frames.Packet,
+        frames.read,
+        frames.datagram,
+        lambda packet: msgspec.structs.replace(packet, version=frames.VERSION),
+    ),
+    "register message": Codec(register_words.Message, register_words.decode, register_words.encode),
+    "register acceptor on disk": _msgpack(voter.Voter),
+    "rules message": Codec(rules_words.Mail, msgspec.msgpack.Decoder(rules_words.Mail).decode, rules_words.encode),
+    "rules record": _msgpack(rules_words.Post),
+    "rules in the register": _msgpack(rules_words.Book),
+    "rules on disk": _msgpack(holder.Kept),
+    "distribution message": Codec(messages.AnyMessage, messages.decode, messages.encode),
+    "distribution voter message": _msgpack(voting.VoterMessage),
+    "distribution in the register": _msgpack(decisions.Tail),
+    "distribution head on disk": _msgpack(store.Head),
+    "distribution entry on disk": _msgpack(messages.Entry),
+    "distribution change on disk": _msgpack(history.Past),
+    "load record": Codec(records.Load, records.unpack, records.pack, _ordered),
+    "health checks record": Codec(
+        records.Seen, lambda body: records.unpack_seen(body)[0], lambda one: records.pack_seen([one])
+    ),
+    "reachability record": _msgpack(reach.Reach),
+    "keyed request on disk": _json(ledger.Keyed),
+    "engines on disk": _json(ledger.KeptEngines),
+    "counters on disk": _json(ledger.KeptCounters),
+    "gathered answer": _json(core_gather.Told),
+}
+
+
+def record() -> dict[str, list[str]]:
+    """The bytes of sample messages by family, as hexadecimal text."""
+    return {
+        name: [codec.write(codec.valid(value)).hex() for value in golden_samples.samples(codec.declared)]
+        for name, codec in CODECS.items()
+    }
+
+
+if __name__ == "__main__":
+    RECORDED.write_text(json.dumps(record(), indent=1) + "\n")
