--- a/rackhub/adapter.py
+++ b/rackhub/adapter.py
@@ -23,11 +23,11 @@
 # wire message -> (event type, ((wire field, attribute, reader, needed), ...))
 EVENTS = {
     "ORDER": (
-        interface.QueryArrived,
+        interface.QueryReceived,
         (
             ("RequestId", "query", word, True),
             ("Cls", "cls", word, True),
-            ("DropDead", "drop_dead", whole, True),
+            ("DropDead", "deadline", whole, True),
             ("Tenant", "tenant", str, False),
             ("IsRetry", "is_retry", truth, False),
             ("Estimate", "estimate", whole, False),
@@ -38,7 +38,7 @@
         ),
     ),
     "UNDER_WAY": (
-        interface.StreamBegan,
+        interface.ResultStreamStarted,
         (
             ("RequestId", "query", word, True),
             ("SendNo", "attempt", whole, False),
@@ -47,7 +47,7 @@
         ),
     ),
     "STATUS_NOTE": (
-        interface.Note,
+        interface.ProgressReport,
         (
             ("RequestId", "query", word, True),
             ("SendNo", "attempt", whole, False),
@@ -57,30 +57,33 @@
         ),
     ),
     "OUTCOME": (
-        interface.AttemptEnded,
+        interface.AttemptCompleted,
         (
             ("RequestId", "query", word, True),
             ("SendNo", "attempt", whole, False),
-            ("Reason", "reason", word, True),
+            ("Reason", "outcome", word, True),
             ("Settled", "settled", truth, False),
             ("Node", "engine", str, False),
             ("WaitTime", "elapsed", whole, False),
-            ("Stats", "bill", whole, False),
+            ("Stats", "cost", whole, False),
             ("Load", "report", report, False),
         ),
     ),
-    "CLIENT_LEFT": (interface.ClientLeft, (("RequestId", "query", word, True),)),
+    "CLIENT_LEFT": (interface.ClientDisconnected, (("RequestId", "query", word, True),)),
     "ELAPSED": (interface.TimerFired, (("Ref", "ref", whole, True),)),
     "SAMPLED": (
-        interface.ProbeEnded,
+        interface.HealthCheckCompleted,
         (
             ("Node", "engine", word, True),
-            ("Reason", "reason", word, True),
+            ("Reason", "outcome", word, True),
             ("WaitTime", "elapsed", whole, False),
             ("Load", "report", report, False),
         ),
     ),
-    "MAIL": (interface.PeerSaid, (("OriginPeer", "peer", whole, True), ("Contents", "contents", plain_bytes, True))),
+    "MAIL": (
+        interface.GossipReceived,
+        (("OriginPeer", "peer", whole, True), ("Contents", "contents", plain_bytes, True)),
+    ),
 }
 ENTRY = (
     ("Node", "engine", word, True),
@@ -89,9 +92,9 @@
     ("Cohort", "cell", whole, False),
     ("StageState", "state", word, True),
     ("Size", "size", number, False),
-    ("CameUp", "came_up", whole, False),
+    ("CameUp", "started_at", whole, False),
 )
-MEMBERS = (("Scope", "scope", word, True), ("Rev", "rev", whole, False), ("Page", "page", whole, False))
+MEMBERS = (("Scope", "scope", word, True), ("Rev", "revision", whole, False), ("Page", "page", whole, False))
 ABSENT = {"attempt": 0, "value": 0.0}  # a field at its zero value may be left off the line
 
 
@@ -120,24 +123,24 @@
             return f"TRY{head}\tRequestId={query}{tail}\tNode={engine}"
         case interface.Timer(delay, ref):
             return f"WAKE_ME{head}\tFromNow={delay}\tRef={ref}"
-        case interface.Refuse(query, retry_after):
+        case interface.Reject(query, retry_after):
             tail = f"\tRetryAfter={retry_after}" if retry_after else ""
             return f"SHED{head}\tRequestId={query}{tail}"
         case interface.Fail(query):
             return f"GIVE_UP{head}\tRequestId={query}"
-        case interface.Terms(query, grant_mb, priority):
+        case interface.ExecutionHints(query, grant_mb, priority):
             return f"EQUIP{head}\tRequestId={query}\tMemoryGrant={grant_mb:g}\tWeightClass={priority}"
         case interface.Cancel(query, attempt):
             return f"REVOKE{head}\tRequestId={query}\tSendNo={attempt}"
-        case interface.Probe(engine):
+        case interface.CheckHealth(engine):
             return f"SOUND_OUT{head}\tNode={engine}"
-        case interface.Tell(peer, contents):
+        case interface.SendGossip(peer, contents):
             return f"ANNOUNCE{head}\tWhom={peer}\tContents={contents.hex() or '-'}"
-        case interface.Subscribe(on):
+        case interface.WatchEndpoints(on):
             return f"LISTEN{head}\tOn={int(on)}"
-        case interface.FetchList():
+        case interface.PollEndpoints():
             return f"RESOLVE{head}"
-        case interface.CloseIdle(engine):
+        case interface.CloseIdleConnections(engine):
             return f"DROP_CONNS{head}\tNode={engine}"
         case interface.Log(text):
             return f"EMIT{head}\tReasonText={flat(text)}"
@@ -178,7 +181,7 @@
                 if values["scope"] != "Error" and page not in self.pages:
                     raise BadLine(f"MEMBERS: field Page names the list {page}, which was not sent")
                 entries = () if values["scope"] == "Error" else self.pages[page]
-                happening = interface.EngineList(entries=entries, **values)
+                happening = interface.EndpointList(entries=entries, **values)
             else:
                 kind, spec = EVENTS[message]
                 happening = kind(**gather(message, pairs, spec))
--- a/rackhub/cli/serve.py
+++ b/rackhub/cli/serve.py
@@ -54,7 +54,7 @@
     logs.configure()
     from twisted.internet.error import CannotListenError
 
-    from rackhub.core.part import PartUnusable
+    from rackhub.core.component import ComponentStartError
     from rackhub.daemon import Daemon  # here: it takes hold of the reactor, which no other needs
 
     try:
@@ -67,6 +67,6 @@
         ).run()
     except CannotListenError as fault:
         raise refuse(f"bad configuration: listen: {fault}") from None
-    except PartUnusable as fault:
+    except ComponentStartError as fault:
         raise refuse(str(fault)) from None
     return 0
--- a/rackhub/parts.py
+++ b/rackhub/components.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from rackhub.config import Config
-from rackhub.core.part import Host, Part
+from rackhub.core.component import Component, ComponentContext
 from rackhub.operatorfile import Operator
 
 # what turns each on -> where its `Part` is; a part begins after those above it and ends before them
@@ -32,8 +32,8 @@
     return bool(fleet.get("keepers")) or fleet.get("role") == "coordinator"
 
 
-def load(name: str, host: Host) -> Part:
-    """Import a part and make it. Raises `PartUnusable`."""
+def load(name: str, host: ComponentContext) -> Component:
+    """Import a part and make it. Raises `ComponentStartError`."""
     made = import_module(ORDER[name]).part(host)
-    assert isinstance(made, Part)
+    assert isinstance(made, Component)
     return made
--- a/rackhub/config.py
+++ b/rackhub/config.py
@@ -13,7 +13,7 @@
 
 from rackhub import interface as t
 from rackhub.address import address as read_address
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.limits import SECOND, Limits
 from rackhub.net.resolver import whole_list
 from rackhub.operatorfile import Operator
@@ -87,7 +87,7 @@
     listen: tuple[str, int]
     nameserver: tuple[str, int]
     seed: int
-    engines: Listing
+    engines: EndpointSnapshot
     settings: t.Settings
     limits: Limits
     operator: tuple[str, int] | None = None
@@ -199,7 +199,7 @@
 
 def fleet_settings(part: dict[str, Any], settings: t.Settings, name: str) -> "FleetSettings":
     """The `[fleet]` part, checked; `name` is this gateway's. Nothing of it is loaded where the site forbids peers."""
-    if not settings.peers:
+    if not settings.gossip:
         raise BadConfig(f"operator file: fleet: gateways must not speak to one another here: {PEERS_KEY} is false")
     from rackhub.fleet.settings import fleet_settings
 
@@ -211,7 +211,7 @@
 
 def gather_rules(part: dict[str, Any], settings: t.Settings) -> "GatherRules":
     """The `[gather]` part, checked against the site's settings; all its faults in one go."""
-    if not settings.peers:
+    if not settings.gossip:
         raise BadConfig(f"operator file: gather: the platform's clients know no partial answers: {PEERS_KEY} is false")
     from rackhub.gather.rules import gather_rules
 
@@ -251,7 +251,7 @@
     return msgspec.structs.replace(limits, tds_connections=tds, client_connections=limits.client_connections - tds)
 
 
-def engines(known: Known) -> Listing:
+def engines(known: Known) -> EndpointSnapshot:
     events = []
     for i, notice in enumerate(known.notices):
         entries, addresses = [], {}
@@ -273,8 +273,8 @@
             addresses[endpoint.name] = address(endpoint.address, f"{key}.address")
         if notice.pool.snapshot:
             events.clear()
-        events.append(Listing(notice.rev, tuple(entries), addresses))
-    return whole_list(events)._replace(rev=known.rev)
+        events.append(EndpointSnapshot(notice.rev, tuple(entries), addresses))
+    return whole_list(events)._replace(revision=known.rev)
 
 
 def limits(file: File) -> Limits:
--- a/rackhub/core/part.py
+++ b/rackhub/core/component.py
@@ -8,16 +8,16 @@
     from rackhub.clock import UnixClock
     from rackhub.config import Config
     from rackhub.core.coordinator import Coordinator
-    from rackhub.core.source import Listing, Source
+    from rackhub.core.source import EndpointSnapshot, Source
     from rackhub.counters import Counters
     from rackhub.operatorfile import Operator
 
 
-class PartUnusable(Exception):
+class ComponentStartError(Exception):
     """A part that is turned on can't start; the text names it and says why."""
 
 
-class Host:
+class ComponentContext:
     """What the daemon hands each part. `serving`: clients are taken and no SIGTERM came. `relist`: what a part shows
     of the list has changed, the module is to be told. `reread`: the configuration as its file has it now.
     `parts`: those that are on, by name; all are there from `begin` on."""
@@ -31,9 +31,9 @@
         "source",
         "counters",
         "serving",
-        "relist",
+        "republish_endpoints",
         "reread",
-        "parts",
+        "components",
     )
 
     def __init__(
@@ -50,18 +50,24 @@
         reread: Callable[[], "Config"],
     ):
         self.reactor, self.clock, self.config, self.operator, self.core = reactor, clock, config, operator, core
-        self.source, self.counters, self.serving, self.relist, self.reread = source, counters, serving, relist, reread
-        self.parts: dict[str, Part] = {}
+        self.source, self.counters, self.serving, self.republish_endpoints, self.reread = (
+            source,
+            counters,
+            serving,
+            relist,
+            reread,
+        )
+        self.components: dict[str, Component] = {}
 
 
-class Part:
+class Component:
     """One part of a process; each does what it needs of these. The daemon calls all in the order of its list, and ends
-    them in the opposite one. A constructor or `begin` that can't go on raises `PartUnusable`."""
+    them in the opposite one. A constructor or `begin` that can't go on raises `ComponentStartError`."""
 
-    def __init__(self, host: Host):
-        self.host = host
+    def __init__(self, host: ComponentContext):
+        self.context = host
 
-    def begin(self, listing: "Listing") -> "Listing":
+    def begin(self, listing: "EndpointSnapshot") -> "EndpointSnapshot":
         """The core is about to start with this list; the part may know a better one."""
         return listing
 
@@ -72,10 +78,10 @@
         """SIGHUP came and the operator's file could be read. What can't be used is logged by its key and counted, and
         what held before goes on holding."""
 
-    def listed(self, listing: "Listing") -> None:
+    def endpoints_changed(self, listing: "EndpointSnapshot") -> None:
         """A new list of engines; the module knows of it."""
 
-    def shown(self, entries: Sequence["interface.EngineEntry"]) -> Sequence["interface.EngineEntry"]:
+    def visible_endpoints(self, entries: Sequence["interface.EngineEntry"]) -> Sequence["interface.EngineEntry"]:
         """The list as the module is to see it."""
         return entries
 
@@ -89,10 +95,10 @@
     def stop(self) -> None:
         """The reactor has ended, all is answered: let go of files."""
 
-    def figures(self) -> Mapping[str, float]:
+    def metrics(self) -> Mapping[str, float]:
         """Where it stands, by name, for DUMP."""
         return {}
 
-    def tell(self) -> Sequence[str]:
+    def summary_lines(self) -> Sequence[str]:
         """Lines for the end of the log and for SIGUSR1."""
         return ()
--- a/rackhub/core/coordinator.py
+++ b/rackhub/core/coordinator.py
@@ -12,7 +12,7 @@
 
 from rackhub import interface, logs
 from rackhub.core.lease import ListLease, Standing
-from rackhub.core.request import Attempt, EnginePort, Query, State
+from rackhub.core.request import Attempt, AttemptState, EnginePort, Query
 from rackhub.core.timers import Clock, Timers
 from rackhub.counters import Counters
 from rackhub.limits import SECOND, Limits
@@ -20,10 +20,10 @@
 from rackhub.policy.further import PROVEN
 
 if TYPE_CHECKING:  # ports of parts that may be off: nothing of them is loaded here
-    from rackhub.core.fleet import Guide
-    from rackhub.core.gather import Gathers
-    from rackhub.core.ledger import Ledger
-    from rackhub.core.terms import Desk
+    from rackhub.core.fleet import FleetCoordinator
+    from rackhub.core.gather import GatherPort
+    from rackhub.core.request_journal import RequestJournal
+    from rackhub.core.request_policy import RequestPolicy
 
 log = logs.logger(__name__)
 
@@ -49,11 +49,13 @@
         self.lease: ListLease | None = None  # on the list of engines; none: it is always in force
         self._unconfirmed: list[Attempt] = []  # held until the list is confirmed, or until nothing answers
         self._barred: frozenset[str] = frozenset()  # engines for which the lease is over
-        self._said = interface.FleetSaid()  # by the gateways of the fleet, less what is barred here
-        self.ledger: Ledger | None = None  # of keyed requests; the others never get there
-        self.desk: Desk | None = None  # the operator's terms, by route
-        self.gathers: Gathers | None = None  # what is sent to several sites and answered once
-        self.guide: Guide | None = None  # what the gateways of the fleet agree on, where they may speak to one another
+        self._said = interface.FleetAllocation()  # by the gateways of the fleet, less what is barred here
+        self.ledger: RequestJournal | None = None  # of keyed requests; the others never get there
+        self.desk: RequestPolicy | None = None  # the operator's terms, by route
+        self.gathers: GatherPort | None = None  # what is sent to several sites and answered once
+        self.guide: FleetCoordinator | None = (
+            None  # what the gateways of the fleet agree on, where they may speak to one another
+        )
         self._kinds: dict[str, str] = {}  # of engines, as the list has them
         self.on_idle: Callable[[], None] | None = None  # called when the last request has its answer
         self._control = Control(settings, seed)
@@ -61,14 +63,14 @@
         self._does = {
             interface.Timer: self._timer,
             interface.Send: self._send,
-            interface.Terms: self._terms,
+            interface.ExecutionHints: self._terms,
             interface.Cancel: self._cancel,
-            interface.Refuse: self._refuse,
+            interface.Reject: self._refuse,
             interface.Fail: self._fail,
-            interface.CloseIdle: self._close_idle,
+            interface.CloseIdleConnections: self._close_idle,
             interface.Log: self._log,
-            interface.Probe: self._probe,
-            interface.Tell: self._tell_peer,
+            interface.CheckHealth: self._probe,
+            interface.SendGossip: self._tell_peer,
         }
         self._handling, self._behind, self._sweep_due = False, False, clock.now()
         self._held = 0  # bytes of the statements of all open requests
@@ -83,14 +85,14 @@
         self.engines = engines
         self._kinds = {entry.engine: entry.kind for entry in entries}
         self._tell(interface.Started())
-        self._tell(interface.EngineList("Persisted", tuple(entries), rev))
+        self._tell(interface.EndpointList("Persisted", tuple(entries), rev))
         self._sweep()
 
     def listed(self, entries: Sequence[interface.EngineEntry], rev: int) -> None:
         """The whole list of engines, as the resolver has it now."""
         self.counters.add("lists_told")
         self._kinds = {entry.engine: entry.kind for entry in entries}
-        self._tell(interface.EngineList("Complete", tuple(entries), rev))
+        self._tell(interface.EndpointList("Complete", tuple(entries), rev))
 
     def known(self, id: str) -> bool:
         """Whether a request of this id is open, or was answered or withdrawn lately. Ids are new with each request,
@@ -107,9 +109,9 @@
         full = (
             len(self.queries) >= self.limits.held_requests or self._held + len(query.statement) > self.limits.held_bytes
         )
-        if not self.taking and not query.part:  # a part is of a request that was taken before
+        if not self.taking and not query.is_subrequest:  # a part is of a request that was taken before
             return self._turn_back(query, "refused_ending", self._away)
-        if self._standing() is Standing.EXPIRED and not query.part:
+        if self._standing() is Standing.EXPIRED and not query.is_subrequest:
             return self._turn_back(query, "over_lease", min(SECOND, self.settings.max_retry_after or SECOND))
         if full or self._behind:  # memory and the one core are bounded: nothing ran, so say so at once
             return self._turn_back(
@@ -118,24 +120,24 @@
         self.queries[query.id] = query
         log.debug("request_taken", request=query.id, cls=query.cls, left_us=query.deadline - self.clock.now())
         self._held += len(query.statement)
-        if self.ledger is not None and query.token:
+        if self.ledger is not None and query.idempotency_key:
             self.ledger.taken(query)
         # An answer given at the deadline is on the wire some turns of the loop later, and what came in had waited for
         # one: on a scored day one answer in 14 was late by that. So the module is told to be done sooner.
-        if not query.part:  # its whole has paid for it
+        if not query.is_subrequest:  # its whole has paid for it
             query.deadline -= min(self._margin(), (query.deadline - self.clock.now()) // 4)
-        if self.gathers is not None and not query.part:
-            query.gathering = True  # if so the module hears of its parts alone, each a request of its own
+        if self.gathers is not None and not query.is_subrequest:
+            query.is_gathered = True  # if so the module hears of its parts alone, each a request of its own
             if self.gathers.take(query):
                 return
-            query.gathering = False
+            query.is_gathered = False
         attempts = within = 0
         if self.desk is not None:
-            query.life = self.desk.begin(query.cls, query.tenant, query.estimate, self.clock.now())
-            attempts, within = query.life.attempts, query.life.repeat_within
+            query.terms = self.desk.begin(query.cls, query.tenant, query.estimate, self.clock.now())
+            attempts, within = query.terms.max_attempts, query.terms.retry_window
         standing = self.guide.arrived(query, self.clock.now()) if self.guide is not None else 0
         self._tell(
-            interface.QueryArrived(
+            interface.QueryReceived(
                 query.id,
                 query.cls,
                 query.deadline,
@@ -143,9 +145,9 @@
                 estimate=query.estimate,
                 memory_mb=query.memory_mb,
                 tables=query.tables,
-                attempts=attempts,
-                repeat_within=within,
-                standing=standing,
+                max_attempts=attempts,
+                retry_window=within,
+                admission=standing,
                 zones=query.zones,
             )
         )
@@ -172,10 +174,10 @@
 
     def _call_off(self, query: Query) -> None:
         """It is over without the word of whoever decides on it."""
-        if not query.gathering:
-            self._tell(interface.ClientLeft(query.id))
+        if not query.is_gathered:
+            self._tell(interface.ClientDisconnected(query.id))
         elif self.gathers is not None:
-            self.gathers.left(query)
+            self.gathers.client_disconnected(query)
 
     def gathered(self, query: Query, how: str, rows: Sequence[bytes] = (), backoff: int = 0) -> bool:
         """The answer of a request that `gathers` took: served with `rows` (and `query.mark`), refused with `backoff` in
@@ -194,23 +196,23 @@
         self, attempt: Attempt, reason: str, report: dict[str, float] | None = None, rows: Sequence[bytes] = ()
     ) -> None:
         """What the port tells of an attempt's end. With GOOD `rows` are all pages."""
-        if not attempt.over:  # an end that crossed with a time-out or a cancel: the first one counts
+        if not attempt.done:  # an end that crossed with a time-out or a cancel: the first one counts
             self._over(attempt, reason, report, rows)
 
     def _over(
         self, attempt: Attempt, reason: str, report: dict[str, float] | None = None, rows: Sequence[bytes] = ()
     ) -> None:
         """The one end of an attempt. Its client has the answer before the module knows."""
-        attempt.state, query, now = State.OVER, attempt.query, self.clock.now()
-        query.out.pop(attempt.number, None)
+        attempt.state, query, now = AttemptState.DONE, attempt.query, self.clock.now()
+        query.in_flight.pop(attempt.number, None)
         if sent := self.out.get((query.id, attempt.number)) is attempt:
             del self.out[query.id, attempt.number]
         if reason in PROVEN:
-            query.maybe.pop(attempt.number, None)
+            query.possibly_executed.pop(attempt.number, None)
         if self.lease is not None and reason == "FULL":
             self.lease.turned_away(attempt.engine, now)
         elif self.lease is not None and reason in ANSWERED:
-            self.lease.taken(attempt.engine, attempt.sent)
+            self.lease.taken(attempt.engine, attempt.sent_at)
         self.counters.add(f"out_{reason.lower()}")
         log.debug(
             "attempt_ended",
@@ -218,48 +220,48 @@
             attempt=attempt.number,
             engine=attempt.engine,
             reason=reason,
-            after_us=now - attempt.sent,
+            after_us=now - attempt.sent_at,
         )
         if reason == "GOOD":
             self._end(query, "served", rows)
         again, wait, backoff = True, 0, 0
         if self.guide is not None and sent:
             self.guide.ended(attempt, reason, now)
-        if query.life is not None and self.desk is not None and reason != "NOP":
-            cut = reason == "LATE" and attempt.timed
+        if query.terms is not None and self.desk is not None and reason != "NOP":
+            cut = reason == "LATE" and attempt.timeout_configured
             self.desk.ended(
-                query.life,
+                query.terms,
                 attempt.number,
                 self._kinds.get(attempt.engine, ""),
                 attempt.engine,
                 reason,
-                now - attempt.sent,
+                now - attempt.sent_at,
                 cut,
                 now,
             )
-            if not query.closed and not query.out:
-                again, wait, backoff = self.desk.after(query.life, reason, query.tries, now)
+            if not query.closed and not query.in_flight:
+                again, wait, backoff = self.desk.after(query.terms, reason, query.attempts, now)
         self._tell(
-            interface.AttemptEnded(
+            interface.AttemptCompleted(
                 query.id,
                 attempt.number,
                 reason,
                 settled=query.closed,
                 engine=attempt.engine,
-                elapsed=now - attempt.sent,
+                elapsed=now - attempt.sent_at,
                 report=report or {},
-                again=again,
-                wait=wait,
+                may_retry=again,
+                retry_delay=wait,
                 backoff=backoff,
             )
         )
 
     def noted(self, attempt: Attempt, topic: int, value: float) -> None:
-        if not attempt.over:
+        if not attempt.done:
             self.counters.add("notes_in")
             if self.lease is not None:
-                self.lease.taken(attempt.engine, attempt.sent)
-            self._tell(interface.Note(attempt.query.id, attempt.number, topic, value, attempt.engine))
+                self.lease.taken(attempt.engine, attempt.sent_at)
+            self._tell(interface.ProgressReport(attempt.query.id, attempt.number, topic, value, attempt.engine))
 
     # ---- the module
 
@@ -288,16 +290,16 @@
 
     def probed(self, engine: str, reason: str, elapsed: int, report: dict[str, float] | None = None) -> None:
         """The end of a probe that the guide sent. `reason`: GOOD, LATE or NOCONN; `elapsed` in microseconds."""
-        self._tell(interface.ProbeEnded(engine, reason, elapsed, report or {}))
+        self._tell(interface.HealthCheckCompleted(engine, reason, elapsed, report or {}))
 
     def peer_said(self, peer: int, contents: bytes) -> None:
         """The word of another gateway's module."""
-        self._tell(interface.PeerSaid(peer, contents))
+        self._tell(interface.GossipReceived(peer, contents))
 
-    def fleet_said(self, said: interface.FleetSaid) -> None:
+    def fleet_said(self, said: interface.FleetAllocation) -> None:
         """What the gateways of the fleet agree on, as far as this one knows; it holds until the next."""
         self._said = said
-        self._tell(replace(said, held=said.held | self._barred))
+        self._tell(replace(said, reserved_engines=said.reserved_engines | self._barred))
 
     def _bar(self, now: int) -> None:
         """Tell the module of the engines that may not be sent to, as the list is not in force for them."""
@@ -307,18 +309,18 @@
             self._barred = barred
             self.fleet_said(self._said)
 
-    def _probe(self, act: interface.Probe) -> None:
+    def _probe(self, act: interface.CheckHealth) -> None:
         if self.guide is not None:  # without a guide there are no peers, and this wire has no probes
             self.guide.probe(act.engine)
 
-    def _tell_peer(self, act: interface.Tell) -> None:
+    def _tell_peer(self, act: interface.SendGossip) -> None:
         if self.guide is not None:
             self.guide.tell(act.peer, act.contents)
 
     def _timer(self, act: interface.Timer) -> None:
         self.timers.at(self.clock.now() + act.delay, self._due, act.ref)
 
-    def _refuse(self, act: interface.Refuse) -> None:
+    def _refuse(self, act: interface.Reject) -> None:
         if query := self.queries.get(act.query):
             log.debug("request_refused", request=query.id, reason=act.reason, retry_after_us=act.retry_after)
             self._end(query, "refused", act.retry_after)
@@ -328,7 +330,7 @@
             log.debug("request_failed", request=query.id, reason=act.reason)
             self._end(query, "failed", "failed: its effect is not known")
 
-    def _close_idle(self, act: interface.CloseIdle) -> None:
+    def _close_idle(self, act: interface.CloseIdleConnections) -> None:
         self.engines.close_idle(act.engine)
 
     def _log(self, act: interface.Log) -> None:
@@ -353,14 +355,14 @@
         if len(self._recent) > self.limits.recent_ids:
             del self._recent[next(iter(self._recent))]
         self.counters.add(how)
-        log.debug("request_ended", request=query.id, how=how, attempts=query.tries)
+        log.debug("request_ended", request=query.id, how=how, attempts=query.attempts)
         if (what := TALLY.get(how)) is not None:
             self._tally(query.cls, what)
         if self.queries.get(query.id) is query:  # else it was turned back, and nobody knows of it
             self._forget(query, how)
         if how != "left":
             getattr(query.reply, how)(query, *said)
-        for attempt in [attempt for attempt in query.out.values() if attempt.unsent]:
+        for attempt in [attempt for attempt in query.in_flight.values() if attempt.unsent]:
             self._give_up(attempt, "NOP")
         if not self.queries and self.on_idle:
             self.on_idle()
@@ -369,11 +371,11 @@
     def _forget(self, query: Query, how: str) -> None:
         del self.queries[query.id]
         self._held -= len(query.statement)
-        if self.ledger is not None and query.token:
+        if self.ledger is not None and query.idempotency_key:
             self.ledger.over(query, how)
-        if query.life is not None and self.desk is not None:
-            self.desk.end(query.life, self.clock.now())
-        if self.guide is not None and not query.gathering:
+        if query.terms is not None and self.desk is not None:
+            self.desk.end(query.terms, self.clock.now())
+        if self.guide is not None and not query.is_gathered:
             self.guide.closed(query, how, self.clock.now())
 
     def _send(self, act: interface.Send) -> None:
@@ -381,37 +383,41 @@
         if query is None:  # nothing is sent for a request that is over: the module closed it itself
             return self.counters.add("attempts_not_sent")
         now = self.clock.now()
-        attempt = Attempt(query, query.tries, act.engine, now)
+        attempt = Attempt(query, query.attempts, act.engine, now)
         until = min(query.deadline, now + timeout) if timeout > 0 else query.deadline
-        beside = bool(query.out) and (not self.settings.second_copies or len(query.out) > 1)
-        if beside or query.tries >= self.settings.max_attempts or timeout < 0 or until <= now:
+        beside = bool(query.in_flight) and (not self.settings.hedging or len(query.in_flight) > 1)
+        if beside or query.attempts >= self.settings.max_attempts or timeout < 0 or until <= now:
             self.counters.add("attempts_not_sent")
             return self._over(attempt, "NOP")
         copy_after = 0
-        if query.life is not None and self.desk is not None:
-            kind, copy = self._kinds.get(act.engine, ""), bool(query.out) and query.copying
-            if query.tries and not self.desk.may_send(query.life, query.tries, copy, now):
+        if query.terms is not None and self.desk is not None:
+            kind, copy = self._kinds.get(act.engine, ""), bool(query.in_flight) and query.hedge_requested
+            if query.attempts and not self.desk.may_send(query.terms, query.attempts, copy, now):
                 self.counters.add("attempts_not_sent")
                 return self._over(attempt, "NOP")
-            sending = self.desk.sending(query.life, attempt.number, kind, copy, now)
-            attempt.send_by, copy_after = sending.send_by, sending.copy_after
+            sending = self.desk.sending(query.terms, attempt.number, kind, copy, now)
+            attempt.send_by, copy_after = sending.send_by, sending.hedge_after
             if sending.timeout and now + sending.timeout < until:
-                until, attempt.timed = now + sending.timeout, True
+                until, attempt.timeout_configured = now + sending.timeout, True
             if sending.priority is not None:
-                query.level, query.fixed = sending.priority, True
+                query.priority, query.priority_pinned = sending.priority, True
         told = self.classes.get(query.cls)
-        if told is not None and told.effect == "dedup":  # where the attempt waits for a dial, that counts as well
-            if query.maybe:
-                edge = min(query.maybe.values()) + told.window - max(told.window // 20, self.limits.handover)
+        if told is not None and told.idempotency == "dedup":  # where the attempt waits for a dial, that counts as well
+            if query.possibly_executed:
+                edge = (
+                    min(query.possibly_executed.values())
+                    + told.idempotency_window
+                    - max(told.idempotency_window // 20, self.limits.handover)
+                )
                 attempt.send_by = min(attempt.send_by or edge, edge)
-            query.maybe[attempt.number] = now
-        query.tries += 1
-        query.out[attempt.number] = self.out[query.id, attempt.number] = attempt
-        attempt.until = until
+            query.possibly_executed[attempt.number] = now
+        query.attempts += 1
+        query.in_flight[attempt.number] = self.out[query.id, attempt.number] = attempt
+        attempt.deadline = until
         self.counters.add("attempts")
         log.debug("attempt_chosen", request=query.id, attempt=attempt.number, engine=attempt.engine)
         self._tally(query.cls, TRIES)
-        if self.ledger is not None and query.token:
+        if self.ledger is not None and query.idempotency_key:
             self.ledger.out(attempt)
         if self.guide is not None:
             self.guide.sent(attempt, now)
@@ -421,16 +427,16 @@
 
     def _begin(self, attempt: Attempt) -> None:
         """The attempt goes to the port, unless it was called off while it was held."""
-        if attempt.state is not State.HELD:
+        if attempt.state is not AttemptState.PENDING:
             return
-        attempt.sent = self.clock.now()
+        attempt.sent_at = self.clock.now()
         if self._standing() is Standing.UNCONFIRMED:
             log.debug("attempt_held", request=attempt.query.id, reason="the list of engines is not confirmed")
             return self._unconfirmed.append(attempt)
-        if why := attempt.barred(attempt.sent, self.lease):
+        if why := attempt.send_blocked_by(attempt.sent_at, self.lease):
             self.counters.add("attempts_not_sent")
             return self._over(attempt, why)
-        attempt.state = State.OUT
+        attempt.state = AttemptState.IN_FLIGHT
         self.engines.send(attempt)
 
     def _standing(self) -> Standing:
@@ -460,21 +466,21 @@
         """By the operator's terms a second copy may go out beside this attempt. Which engine gets it, and whether this
         is the time for it, the module says."""
         query = attempt.query
-        if attempt.over or query.closed or len(query.out) != 1 or query.life is None or self.desk is None:
+        if attempt.done or query.closed or len(query.in_flight) != 1 or query.terms is None or self.desk is None:
             return
-        if self.desk.may_copy(query.life, self._kinds.get(attempt.engine, ""), query.tries, self.clock.now()):
-            query.copying = True
-            self._tell(interface.CopyDue(query.id))
-            query.copying = False
+        if self.desk.may_copy(query.terms, self._kinds.get(attempt.engine, ""), query.attempts, self.clock.now()):
+            query.hedge_requested = True
+            self._tell(interface.HedgeDue(query.id))
+            query.hedge_requested = False
 
-    def _terms(self, act: interface.Terms) -> None:
+    def _terms(self, act: interface.ExecutionHints) -> None:
         """The priority holds for further sends, and at once for an attempt that is out."""
         query = self.queries.get(act.query)
-        if query is not None and query.level != act.priority and not query.fixed:
-            query.level = act.priority
-            for attempt in query.out.values():
+        if query is not None and query.priority != act.priority and not query.priority_pinned:
+            query.priority = act.priority
+            for attempt in query.in_flight.values():
                 self.counters.add("hurries")
-                self.engines.hurry(attempt)
+                self.engines.promote(attempt)
 
     def _cancel(self, act: interface.Cancel) -> None:
         attempt = self.out.get((act.query, act.attempt))
@@ -486,9 +492,9 @@
         outcome of any other is told a little later, as the give-up has a way to go: a further attempt that overtook it
         on another connection would be a second one out at the same time. What is written leaves in the next turn of
         the loop, which may be a long one: so the time runs from the turn after."""
-        if attempt.over:  # it is on its way out already: a second hand-over would end it twice
+        if attempt.done:  # it is on its way out already: a second hand-over would end it twice
             return
-        unsent, attempt.state = attempt.unsent, State.LEAVING
+        unsent, attempt.state = attempt.unsent, AttemptState.CANCELLING
         log.debug(
             "attempt_given_up",
             request=attempt.query.id,
@@ -520,7 +526,7 @@
         self._lag = max(late, self._lag - self._lag // 256)
         if self._behind:
             log.debug("loop_late", late_us=late)
-        for attempt in [a for a in self.out.values() if a.until <= now and not a.over]:
+        for attempt in [a for a in self.out.values() if a.deadline <= now and not a.done]:
             self._give_up(attempt, "LATE")
         self._bar(now)
         if self._unconfirmed and self._standing() is not Standing.UNCONFIRMED:
--- a/rackhub/core/fleet.py
+++ b/rackhub/core/fleet.py
@@ -5,7 +5,7 @@
 from rackhub.core.request import Attempt, Query
 
 
-class Guide(Protocol):
+class FleetCoordinator(Protocol):
     """Told of every request and attempt of this gateway; it answers from what it knows, and waits for nothing.
 
     Its own word to the module goes by `Coordinator.fleet_said`, `.probed` and `.peer_said`. Times are microseconds of
@@ -19,7 +19,7 @@
         """An attempt goes out; a further one (`attempt.number` > 0) is paid from the fleet's budget."""
 
     def ended(self, attempt: Attempt, reason: str, now: int) -> None:
-        """Its outcome, worded as in `interface.AttemptEnded`."""
+        """Its outcome, worded as in `interface.AttemptCompleted`."""
 
     def closed(self, query: Query, how: str, now: int) -> None:
         """The request is over: served, refused, failed or left."""
--- a/rackhub/core/gather.py
+++ b/rackhub/core/gather.py
@@ -10,7 +10,7 @@
 Missing = Literal["late", "cut", "refused", "failed", "spared"]
 
 
-class SiteTold(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class SiteStatus(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """One site of a gathered answer: its rows are in it, fresh or `age_ms` old, or are `missing` for a reason."""
 
     site: str
@@ -18,19 +18,19 @@
     missing: Missing | None = None
 
 
-class Told(msgspec.Struct, frozen=True, kw_only=True):
+class GatherStatus(msgspec.Struct, frozen=True, kw_only=True):
     """What stands beside the rows of a gathered answer, in the order of the sites."""
 
     whole: bool  # every site is in and fresh
-    sites: Sequence[SiteTold]
+    sites: Sequence[SiteStatus]
 
 
-class Gathers(Protocol):
+class GatherPort(Protocol):
     """Asked by the core for each request that is taken on. It answers by `Coordinator.gathered`, and submits parts as
     requests of its own: `Query.part` set, `Query.zones` where they may run, and a `Reply` of its own."""
 
     def take(self, query: Query) -> bool:
         """Whether a rule gathers the request: then it is the caller's no more. Admitted or refused as a whole."""
 
-    def left(self, query: Query) -> None:
+    def client_disconnected(self, query: Query) -> None:
         """Its client is gone, or the core's backstop has answered it: its parts are called off."""
--- a/rackhub/core/ledger.py
+++ b/rackhub/core/request_journal.py
@@ -5,7 +5,7 @@
 from rackhub.core.request import Attempt, Query
 
 
-class Ledger(Protocol):
+class RequestJournal(Protocol):
     """Told of requests that bear an idempotency key, and of no others. It only notes: nothing waits for it."""
 
     def taken(self, query: Query) -> None: ...
--- a/rackhub/core/terms.py
+++ b/rackhub/core/request_policy.py
@@ -3,39 +3,39 @@
 from typing import Any, NamedTuple, Protocol
 
 
-class Life(Protocol):
+class RequestTerms(Protocol):
     """One request under the terms that it began with: its most attempts, and how long a keyed one may be repeated."""
 
-    attempts: int
-    repeat_within: int
+    max_attempts: int
+    retry_window: int
 
 
-class Sending(NamedTuple):
+class AttemptTerms(NamedTuple):
     """What holds for one attempt. Times in microseconds, 0: none."""
 
     timeout: int = 0
     send_by: int = 0  # it must not leave after this moment
-    copy_after: int = 0  # when a second copy of it is due
+    hedge_after: int = 0  # when a second copy of it is due
     priority: int | None = None
 
 
-class After(NamedTuple):
+class RetryDecision(NamedTuple):
     """Whether a further attempt is allowed, how long it waits; if not, when the client should come back."""
 
-    again: bool
-    wait: int = 0
+    may_retry: bool
+    delay: int = 0
     backoff: int = 0
 
 
-class Desk(Protocol):
+class RequestPolicy(Protocol):
     """All terms in force. Times in microseconds."""
 
-    def begin(self, cls: str, tenant: str, estimate: int, now: int) -> Life: ...
+    def begin(self, cls: str, tenant: str, estimate: int, now: int) -> RequestTerms: ...
     def end(self, life: Any, now: int) -> None: ...
     def may_send(self, life: Any, tries: int, copy: bool, now: int) -> bool: ...
-    def sending(self, life: Any, number: int, kind: str, copy: bool, now: int) -> Sending: ...
+    def sending(self, life: Any, number: int, kind: str, copy: bool, now: int) -> AttemptTerms: ...
     def may_copy(self, life: Any, kind: str, tries: int, now: int) -> bool: ...
     def ended(
         self, life: Any, number: int, kind: str, engine: str, reason: str, elapsed: int, cut: bool, now: int
     ) -> None: ...
-    def after(self, life: Any, reason: str, tries: int, now: int) -> After: ...
+    def after(self, life: Any, reason: str, tries: int, now: int) -> RetryDecision: ...
--- a/rackhub/core/source.py
+++ b/rackhub/core/source.py
@@ -8,10 +8,10 @@
 Address = tuple[str, int]
 
 
-class Listing(NamedTuple):
+class EndpointSnapshot(NamedTuple):
     """The list of engines at one event of its numbering."""
 
-    rev: int
+    revision: int
     entries: tuple[interface.EngineEntry, ...]
     addresses: dict[str, Address]
 
@@ -27,9 +27,9 @@
     """On the platform its file and its resolver; a store of the program's own would stand here too."""
 
     settings: interface.Settings
-    start: Listing
+    start: EndpointSnapshot
 
-    def follow(self, told: Callable[[Listing], None], lease: LeaseKeeper | None = None) -> None:
+    def follow(self, told: Callable[[EndpointSnapshot], None], lease: LeaseKeeper | None = None) -> None:
         """Call back with each list that is new from now on; `lease` hears of questions and good answers."""
 
     def reload(self) -> None:
--- a/rackhub/core/starts.py
+++ b/rackhub/core/starts.py
@@ -26,11 +26,11 @@
         return tuple(self._entry(entry, before, now) for entry in entries)
 
     def _entry(self, entry: EngineEntry, before: dict[tuple[str, int], int] | None, now: int) -> EngineEntry:
-        if not entry.came_up:  # long past
+        if not entry.started_at:  # long past
             return entry
-        key = entry.engine, entry.came_up
-        known = before.get(key) if before is not None else min(entry.came_up, now)
+        key = entry.engine, entry.started_at
+        known = before.get(key) if before is not None else min(entry.started_at, now)
         if known is None:
-            known = entry.came_up if 0 <= now - entry.came_up <= OLDEST_NEWS else now
+            known = entry.started_at if 0 <= now - entry.started_at <= OLDEST_NEWS else now
         self._read[key] = known
-        return replace(entry, came_up=known)
+        return replace(entry, started_at=known)
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -10,13 +10,13 @@
 from twisted.internet.task import LoopingCall
 from twisted.python.log import PythonLoggingObserver
 
-from rackhub import logs, parts
+from rackhub import components, logs
 from rackhub.clock import UnixClock
 from rackhub.config import Config, address
+from rackhub.core.component import ComponentContext
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.lease import ListLease
-from rackhub.core.part import Host
-from rackhub.core.source import Address, Listing, Source
+from rackhub.core.source import Address, EndpointSnapshot, Source
 from rackhub.core.starts import Starts
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
@@ -69,9 +69,9 @@
             )
         self._ports: list[SharedPort] = []
         self._leaving = self._serving = False
-        self._listing: Listing | None = None
+        self._listing: EndpointSnapshot | None = None
         self._starts = Starts()
-        self._host = Host(
+        self._host = ComponentContext(
             reactor,
             clock,
             config,
@@ -83,26 +83,26 @@
             self._relist,
             reread,
         )
-        self.parts = self._host.parts
-        for name in parts.wanted(config, operator):
-            self.parts[name] = parts.load(name, self._host)
+        self.parts = self._host.components
+        for name in components.wanted(config, operator):
+            self.parts[name] = components.load(name, self._host)
 
     def _relist(self) -> None:
         """A part shows the list otherwise than before."""
         if self._listing is not None:
             self._tell_list(self._listing)
 
-    def _tell_list(self, listing: Listing) -> None:
+    def _tell_list(self, listing: EndpointSnapshot) -> None:
         # the module first: once it knows of a drain it sends nothing there, and what the pools give back goes elsewhere
         entries = self._shown(listing)
-        self.core.listed(entries, listing.rev)
+        self.core.listed(entries, listing.revision)
         self.engines.listed(listing.addresses, entries)
 
-    def _shown(self, listing: Listing) -> tuple:
+    def _shown(self, listing: EndpointSnapshot) -> tuple:
         """The list as the module is to see it."""
         self._listing, entries = listing, self._starts.read(listing.entries, self._host.clock.now())
         for part in self.parts.values():
-            entries = tuple(part.shown(entries))
+            entries = tuple(part.visible_endpoints(entries))
         return entries
 
     def _reload(self) -> None:
@@ -114,9 +114,9 @@
         try:
             self._host.operator = operator = self._reread_operator()
             late = {
-                name: parts.load(name, self._host)
-                for name in parts.wanted(self.config, operator)
-                if name not in self.parts and name in parts.LATE
+                name: components.load(name, self._host)
+                for name in components.wanted(self.config, operator)
+                if name not in self.parts and name in components.LATE
             }  # requests that are open go on without
         except ValueError as bad:
             self.counters.add("operator_reloads_bad")
@@ -131,7 +131,7 @@
             engines = part.begin(engines)
         entries = self._shown(engines)
         self.engines.listed(engines.addresses, entries)
-        self.core.start(self.engines, entries, engines.rev)
+        self.core.start(self.engines, entries, engines.revision)
         PythonLoggingObserver().start()  # a fault in a callback of the reactor's shows in the log, not nowhere
         self.core.lease = ListLease(self.config.limits, self.config.settings.drain_grace, self._host.clock.now())
         self.source.follow(self._listed, self.core)
@@ -166,10 +166,10 @@
         for number in SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
-    def _listed(self, listing: Listing) -> None:
+    def _listed(self, listing: EndpointSnapshot) -> None:
         self._tell_list(listing)
         for part in self.parts.values():
-            part.listed(listing)
+            part.endpoints_changed(listing)
 
     def _nameserver(self) -> Address:
         """Of the configuration as it stands now. The rest of it holds from the start: what else has changed is
@@ -185,7 +185,7 @@
     def tell(self) -> None:
         print(f"counters: {self.counters.line()}", file=sys.stderr, flush=True)
         for part in self.parts.values():
-            for line in part.tell():
+            for line in part.summary_lines():
                 print(line, file=sys.stderr, flush=True)
 
     # ---- the end
--- a/rackhub/fleet/disk.py
+++ b/rackhub/fleet/disk.py
@@ -3,17 +3,19 @@
 from pathlib import Path
 from typing import Any
 
-from rackhub.core.part import PartUnusable
+from rackhub.core.component import ComponentStartError
 from rackhub.fleet.register.disk import StoreDisk
 
 
 def open_disk(reactor: Any, state: str, name: str) -> StoreDisk:
-    """The disk of that name. Raises `PartUnusable`."""
+    """The disk of that name. Raises `ComponentStartError`."""
     try:
         from rackhub.store import StoreError
 
         return StoreDisk(reactor, Path(state) / name)
     except ImportError as missing:
-        raise PartUnusable(f"[fleet] state: {missing}: install the extra 'store' (requirements-store.txt)") from None
+        raise ComponentStartError(
+            f"[fleet] state: {missing}: install the extra 'store' (requirements-store.txt)"
+        ) from None
     except (StoreError, OSError) as fault:
-        raise PartUnusable(f"[fleet] state: {fault}") from None
+        raise ComponentStartError(f"[fleet] state: {fault}") from None
--- a/rackhub/fleet/overload/part.py
+++ b/rackhub/fleet/overload/part.py
@@ -10,7 +10,7 @@
 
 from rackhub import interface as t
 from rackhub.core.request import Attempt, Query
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.fleet import ports
 from rackhub.fleet.overload import records
 from rackhub.fleet.overload.probing import PAGES, Probing
@@ -36,7 +36,7 @@
 
     out: dict[tuple[str, int], Attempt]
 
-    def fleet_said(self, said: t.FleetSaid) -> None: ...
+    def fleet_said(self, said: t.FleetAllocation) -> None: ...
     def probed(self, engine: str, reason: str, elapsed: int, report: dict[str, float] | None = None) -> None: ...
     def peer_said(self, peer: int, contents: bytes) -> None: ...
 
@@ -81,11 +81,11 @@
         self._ticked = self.fleet.clock.now()
         self._cancel = self.fleet.later(TICK, self._timed)
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointSnapshot) -> None:
         self._entries = tuple(entry for entry in listing.entries if entry.state == "Ready")
         now = self.fleet.clock.now()
         self.probing.listed(entry.engine for entry in self._entries)
-        self.trials.listed(now, ((entry.engine, entry.came_up) for entry in self._entries))
+        self.trials.listed(now, ((entry.engine, entry.started_at) for entry in self._entries))
         self._say(now)
 
     def drain(self) -> None:
@@ -124,12 +124,12 @@
             self._news(now)
 
     def ended(self, attempt: Attempt, reason: str, now: int) -> None:
-        self.reckoning.ended(attempt.query.cls, reason, now - attempt.sent)
+        self.reckoning.ended(attempt.query.cls, reason, now - attempt.sent_at)
         if self.trials.ended(now, attempt.engine, reason):
             self._news(now)
 
     def closed(self, query: Query, how: str, now: int) -> None:
-        self.reckoning.closed(query.cls, how, query.tries)
+        self.reckoning.closed(query.cls, how, query.attempts)
 
     def probe(self, engine: str) -> None:
         now = self.fleet.clock.now()
@@ -250,13 +250,13 @@
         if own.view is None:
             return
         self.core.fleet_said(
-            t.FleetSaid(
-                share=own.part,
-                cold=own.part,
-                tokens=max(own.tokens.left, 0.0),
-                probes=self.probing.mine if self.settings.probes else None,
-                held=held,
-                back=own.back.told,
+            t.FleetAllocation(
+                thread_share=own.part,
+                slow_start_share=own.part,
+                retry_tokens=max(own.tokens.left, 0.0),
+                health_check_targets=self.probing.mine if self.settings.health_checks else None,
+                reserved_engines=held,
+                minimum_backoff=own.back.told,
             )
         )
 
--- a/rackhub/fleet/overload/prober.py
+++ b/rackhub/fleet/overload/prober.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.protocol import Protocol
 
-from rackhub.core.source import Address, Listing
+from rackhub.core.source import Address, EndpointSnapshot
 from rackhub.core.timers import Clock
 from rackhub.limits import Limits
 from rackhub.net.dial import OneDial
@@ -101,7 +101,7 @@
         self._addresses: dict[str, Address] = {}
         self._probes: dict[str, Probe] = {}
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointSnapshot) -> None:
         """An engine that is gone from the list, or has another address, is let go of."""
         self._addresses = dict(listing.addresses)
         for engine, probe in list(self._probes.items()):
--- a/rackhub/fleet/overload/reckoning.py
+++ b/rackhub/fleet/overload/reckoning.py
@@ -36,7 +36,7 @@
         self.tokens = Tokens(settings, fresh + HOLD, seed ^ records.code(me, "tokens"))
         self.back = Back(settings.max_retry_after, seed ^ records.code(me, "back"))
         self._codes, self._guard = Codes(settings), told.worth_guard
-        self._fractions = {tenant.name: tenant.fraction for tenant in settings.tenants}
+        self._fractions = {tenant.name: tenant.quota_fraction for tenant in settings.tenants}
         self.view: View | None = None
         self.hand, self.part = 0, 0.0  # threads held here; of what the fleet may run, this gateway's part
         self.limit = self.tight = 0.0  # threads that it may hold; for the cell at the level
--- a/rackhub/fleet/overload/safe.py
+++ b/rackhub/fleet/overload/safe.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from rackhub.core.fleet import Guide
+from rackhub.core.fleet import FleetCoordinator
 from rackhub.core.request import Attempt, Query
 
 log = logging.getLogger(__name__)
@@ -14,7 +14,7 @@
 class Safe:
     """`count` adds one to a counter."""
 
-    def __init__(self, guide: Guide, count: Callable[[str], None]):
+    def __init__(self, guide: FleetCoordinator, count: Callable[[str], None]):
         self._guide, self._count, self._faults = guide, count, 0
 
     def _fault(self, what: str) -> None:
--- a/rackhub/fleet/overload/tokens.py
+++ b/rackhub/fleet/overload/tokens.py
@@ -22,10 +22,10 @@
     """One gateway's further attempts."""
 
     def __init__(self, settings: t.Settings, hold: int, seed: int):
-        told = settings.repeat_ratio is not None or settings.free_resends is not None
-        self._ratio = (settings.repeat_ratio or 0.0) if told else RATIO
-        self._floor = (settings.free_resends or 0.0) if told else FLOOR
-        self._over = settings.counted_over or OVER
+        told = settings.retry_budget_ratio is not None or settings.retry_budget_minimum is not None
+        self._ratio = (settings.retry_budget_ratio or 0.0) if told else RATIO
+        self._floor = (settings.retry_budget_minimum or 0.0) if told else FLOOR
+        self._over = settings.retry_budget_window or OVER
         self._random = random.Random(seed)
         self.lending = Lending(hold, KEPT)
         self.budget = self.rate = 0.0  # a second: the fleet's, and this gateway's part of it
--- a/rackhub/fleet/overload/view.py
+++ b/rackhub/fleet/overload/view.py
@@ -82,7 +82,8 @@
     grown = 1 + rest / listed if listed else 1.0  # what is not told cell by cell is taken to be like the rest
     demand = {
         key: Demand(
-            rate * grown * work[key[0]], kinds[key[0]].told.worth * worth.get(key, 1.0) / max(work[key[0]], 1e-9)
+            rate * grown * work[key[0]],
+            kinds[key[0]].told.priority_weight * worth.get(key, 1.0) / max(work[key[0]], 1e-9),
         )
         for key, rate in asked.items()
         if rate > 0
@@ -104,7 +105,11 @@
     """What the listed engines may run, by the module's measure: threads for each core, less while an engine is cold."""
     cores = 0.0
     for entry in entries:
-        age = max(now - entry.came_up, 0)
-        warm = min(settings.cold_from + (1 - settings.cold_from) * age / max(settings.ramp_time, 1), 1)
+        age = max(now - entry.started_at, 0)
+        warm = min(
+            settings.slow_start_initial_capacity
+            + (1 - settings.slow_start_initial_capacity) * age / max(settings.slow_start_duration, 1),
+            1,
+        )
         cores += settings.kind_cores.get(entry.kind, CORES_UNTOLD) * warm
     return THREADS_PER_CORE * cores
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from rackhub import parts
+from rackhub import components
 from rackhub.address import address
 from rackhub.config import fleet_settings
-from rackhub.core.part import Host, Part, PartUnusable
-from rackhub.core.source import Listing
+from rackhub.core.component import Component, ComponentContext, ComponentStartError
+from rackhub.core.source import EndpointSnapshot
 from rackhub.fleet.control import fleet as fleet_call
 from rackhub.fleet.control.port import ControlPort
 from rackhub.fleet.disk import open_disk
@@ -36,8 +36,8 @@
 log = logging.getLogger(__name__)
 
 
-class FleetPart(Part):
-    def __init__(self, host: Host):
+class FleetPart(Component):
+    def __init__(self, host: ComponentContext):
         super().__init__(host)
         self.told: FleetSettings = fleet_settings(host.operator.fleet or {}, host.source.settings, host.config.name)
         self.counts = Counter[str]()
@@ -49,7 +49,7 @@
                 host.reactor, zone_settings, host.config.listen, host.clock, host.config.seed, self._tally
             )
         except OSError as fault:
-            raise PartUnusable(f"[fleet] state: {fault}") from None
+            raise ComponentStartError(f"[fleet] state: {fault}") from None
         self.fleet = self.membership.fleet()
         self.control = (
             ControlPort(host.reactor, address(self.told.control, "control"), self._tally) if self.told.control else None
@@ -86,38 +86,38 @@
         if self.overload is not None:
             parts["shed"] = self.overload.shed
         elif self.told.role == VOTER:
-            parts["shed"] = Shed(self.host.source.settings)
+            parts["shed"] = Shed(self.context.source.settings)
         return parts
 
     def _distribution(self) -> "Distribution":
         from rackhub.fleet.distribution.part import Distribution
 
         if self.told.role != RELAY:
-            self.disk = open_disk(self.host.reactor, self.told.state, "distribution")
+            self.disk = open_disk(self.context.reactor, self.told.state, "distribution")
         try:
-            return Distribution(self.host.reactor, self.fleet, self.told, self.control, self.disk)
+            return Distribution(self.context.reactor, self.fleet, self.told, self.control, self.disk)
         except ValueError as bad:
-            raise PartUnusable(f"[fleet] state: {bad}") from None
+            raise ComponentStartError(f"[fleet] state: {bad}") from None
 
     def _book(self) -> RuleBook:
         """The rule book of a fleet without relays, kept on a store of its own where there is a directory for it."""
         if self.told.state:
-            self.disk = open_disk(self.host.reactor, self.told.state, "register")
+            self.disk = open_disk(self.context.reactor, self.told.state, "register")
         try:
             return RuleBook(self.fleet, self.told, self.control, self.disk, self._counts)
         except ValueError as bad:
-            raise PartUnusable(f"[fleet] state: {bad}") from None
+            raise ComponentStartError(f"[fleet] state: {bad}") from None
 
     def _counts(self) -> tuple[int, int, int]:
         """Requests over, refused, and failed or over time, of all classes since the start."""
-        sums = [sum(counts) for counts in zip(*self.host.core.by_class.values(), strict=True)]
+        sums = [sum(counts) for counts in zip(*self.context.core.by_class.values(), strict=True)]
         return sum(sums[:3]), sums[1], sums[2]
 
     def _time(self, table: Table) -> None:
         """Other routes hold; where none ever did and there are none, nothing is loaded for them."""
-        found: Any = self.host.parts.get("timings")
+        found: Any = self.context.components.get("timings")
         if found is None and table.routes:
-            found = self.host.parts["timings"] = parts.load("timings", self.host)
+            found = self.context.components["timings"] = components.load("timings", self.context)
         if found is not None:
             found.again = self.timings.again
             found.desk.reload(table)
@@ -125,9 +125,9 @@
     def _tally(self, name: str, by: int = 1) -> None:
         self.counts[name] += by
 
-    def begin(self, listing: Listing) -> Listing:
+    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
         if self.overload is not None:
-            self.host.core.guide = Safe(self.overload, self._tally)
+            self.context.core.guide = Safe(self.overload, self._tally)
         return listing
 
     def open(self) -> None:
@@ -141,21 +141,21 @@
                         {
                             "figures": {
                                 name: value
-                                for part in self.host.parts.values()
-                                for name, value in part.figures().items()
+                                for part in self.context.components.values()
+                                for name, value in part.metrics().items()
                             }
                         }
                     ),
                 )
                 self.control.start()
         except OSError as fault:
-            raise PartUnusable(f"[fleet] {fault}") from None
+            raise ComponentStartError(f"[fleet] {fault}") from None
         if self.overload is not None:
             self.overload.start()
-            self.overload.listed(self.host.source.start)
-        self.prober.listed(self.host.source.start)
+            self.overload.listed(self.context.source.start)
+        self.prober.listed(self.context.source.start)
         if self.rules is not None:
-            timed: Any = self.host.parts.get("timings")
+            timed: Any = self.context.components.get("timings")
             if timed is not None:
                 timed.again = self.timings.again
             self._start_rules()
@@ -166,9 +166,9 @@
             if self.rules is not None:
                 self.rules.start()
         except OSError as fault:
-            raise PartUnusable(f"[fleet] {fault.strerror or fault}") from None
+            raise ComponentStartError(f"[fleet] {fault.strerror or fault}") from None
 
-    def listed(self, listing: Listing) -> None:
+    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
         self.prober.listed(listing)
         if self.overload is not None:
             self.overload.listed(listing)
@@ -194,7 +194,7 @@
         if disk is not None:
             disk.end()
 
-    def figures(self) -> Mapping[str, float]:
+    def metrics(self) -> Mapping[str, float]:
         told: dict[str, float] = dict(self.membership.figures()) | {name: float(n) for name, n in self.counts.items()}
         if self.overload is not None:
             told |= self.overload.figures()
@@ -202,10 +202,10 @@
             told |= self.rules.figures()
         return told
 
-    def tell(self) -> Sequence[str]:
-        counted: Any = {name: value for name, value in sorted(self.figures().items()) if value}
+    def summary_lines(self) -> Sequence[str]:
+        counted: Any = {name: value for name, value in sorted(self.metrics().items()) if value}
         return ["fleet: " + (" ".join(f"{name}={value:g}" for name, value in counted.items()) or "nothing")]
 
 
-def part(host: Host) -> FleetPart:
+def part(host: ComponentContext) -> FleetPart:
     return FleetPart(host)
--- a/rackhub/gather/desk.py
+++ b/rackhub/gather/desk.py
@@ -11,7 +11,7 @@
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.gather import Missing
 from rackhub.core.request import Query, Reply
-from rackhub.core.source import Address, Listing
+from rackhub.core.source import Address, EndpointSnapshot
 from rackhub.fleet.ports import Level
 from rackhub.gather import hops
 from rackhub.gather.learned import Shelf, Times
@@ -114,7 +114,7 @@
         self.held = Held(rules, version)
         self.count("gather_rules_held")
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointSnapshot) -> None:
         self._ready = frozenset(entry.zone for entry in listing.entries if entry.state == "Ready")
         self.look()
 
@@ -159,7 +159,7 @@
         self._do(open, open.gather.start(now, lambda site: self._cut(rules.sites[site]), over))
         return True
 
-    def left(self, query: Query) -> None:
+    def client_disconnected(self, query: Query) -> None:
         open = self.open.pop(query.id, None)
         if open is not None:
             self._do(open, open.gather.left())
@@ -228,7 +228,7 @@
                 memory_mb=query.memory_mb,
                 tables=query.tables,
             )
-            own.part, own.zones = True, site.zones
+            own.is_subrequest, own.zones = True, site.zones
             open.parts[part.site, part.number] = local
             return self.core.submit(own)
         self._send_away(open, part, site, id, part.until - now)
@@ -269,7 +269,7 @@
             return
         told = answer.told
         self.count("gather_whole" if told is None or told.whole else "gather_partial")
-        query.mark = told if getattr(query.reply, "marks", False) else None
+        query.gather_status = told if getattr(query.reply, "marks", False) else None
         self.core.gathered(query, "served", answer.pages)
 
     def figures(self) -> dict[str, Any]:
--- a/rackhub/gather/part.py
+++ b/rackhub/gather/part.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from rackhub.config import gather_rules
-from rackhub.core.part import Host, Part
-from rackhub.core.source import Listing
+from rackhub.core.component import Component, ComponentContext
+from rackhub.core.source import EndpointSnapshot
 from rackhub.fleet.ports import Fleet, Level, Member
 from rackhub.gather.desk import GatherDesk
 from rackhub.gather.remote import Remotes
@@ -16,8 +16,8 @@
 log = logging.getLogger(__name__)
 
 
-class GatherPart(Part):
-    def __init__(self, host: Host):
+class GatherPart(Component):
+    def __init__(self, host: ComponentContext):
         super().__init__(host)
         limits = host.config.limits
         self.remotes = Remotes(host.reactor, limits.dial_timeout, limits.result, lambda name: self.desk.count(name))
@@ -44,8 +44,8 @@
         named = [known.get(address) for address in site.addresses]
         return all(name is not None and name not in heard for name in named)
 
-    def begin(self, listing: Listing) -> Listing:
-        fleet: Any = self.host.parts.get("fleet")  # not by its type: where it is off it is not imported
+    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
+        fleet: Any = self.context.components.get("fleet")  # not by its type: where it is off it is not imported
         if fleet is not None:
             self.join(fleet.fleet, fleet.overload)
             if fleet.rules is not None:
@@ -53,14 +53,14 @@
         self.desk.listed(listing)
         return listing
 
-    def listed(self, listing: Listing) -> None:
+    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
         self.desk.listed(listing)
 
     def reload(self, operator: Operator) -> None:
         if self.desk.held.version:
             return log.info("reload: the rule book's version %d holds, not the file's [gather]", self.desk.held.version)
         try:
-            self._file = gather_rules(operator.gather or {}, self.host.source.settings)
+            self._file = gather_rules(operator.gather or {}, self.context.source.settings)
         except ValueError as bad:
             return log.error("reload: bad gather rules, the old ones hold: %s", bad)
         self.desk.hold(self._file, 0)
@@ -68,21 +68,21 @@
     # ---- as `ports.RulePart`
 
     def check(self, part: Mapping[str, Any] | None) -> None:
-        gather_rules(dict(part or {}), self.host.source.settings)
+        gather_rules(dict(part or {}), self.context.source.settings)
 
     def hold(self, part: Mapping[str, Any] | None, version: int) -> None:
-        rules = self._file if part is None else gather_rules(dict(part), self.host.source.settings)
+        rules = self._file if part is None else gather_rules(dict(part), self.context.source.settings)
         self.desk.hold(rules, version)
 
     def stop(self) -> None:
         self.remotes.close()
 
-    def figures(self) -> Mapping[str, float]:
+    def metrics(self) -> Mapping[str, float]:
         return self.desk.figures()
 
-    def tell(self) -> Sequence[str]:
-        return ["gather: " + (" ".join(f"{name}={value}" for name, value in self.figures().items() if value) or "none")]
+    def summary_lines(self) -> Sequence[str]:
+        return ["gather: " + (" ".join(f"{name}={value}" for name, value in self.metrics().items() if value) or "none")]
 
 
-def part(host: Host) -> GatherPart:
+def part(host: ComponentContext) -> GatherPart:
     return GatherPart(host)
--- a/rackhub/gather/rules.py
+++ b/rackhub/gather/rules.py
@@ -146,12 +146,12 @@
     for name in names(rule.cls) or ():
         if name not in classes:
             faults.append(Fault(f"{key}.class", name, "the site has no such class"))
-        elif classes[name].effect != "retryable":  # a part may have run where its site did not answer
+        elif classes[name].idempotency != "retryable":  # a part may have run where its site did not answer
             faults.append(
                 Fault(
                     f"{key}.class",
                     name,
-                    f"may not simply be repeated (effect {classes[name].effect}), so it is never gathered",
+                    f"may not simply be repeated (effect {classes[name].idempotency}), so it is never gathered",
                 )
             )
     tenants = {tenant.name for tenant in settings.tenants}
--- a/rackhub/gather/state.py
+++ b/rackhub/gather/state.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Literal, NamedTuple
 
-from rackhub.core.gather import Missing, SiteTold, Told
+from rackhub.core.gather import GatherStatus, Missing, SiteStatus
 from rackhub.gather.rules import Rule
 
 MS = 1_000
@@ -49,7 +49,7 @@
 
     how: Literal["served", "refused"]
     pages: Sequence[bytes] = ()
-    told: Told | None = None
+    told: GatherStatus | None = None
     backoff: int = 0
     why: str = ""
 
@@ -230,13 +230,13 @@
             ]
         whole = set(rows) == set(self.rule.sites) and not any(part.age for part in rows.values())
         sites = [
-            SiteTold(site=site, age_ms=-(-rows[site].age // MS))
+            SiteStatus(site=site, age_ms=-(-rows[site].age // MS))
             if site in rows
-            else SiteTold(site=site, missing=late[site])
+            else SiteStatus(site=site, missing=late[site])
             for site in self.rule.sites
         ]
         pages = [page for site in self.rule.sites if site in rows for page in rows[site].pages]
-        return [*self._call_off(), Answer("served", pages, Told(whole=whole, sites=sites))]
+        return [*self._call_off(), Answer("served", pages, GatherStatus(whole=whole, sites=sites))]
 
     def _call_off(self) -> list[Effect]:
         calls: list[Effect] = [CallOff(site, number) for site, number in self.out.items()]
--- a/rackhub/interface.py
+++ b/rackhub/interface.py
@@ -12,18 +12,18 @@
 
     name: str
     deadline: int = 0
-    objective: int = 0
-    aim_stretch: float = 0.0
-    worth: float = 1.0
-    effect: str = "fragile"
-    dedup_scope: str = "cell"
-    window: int = 0
+    latency_objective: int = 0
+    latency_objective_multiplier: float = 0.0
+    priority_weight: float = 1.0
+    idempotency: str = "fragile"
+    idempotency_scope: str = "cell"
+    idempotency_window: int = 0
     serial_by_key: bool = False
-    stays_in: tuple[str, ...] = ()
-    served_on: tuple[str, ...] = ()
+    allowed_zones: tuple[str, ...] = ()
+    allowed_engine_kinds: tuple[str, ...] = ()
     threads: int = 1
-    holds_tables: bool = False
-    blocked_by_loads: bool = False
+    locks_tables: bool = False
+    blocked_by_table_locks: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,8 +31,26 @@
     """One tenant, with the operator's share of the service where one is told."""
 
     name: str
-    fraction: float = 0.0
-    allowance_per_s: float = 0.0
+    quota_fraction: float = 0.0
+    rate_limit_per_s: float = 0.0
+
+
+# attribute, the name that an operator knows it by, and its minimum
+_MINIMUM_VALUES = (
+    ("gateways", "gateways", 1),
+    ("max_attempts", "max_attempts", 1),
+    ("period", "period", 1),
+    ("slow_start_budget_window", "fall", 0),
+    ("instance_index", "me", 0),
+    ("slow_start_duration", "ramp_time", 0),
+    ("turn_gap", "turn_gap", 0),
+    ("drain_grace", "drain_grace", 0),
+    ("retry_budget_window", "counted_over", 0),
+    ("slow_start_initial_capacity", "cold_from", 0),
+    ("slow_start_budget_multiple", "fall_multiple", 0),
+    ("max_retry_after", "max_retry_after", 0),
+    ("progress_report_interval", "note_period", 0),
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,7 +60,7 @@
     classes: tuple[ClassSettings, ...] = ()
     tenants: tuple[TenantSettings, ...] = ()
     gateways: int = 1
-    me: int = 0
+    instance_index: int = 0
     zone: str = ""
     discovery: str = "push"
     period: int = 1_000
@@ -50,53 +68,40 @@
     kind_memory: dict[str, float] = field(default_factory=dict)
     grants: bool = False
     priorities: bool = False
-    note_period: int = 0
+    progress_report_interval: int = 0
     cancel: bool = False
     max_attempts: int = 1
     max_retry_after: int = 0
-    second_copies: bool = False
-    peers: bool = False
-    probes: bool = False
-    report_source: str = "silent"
-    free_resends: float | None = None
-    repeat_ratio: float | None = None
-    counted_over: int = 0
-    cold_from: float = 1.0
-    ramp_time: int = 0
-    fall_multiple: float = 1.0
-    fall: int = 0
+    hedging: bool = False
+    gossip: bool = False
+    health_checks: bool = False
+    load_report_source: str = "silent"
+    retry_budget_minimum: float | None = None
+    retry_budget_ratio: float | None = None
+    retry_budget_window: int = 0
+    slow_start_initial_capacity: float = 1.0
+    slow_start_duration: int = 0
+    slow_start_budget_multiple: float = 1.0
+    slow_start_budget_window: int = 0
     turn_gap: int = 0
     drain_grace: int = 0
 
     def __post_init__(self):
         """Refuse settings that no site can mean, naming the one at fault."""
-        for name, least in (
-            ("gateways", 1),
-            ("max_attempts", 1),
-            ("period", 1),
-            ("fall", 0),
-            ("me", 0),
-            ("ramp_time", 0),
-            ("turn_gap", 0),
-            ("drain_grace", 0),
-            ("counted_over", 0),
-            ("cold_from", 0),
-            ("fall_multiple", 0),
-            ("max_retry_after", 0),
-            ("note_period", 0),
-        ):
-            if not getattr(self, name) >= least:
-                raise ValueError(f"setting {name} is {getattr(self, name)!r}: at least {least} is needed")
+        for attribute, configured_name, minimum in _MINIMUM_VALUES:
+            value = getattr(self, attribute)
+            if not value >= minimum:
+                raise ValueError(f"setting {configured_name} is {value!r}: at least {minimum} is needed")
         for kind, cores in self.kind_cores.items():
             if not cores > 0:
                 raise ValueError(f"setting kind_cores of {kind} is {cores!r}: more than 0 is needed")
         for cls in self.classes:
-            if cls.effect not in ("retryable", "dedup", "fragile"):
-                raise ValueError(f"setting effect of class {cls.name} is {cls.effect!r}: not known")
+            if cls.idempotency not in ("retryable", "dedup", "fragile"):
+                raise ValueError(f"setting effect of class {cls.name} is {cls.idempotency!r}: not known")
             if cls.threads < 1:
                 raise ValueError(f"setting threads of class {cls.name} is {cls.threads!r}: at least 1 is needed")
         for tenant in self.tenants:
-            if tenant.fraction < 0 or tenant.allowance_per_s < 0:
+            if tenant.quota_fraction < 0 or tenant.rate_limit_per_s < 0:
                 raise ValueError(f"setting fraction or allowance_per_s of tenant {tenant.name} is below 0")
 
 
@@ -118,25 +123,25 @@
     cell: int = 0
     state: str = "Ready"
     size: float = 1.0
-    came_up: int = 0
+    started_at: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class EngineList:
+class EndpointList:
     """News of the fleet. `scope` is Partial, Complete, Persisted or Error."""
 
     scope: str
     entries: tuple[EngineEntry, ...] = ()
-    rev: int = 0
+    revision: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class QueryArrived:
+class QueryReceived:
     """A query that this gateway now owes one final answer."""
 
     query: str
     cls: str
-    drop_dead: int
+    deadline: int
     tenant: str = ""
     is_retry: bool = False
     estimate: int = 0
@@ -144,14 +149,14 @@
     write: bool = False
     memory_mb: float = 0.0
     tables: int | None = None
-    attempts: int = 0  # the most for this query; 0: the site's
-    repeat_within: int = 0  # how long after its first attempt a keyed one may go out again; 0: by its class's window
-    standing: int = 0  # against the fleet's level: 1 it passes, -1 it is refused, 0 there is none
+    max_attempts: int = 0  # the most for this query; 0: the site's
+    retry_window: int = 0  # how long after its first attempt a keyed one may go out again; 0: by its class's window
+    admission: int = 0  # against the fleet's level: 1 it passes, -1 it is refused, 0 there is none
     zones: tuple[str, ...] = ()  # where alone it may run; none: anywhere
 
 
 @dataclass(slots=True, frozen=True)
-class StreamBegan:
+class ResultStreamStarted:
     """The answer of an attempt has begun: the attempt belongs to the client."""
 
     query: str
@@ -161,7 +166,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class ProgressReport:
     """News of a running attempt. Topic 1: share done; 2: MB missing; 3: waits (1 memory, 2 a load)."""
 
     query: str
@@ -172,32 +177,32 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AttemptEnded:
+class AttemptCompleted:
     """The one outcome of an attempt; `settled` tells that the query is closed. `again`: whether the operator's terms
     allow a further attempt, and `wait` how long they have it wait; if not, `backoff` is when to come back."""
 
     query: str
     attempt: int
-    reason: str
+    outcome: str
     settled: bool = False
     engine: str = ""
     elapsed: int = 0
-    bill: int = 0
+    cost: int = 0
     report: dict[str, float] = field(default_factory=dict)
-    again: bool = True
-    wait: int = 0
+    may_retry: bool = True
+    retry_delay: int = 0
     backoff: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class CopyDue:
+class HedgeDue:
     """By the operator's terms a second copy of the query may go out beside the attempt that is."""
 
     query: str
 
 
 @dataclass(slots=True, frozen=True)
-class ClientLeft:
+class ClientDisconnected:
     """The client is gone: no answer is owed any more."""
 
     query: str
@@ -211,17 +216,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ProbeEnded:
+class HealthCheckCompleted:
     """The result of one probe."""
 
     engine: str
-    reason: str
+    outcome: str
     elapsed: int = 0
     report: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class PeerSaid:
+class GossipReceived:
     """A message from another gateway."""
 
     peer: int
@@ -229,7 +234,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FleetSaid:
+class FleetAllocation:
     """What the gateways of a fleet agree on, as far as this one knows: numbers, which hold until the next come.
 
     `share`: this gateway's part of what the fleet may run, 0 to 1; None: as without peers, one of the told number.
@@ -239,45 +244,28 @@
     this one. `back`: how long what is refused now should stay away at the least, microseconds.
     """
 
-    share: float | None = None
-    cold: float | None = None
-    tokens: float | None = None
-    probes: tuple[str, ...] | None = None
-    held: frozenset[str] = frozenset()
-    back: int = 0
+    thread_share: float | None = None
+    slow_start_share: float | None = None
+    retry_tokens: float | None = None
+    health_check_targets: tuple[str, ...] | None = None
+    reserved_engines: frozenset[str] = frozenset()
+    minimum_backoff: int = 0
 
 
 # which method of the module takes each event
 HANDLERS = {
     Started: "on_started",
-    QueryArrived: "on_query",
-    AttemptEnded: "on_ended",
-    Note: "on_note",
-    StreamBegan: "on_stream",
-    ClientLeft: "on_left",
+    QueryReceived: "on_query",
+    AttemptCompleted: "on_ended",
+    ProgressReport: "on_note",
+    ResultStreamStarted: "on_stream",
+    ClientDisconnected: "on_left",
     TimerFired: "on_timer",
-    EngineList: "on_list",
-    ProbeEnded: "on_probe",
-    PeerSaid: "on_peer",
-    CopyDue: "on_copy",
-    FleetSaid: "on_fleet",
-}
-
-
-# which method of the module takes each event
-HANDLERS = {
-    Started: "on_started",
-    QueryArrived: "on_query",
-    AttemptEnded: "on_ended",
-    Note: "on_note",
-    StreamBegan: "on_stream",
-    ClientLeft: "on_left",
-    TimerFired: "on_timer",
-    EngineList: "on_list",
-    ProbeEnded: "on_probe",
-    PeerSaid: "on_peer",
-    CopyDue: "on_copy",
-    FleetSaid: "on_fleet",
+    EndpointList: "on_list",
+    HealthCheckCompleted: "on_probe",
+    GossipReceived: "on_peer",
+    HedgeDue: "on_copy",
+    FleetAllocation: "on_fleet",
 }
 
 
@@ -294,11 +282,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class ExecutionHints:
     """Memory grant (0: the engine's own choice) and priority for the query's further attempts."""
 
     query: str
-    grant_mb: float = 0.0
+    memory_grant_mb: float = 0.0
     priority: int = 1
 
 
@@ -311,7 +299,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
+class Reject:
     """Final answer: trying again is harmless, best after `retry_after`. `reason` is for the log alone."""
 
     query: str
@@ -336,14 +324,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
+class CheckHealth:
     """Ask an engine how it is."""
 
     engine: str
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class SendGossip:
     """A message to a peer, -1 for all of them."""
 
     peer: int
@@ -351,19 +339,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Subscribe:
+class WatchEndpoints:
     """Ask discovery for changes from now on."""
 
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
-class FetchList:
+class PollEndpoints:
     """Ask discovery for the complete list once."""
 
 
 @dataclass(slots=True, frozen=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close the idle connections to an engine."""
 
     engine: str
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -39,7 +39,7 @@
     statement: bytes,
     budget_ms: float,
     tenant: str,
-    token: str,
+    idempotency_key: str,
     est_ms: float,
     ram_mb: float,
     tag: object = None,
@@ -54,11 +54,11 @@
         raise Unusable("the budget is out of range")
     if not (0 <= est_ms <= MOST_FIGURE and 0 <= ram_mb <= MOST_FIGURE):
         raise Unusable("an estimate is out of range")
-    if told.effect != "dedup":
-        token = ""
-    elif not token:  # without it an engine could not tell a repeat, and repeats are what the class allows
+    if told.idempotency != "dedup":
+        idempotency_key = ""
+    elif not idempotency_key:  # without it an engine could not tell a repeat, and repeats are what the class allows
         raise Unusable("the key is missing: this class has one")
-    if len(token) > 256 or not NAME.issuperset(token):
+    if len(idempotency_key) > 256 or not NAME.issuperset(idempotency_key):
         raise Unusable("the key holds what a key can't")
     if tenant not in core.tenants:
         raise Unusable("the tenant is not known")
@@ -72,7 +72,7 @@
         reply,
         tag=tag,
         tenant=tenant,
-        token=token,
+        idempotency_key=idempotency_key,
         estimate=int(est_ms * 1_000),
         memory_mb=ram_mb,
         tables=table_group(statement),
--- a/rackhub/net/jsonrpc.py
+++ b/rackhub/net/jsonrpc.py
@@ -183,7 +183,7 @@
                 statement=ask.body,
                 budget_ms=ask.budget,
                 tenant=ask.acct,
-                token=ask.token,
+                idempotency_key=ask.token,
                 est_ms=ask.est,
                 ram_mb=ask.ram,
                 tag=id,
@@ -225,7 +225,9 @@
     # ---- answers
 
     def served(self, query: Query, rows: Sequence[bytes]) -> None:
-        told = b"" if query.mark is None else b',"gather":' + msgspec.json.encode(query.mark)  # never on the platform
+        told = (
+            b"" if query.gather_status is None else b',"gather":' + msgspec.json.encode(query.gather_status)
+        )  # never on the platform
         self._answer(query, b'"result":{"body":"', b2a_base64(b"".join(rows), newline=False), b'"', told, b"}")
 
     def refused(self, query: Query, backoff: int) -> None:
--- a/rackhub/net/pool.py
+++ b/rackhub/net/pool.py
@@ -28,7 +28,7 @@
     def takes(self, attempt: Attempt) -> bool: ...
     def carry(self, attempt: Attempt) -> None: ...
     def give_up(self, attempt: Attempt) -> None: ...
-    def hurry(self, attempt: Attempt) -> None: ...
+    def promote(self, attempt: Attempt) -> None: ...
     def close_if_idle(self) -> None: ...
     def idle_since(self) -> int: ...
     def load(self) -> int: ...
@@ -126,10 +126,10 @@
             entry = told.get(name, interface.EngineEntry(name))
             if entry.state == "Ready":
                 known = old.get(name)
-                if known is not None and (known.address, known.started) == (address, entry.came_up):
+                if known is not None and (known.address, known.started) == (address, entry.started_at):
                     self.pools[name] = old.pop(name)
                 else:
-                    self.pools[name] = Pool(name, address, self._counters, entry.came_up)
+                    self.pools[name] = Pool(name, address, self._counters, entry.started_at)
         self.retired += old.values()
         if old:
             log.info("engines_retired", engines=sorted(old))
@@ -173,12 +173,12 @@
         return True
 
     def give_up(self, attempt: Attempt) -> None:
-        if attempt.link is not None:
-            attempt.link.give_up(attempt)
+        if attempt.connection is not None:
+            attempt.connection.give_up(attempt)
 
-    def hurry(self, attempt: Attempt) -> None:
-        if attempt.link is not None:
-            attempt.link.hurry(attempt)
+    def promote(self, attempt: Attempt) -> None:
+        if attempt.connection is not None:
+            attempt.connection.promote(attempt)
 
     def close_idle(self, engine: str) -> None:
         for link in list(self.pools[engine].links) if engine in self.pools else ():
--- a/rackhub/net/resolver.py
+++ b/rackhub/net/resolver.py
@@ -17,7 +17,7 @@
 from twisted.names import dns
 
 from rackhub import interface, logs
-from rackhub.core.source import Address, LeaseKeeper, Listing
+from rackhub.core.source import Address, EndpointSnapshot, LeaseKeeper
 from rackhub.counters import Counters
 from rackhub.limits import Limits
 from rackhub.net.asking import Asking
@@ -37,7 +37,7 @@
     return struct.pack(">6H", number, 0x0100, 1, 0, 0, 0) + labels + b"\0" + struct.pack(">2H", dns.SRV, dns.IN)
 
 
-def listing_of(packet: bytes) -> Listing:
+def listing_of(packet: bytes) -> EndpointSnapshot:
     """The list in an answer; `BadAnswer` if it is not whole."""
     message = dns.Message()
     try:
@@ -89,7 +89,7 @@
         except (KeyError, ValueError):
             raise BadAnswer(f"no whole text of {target!r}") from None
         addresses[name] = (host, srv.port)
-    return Listing(serials[0], tuple(sorted(entries, key=lambda entry: entry.engine)), addresses)
+    return EndpointSnapshot(serials[0], tuple(sorted(entries, key=lambda entry: entry.engine)), addresses)
 
 
 class Question(NamedTuple):
@@ -107,8 +107,8 @@
         self,
         reactor: IReactorTime,
         server: Address,
-        start: Listing,
-        told: Callable[[Listing], None],
+        start: EndpointSnapshot,
+        told: Callable[[EndpointSnapshot], None],
         limits: Limits,
         counters: Counters,
         renew: Callable[[], None] = lambda: None,
@@ -186,14 +186,14 @@
         except BadAnswer as bad:
             self._counters.add("dns_bad")
             return log.info("answer_refused", reason=str(bad))
-        if listing.rev < self._last.rev:  # overtaken on its way, or from a server that is behind
-            log.debug("answer_refused", rev=listing.rev, reason="older than the list in force")
+        if listing.revision < self._last.revision:  # overtaken on its way, or from a server that is behind
+            log.debug("answer_refused", rev=listing.revision, reason="older than the list in force")
             return self._counters.add("dns_old")
         self._ask_in(self._asking.answered())
         if listing[1:] != self._last[1:]:
             if not listing.entries:  # an answer like another, but all requests are refused from now on
                 self._counters.add("lists_empty")
-                log.warning("list_empty", reason=f"the list of event {listing.rev} names no engine")
+                log.warning("list_empty", reason=f"the list of event {listing.revision} names no engine")
             self._log_changes(listing)
             self._told(listing)
         self._same, self._last = packet[2:], listing  # not where telling it failed: the next answer tells it again
@@ -207,17 +207,17 @@
         if self._lease is not None:
             self._lease.confirmed(asked.leased)
 
-    def _log_changes(self, listing: Listing) -> None:
+    def _log_changes(self, listing: EndpointSnapshot) -> None:
         before, after = set(self._last.entries), set(listing.entries)
         log.info(
             "list_taken",
-            rev=listing.rev,
+            rev=listing.revision,
             gone=sorted({entry.engine for entry in before} - {entry.engine for entry in after}),
-            changed=sorted(f"{entry.engine}:{entry.state}:{entry.came_up}" for entry in after - before),
+            changed=sorted(f"{entry.engine}:{entry.state}:{entry.started_at}" for entry in after - before),
         )
 
 
-def whole_list(known: Sequence[Listing]) -> Listing:
+def whole_list(known: Sequence[EndpointSnapshot]) -> EndpointSnapshot:
     """What numbered events come to, the first of them a whole list. An event's gone engines have state Gone."""
     entries: dict[str, interface.EngineEntry] = {}
     addresses: dict[str, Address] = {}
@@ -226,7 +226,9 @@
             entries[entry.engine] = entry
             addresses[entry.engine] = event.addresses[entry.engine]
     there = tuple(entry for _, entry in sorted(entries.items()) if entry.state != "Gone")
-    return Listing(known[-1].rev if known else 0, there, {entry.engine: addresses[entry.engine] for entry in there})
+    return EndpointSnapshot(
+        known[-1].revision if known else 0, there, {entry.engine: addresses[entry.engine] for entry in there}
+    )
 
 
 class Platform:
@@ -237,7 +239,7 @@
         self,
         reactor: IReactorUDP,
         settings: interface.Settings,
-        start: Listing,
+        start: EndpointSnapshot,
         server: Address,
         limits: Limits,
         counters: Counters,
@@ -248,7 +250,7 @@
         self._reread, self._resolver = reread, None
         self._ports: list[IListeningPort] = []  # the last one is asked from; the others may still bring answers
 
-    def follow(self, told: Callable[[Listing], None], lease: LeaseKeeper | None = None) -> None:
+    def follow(self, told: Callable[[EndpointSnapshot], None], lease: LeaseKeeper | None = None) -> None:
         self._resolver = Resolver(
             self._reactor,
             self._server,
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -16,7 +16,7 @@
 
 from rackhub import logs
 from rackhub.core.coordinator import Coordinator
-from rackhub.core.request import Attempt, State
+from rackhub.core.request import Attempt, AttemptState
 from rackhub.core.timers import Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
@@ -90,7 +90,7 @@
     def carry(self, attempt: Attempt) -> None:
         """Take an attempt, which is sent in a turn in which the socket takes it."""
         id = attempt.query.id.encode()
-        attempt.link, attempt.state = self, State.WAITING
+        attempt.connection, attempt.state = self, AttemptState.QUEUED
         self.open[id] = attempt
         self._waiting[id] = self.clock.now()
         if self.up:
@@ -123,16 +123,16 @@
             self._stale(id, now)
             # a vanished host gives no sign. Without this, all that follows would wait on the dead connection
             # for its deadline, where a new one fails in the time to dial and proves that nothing ran.
-            if self.heard <= attempt.sent and now - attempt.sent >= self.limits.silence and not self.silent:
+            if self.heard <= attempt.sent_at and now - attempt.sent_at >= self.limits.silence and not self.silent:
                 self.silent = True
                 self.counters.add("silent_connections")
         self.paging.pop(id, None)
         self._let_go()
 
-    def hurry(self, attempt: Attempt) -> None:
+    def promote(self, attempt: Attempt) -> None:
         id = attempt.query.id.encode()
         if self.up and not self.closed and id in self._spans and id not in self.paging:
-            self._out.write(command(b"hurry", id, b"%d" % attempt.query.level))
+            self._out.write(command(b"promote", id, b"%d" % attempt.query.priority))
 
     def close_if_idle(self) -> None:
         if self.up and not self.closed and not self.open:
@@ -235,7 +235,7 @@
         while self._waiting and not self.closed and not self._out.kept():
             id = next(iter(self._waiting))
             attempt = self.open[id]
-            if why := attempt.barred(self.clock.now(), self.core.lease):
+            if why := attempt.send_blocked_by(self.clock.now(), self.core.lease):
                 self._bar(id, attempt, why)
             elif not self._send(id, attempt):
                 break
@@ -250,14 +250,14 @@
     def _send(self, id: bytes, attempt: Attempt) -> bool:
         query, now = attempt.query, self.clock.now()
         left = max((query.deadline - now) // 1_000, 1)
-        fields = b"profile=%s,max=%d,level=%d" % (query.cls.encode(), left, query.level)
-        if query.token:
-            fields += b",replay=" + query.token.encode()
+        fields = b"profile=%s,max=%d,level=%d" % (query.cls.encode(), left, query.priority)
+        if query.idempotency_key:
+            fields += b",replay=" + query.idempotency_key.encode()
         begin = self._out.given
         if not self._out.send(b"".join(command(b"want", id, fields, query.statement))):
             return False
         del self._waiting[id]
-        attempt.state, self.used = State.OUT, now
+        attempt.state, self.used = AttemptState.IN_FLIGHT, now
         self._last_end = self._out.given
         self._spans[id] = Span(begin, self._last_end)
         log.debug(
@@ -278,7 +278,7 @@
         self.transport.setTcpNoDelay(True)
         self._out = Outgoing(self.transport, self._writable)
         for id, attempt in list(self.open.items()):
-            if why := attempt.barred(self.heard, self.core.lease):  # it waited too long for this
+            if why := attempt.send_blocked_by(self.heard, self.core.lease):  # it waited too long for this
                 self._bar(id, attempt, why)
         stale = any(attempt.query.reply.stale for attempt in self.open.values())
         self.core.timers.when_read(-1 if stale else self.limits.unread_turn, self._opened)
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -18,7 +18,7 @@
 from twisted.internet.interfaces import IReactorTCP
 
 from rackhub.core.coordinator import Coordinator
-from rackhub.core.request import Attempt, State
+from rackhub.core.request import Attempt, AttemptState
 from rackhub.core.timers import Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
@@ -82,9 +82,9 @@
         return self._attempt is None and self.state in (self.DIALLING, self.PRELOGIN, self.LOGIN, self.READY)
 
     def carry(self, attempt: Attempt) -> None:
-        attempt.link = self
+        attempt.connection = self
         self._attempt = attempt
-        attempt.state = State.WAITING
+        attempt.state = AttemptState.QUEUED
         if self.state == self.READY:
             self._await_socket()
 
@@ -110,7 +110,7 @@
             self.counters.add("silent_connections")
             self._drop()
 
-    def hurry(self, attempt: Attempt) -> None:
+    def promote(self, attempt: Attempt) -> None:
         """Not to be had over TDS while a call runs: the priority holds for sends."""
 
     def close_if_idle(self) -> None:
@@ -192,17 +192,17 @@
         if self._attempt is None or self.state != self.READY:  # it went elsewhere meanwhile
             return
         query, now = self._attempt.query, self.clock.now()
-        if why := self._attempt.barred(now, self.core.lease):  # it waited for the login
+        if why := self._attempt.send_blocked_by(now, self.core.lease):  # it waited for the login
             return self._end(why)
         arguments = {
             "@id": query.id,
             "@class": query.cls,
             "@budget_ms": max((query.deadline - now) // 1_000, 1),
-            "@level": query.level,
+            "@level": query.priority,
             "@statement": query.statement.decode("utf-8", "surrogateescape"),
         }
-        if query.token:
-            arguments["@key"] = query.token
+        if query.idempotency_key:
+            arguments["@key"] = query.idempotency_key
         try:
             body = codec.rpc("rackhub_want", arguments)
         except UnicodeEncodeError:  # bytes that are no UTF-8 can't be put as text: this engine can't run it
@@ -211,7 +211,7 @@
         if not self._out.send(b"".join(codec.message(codec.RPC, body))):
             return self._out.ask()
         self._end_of_call = self._out.given
-        self.state, self.used, self._attempt.state = self.BUSY, now, State.OUT
+        self.state, self.used, self._attempt.state = self.BUSY, now, AttemptState.IN_FLIGHT
         self._start_answer()
 
     def taken(self, data: bytes) -> None:
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -216,7 +216,7 @@
             statement=given["@statement"].encode("utf-8", "surrogatepass"),
             budget_ms=budget,
             tenant=tenant,
-            token=given.get("@key", ""),
+            idempotency_key=given.get("@key", ""),
             est_ms=given.get("@est_ms", 0),
             ram_mb=given.get("@ram_mb", 0),
         )
--- a/rackhub/ops/bans.py
+++ b/rackhub/ops/bans.py
@@ -60,10 +60,10 @@
             if entry.engine in self.out:
                 entry = replace(entry, state=DRAINING)
             elif (since := self.back.get(entry.engine)) is not None:
-                if entry.came_up >= since:  # the list knows of a later start: it tells the truth from here on
+                if entry.started_at >= since:  # the list knows of a later start: it tells the truth from here on
                     del self.back[entry.engine]
                 else:
-                    entry = replace(entry, came_up=since)
+                    entry = replace(entry, started_at=since)
             shown.append(entry)
         return tuple(shown)
 
--- a/rackhub/ops/part.py
+++ b/rackhub/ops/part.py
@@ -8,8 +8,8 @@
 from twisted.internet.task import LoopingCall
 
 from rackhub import interface
-from rackhub.core.part import Host, Part
-from rackhub.core.source import Listing
+from rackhub.core.component import Component, ComponentContext
+from rackhub.core.source import EndpointSnapshot
 from rackhub.limits import SECOND
 from rackhub.net.listen import SharedPort
 from rackhub.ops import gentle, statefile
@@ -20,8 +20,8 @@
 log = logging.getLogger(__name__)
 
 
-class OpsPart(Part):
-    def __init__(self, host: Host):
+class OpsPart(Component):
+    def __init__(self, host: ComponentContext):
         super().__init__(host)
         self._path = statefile.place(os.environ)
         self._succeeded: Callable[[], bool] = lambda: False
@@ -44,15 +44,15 @@
         self._port: SharedPort | None = None
 
     def open(self) -> None:  # open to the end: HEALTH says no meanwhile
-        if self.host.config.operator is not None:
-            self._port = SharedPort(self.host.reactor, *self.host.config.operator, self._front, 64)
-            LoopingCall(self._fresh).start(self.host.config.limits.ops_fresh / SECOND, now=False)
+        if self.context.config.operator is not None:
+            self._port = SharedPort(self.context.reactor, *self.context.config.operator, self._front, 64)
+            LoopingCall(self._fresh).start(self.context.config.limits.ops_fresh / SECOND, now=False)
 
-    def begin(self, listing: Listing) -> Listing:
+    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
         self._listed = listing.entries
         return listing
 
-    def shown(self, entries: Sequence[interface.EngineEntry]) -> Sequence[interface.EngineEntry]:
+    def visible_endpoints(self, entries: Sequence[interface.EngineEntry]) -> Sequence[interface.EngineEntry]:
         """Engines out by hand are draining there."""
         self._listed = entries
         self._take_up()
@@ -73,23 +73,23 @@
         try:
             kept = statefile.read(self._path)
         except statefile.Unreadable as bad:
-            self.host.counters.add("ops_state_bad")
+            self.context.counters.add("ops_state_bad")
             log.error("what another process kept is ignored: %s", bad)
             return False
         return kept is not None and self.bans.take_up(set(kept.out), set(kept.listed), kept.back)
 
     def _fresh(self) -> None:
         if self._take_up():
-            self.host.relist()
+            self.context.republish_endpoints()
 
     def _changed(self) -> None:
-        self.host.relist()
+        self.context.republish_endpoints()
         self._keep()
 
     def _keep(self) -> None:
-        statefile.keep_bans(self._path, self.bans, self.host.counters.add)
+        statefile.keep_bans(self._path, self.bans, self.context.counters.add)
         self._mark = statefile.mark(self._path)
 
 
-def part(host: Host) -> OpsPart:
+def part(host: ComponentContext) -> OpsPart:
     return OpsPart(host)
--- a/rackhub/policy/choice.py
+++ b/rackhub/policy/choice.py
@@ -12,27 +12,27 @@
 
 class Choice:
     def choose(self, query, lost=()):  # what the rules allow, narrowed by each term that leaves any
-        told, tables, now, held = query.cls.told, query.event.tables, self.now, self.fleet.held
-        told_where = told.stays_in or told.served_on or query.maybe or query.event.zones  # dear: a call
+        told, tables, now, held = query.cls.told, query.event.tables, self.now, self.fleet.reserved_engines
+        told_where = told.allowed_zones or told.allowed_engine_kinds or query.maybe or query.event.zones  # dear: a call
         able = [e for e in self.engines.values() if (self.allowed(query, e) if told_where else e.ready)]
         able = [e for e in able if e not in lost and e.id not in held] if lost or held else able
         able = [e for e in able if now >= e.rest_until] or able
         able = [e for e in able if e.id not in query.tried] or able if query.tried else able
         able = [e for e in able if e.id in self.own] or able
-        if told.holds_tables:  # by one hash at all gateways: what loads hold up has engines where none comes
+        if told.locks_tables:  # by one hash at all gateways: what loads hold up has engines where none comes
             side = sorted(self.engines, key=lambda e: mixed(f"{tables} {e}"))
             able = [e for e in able if e.id in side[: max(round(len(side) * LOAD_PART), 1)]] or able
-        if told.blocked_by_loads or told.holds_tables:
+        if told.blocked_by_table_locks or told.locks_tables:
             free = [e for e in able if not e.loads.get(tables) and e.holds.get(tables, now) <= now]
-            line = query.cls.mean * self.set.gateways if told.holds_tables and query.cls.answers else 0
-            most = told.objective or told.deadline  # of the line; an own one stands for one of each
+            line = query.cls.mean * self.set.gateways if told.locks_tables and query.cls.answers else 0
+            most = told.latency_objective or told.deadline  # of the line; an own one stands for one of each
             able = free or [e for e in able if e.loads.get(tables, 0) * line <= most]
         mean = sum([e.threads for e in able]) / max(sum([e.cores for e in able]), 1) + LOAD_SLACK
         able = [e for e in able if e.threads <= mean * e.cores] or able
         engine = rotate(able, self.warmth)  # told cores, less while cold
-        if not engine or self.now - engine.cold_since >= self.set.ramp_time:
+        if not engine or self.now - engine.cold_since >= self.set.slow_start_duration:
             return engine
-        cold = [e for e in able if self.now - e.cold_since < self.set.ramp_time]
+        cold = [e for e in able if self.now - e.cold_since < self.set.slow_start_duration]
         return self.drawn(query, [e for e in cold if e.id in self.own]) or self.choose(query, (*lost, *cold))
 
     def warmth(self, engine):  # reckoned anew with each news of it, and now and then for its age
@@ -48,10 +48,10 @@
 
     def allowed(self, query, engine):  # drain, placement, the keyed group and the cold budget: never waived
         told, able = query.cls.told, engine.ready
-        able = able and all(not zones or engine.zone in zones for zones in (told.stays_in, query.event.zones))
-        scope = {"all": 0, "zone": 1}.get(told.dedup_scope, 2)  # how much of (zone, cell) must agree
-        apart = told.effect == "dedup" and query.maybe and query.maybe[0][2][:scope] != engine.group[:scope]
-        return able and not apart and (not told.served_on or engine.kind in told.served_on)
+        able = able and all(not zones or engine.zone in zones for zones in (told.allowed_zones, query.event.zones))
+        scope = {"all": 0, "zone": 1}.get(told.idempotency_scope, 2)  # how much of (zone, cell) must agree
+        apart = told.idempotency == "dedup" and query.maybe and query.maybe[0][2][:scope] != engine.group[:scope]
+        return able and not apart and (not told.allowed_engine_kinds or engine.kind in told.allowed_engine_kinds)
 
     def grant(self, query):  # by bills where they come: over what is likely needed while memory stands idle
         told, space = query.event.memory_mb, query.cls.space
--- a/rackhub/policy/control.py
+++ b/rackhub/policy/control.py
@@ -26,18 +26,18 @@
         self.set, self.random, self.now, self.acts = settings, random.Random(seed), 0, []
         self.engines, self.queries, self.attempts, self.timers, self.lines = {}, {}, {}, {}, {}
         self.classes = {told.name: Class(told) for told in settings.classes}
-        self.tenants = {told.name: new_tenant(told.fraction) for told in settings.tenants}
+        self.tenants = {told.name: new_tenant(told.quota_fraction) for told in settings.tenants}
         self.key_rest, self.codes, self.taken, self.further = {}, {}, deque(), deque()
         self.granting = self.memory = self.aside = self.slice = self.even = self.strain = self.usual = 0.0
         self.threads = self.live = self.peak = self.kind = self.sure_until = self.stalled = self.refs = 0
         self.lag, self.over, self.lost, self.held = Aged(), Aged(), Aged(), Aged()
         self.granted, self.tick_due, self.deep, self.own, self.part = 1.0, math.inf, False, (), 1.0  # own: it keeps to
-        self.on_fleet(t.FleetSaid())
+        self.on_fleet(t.FleetAllocation())
 
     def on_fleet(self, event):  # what all gateways agree on stands in for even parts of the told number
-        self.fleet, self.tokens, told = event, event.tokens, self.set.gateways
-        self.parts = told if event.share is None else 1 / max(event.share, 1e-9)
-        self.cold = told if event.cold is None else 1 / max(event.cold, 1e-9)
+        self.fleet, self.tokens, told = event, event.retry_tokens, self.set.gateways
+        self.parts = told if event.thread_share is None else 1 / max(event.thread_share, 1e-9)
+        self.cold = told if event.slow_start_share is None else 1 / max(event.slow_start_share, 1e-9)
 
     def handle(self, now, event):
         late = now > self.tick_due + 10 * self.set.period  # own stall: what comes now tells nothing
@@ -59,7 +59,7 @@
         self.after(self.random.randrange(1, TICK), self.tick)
 
     def subscribe(self):
-        self.acts += [t.Subscribe(True)] if self.set.discovery == "ask" else []
+        self.acts += [t.WatchEndpoints(True)] if self.set.discovery == "ask" else []
 
     def tick(self):  # slice follows pressure: with the tally unpressed, down from where it stands pressed
         self.resize()
@@ -68,10 +68,13 @@
         self.slice = max(less if self.pressed else max(self.peak * SLICE_GROW, self.slice * 0.9), self.even)
         self.peak = self.threads  # not at once to the even share: busy gateways would refuse what others idle
         self.held.add(self.now, self.granting, most=12)
-        if self.set.probes:  # by seeded draw and own traffic: 200 gateways x 40 engines would drown
+        if self.set.health_checks:  # by seeded draw and own traffic: 200 gateways x 40 engines would drown
             ready = [e.id for e in self.engines.values() if e.ready]
             drawn = self.random.sample(ready, min(int(self.aside), len(ready)))
-            self.acts += [t.Probe(e) for e in (drawn if self.fleet.probes is None else self.fleet.probes)]
+            self.acts += [
+                t.CheckHealth(e)
+                for e in (drawn if self.fleet.health_check_targets is None else self.fleet.health_check_targets)
+            ]
         self.aside, self.tick_due = self.aside % 1, self.now + TICK
         self.after(TICK, self.tick)
 
@@ -85,13 +88,13 @@
         self.queries[event.query], self.aside = query, self.aside + ASIDE
         cls.asked, cls.told_work = cls.asked + bool(event.estimate), cls.told_work + event.estimate
         self.taken.append(self.now)
-        drop_until(self.taken, self.now - self.set.counted_over)
-        query.due = self.after(event.drop_dead - self.now - 2 * self.set.period, self.finish, query, 0, "deadline")
+        drop_until(self.taken, self.now - self.set.retry_budget_window)
+        query.due = self.after(event.deadline - self.now - 2 * self.set.period, self.finish, query, 0, "deadline")
         least = LEAST_LEFT * math.exp(cls.fast) * query.size if cls.answers else 0  # no time: own stall
-        wait = self.admit(query) if event.drop_dead - self.now > least else SECOND
+        wait = self.admit(query) if event.deadline - self.now > least else SECOND
         cls.passing += ((wait is None) - cls.passing) / 50
         if wait is not None:
-            return self.finish(query, wait, "over its share" if event.drop_dead - self.now > least else "no time left")
+            return self.finish(query, wait, "over its share" if event.deadline - self.now > least else "no time left")
         if not cls.told.serial_by_key or event.key is None:
             return self.dispatch(query)
         self.lines.setdefault(event.key, deque()).append(query)
@@ -101,10 +104,10 @@
         if query.closed:
             return
         told = query.cls.told
-        keyed = told.effect == "dedup" and told.dedup_scope == "all"
-        if not query.maybe or told.effect == "retryable" or keyed:
-            wait = max(wait, SECOND // 10, self.fleet.back) * self.random.uniform(1.0, 1.5)  # spread returns
-            self.acts.append(t.Refuse(query.id, min(int(wait), self.set.max_retry_after), reason))
+        keyed = told.idempotency == "dedup" and told.idempotency_scope == "all"
+        if not query.maybe or told.idempotency == "retryable" or keyed:
+            wait = max(wait, SECOND // 10, self.fleet.minimum_backoff) * self.random.uniform(1.0, 1.5)  # spread returns
+            self.acts.append(t.Reject(query.id, min(int(wait), self.set.max_retry_after), reason))
         else:
             self.acts.append(t.Fail(query.id, reason))
         self.close(query)
@@ -122,7 +125,7 @@
     def send(self, query, engine):
         told, now, memory = query.cls.told, self.now, self.grant(query)
         if self.set.priorities or self.set.grants:
-            self.acts.append(t.Terms(query.id, round(memory), self.priority(query)))
+            self.acts.append(t.ExecutionHints(query.id, round(memory), self.priority(query)))
         attempt = SimpleNamespace(query=query, number=query.tries, engine=engine, sent=now, memory=memory)
         attempt.threads, attempt.spilled, attempt.asked, attempt.doubted = told.threads, False, False, False
         attempt.noted = attempt.began = now
@@ -137,7 +140,7 @@
     def on_ended(self, event):
         if not (attempt := self.attempts.pop((event.query, event.attempt), None)):
             return
-        query, engine, reason = attempt.query, attempt.engine, event.reason
+        query, engine, reason = attempt.query, attempt.engine, event.outcome
         query.out.pop(attempt.number, None)
         self.tally(attempt, -1)
         query.maybe = [was for was in query.maybe if was[0] != attempt.number or reason not in PROVEN]
@@ -146,10 +149,10 @@
             self.key_rest[query.event.key] = self.now + self.set.turn_gap
         if event.settled or query.closed:
             self.close(query)
-        elif not query.out and not event.again:  # the operator's terms have no further attempt for it
+        elif not query.out and not event.may_retry:  # the operator's terms have no further attempt for it
             self.finish(query, event.backoff or query.cls.mean / 2, f"terms after {reason}")
-        elif not query.out and event.wait:  # where it goes is chosen when it goes: the list may change
-            self.after(event.wait, self.waited, query, reason)
+        elif not query.out and event.retry_delay:  # where it goes is chosen when it goes: the list may change
+            self.after(event.retry_delay, self.waited, query, reason)
         elif not query.out:
             self.again(query, reason)
 
@@ -176,7 +179,9 @@
             engine.ready = engine.ready and (event.scope == "Partial" or engine.id in named)
         self.engines = {name: e for name, e in self.engines.items() if e.ready or e.threads or name in named}
         self.codes = {zlib.crc32(name.encode()): name for name in self.engines}
-        ready = sorted((n for n, e in self.engines.items() if e.ready), key=lambda n: mixed(f"{self.set.me} {n}"))
+        ready = sorted(
+            (n for n, e in self.engines.items() if e.ready), key=lambda n: mixed(f"{self.set.instance_index} {n}")
+        )
         self.own = set(ready[: max(round(len(ready) * min(REACH / self.set.gateways, 1)), 1)])
         self.part = len(self.own) / max(len(ready), 1)
         self.resize()
--- a/rackhub/policy/further.py
+++ b/rackhub/policy/further.py
@@ -27,7 +27,7 @@
 
     def again(self, query, reason):  # a further attempt elsewhere, or the final answer
         part = 1.0 if reason in PROVEN or reason == "LOST" and not self.short(query.cls) else SPECULATIVE
-        left = query.event.drop_dead - self.now  # many lost at once must not flood what is left
+        left = query.event.deadline - self.now  # many lost at once must not flood what is left
         limit = math.inf if reason in (*PROVEN, "LOST") or not self.pressed else max(self.slice, self.even)
         pays = reason != "NOP" and left > query.usual / 2 and self.fits(query, limit)
         if pays and self.may_resend(query) and self.in_budget(part) and (engine := self.choose(query)):
@@ -38,21 +38,21 @@
 
     def retake(self, attempt):  # call it off, so that its outcome sends the query elsewhere, if that can pay
         query, may = attempt.query, self.set.cancel and self.may_resend(attempt.query) and not attempt.query.closed
-        pays = may and query.event.drop_dead - self.now > query.usual and self.in_budget(SPECULATIVE)
+        pays = may and query.event.deadline - self.now > query.usual and self.in_budget(SPECULATIVE)
         self.acts += [t.Cancel(query.id, attempt.number)] if pays else []
 
     def may_resend(self, query):
-        told, tries_left = query.cls.told, query.tries < (query.event.attempts or self.set.max_attempts)
-        window = query.event.repeat_within or 0.9 * told.window
-        fresh = told.effect == "dedup" and query.maybe and self.now - query.maybe[0][1] < window
-        return tries_left and (fresh or not query.maybe or told.effect == "retryable")
+        told, tries_left = query.cls.told, query.tries < (query.event.max_attempts or self.set.max_attempts)
+        window = query.event.retry_window or 0.9 * told.idempotency_window
+        fresh = told.idempotency == "dedup" and query.maybe and self.now - query.maybe[0][1] < window
+        return tries_left and (fresh or not query.maybe or told.idempotency == "retryable")
 
     def in_budget(self, part):  # further attempts in the window; the last part is kept for proven, cheap ones
-        drop_until(self.taken, self.now - self.set.counted_over + 2 * self.set.period)  # on the safe side
-        drop_until(self.further, self.now - self.set.counted_over - 2 * self.set.period)
-        if self.tokens is not None or self.set.repeat_ratio is None and self.set.free_resends is None:
+        drop_until(self.taken, self.now - self.set.retry_budget_window + 2 * self.set.period)  # on the safe side
+        drop_until(self.further, self.now - self.set.retry_budget_window - 2 * self.set.period)
+        if self.tokens is not None or self.set.retry_budget_ratio is None and self.set.retry_budget_minimum is None:
             return self.tokens is None or self.tokens * part >= 1  # the fleet's budget stands in for the own count
-        most = (self.set.free_resends or 0) + (self.set.repeat_ratio or 0) * len(self.taken)
+        most = (self.set.retry_budget_minimum or 0) + (self.set.retry_budget_ratio or 0) * len(self.taken)
         return len(self.further) + 1 <= part * most
 
     def on_note(self, event):  # a bad plan shows in slow progress: it ends too late or far beyond the usual
@@ -67,7 +67,7 @@
         if event.topic == 3 and event.value == 1:  # the line for memory: grants that hold more than they use
             for cls in self.classes.values() if self.granted > MEMORY_SHORT else ():  # not if few are short
                 cls.need = max(cls.need * NEED_LEAN, NEED_LEAST)
-            if elapsed > query.cls.told.objective and self.set.cancel:
+            if elapsed > query.cls.told.latency_objective and self.set.cancel:
                 engine.ill.add(self.now, 1)
                 self.finish(query, 0, "waits for memory")  # not begun when it was wanted: it only lengthens the line
         self.blocked(attempt) if event.topic == 3 and event.value == 2 else None
@@ -77,14 +77,14 @@
 
     def blocked(self, attempt):  # a load, also another gateway's, holds what it reads: elsewhere it runs
         query, engine, now = attempt.query, attempt.engine, self.now
-        until = now + HOLD * max([c.mean for c in self.classes.values() if c.told.holds_tables], default=0)
+        until = now + HOLD * max([c.mean for c in self.classes.values() if c.told.locks_tables], default=0)
         engine.holds = {k: end for k, end in engine.holds.items() if end > now} | {query.event.tables: until}
-        self.retake(attempt) if query.cls.told.blocked_by_loads else None
+        self.retake(attempt) if query.cls.told.blocked_by_table_locks else None
 
     def progress(self, attempt, done):
         elapsed, query, engine = self.now - attempt.began, attempt.query, attempt.engine
         left = elapsed * (1 - done) / done
-        too_late = self.now + left > query.event.drop_dead
+        too_late = self.now + left > query.event.deadline
         plan = left > BAD_PLAN * max(query.usual, math.exp(query.cls.fast) * query.size)
         engine.ill.add(self.now, 1) if too_late or plan else None  # one is chance, more is ageing
         self.paced(engine, query, elapsed + left)
@@ -97,14 +97,14 @@
 
     def overdue(self, attempt):  # silence: the engine looks hung or the answer lost, so elsewhere
         query, out = attempt.query, (attempt.query.id, attempt.number) in self.attempts
-        quiet, word = self.now - attempt.noted, NOTE_LATE * self.set.note_period
+        quiet, word = self.now - attempt.noted, NOTE_LATE * self.set.progress_report_interval
         if out and self.now == self.stalled:
             self.watch(attempt)
         elif out and quiet < word and not self.mute(attempt):  # what runs sends a note in time
             self.after(word - quiet, self.overdue, attempt)
-        elif out and self.set.probes and not attempt.asked and attempt.engine.ready:
+        elif out and self.set.health_checks and not attempt.asked and attempt.engine.ready:
             attempt.asked = True  # at few queries an engine has said nothing since without being ill: ask it
-            self.acts.append(t.Probe(attempt.engine.id))
+            self.acts.append(t.CheckHealth(attempt.engine.id))
             return self.after(ASK, self.overdue, attempt)
         elif out and attempt.engine.answered < attempt.sent:
             self.ail(attempt.engine)
@@ -119,7 +119,7 @@
         able = out and not query.closed and (self.set.cancel or not self.pressed)  # or it costs too much
         if able and self.lost.value > LOST and attempt.threads:
             self.free(attempt)  # lost answers must not fill the tally until their deadline
-            if self.set.second_copies and len(query.out) < 2 and (self.set.cancel or self.short(query.cls)):
+            if self.set.hedging and len(query.out) < 2 and (self.set.cancel or self.short(query.cls)):
                 self.again(query, "LOST" if self.set.cancel else "LATE")
 
     def mute(self, attempt):  # one that owes many answers and gave none; with few out, silence is chance
--- a/rackhub/policy/learning.py
+++ b/rackhub/policy/learning.py
@@ -56,17 +56,17 @@
 
     def update(self, entry):
         self.zone, self.kind, self.group = entry.zone, entry.kind, (entry.zone, entry.cell)
-        self.ready, self.cold_since = entry.state == "Ready", max(self.cold_since, entry.came_up)
+        self.ready, self.cold_since = entry.state == "Ready", max(self.cold_since, entry.started_at)
 
 
 class Class:  # what this gateway has learned of one class
     def __init__(self, told):
         self.told, self.answers, self.passing, self.need = told, 0, 1.0, MEMORY_ROOM
-        self.mean = max(told.deadline / 5, told.objective, 1.0)  # a guess on the high side until answers come
+        self.mean = max(told.deadline / 5, told.latency_objective, 1.0)  # a guess on the high side until answers come
         self.fast = self.best = math.log(self.mean)  # logarithms: one long query is no pressure
         self.spread, self.work, self.billed = 0.0, self.mean * told.threads, False  # else its time stands in
         self.asked, self.told_work = BILLED, BILLED * self.work  # estimates so far, their sum
-        self.density, self.cost, self.space = told.worth / self.work, Fit(), Fit()
+        self.density, self.cost, self.space = told.priority_weight / self.work, Fit(), Fit()
 
     def size(self, estimate):  # the work of a query against its class's mean, as far as bills show it
         return self.cost.against_mean(estimate) if estimate and self.cost.count >= BILLED else 1.0
@@ -81,4 +81,4 @@
         self.best = min(self.best + DRIFT, self.fast) if self.answers > SMOOTH else self.fast
         guess = min(math.exp(self.best + self.spread / 2) * self.told.threads, self.told_work / self.asked)
         self.work = math.exp(self.cost.y + self.cost.yy / 2) if self.billed and self.cost.count >= BILLED else guess
-        self.density = self.told.worth / self.work
+        self.density = self.told.priority_weight / self.work
--- a/rackhub/policy/pressure.py
+++ b/rackhub/policy/pressure.py
@@ -54,18 +54,18 @@
             return
         engine.best = min(engine.best, event.elapsed)  # its own: the way to another hall is longer
         self.deep = self.deep or event.elapsed > 2 * engine.best
-        if event.reason == "GOOD":
+        if event.outcome == "GOOD":
             engine.answered, engine.pace = self.now, event.elapsed / max(engine.best, 1)
-        waits = event.reason == "GOOD" and self.deep and engine.best
-        if not waits and (event.reason not in ("LATE", "NOCONN") or self.now == self.stalled):
+        waits = event.outcome == "GOOD" and self.deep and engine.best
+        if not waits and (event.outcome not in ("LATE", "NOCONN") or self.now == self.stalled):
             return
         over = math.log(event.elapsed / engine.best / PRESSED) if waits else math.inf
         self.heard(event.engine, over, not event.report)
-        if self.set.peers and self.set.report_source == "silent":  # told to as many as there are engines: so
+        if self.set.gossip and self.set.load_report_source == "silent":  # told to as many as there are engines: so
             level = int(min(max(over, -1), SILENT) * 50) + 50  # each hears of every one as often as it probes
             word = zlib.crc32(event.engine.encode()).to_bytes(4, "big") + bytes([level])
             peers = self.random.sample(range(self.set.gateways), min(len(self.engines), self.set.gateways))
-            self.acts += [t.Tell(peer, word) for peer in peers if peer != self.set.me]
+            self.acts += [t.SendGossip(peer, word) for peer in peers if peer != self.set.instance_index]
 
     def heard(self, name, over, strains):  # a probe, own or a peer's: pressure, and the engine's strain
         engine, silent = self.engines.get(name), over >= SILENT
@@ -79,7 +79,7 @@
         self.heard(name, (event.contents[4] - 50) / 50, True) if name and len(event.contents) == 5 else None
 
     def observe(self, engine, attempt, event):  # health and class means from the outcome of an attempt
-        reason, cls, query = event.reason, attempt.query.cls, attempt.query
+        reason, cls, query = event.outcome, attempt.query.cls, attempt.query
         self.report(event)
         came = 2 * DOUBT * (reason == "GOOD") if attempt.doubted else -(reason == "LATE")
         self.lost.add(self.now, -came, most=30)
@@ -87,13 +87,15 @@
             engine.answered, engine.refusals = self.now, 0
             self.ail(query.failed_on) if query.failed_on else None  # it is sound: the error was the engine's
             if self.now != self.stalled:
-                cls.billed = cls.billed or event.bill > 0
-                cls.cost.add(query.event.estimate, (event.bill >> 12) * 1000 if cls.billed else event.elapsed)
-                cls.space.add(query.event.memory_mb, (event.bill & 4095) * 4)
+                cls.billed = cls.billed or event.cost > 0
+                cls.cost.add(query.event.estimate, (event.cost >> 12) * 1000 if cls.billed else event.elapsed)
+                cls.space.add(query.event.memory_mb, (event.cost & 4095) * 4)
                 cls.learn(event.elapsed, query.size)
             self.paced(engine, query, self.now - attempt.began)
             self.lag.add(self.now, cls.fast - cls.best - math.log(PRESSED), EVIDENCE, 30)
-            cls.need *= NEED_FADE if self.set.grants and self.set.note_period and not attempt.spilled else 1
+            cls.need *= (
+                NEED_FADE if self.set.grants and self.set.progress_report_interval and not attempt.spilled else 1
+            )
             engine.ill.add(self.now, 0)
             engine.rest = engine.rest if engine.ill.value >= ILL / 8 else 0
         elif reason == "FULL":
@@ -137,5 +139,5 @@
             self.free(a)
             if self.set.cancel:
                 self.acts.append(t.Cancel(a.query.id, a.number))  # its outcome goes elsewhere
-            elif self.set.second_copies and not a.query.closed and len(a.query.out) < 2:
+            elif self.set.hedging and not a.query.closed and len(a.query.out) < 2:
                 self.again(a.query, "LATE")
--- a/rackhub/policy/windows.py
+++ b/rackhub/policy/windows.py
@@ -20,8 +20,8 @@
 
     def admit(self, query):  # none if the query passes both filters, else the time to stay away
         tenant, cls, now = query.tenant, query.cls, self.now
-        if (below := query.event.standing < 0) or not query.event.tenant:  # or as in the source:
-            return self.fleet.back if below else None  # a query without a tenant passes unchecked
+        if (below := query.event.admission < 0) or not query.event.tenant:  # or as in the source:
+            return self.fleet.minimum_backoff if below else None  # a query without a tenant passes unchecked
         limit, passed = max(self.slice, self.even), tenant.passed[cls.told.name]
         drop_until(passed, now - WINDOWS[-1])
         if cls.answers > SMOOTH:  # before that the mean is a guess
@@ -29,7 +29,7 @@
                 most = max(int(WINDOW_MULTIPLE * limit * length / (cls.mean * cls.told.threads)), 1)
                 if len(passed) >= most and passed[-most] > now - length:
                     return passed[-most] + length - now
-        if self.pressed and query.event.standing < 1 and not self.fits(query, limit):
+        if self.pressed and query.event.admission < 1 and not self.fits(query, limit):
             return cls.mean * max(self.threads - limit + cls.told.threads, 1) / max(self.threads, 1)
         return passed.append(now)
 
@@ -53,7 +53,7 @@
         self.peak = max(self.peak, self.threads)
         self.granting += sign * attempt.memory
         query.tenant.threads += sign * attempt.threads
-        engine.loads[query.event.tables] += sign if query.cls.told.holds_tables and attempt.threads else 0
+        engine.loads[query.event.tables] += sign if query.cls.told.locks_tables and attempt.threads else 0
 
     def free(self, attempt):  # takes nothing of its engine any more
         self.tally(attempt, -1)
--- a/rackhub/state/keeper.py
+++ b/rackhub/state/keeper.py
@@ -8,7 +8,7 @@
 
 from rackhub import interface
 from rackhub.core.request import Attempt, Query
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Clock
 from rackhub.counters import Counters
 from rackhub.state import ledger
@@ -22,7 +22,7 @@
 
 
 class Keeper:
-    """The coordinator's store: a `core.ledger.Ledger`, and the list of engines and the counters besides."""
+    """The coordinator's store: a `core.request_journal.Ledger`, and the list of engines and the counters besides."""
 
     def __init__(
         self,
@@ -37,7 +37,9 @@
         self._reactor, self._settings, self._clock, self._counters = reactor, settings, clock, counters
         self._driver = Driver(reactor)
         self.store = Store.open(settings.path, settings, files=files, clock=clock.now, wake=self._driver.wake)
-        self._keyed = ledger.KeyedRequests({told.name: told.window for told in classes if told.window})
+        self._keyed = ledger.KeyedRequests(
+            {told.name: told.idempotency_window for told in classes if told.idempotency_window}
+        )
         self._waiting: dict[bytes, bytes | None] = {}
         self._called = False
         self.left_open = self._restore()
@@ -65,7 +67,7 @@
             )
         return left_open
 
-    def start(self, told: Listing) -> Listing:
+    def start(self, told: EndpointSnapshot) -> EndpointSnapshot:
         """Begin to keep; the list of engines to start with."""
         self._driver.drive(self.store)
         kept = self.store.get(ledger.ENGINES)
@@ -87,20 +89,20 @@
 
     # ---- what is kept
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointSnapshot) -> None:
         """The list of engines as it is told now."""
         self._put(ledger.ENGINES, ledger.keep_engines(listing, self._clock.now()))
 
     def taken(self, query: Query) -> None:
-        self._keyed.taken(query.token, query.cls, query.tenant, self._clock.now())
+        self._keyed.taken(query.idempotency_key, query.cls, query.tenant, self._clock.now())
         self._soon()
 
     def out(self, attempt: Attempt) -> None:
-        self._keyed.out(attempt.query.token, attempt.query.cls, attempt.engine, self._clock.now())
+        self._keyed.out(attempt.query.idempotency_key, attempt.query.cls, attempt.engine, self._clock.now())
         self._soon()
 
     def over(self, query: Query, how: str) -> None:
-        self._keyed.over(query.token, query.cls, cast(ledger.State, how), self._clock.now())
+        self._keyed.over(query.idempotency_key, query.cls, cast(ledger.State, how), self._clock.now())
         self._soon()
 
     def totals(self) -> ledger.KeptCounters:
--- a/rackhub/state/ledger.py
+++ b/rackhub/state/ledger.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from rackhub import interface
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 
 ENGINES, COUNTERS, KEYED = b"engines", b"counters", b"keyed/"
 State = Literal["taken", "out", "served", "refused", "failed", "left"]
@@ -36,12 +36,33 @@
     earlier: list[str] = []  # engines of attempts before the last, which may have run
 
 
+class StoredEngine(msgspec.Struct):
+    """An engine of the endpoint list as it is stored. The stored names stay when those of the code change."""
+
+    engine: str
+    zone: str = ""
+    kind: str = ""
+    cell: int = 0
+    state: str = "Ready"
+    size: float = 1.0
+    started_at: int = msgspec.field(default=0, name="came_up")
+
+    @classmethod
+    def of(cls, entry: interface.EngineEntry) -> "StoredEngine":
+        """The stored form of an entry."""
+        return cls(entry.engine, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_at)
+
+    def entry(self) -> interface.EngineEntry:
+        """The entry that is stored here."""
+        return interface.EngineEntry(*msgspec.structs.astuple(self))
+
+
 class KeptEngines(msgspec.Struct):
     """The list of engines as it was told at `at`."""
 
     rev: int
     at: int
-    entries: list[interface.EngineEntry]
+    entries: list[StoredEngine]
     addresses: dict[str, tuple[str, int]]
 
 
@@ -151,12 +172,15 @@
         return 4 * max(self._windows.values(), default=self._least)
 
 
-def keep_engines(listing: Listing, now: int) -> bytes:
+def keep_engines(listing: EndpointSnapshot, now: int) -> bytes:
     """The list as it is kept."""
-    return msgspec.json.encode(KeptEngines(listing.rev, now, list(listing.entries), listing.addresses))
+    entries = [StoredEngine.of(entry) for entry in listing.entries]
+    return msgspec.json.encode(KeptEngines(listing.revision, now, entries, listing.addresses))
 
 
-def start_list(told: Listing, kept: bytes | None, now: int, most_age: int) -> tuple[Listing, int | None]:
+def start_list(
+    told: EndpointSnapshot, kept: bytes | None, now: int, most_age: int
+) -> tuple[EndpointSnapshot, int | None]:
     """The list to start with, and the age of a kept one where that is it. What the configuration tells goes before
     what was kept; one that was kept has number 0, as numbers begin anew with each start, and any that is told then
     must take its place. Engines that were draining or gone when it was kept are draining or gone in it."""
@@ -169,8 +193,10 @@
     age = max(now - have.at, 0)
     if age > most_age or not have.entries:
         return told, None
-    return Listing(
-        told.rev, tuple(have.entries), {name: (host, port) for name, (host, port) in have.addresses.items()}
+    return EndpointSnapshot(
+        told.revision,
+        tuple(stored.entry() for stored in have.entries),
+        {name: (host, port) for name, (host, port) in have.addresses.items()},
     ), age
 
 
--- a/rackhub/state/part.py
+++ b/rackhub/state/part.py
@@ -3,18 +3,20 @@
 from collections.abc import Sequence
 
 from rackhub.config import store_settings
-from rackhub.core.part import Host, Part, PartUnusable
-from rackhub.core.source import Listing
+from rackhub.core.component import Component, ComponentContext, ComponentStartError
+from rackhub.core.source import EndpointSnapshot
 
 
-class StorePart(Part):
-    def __init__(self, host: Host):
+class StorePart(Component):
+    def __init__(self, host: ComponentContext):
         super().__init__(host)
         try:
             from rackhub.state.keeper import Keeper
             from rackhub.store import StoreError
         except ImportError as missing:
-            raise PartUnusable(f"[store]: {missing}: install the extra 'store' (requirements-store.txt)") from None
+            raise ComponentStartError(
+                f"[store]: {missing}: install the extra 'store' (requirements-store.txt)"
+            ) from None
         try:
             self.keeper = Keeper(
                 host.reactor,
@@ -24,23 +26,23 @@
                 host.counters,
             )
         except (StoreError, OSError) as fault:
-            raise PartUnusable(f"[store]: {fault}") from None
+            raise ComponentStartError(f"[store]: {fault}") from None
         host.core.ledger = self.keeper
 
-    def begin(self, listing: Listing) -> Listing:
+    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
         return self.keeper.start(listing)
 
-    def listed(self, listing: Listing) -> None:
+    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
         self.keeper.listed(listing)
 
     def stop(self) -> None:
         self.keeper.end()
 
-    def tell(self) -> Sequence[str]:
+    def summary_lines(self) -> Sequence[str]:
         totals = self.keeper.totals()
         counted = " ".join(f"{name}={count}" for name, count in totals.counts.items())
         return [f"counters of {totals.starts} starts: {counted or 'nothing'}"]
 
 
-def part(host: Host) -> StorePart:
+def part(host: ComponentContext) -> StorePart:
     return StorePart(host)
--- a/rackhub/timings/check.py
+++ b/rackhub/timings/check.py
@@ -37,7 +37,7 @@
 
 def repeatable(cls: interface.ClassSettings) -> bool:
     """Whether a request of the class may run twice at once: it is safe, or every engine drops a repeat of its key."""
-    return cls.effect == "retryable" or cls.effect == "dedup" and cls.dedup_scope == "all"
+    return cls.idempotency == "retryable" or cls.idempotency == "dedup" and cls.idempotency_scope == "all"
 
 
 def check(routes: Sequence[Route], settings: interface.Settings) -> Checked:
@@ -150,7 +150,7 @@
                     yield self.bad("retry_on", f"names {reason!r} twice")
             for cls in self.classes:
                 late = [reason for reason in route.retry_on if reason not in NEVER_RAN]
-                if cls.effect == "fragile" and late:
+                if cls.idempotency == "fragile" and late:
                     yield self.bad(
                         "retry_on",
                         f"after {', '.join(late)} a request of class {cls.name!r} may have run, "
@@ -210,23 +210,23 @@
 
     def _keyed(self) -> Iterator[Fault]:
         route, within = self.route, self.route.repeat_within_ms
-        keyed = [cls for cls in self.classes if cls.effect == "dedup"]
+        keyed = [cls for cls in self.classes if cls.idempotency == "dedup"]
         if within is not None and within > 0:
             for cls in self.classes:
-                if cls.effect != "dedup":
+                if cls.idempotency != "dedup":
                     yield self.bad("repeat_within_ms", f"class {cls.name!r} carries no key: match keyed classes alone")
-                elif within * 1_000 > cls.window:
+                elif within * 1_000 > cls.idempotency_window:
                     yield self.bad(
                         "repeat_within_ms",
                         f"a repeat of class {cls.name!r} is dropped for "
-                        f"{cls.window / 1_000:g} ms, and runs twice after that",
+                        f"{cls.idempotency_window / 1_000:g} ms, and runs twice after that",
                         f"settings.Services {cls.name}.Window",
                     )
         attempts = route.attempts or 1
         if attempts < 2 or attempts > self.settings.max_attempts or any(self._ranges()):
             return
         for cls in keyed:
-            latest, window = self.latest_start(attempts), cls.window / 1_000
+            latest, window = self.latest_start(attempts), cls.idempotency_window / 1_000
             if latest >= window and not 0 < cls.deadline <= latest * 1_000:
                 yield self.bad(
                     "attempts",
@@ -241,7 +241,7 @@
         route, copy, site = self.route, self.route.second_copy, self.settings
         if copy is None:
             return
-        if not site.second_copies:
+        if not site.hedging:
             yield self.bad("second_copy", "the site allows no two attempts of a request at once", COPIES_KEY)
         if (route.attempts or site.max_attempts) < 2:
             yield self.bad(
@@ -298,10 +298,10 @@
             yield self.bad("second_copy.most_share", "lets copies add more than a fifth to the load")
         for cls in self.classes:
             attempts, timeout = route.attempts or 0, route.attempt_timeout_ms
-            if timeout is not None and timeout * 1_000 < cls.objective / 4:
+            if timeout is not None and timeout * 1_000 < cls.latency_objective / 4:
                 yield self.bad(
                     "attempt_timeout_ms",
-                    f"is under a quarter of the {cls.objective / 1_000:g} ms within "
+                    f"is under a quarter of the {cls.latency_objective / 1_000:g} ms within "
                     f"which class {cls.name!r} is wanted: what it cuts would come",
                 )
             if (
--- a/rackhub/timings/desk.py
+++ b/rackhub/timings/desk.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from rackhub.core.terms import After, Sending
+from rackhub.core.request_policy import AttemptTerms, RetryDecision
 from rackhub.timings.budget import SERVED, SHED, SPENT, Window
 from rackhub.timings.routes import NEVER_RAN, Reason
 from rackhub.timings.table import Table, Terms
@@ -34,8 +34,8 @@
         "cls",
         "within",
         "sent",
-        "attempts",
-        "repeat_within",
+        "max_attempts",
+        "retry_window",
         "retries",
         "copies",
     )
@@ -46,7 +46,7 @@
         """`window`: within which repeats of its key are dropped; 0: it is not keyed. `retries`, `copies`: what its
         further attempts and its copies are paid from; None: nothing is to be paid."""
         self.terms, self.generation, self.cls = terms, generation, cls
-        self.attempts, self.repeat_within = terms.attempts, terms.repeat_within
+        self.max_attempts, self.retry_window = terms.attempts, terms.repeat_within
         self.within = terms.repeat_within or window
         self.maybe: dict[int, int] | None = None  # of a keyed one: attempts that may have run, when each went out
         self.retries, self.copies = retries, copies
@@ -103,7 +103,7 @@
         life = Life(terms, self.generation, cls, self._windows.get(cls, 0), retries, copies)
         self.open[self.generation] += 1
         if retries is not None and not retries.may(now, terms.share or 0.0, terms.floor):
-            life.attempts = 1
+            life.max_attempts = 1
         return life
 
     def end(self, life: Life, now: int) -> None:
@@ -129,7 +129,7 @@
         if not tries:
             return True
         until = life.until()
-        if tries >= life.attempts or until and now >= until:
+        if tries >= life.max_attempts or until and now >= until:
             self._count("retries_over_terms")
             return False
         if not copy and not self._budget(life, now):
@@ -142,7 +142,7 @@
         terms = life.terms
         return life.retries is None or life.retries.may(now, terms.share or 0.0, terms.floor)
 
-    def sending(self, life: Life, number: int, kind: str, copy: bool, now: int) -> Sending:
+    def sending(self, life: Life, number: int, kind: str, copy: bool, now: int) -> AttemptTerms:
         """An attempt goes out; what holds for it. A further one is paid for here."""
         kinds = life.terms.kinds
         engine = kinds[kind] if kind in kinds else kinds[""]
@@ -171,7 +171,7 @@
             if engine.copy_learned is not None and not life.copied and not life.full:
                 limit = self._quantiles.limit(life.cls, kind, engine.copy_learned, 0.0, 0.0, now)
                 copy_after = int(limit * MS) if limit else 0
-        return Sending(timeout, send_by, copy_after, engine.priority)
+        return AttemptTerms(timeout, send_by, copy_after, engine.priority)
 
     def may_copy(self, life: Life, kind: str, tries: int, now: int) -> bool:
         """Whether a copy that is due may go, by its share and by the request's attempts. Where an engine was full for
@@ -201,19 +201,19 @@
         if self._quantiles is not None and (reason == "GOOD" or cut):
             self._quantiles.saw(life.cls, kind, engine, elapsed, now, cut)
 
-    def after(self, life: Life, reason: str, tries: int, now: int) -> After:
+    def after(self, life: Life, reason: str, tries: int, now: int) -> RetryDecision:
         """What may come after an attempt that ended without an answer, when nothing else of the request is out."""
         word = WORDS.get(reason)
         if word is not None and word not in life.terms.retry_on:
             self._count("retries_not_on")
-            return After(False)
+            return RetryDecision(False)
         until = life.until()
-        if tries >= life.attempts or until and now >= until:
-            return After(False)
+        if tries >= life.max_attempts or until and now >= until:
+            return RetryDecision(False)
         if not self._budget(life, now):
             self._count("retries_over_budget")
-            return After(False, backoff=life.retries.room_in(now) if life.retries is not None else 0)
-        return After(True, self._wait(life, tries))
+            return RetryDecision(False, backoff=life.retries.room_in(now) if life.retries is not None else 0)
+        return RetryDecision(True, self._wait(life, tries))
 
     def _wait(self, life: Life, tries: int) -> int:
         backoff = life.terms.backoff
--- a/rackhub/timings/explain.py
+++ b/rackhub/timings/explain.py
@@ -105,11 +105,11 @@
     else:
         told_of = f"{terms.share:g} of what is served in {terms.over / MS:g} ms, {terms.floor} at least"
         rows.append(Term("retry_share", told_of, _source(request, True, "")))
-    if told.effect == "dedup":
+    if told.idempotency == "dedup":
         rows.append(
             Term(
                 "repeat_within_ms",
-                (terms.repeat_within or told.window) / MS,
+                (terms.repeat_within or told.idempotency_window) / MS,
                 _source(request, bool(terms.repeat_within), f"settings.Services {told.name}.Window"),
             )
         )
@@ -154,7 +154,7 @@
     ceilings; where there is none, an attempt may take all that is left."""
     end = told.deadline / MS
     limit = engine.timeout / MS or (engine.learned_most if engine.learned is not None else 0.0)
-    window = (terms.repeat_within or told.window) / MS if told.effect == "dedup" else 0.0
+    window = (terms.repeat_within or told.idempotency_window) / MS if told.idempotency == "dedup" else 0.0
     now, rows = 0.0, [Moment(0.0, "taken; attempt 1 goes out")]
     copy = engine.copy_after / MS
     if engine.copy_share and terms.attempts > 1:
--- a/rackhub/timings/part.py
+++ b/rackhub/timings/part.py
@@ -4,18 +4,18 @@
 from collections.abc import Callable, Sequence
 
 from rackhub.config import timings_table
-from rackhub.core.part import Host, Part
+from rackhub.core.component import Component, ComponentContext
 from rackhub.operatorfile import Operator
 from rackhub.timings.desk import Desk
 
 log = logging.getLogger(__name__)
 
 
-class TimingsPart(Part):
-    def __init__(self, host: Host):
+class TimingsPart(Component):
+    def __init__(self, host: ComponentContext):
         super().__init__(host)
         settings = host.source.settings
-        windows = {told.name: told.window for told in settings.classes if told.effect == "dedup"}
+        windows = {told.name: told.idempotency_window for told in settings.classes if told.idempotency == "dedup"}
         self.desk = Desk(
             timings_table(host.operator.timings or {}, settings), windows, host.config.seed, host.counters.add
         )
@@ -24,23 +24,23 @@
 
     def reload(self, operator: Operator) -> None:
         """Requests that are open go on under what they began with."""
-        self.host.counters.add("timings_reloads")
+        self.context.counters.add("timings_reloads")
         part = operator.timings if operator.timings is not None else {}
         try:
             if self.again is not None:
                 return self.again()
-            table = timings_table(part, self.host.source.settings)
-            timings_table(part, self.host.reread().settings)  # those that a restart would bring must allow it too
+            table = timings_table(part, self.context.source.settings)
+            timings_table(part, self.context.reread().settings)  # those that a restart would bring must allow it too
         except ValueError as bad:
-            self.host.counters.add("timings_reloads_bad")
+            self.context.counters.add("timings_reloads_bad")
             return log.error("reload: bad timings, the old ones hold: %s", bad)
         self.desk.reload(table)
         log.info("reload: %d routes hold from now on, as generation %d", len(table.routes), self.desk.generation)
 
-    def tell(self) -> Sequence[str]:
+    def summary_lines(self) -> Sequence[str]:
         opened = " ".join(f"generation{number}={count}" for number, count in self.desk.open.items())
         return [f"open under timings: {opened}"]
 
 
-def part(host: Host) -> TimingsPart:
+def part(host: ComponentContext) -> TimingsPart:
     return TimingsPart(host)
--- a/rackhub/timings/rig.py
+++ b/rackhub/timings/rig.py
@@ -29,16 +29,18 @@
 START = 1_000 * SECOND
 KNEE, THRASH, LEAST = 1.8, 0.15, 0.3  # threads a core; loss with each beyond; the least that is left
 LATENCY = 300  # microseconds on the wire, each way
-LOOKUP = interface.ClassSettings("lookup", deadline=3 * SECOND, objective=600 * MS, effect="retryable", worth=1.0)
+LOOKUP = interface.ClassSettings(
+    "lookup", deadline=3 * SECOND, latency_objective=600 * MS, idempotency="retryable", priority_weight=1.0
+)
 LOAD = interface.ClassSettings(
     "depot-load",
     deadline=25 * SECOND,
-    objective=3 * SECOND,
-    effect="dedup",
-    dedup_scope="all",
-    window=25 * SECOND,
+    latency_objective=3 * SECOND,
+    idempotency="dedup",
+    idempotency_scope="all",
+    idempotency_window=25 * SECOND,
     threads=2,
-    worth=10.0,
+    priority_weight=10.0,
 )
 
 
@@ -161,7 +163,7 @@
             cancel=True,
             max_attempts=3,
             max_retry_after=500 * MS,
-            second_copies=scene.second_copies,
+            hedging=scene.second_copies,
             priorities=True,
         )
         self.core = Coordinator(
@@ -176,7 +178,7 @@
             faults = check(routes, self.settings).faults
             if faults:
                 raise ValueError("; ".join(map(str, faults)))
-            windows = {scene.cls.name: scene.cls.window} if scene.cls.effect == "dedup" else {}
+            windows = {scene.cls.name: scene.cls.idempotency_window} if scene.cls.idempotency == "dedup" else {}
             self.core.desk = Desk(Table(routes, self.settings), windows, seed, self.counters.add)
         self.engines = {
             f"e{i}": Engine(self.world, scene.cores, scene.speeds.get(i, 1.0), scene.most) for i in range(scene.engines)
@@ -194,7 +196,7 @@
 
     def _arrive(self, attempt: Attempt) -> None:
         engine = self.engines[attempt.engine]
-        if attempt.over:
+        if attempt.done:
             return
         if len(engine.running) >= engine.most:
             self.world.at(self.world.time + LATENCY, self._end, attempt, "FULL", len(engine.running))
@@ -224,7 +226,7 @@
             del engine.running[attempt]
             engine.plan(self._through)
 
-    def hurry(self, attempt: Attempt) -> None: ...
+    def promote(self, attempt: Attempt) -> None: ...
     def close_idle(self, engine: str) -> None: ...
 
     # ---- clients
@@ -233,7 +235,7 @@
         self.answers[query.id].append("served")
         took = self.world.time - int(str(query.tag))
         self.took.append(took)
-        self.good += took <= self.scene.cls.objective + 1.5 * self._works[query.id]
+        self.good += took <= self.scene.cls.latency_objective + 1.5 * self._works[query.id]
 
     def refused(self, query: Query, backoff: int) -> None:
         self.answers[query.id].append("refused")
@@ -254,7 +256,7 @@
             tag=self.world.time,
             tenant="acme",
             estimate=int(work),
-            token=id * 2 if scene.cls.effect == "dedup" else "",
+            idempotency_key=id * 2 if scene.cls.idempotency == "dedup" else "",
         )
         self.core.submit(query)
 
--- a/rackhub/timings/table.py
+++ b/rackhub/timings/table.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rackhub import interface
-from rackhub.core.terms import Sending
+from rackhub.core.request_policy import AttemptTerms
 from rackhub.timings.check import check, edges, meets, names
 from rackhub.timings.routes import REASONS, Backoff, Learned, Reason, Route, learned, read
 
@@ -26,7 +26,7 @@
     copy_learned: Learned | None = None
     copy_share: float = 0.0
     priority: int | None = None
-    fixed: Sending | None = None  # all of it, where nothing of it is learned or a copy
+    fixed: AttemptTerms | None = None  # all of it, where nothing of it is learned or a copy
 
 
 class Terms(msgspec.Struct, frozen=True):
@@ -125,4 +125,4 @@
     )
     if terms.learned is not None or terms.copy_share:
         return terms
-    return msgspec.structs.replace(terms, fixed=Sending(timeout=terms.timeout, priority=terms.priority))
+    return msgspec.structs.replace(terms, fixed=AttemptTerms(timeout=terms.timeout, priority=terms.priority))
--- a/rackhub/trials/fleet/overload_world.py
+++ b/rackhub/trials/fleet/overload_world.py
@@ -13,7 +13,7 @@
 from rackhub import interface as t
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Attempt, Query, Reply
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.fleet.overload.part import Overload
@@ -25,8 +25,17 @@
 
 WIRE, CARRY = 1 * MS, 20 * MS  # to an engine; from a refusal to the next gateway's door
 CLASSES = (
-    t.ClassSettings("lookup", deadline=2 * SECOND, objective=600 * MS, effect="retryable", worth=1.0),
-    t.ClassSettings("report", deadline=6 * SECOND, objective=2 * SECOND, effect="retryable", worth=2.5, threads=2),
+    t.ClassSettings(
+        "lookup", deadline=2 * SECOND, latency_objective=600 * MS, idempotency="retryable", priority_weight=1.0
+    ),
+    t.ClassSettings(
+        "report",
+        deadline=6 * SECOND,
+        latency_objective=2 * SECOND,
+        idempotency="retryable",
+        priority_weight=2.5,
+        threads=2,
+    ),
 )
 WORK = {"lookup": 0.1, "report": 1.0}  # thread-seconds, the mean
 TENANTS = (t.TenantSettings("north", 0.4), t.TenantSettings("south", 0.4), t.TenantSettings("night", 0.2))
@@ -39,16 +48,16 @@
         classes=CLASSES,
         tenants=TENANTS,
         gateways=gateways,
-        me=me,
+        instance_index=me,
         kind_cores={"e": CORES},
         max_attempts=3,
         max_retry_after=5 * SECOND,
-        peers=True,
-        probes=True,
+        gossip=True,
+        health_checks=True,
         cancel=True,
-        repeat_ratio=0.1,
-        free_resends=3,
-        counted_over=10 * SECOND,
+        retry_budget_ratio=0.1,
+        retry_budget_minimum=3,
+        retry_budget_window=10 * SECOND,
     )
 
 
@@ -85,7 +94,9 @@
             self.core.guide = self.part
         else:
             self.core.guide = Alone(self)
-        listing = Listing(1, tuple(t.EngineEntry(name, kind="e", came_up=-(10**9)) for name in world.engines), {})
+        listing = EndpointSnapshot(
+            1, tuple(t.EngineEntry(name, kind="e", started_at=-(10**9)) for name in world.engines), {}
+        )
         self.core.start(self, listing.entries, 1)
         if self.part is not None:
             self.part.listed(listing)
@@ -122,13 +133,13 @@
         self.world.counts["further"] += attempt.number > 0
         threads = next(cls.threads for cls in CLASSES if cls.name == attempt.query.cls)
         self.world.time.later(
-            WIRE, lambda: self.world.engines[attempt.engine].take(self, attempt, threads) if not attempt.over else None
+            WIRE, lambda: self.world.engines[attempt.engine].take(self, attempt, threads) if not attempt.done else None
         )
 
     def give_up(self, attempt: Attempt) -> None:
         self.world.time.later(WIRE, lambda: self.world.engines[attempt.engine].drop(attempt))
 
-    def hurry(self, attempt: Attempt) -> None: ...
+    def promote(self, attempt: Attempt) -> None: ...
 
     def close_idle(self, engine: str) -> None: ...
 
@@ -252,7 +263,7 @@
     def note(self, request: Request, how: str) -> None:
         self.counts[how] += 1
         if how == "served":
-            worth = next(told.worth for told in CLASSES if told.name == request.cls)
+            worth = next(told.priority_weight for told in CLASSES if told.name == request.cls)
             self.worth[int(self.seconds() * 10)] += worth  # type: ignore[assignment]
             self.served[request.cls, request.tenant] += 1
 
--- a/rackhub/trials/processes/cases/overload.py
+++ b/rackhub/trials/processes/cases/overload.py
@@ -66,7 +66,7 @@
 
 
 def restarted(rig: Rig, seed: int, brief: bool) -> Verdict:
-    """All of them, a moment apart, as a rollout in a hurry."""
+    """All of them, a moment apart, as a rollout in a promote."""
     steps = [
         each
         for number, name in enumerate(rig.gateways)
--- a/rackhub/trials/virtual/cold.py
+++ b/rackhub/trials/virtual/cold.py
@@ -63,21 +63,33 @@
     ),
 }
 CLASSES = (
-    t.ClassSettings("lookup", deadline=3 * SECOND, objective=600 * MS, aim_stretch=1.5, effect="retryable"),
     t.ClassSettings(
-        "report", deadline=20 * SECOND, objective=3 * SECOND, aim_stretch=2.5, effect="retryable", threads=3, worth=7.5
+        "lookup",
+        deadline=3 * SECOND,
+        latency_objective=600 * MS,
+        latency_objective_multiplier=1.5,
+        idempotency="retryable",
+    ),
+    t.ClassSettings(
+        "report",
+        deadline=20 * SECOND,
+        latency_objective=3 * SECOND,
+        latency_objective_multiplier=2.5,
+        idempotency="retryable",
+        threads=3,
+        priority_weight=7.5,
     ),
     t.ClassSettings(
         "load",
         deadline=25 * SECOND,
-        objective=3 * SECOND,
-        aim_stretch=2.5,
-        effect="dedup",
-        dedup_scope="all",
-        window=25 * SECOND,
+        latency_objective=3 * SECOND,
+        latency_objective_multiplier=2.5,
+        idempotency="dedup",
+        idempotency_scope="all",
+        idempotency_window=25 * SECOND,
         threads=2,
-        worth=10.0,
-        holds_tables=True,
+        priority_weight=10.0,
+        locks_tables=True,
     ),
 )
 ENGINES = {3: 6, 5: 8, 20: 12, 30: 12, 200: 24}  # by gateways
@@ -126,17 +138,17 @@
             kind_cores={str(cores): float(cores) for cores in site.kinds},
             period=5 * MS,
             priorities=True,
-            note_period=SECOND,
+            progress_report_interval=SECOND,
             cancel=True,
             max_attempts=3,
             max_retry_after=500 * MS,
-            cold_from=site.cold_from,
-            ramp_time=site.ramp,
-            fall=site.fall,
-            fall_multiple=site.fall_multiple,
-            report_source="piggyback",
+            slow_start_initial_capacity=site.cold_from,
+            slow_start_duration=site.ramp,
+            slow_start_budget_window=site.fall,
+            slow_start_budget_multiple=site.fall_multiple,
+            load_report_source="piggyback",
         )
-        self.controls = [Control(replace(told, me=i), seed * 1_009 + i) for i in range(gateways)]
+        self.controls = [Control(replace(told, instance_index=i), seed * 1_009 + i) for i in range(gateways)]
         self.weights = [self.draw.lognormvariate(0, 0.8) for _ in range(gateways)]  # some get several times the mean
         self.request = sum(self.mean[w[0]] * s for w, s in zip(site.works, self.shares, strict=True)) / sum(self.shares)
         for control in self.controls:  # what it reckons of the works is right: it stakes in full
@@ -178,10 +190,10 @@
 
     def tell(self, gateway: int, scope: str, names: list[str]) -> None:
         entries = tuple(
-            t.EngineEntry(e.name, kind=str(e.cores), state="Ready" if e.up else "Gone", came_up=e.came_up)
+            t.EngineEntry(e.name, kind=str(e.cores), state="Ready" if e.up else "Gone", started_at=e.came_up)
             for e in map(self.engines.__getitem__, names)
         )
-        self.do(gateway, t.EngineList(scope, entries))
+        self.do(gateway, t.EndpointList(scope, entries))
 
     def gone(self, names: list[str]) -> None:
         for name in names:
@@ -203,7 +215,7 @@
         self.queries[query] = (name, work, self.now + cls.deadline, 0)
         told = int(work * self.draw.lognormvariate(0, 0.3)) if self.estimates else 0
         self.at(self.now + int(self.draw.expovariate(1 / self.apart)) + 1, self.arrive, end)
-        self.do(gateway, t.QueryArrived(query, name, self.now + cls.deadline, tenant="one", estimate=told))
+        self.do(gateway, t.QueryReceived(query, name, self.now + cls.deadline, tenant="one", estimate=told))
 
     def do(self, gateway: int, event: Any) -> None:
         for act in list(self.controls[gateway].handle(self.now, event)):
@@ -239,7 +251,7 @@
         sent = self.controls[gateway].attempts.get((query, number))
         self.do(
             gateway,
-            t.AttemptEnded(
+            t.AttemptCompleted(
                 query,
                 number,
                 reason,
--- a/rackhub/trials/virtual/cost.py
+++ b/rackhub/trials/virtual/cost.py
@@ -23,8 +23,15 @@
 SIZES = (8, 60, 300)
 APART = 10 * MS  # from one request to the next
 CLASSES = (
-    t.ClassSettings("lookup", deadline=3 * SECOND, objective=600 * MS, effect="retryable"),
-    t.ClassSettings("report", deadline=20 * SECOND, objective=3 * SECOND, effect="retryable", threads=3, worth=7.5),
+    t.ClassSettings("lookup", deadline=3 * SECOND, latency_objective=600 * MS, idempotency="retryable"),
+    t.ClassSettings(
+        "report",
+        deadline=20 * SECOND,
+        latency_objective=3 * SECOND,
+        idempotency="retryable",
+        threads=3,
+        priority_weight=7.5,
+    ),
 )
 
 
@@ -68,15 +75,15 @@
             kind_cores={"std": 8.0},
             period=5 * MS,
             priorities=True,
-            note_period=SECOND,
+            progress_report_interval=SECOND,
             cancel=True,
             max_attempts=3,
             max_retry_after=500 * MS,
-            cold_from=0.3,
-            ramp_time=13 * SECOND,
-            fall=3 * SECOND,
-            fall_multiple=2.0,
-            report_source="piggyback",
+            slow_start_initial_capacity=0.3,
+            slow_start_duration=13 * SECOND,
+            slow_start_budget_window=3 * SECOND,
+            slow_start_budget_multiple=2.0,
+            load_report_source="piggyback",
         )
         self.core = Coordinator(settings, 1, self.world, Timers(self.world, self.world), Limits(), Counters())
         entries = [t.EngineEntry(f"e{i:03}", kind="std") for i in range(engines)]
@@ -88,7 +95,7 @@
     def give_up(self, attempt: Attempt) -> None:
         self.out.remove(attempt)
 
-    def hurry(self, attempt: Attempt) -> None: ...
+    def promote(self, attempt: Attempt) -> None: ...
 
     def close_idle(self, engine: str) -> None: ...
 
--- a/rackhub/trials/virtual/rig.py
+++ b/rackhub/trials/virtual/rig.py
@@ -17,7 +17,7 @@
 from rackhub import interface as t
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Attempt, Query, Reply
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.limits import Limits
@@ -28,9 +28,17 @@
 MS, SECOND = 1_000, 1_000_000
 START = 1_000 * SECOND
 WIRE = 0.0004  # seconds one way, to engines and resolver
-LOOKUP = t.ClassSettings("lookup", deadline=3 * SECOND, objective=600 * MS, aim_stretch=1.5, effect="retryable")
+LOOKUP = t.ClassSettings(
+    "lookup", deadline=3 * SECOND, latency_objective=600 * MS, latency_objective_multiplier=1.5, idempotency="retryable"
+)
 REPORT = t.ClassSettings(
-    "report", deadline=20 * SECOND, objective=3 * SECOND, aim_stretch=2.5, effect="retryable", threads=3, worth=7.5
+    "report",
+    deadline=20 * SECOND,
+    latency_objective=3 * SECOND,
+    latency_objective_multiplier=2.5,
+    idempotency="retryable",
+    threads=3,
+    priority_weight=7.5,
 )
 WORK = {"lookup": 150 * MS, "report": 3_500 * MS}  # the mean, of all threads together
 
@@ -154,10 +162,10 @@
         self.plan()
 
     def note(self, attempt: Attempt) -> None:
-        if attempt in self.running and attempt.link is not None:
+        if attempt in self.running and attempt.connection is not None:
             self.settle()
             left, whole = self.running[attempt]
-            attempt.link.noted(attempt, max(1 - left / whole, 0.0))
+            attempt.connection.noted(attempt, max(1 - left / whole, 0.0))
             self.world.clock.callLater(1.0, self.note, attempt)
 
     def plan(self) -> None:
@@ -177,8 +185,8 @@
         self.settle()
         for attempt in [attempt for attempt, left in self.running.items() if left[0] <= 1e-9]:
             del self.running[attempt]
-            if attempt.link is not None:
-                attempt.link.answered(attempt, len(self.running))
+            if attempt.connection is not None:
+                attempt.connection.answered(attempt, len(self.running))
         self.plan()
 
     def die(self) -> None:
@@ -246,7 +254,7 @@
         return not self.closed and len(self.open) < 100
 
     def carry(self, attempt: Attempt) -> None:
-        attempt.link, self.open[attempt], self.used = self, False, self.site.now()
+        attempt.connection, self.open[attempt], self.used = self, False, self.site.now()
         if self.up:
             self._write(attempt)
 
@@ -257,7 +265,7 @@
         if self.retired:
             self.close_if_idle()
 
-    def hurry(self, attempt: Attempt) -> None: ...
+    def promote(self, attempt: Attempt) -> None: ...
 
     def close_if_idle(self) -> None:
         if self.up and not self.open:
@@ -301,7 +309,7 @@
         self._send, self.pools.send = self.pools.send, self.send
         listing = world.listing()
         self.pools.listed(listing.addresses)
-        self.core.start(self.pools, listing.entries, listing.rev)
+        self.core.start(self.pools, listing.entries, listing.revision)
         world.clock.callLater(self.random.random() * 0.25, self.ask_list)
         world.clock.callLater(0.1, self.sweep)
 
@@ -331,17 +339,17 @@
             self._next.cancel()
         self._next = self.world.clock.callLater(delay / SECOND, self.ask_list)
 
-    def told(self, listing: Listing) -> None:
+    def told(self, listing: EndpointSnapshot) -> None:
         self._again(self.asking.answered())
-        if listing.rev <= self.rev:
+        if listing.revision <= self.rev:
             return
-        self.rev = listing.rev
+        self.rev = listing.revision
         for name in self.world.engines:
             if name in listing.addresses:
                 self.gone.pop(name, None)
             else:
                 self.gone.setdefault(name, self.world.time())
-        self.core.listed(listing.entries, listing.rev)
+        self.core.listed(listing.entries, listing.revision)
         self.pools.listed(listing.addresses)
 
     def request(self) -> None:
@@ -375,7 +383,7 @@
         for i in range(scene.engines):
             name = f"e{i:03}"
             self.engines[name] = Engine(self, name, f"z{i % scene.zones}")
-        self.history: list[tuple[float, Listing]] = []
+        self.history: list[tuple[float, EndpointSnapshot]] = []
         self._list()
         settings = t.Settings(
             classes=(LOOKUP, REPORT),
@@ -384,15 +392,15 @@
             kind_cores={"std": scene.cores},
             period=5 * MS,
             priorities=True,
-            note_period=SECOND,
+            progress_report_interval=SECOND,
             cancel=True,
             max_attempts=3,
             max_retry_after=500 * MS,
-            report_source="piggyback",
-            cold_from=scene.cold_from,
-            ramp_time=int(scene.ramp * SECOND),
-            fall=int(scene.fall * SECOND),
-            fall_multiple=scene.multiple,
+            load_report_source="piggyback",
+            slow_start_initial_capacity=scene.cold_from,
+            slow_start_duration=int(scene.ramp * SECOND),
+            slow_start_budget_window=int(scene.fall * SECOND),
+            slow_start_budget_multiple=scene.multiple,
         )
         self.sites = [Site(self, i, settings, limits or Limits()) for i in range(scene.coordinators)]
 
@@ -405,7 +413,7 @@
     def is_silent(self) -> bool:
         return self.scene.silent is not None and self.scene.silent[0] <= self.time() < self.scene.silent[1]
 
-    def listing(self) -> Listing:
+    def listing(self) -> EndpointSnapshot:
         """As the resolver knows it by now."""
         return [listing for due, listing in self.history if due <= self.time()][-1]
 
@@ -426,7 +434,7 @@
         self.history.append(
             (
                 self.time() + after,
-                Listing(len(self.history) + 1, entries, {engine.name: (engine.name, 1) for engine in there}),
+                EndpointSnapshot(len(self.history) + 1, entries, {engine.name: (engine.name, 1) for engine in there}),
             )
         )
 
--- a/tests/bad_timings.py
+++ b/tests/bad_timings.py
@@ -9,11 +9,25 @@
 
 S, MS = 1_000_000, 1_000
 CLASSES = (
-    t.ClassSettings("lookup", deadline=3 * S, objective=600 * MS, effect="retryable"),
-    t.ClassSettings("report", deadline=20 * S, objective=3 * S, effect="retryable", threads=3),
-    t.ClassSettings("depot-load", deadline=25 * S, objective=3 * S, effect="dedup", dedup_scope="all", window=25 * S),
-    t.ClassSettings("zone-load", deadline=25 * S, objective=3 * S, effect="dedup", dedup_scope="zone", window=10 * S),
-    t.ClassSettings("payment", deadline=5 * S, objective=S, effect="fragile"),
+    t.ClassSettings("lookup", deadline=3 * S, latency_objective=600 * MS, idempotency="retryable"),
+    t.ClassSettings("report", deadline=20 * S, latency_objective=3 * S, idempotency="retryable", threads=3),
+    t.ClassSettings(
+        "depot-load",
+        deadline=25 * S,
+        latency_objective=3 * S,
+        idempotency="dedup",
+        idempotency_scope="all",
+        idempotency_window=25 * S,
+    ),
+    t.ClassSettings(
+        "zone-load",
+        deadline=25 * S,
+        latency_objective=3 * S,
+        idempotency="dedup",
+        idempotency_scope="zone",
+        idempotency_window=10 * S,
+    ),
+    t.ClassSettings("payment", deadline=5 * S, latency_objective=S, idempotency="fragile"),
 )
 SITE = t.Settings(
     classes=CLASSES,
@@ -32,7 +46,7 @@
     cancel=True,
     priorities=True,
     max_retry_after=500 * MS,
-    second_copies=True,
+    hedging=True,
 )
 
 
--- a/tests/golden_decisions.py
+++ b/tests/golden_decisions.py
@@ -20,17 +20,17 @@
 MS, S = 1_000, 1_000_000
 EVENTS: dict[str, type] = {
     "started": interface.Started,
-    "query": interface.QueryArrived,
-    "attempt ended": interface.AttemptEnded,
-    "note": interface.Note,
-    "stream": interface.StreamBegan,
-    "client left": interface.ClientLeft,
+    "query": interface.QueryReceived,
+    "attempt ended": interface.AttemptCompleted,
+    "note": interface.ProgressReport,
+    "stream": interface.ResultStreamStarted,
+    "client left": interface.ClientDisconnected,
     "timer": interface.TimerFired,
-    "engines": interface.EngineList,
-    "probe ended": interface.ProbeEnded,
-    "peer": interface.PeerSaid,
-    "copy due": interface.CopyDue,
-    "fleet": interface.FleetSaid,
+    "engines": interface.EndpointList,
+    "probe ended": interface.HealthCheckCompleted,
+    "peer": interface.GossipReceived,
+    "copy due": interface.HedgeDue,
+    "fleet": interface.FleetAllocation,
 }
 READERS: dict[tuple[str, int], Callable[[Any], Any]] = {  # by event and place of the field
     ("engines", 1): lambda rows: tuple(interface.EngineEntry(*row) for row in rows),
@@ -41,16 +41,16 @@
 }
 ACTIONS: dict[type, tuple[str, int]] = {  # the name of each in the recording, and how many of its fields are compared
     interface.Send: ("send", 3),
-    interface.Terms: ("terms", 3),
+    interface.ExecutionHints: ("terms", 3),
     interface.Cancel: ("cancel", 2),
-    interface.Refuse: ("refuse", 2),
+    interface.Reject: ("refuse", 2),
     interface.Fail: ("fail", 1),
     interface.Timer: ("timer", 2),
-    interface.Probe: ("probe", 1),
-    interface.Tell: ("tell", 2),
-    interface.Subscribe: ("subscribe", 1),
-    interface.FetchList: ("fetch", 0),
-    interface.CloseIdle: ("close idle", 1),
+    interface.CheckHealth: ("probe", 1),
+    interface.SendGossip: ("tell", 2),
+    interface.WatchEndpoints: ("subscribe", 1),
+    interface.PollEndpoints: ("fetch", 0),
+    interface.CloseIdleConnections: ("close idle", 1),
     interface.Log: ("log", 1),
 }
 
@@ -105,26 +105,26 @@
     "period": 5 * MS,
     "max_attempts": 3,
     "max_retry_after": 2 * S,
-    "cold_from": 0.2,
-    "ramp_time": 5 * S,
-    "fall": 2 * S,
-    "fall_multiple": 3.0,
+    "slow_start_initial_capacity": 0.2,
+    "slow_start_duration": 5 * S,
+    "slow_start_budget_window": 2 * S,
+    "slow_start_budget_multiple": 3.0,
     "drain_grace": S,
-    "counted_over": 10 * S,
+    "retry_budget_window": 10 * S,
 }
 SCENARIOS = {
     "reports": Scenario(
         COMMON
         | {
             "gateways": 3,
-            "me": 1,
+            "instance_index": 1,
             "grants": True,
             "priorities": True,
-            "note_period": 400 * MS,
+            "progress_report_interval": 400 * MS,
             "cancel": True,
-            "report_source": "answers",
-            "repeat_ratio": 0.2,
-            "free_resends": 10.0,
+            "load_report_source": "answers",
+            "retry_budget_ratio": 0.2,
+            "retry_budget_minimum": 10.0,
             "turn_gap": 200 * MS,
         }
     ),
@@ -132,18 +132,26 @@
         COMMON
         | {
             "gateways": 4,
-            "probes": True,
-            "peers": True,
-            "second_copies": True,
+            "health_checks": True,
+            "gossip": True,
+            "hedging": True,
             "cancel": True,
             "discovery": "ask",
-            "repeat_ratio": 0.3,
+            "retry_budget_ratio": 0.3,
         },
         seed=2,
     ),
-    "no cancel": Scenario(COMMON | {"gateways": 100, "second_copies": True, "note_period": 300 * MS}, seed=3),
+    "no cancel": Scenario(COMMON | {"gateways": 100, "hedging": True, "progress_report_interval": 300 * MS}, seed=3),
     "fleet": Scenario(
-        COMMON | {"gateways": 6, "me": 2, "probes": True, "cancel": True, "second_copies": True, "free_resends": 30.0},
+        COMMON
+        | {
+            "gateways": 6,
+            "instance_index": 2,
+            "health_checks": True,
+            "cancel": True,
+            "hedging": True,
+            "retry_budget_minimum": 30.0,
+        },
         fleet=True,
         seed=4,
     ),
@@ -240,7 +248,7 @@
             row[4] = "Ready"
         if draw < 0.65:
             self.listing(self.random.choice(("Complete", "Complete", "Partial", "Error")))
-        if self.scenario.settings.get("peers"):
+        if self.scenario.settings.get("gossip"):
             level = self.random.choice((0, 40, 60, 90, 100))
             code = zlib.crc32(self.random.choice(list(self.engines)).encode()).to_bytes(4, "big")
             self.do(["peer", self.random.randint(0, 3), (code + bytes([level])).hex()])
@@ -314,7 +322,7 @@
         self.open.pop(query, {})["closed"] = True
 
     def report(self) -> dict[str, float]:
-        source = self.scenario.settings.get("report_source")
+        source = self.scenario.settings.get("load_report_source")
         if source != "answers" or self.random.random() < 0.5:
             return {}
         return self.random.choice(
@@ -344,7 +352,7 @@
             elapsed = self.random.randint(200, 3 * MS)
         if reason == "silent":
             reason, elapsed = "LATE", 4 * S
-        period = self.scenario.settings.get("note_period", 0)
+        period = self.scenario.settings.get("progress_report_interval", 0)
         for at in range(period, min(elapsed, 8 * period) if period else 0, period or 1):
             topic, value = self.random.choice(
                 ((1, at / elapsed), (1, at / elapsed), (2, 40.0), (3, 1.0), (3, 2.0), (1, 0.0))
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -85,7 +85,7 @@
     "keyed request on disk": _json(ledger.Keyed),
     "engines on disk": _json(ledger.KeptEngines),
     "counters on disk": _json(ledger.KeptCounters),
-    "gathered answer": _json(core_gather.Told),
+    "gathered answer": _json(core_gather.GatherStatus),
 }
 
 
--- a/tests/stands.py
+++ b/tests/stands.py
@@ -23,18 +23,22 @@
 
 S, MS = 1_000_000, 1_000
 CLASSES = (
-    t.ClassSettings("lookup", deadline=3 * S, objective=S, effect="retryable", blocked_by_loads=True),
-    t.ClassSettings("report", deadline=20 * S, objective=3 * S, effect="retryable", threads=3, worth=7.5),
+    t.ClassSettings(
+        "lookup", deadline=3 * S, latency_objective=S, idempotency="retryable", blocked_by_table_locks=True
+    ),
+    t.ClassSettings(
+        "report", deadline=20 * S, latency_objective=3 * S, idempotency="retryable", threads=3, priority_weight=7.5
+    ),
     t.ClassSettings(
         "depot-load",
         deadline=25 * S,
-        objective=3 * S,
-        effect="dedup",
-        dedup_scope="all",
-        window=25 * S,
+        latency_objective=3 * S,
+        idempotency="dedup",
+        idempotency_scope="all",
+        idempotency_window=25 * S,
         threads=2,
-        holds_tables=True,
-        worth=10.0,
+        locks_tables=True,
+        priority_weight=10.0,
     ),
 )
 SETTINGS = t.Settings(
@@ -43,7 +47,7 @@
     kind_cores={"std": 8.0},
     period=5 * MS,
     priorities=True,
-    note_period=S,
+    progress_report_interval=S,
     cancel=True,
     max_attempts=3,
     max_retry_after=500 * MS,
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -77,28 +77,30 @@
         classes=cold.CLASSES,
         kind_cores={"std": cores},
         gateways=gateways,
-        cold_from=0.32,
-        ramp_time=13 * S,
-        fall=3 * S,
-        fall_multiple=2.0,
+        slow_start_initial_capacity=0.32,
+        slow_start_duration=13 * S,
+        slow_start_budget_window=3 * S,
+        slow_start_budget_multiple=2.0,
     )
     for me in range(gateways):
-        control = Control(replace(told, me=me), me)
+        control = Control(replace(told, instance_index=me), me)
         for _ in range(60):
             control.classes["lookup"].learn(work, 1.0)
         for at, came_up in ((90 * S, 0), (100 * S + me % 15 * 100_000, 100 * S)):
             control.handle(
                 at,
-                t.EngineList(
-                    "Complete", (t.EngineEntry("warm", kind="std"), t.EngineEntry("cold", kind="std", came_up=came_up))
+                t.EndpointList(
+                    "Complete",
+                    (t.EngineEntry("warm", kind="std"), t.EngineEntry("cold", kind="std", started_at=came_up)),
                 ),
             )
         for turn in range(max(2_000 // gateways, 30)):
-            for send in control.handle(111 * S, t.QueryArrived(f"q{turn}", "lookup", 120 * S)):
+            for send in control.handle(111 * S, t.QueryReceived(f"q{turn}", "lookup", 120 * S)):
                 if isinstance(send, t.Send):
                     sent += send.engine == "cold"
                     control.handle(
-                        111 * S, t.AttemptEnded(send.query, 0, "GOOD", settled=True, engine=send.engine, elapsed=work)
+                        111 * S,
+                        t.AttemptCompleted(send.query, 0, "GOOD", settled=True, engine=send.engine, elapsed=work),
                     )
     return sent * work, 2.0 * (0.32 + 0.68 * 11 / 13) * cores * 3 * S
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -61,8 +61,8 @@
     pairs = flatten(SETTINGS)
     assert pairs["Services.count"] == "1" and pairs["FamilyInfo.Dop"] == "2" and pairs["Permissions.Cancel"] == "true"
     settings = settings_of(pairs)
-    assert settings.classes[0].threads == 2 and settings.classes[0].holds_tables and settings.gateways == 3
-    assert settings.kind_cores == {"std-8": 8.0, "std-16": 16.0} and settings.fall == 3_000_000
+    assert settings.classes[0].threads == 2 and settings.classes[0].locks_tables and settings.gateways == 3
+    assert settings.kind_cores == {"std-8": 8.0, "std-16": 16.0} and settings.slow_start_budget_window == 3_000_000
 
 
 def test_a_whole_file_is_read():
@@ -95,12 +95,12 @@
         ],
     }
     engines = config.read(json.dumps(told(known=known)).encode()).engines
-    assert [(e.engine, e.state, e.came_up) for e in engines.entries] == [
+    assert [(e.engine, e.state, e.started_at) for e in engines.entries] == [
         ("b", "Terminating", 0),
         ("c", "Ready", 0),
         ("d", "Ready", 12_000),
     ]
-    assert engines.rev == 5 and set(engines.addresses) == {"b", "c", "d"}
+    assert engines.revision == 5 and set(engines.addresses) == {"b", "c", "d"}
 
 
 @pytest.mark.parametrize(
