--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -6,7 +6,7 @@
 from rackhub import interface as t
 
 MS, S = 1_000, 1_000_000
-LOOKUP = t.ClassSettings("lookup", deadline=2_500 * MS, objective=500 * MS, effect="retryable")
+LOOKUP = t.ClassSettings("lookup", deadline=2_500 * MS, latency_objective=500 * MS, idempotency="retryable")
 
 
 class Gateway:
@@ -31,7 +31,7 @@
         return t.EngineEntry(name, **{"kind": "std", "zone": "z", **more})
 
     def list(self, entries, scope="Complete"):
-        return self.do(t.EngineList(scope, tuple(entries)))
+        return self.do(t.EndpointList(scope, tuple(entries)))
 
     def do(self, event):
         acts = self.control.handle(self.now, event)
@@ -50,11 +50,11 @@
 
     def ask(self, cls="lookup", within=2_500 * MS, tenant="firm", **more):
         self.asked += 1
-        return self.do(t.QueryArrived(f"q{self.asked}", cls, self.now + within, tenant=tenant, **more))
+        return self.do(t.QueryReceived(f"q{self.asked}", cls, self.now + within, tenant=tenant, **more))
 
     def end(self, send, reason="GOOD", number=0, elapsed=100 * MS, **more):
         return self.do(
-            t.AttemptEnded(
+            t.AttemptCompleted(
                 send.query, number, reason, settled=reason == "GOOD", engine=send.engine, elapsed=elapsed, **more
             )
         )
@@ -76,11 +76,11 @@
 
 
 def finals(acts):
-    return of(acts, (t.Refuse, t.Fail))
+    return of(acts, (t.Reject, t.Fail))
 
 
-def cls(effect="retryable", name="job", **more):
-    return t.ClassSettings(name, **{"deadline": 10 * S, "objective": S, "effect": effect, **more})
+def cls(idempotency="retryable", name="job", **more):
+    return t.ClassSettings(name, **{"deadline": 10 * S, "latency_objective": S, "idempotency": idempotency, **more})
 
 
 # ---- the design's ordinary path
@@ -108,7 +108,7 @@
         for _ in range(30):
             gateway.end(only(gateway.ask(), t.Send), report={"busy_reqs": told, "pending": 0.0})
             gateway.wait(20 * MS)
-        return len(of([act for _ in range(80) for act in gateway.ask()], t.Refuse))
+        return len(of([act for _ in range(80) for act in gateway.ask()], t.Reject))
 
     assert refused(1.3 * 16) == 0 < refused(1.7 * 16)
 
@@ -122,7 +122,7 @@
         acts += gateway.ask()
         if of(acts[-1:], t.Send):
             gateway.end(acts[-1], elapsed=400 * MS)
-    refused = of(acts, t.Refuse)
+    refused = of(acts, t.Reject)
     assert 112 <= len(of(acts, t.Send)) <= 128 and len(refused) == 400 - len(of(acts, t.Send))
     assert all(S <= refuse.retry_after <= 2 * S for refuse in refused)
 
@@ -185,7 +185,7 @@
 def test_nothing_is_sent_for_a_client_that_left():
     gateway = Gateway()
     send = only(gateway.ask(), t.Send)
-    assert only(gateway.do(t.ClientLeft("q1")), t.Cancel).attempt == 0
+    assert only(gateway.do(t.ClientDisconnected("q1")), t.Cancel).attempt == 0
     assert gateway.end(send, "NOCONN") == []
 
 
@@ -204,7 +204,7 @@
 def test_a_fragile_query_that_may_have_run_fails_without_promise(reason):
     gateway = Gateway(classes=(cls("fragile"),))
     acts = gateway.end(only(gateway.ask("job", within=9 * S), t.Send), reason)
-    assert of(acts, t.Fail) and not of(acts, (t.Send, t.Refuse))
+    assert of(acts, t.Fail) and not of(acts, (t.Send, t.Reject))
 
 
 @pytest.mark.parametrize("reason", ["FULL", "NOCONN"])
@@ -216,14 +216,14 @@
 
 def test_a_keyed_query_is_sent_again_only_in_its_group():
     listed = [Gateway.entry(f"e{i}", cell=i % 2) for i in range(4)]
-    gateway = Gateway(classes=(cls("dedup", dedup_scope="cell", window=5 * S),), listed=listed)
+    gateway = Gateway(classes=(cls("dedup", idempotency_scope="cell", idempotency_window=5 * S),), listed=listed)
     send = only(gateway.ask("job", within=9 * S), t.Send)
     again = only(gateway.end(send, "BAD"), t.Send)
     assert int(again.engine[1]) % 2 == int(send.engine[1]) % 2
 
 
 def test_a_keyed_query_is_not_sent_again_after_its_window():
-    gateway = Gateway(classes=(cls("dedup", dedup_scope="zone", window=S),))
+    gateway = Gateway(classes=(cls("dedup", idempotency_scope="zone", idempotency_window=S),))
     send = only(gateway.ask("job", within=9 * S), t.Send)
     gateway.wait(950 * MS)
     acts = gateway.end(send, "BAD")
@@ -238,7 +238,7 @@
         if not of(acts, t.Send):
             break
         send, sends = only(acts, t.Send), sends + 1
-    assert sends == 3 and of(acts, t.Refuse)
+    assert sends == 3 and of(acts, t.Reject)
 
 
 # ---- rule 3: drains
@@ -261,7 +261,7 @@
 def test_an_empty_fleet_refuses_at_once():
     gateway = Gateway()
     gateway.list([])
-    assert only(gateway.ask(), t.Refuse).retry_after > 0
+    assert only(gateway.ask(), t.Reject).retry_after > 0
 
 
 # ---- rule 4: cold engines
@@ -269,11 +269,11 @@
 
 def cold_gateway(**more):
     return Gateway(
-        listed=[Gateway.entry("e0"), Gateway.entry("e1", came_up=99 * S)],
-        ramp_time=14 * S,
-        cold_from=0.3,
-        fall=3 * S,
-        fall_multiple=4,
+        listed=[Gateway.entry("e0"), Gateway.entry("e1", started_at=99 * S)],
+        slow_start_duration=14 * S,
+        slow_start_initial_capacity=0.3,
+        slow_start_budget_window=3 * S,
+        slow_start_budget_multiple=4,
         **more,
     )
 
@@ -299,7 +299,14 @@
 
 
 def test_broken_connections_everywhere_do_not_close_the_fleet():
-    gateway = Gateway(engines=6, ramp_time=14 * S, cold_from=0.3, fall=3 * S, fall_multiple=2, gateways=8)
+    gateway = Gateway(
+        engines=6,
+        slow_start_duration=14 * S,
+        slow_start_initial_capacity=0.3,
+        slow_start_budget_window=3 * S,
+        slow_start_budget_multiple=2,
+        gateways=8,
+    )
     gateway.teach(60)
     refused = 0
     for turn in range(300):
@@ -313,7 +320,7 @@
 
 # ---- rule 5: order
 
-SERIAL = cls("dedup", dedup_scope="all", window=9 * S, serial_by_key=True)
+SERIAL = cls("dedup", idempotency_scope="all", idempotency_window=9 * S, serial_by_key=True)
 
 
 def test_queries_of_one_key_run_one_at_a_time_in_order():
@@ -338,7 +345,7 @@
     first = only(gateway.ask("job", within=9 * S, key=7), t.Send)
     gateway.ask("job", within=S, key=7)
     gateway.ask("job", within=9 * S, key=7)
-    assert only(gateway.wait(S), t.Refuse).query == "q2"
+    assert only(gateway.wait(S), t.Reject).query == "q2"
     assert only(gateway.end(first), t.Send).query == "q3"
 
 
@@ -346,7 +353,7 @@
     gateway = Gateway(classes=(SERIAL,))
     first = only(gateway.ask("job", within=9 * S, key=7), t.Send)
     gateway.ask("job", within=9 * S, key=7)
-    assert not of(gateway.do(t.ClientLeft("q1")), t.Send)
+    assert not of(gateway.do(t.ClientDisconnected("q1")), t.Send)
     assert only(gateway.end(first, "CXL"), t.Send).query == "q2"
 
 
@@ -355,19 +362,21 @@
 
 def test_a_bound_class_goes_only_where_it_may_at_every_attempt():
     listed = [Gateway.entry("e0", zone="a"), Gateway.entry("e1", zone="b"), Gateway.entry("e2", zone="b", kind="big")]
-    gateway = Gateway(classes=(cls(stays_in=("b",), served_on=("std",)),), listed=listed)
+    gateway = Gateway(classes=(cls(allowed_zones=("b",), allowed_engine_kinds=("std",)),), listed=listed)
     send = only(gateway.ask("job", within=9 * S), t.Send)
     assert send.engine == "e1"
     assert {act.engine for act in of(gateway.end(send, "FULL"), t.Send)} <= {"e1"}
     gateway.list([Gateway.entry("e1", zone="b", state="Gone")], "Partial")
-    assert of(gateway.ask("job", within=9 * S), t.Refuse)
+    assert of(gateway.ask("job", within=9 * S), t.Reject)
 
 
 # ---- rule 7: budget
 
 
 def test_further_attempts_stay_within_their_budget_in_every_window():
-    gateway = Gateway(engines=8, free_resends=2, repeat_ratio=0.1, counted_over=10 * S, max_attempts=4)
+    gateway = Gateway(
+        engines=8, retry_budget_minimum=2, retry_budget_ratio=0.1, retry_budget_window=10 * S, max_attempts=4
+    )
     times = []
     for _ in range(400):
         send, number = only(gateway.ask(tenant=""), t.Send), 0
@@ -385,7 +394,7 @@
 
 
 def test_repeats_that_may_do_work_twice_leave_budget_for_proven_ones():
-    gateway = Gateway(engines=8, free_resends=5, repeat_ratio=0, counted_over=10 * S)
+    gateway = Gateway(engines=8, retry_budget_minimum=5, retry_budget_ratio=0, retry_budget_window=10 * S)
     bad = sum(len(of(gateway.end(only(gateway.ask(), t.Send), "BAD"), t.Send)) for _ in range(10))
     proven = sum(len(of(gateway.end(only(gateway.ask(), t.Send), "FULL"), t.Send)) for _ in range(10))
     assert (bad, proven) == (3, 2)
@@ -445,8 +454,8 @@
 
 
 def test_readers_keep_away_from_a_load_of_their_tables():
-    load = cls("retryable", "load", holds_tables=True, threads=2)
-    reader = cls("retryable", "read", blocked_by_loads=True)
+    load = cls("retryable", "load", locks_tables=True, threads=2)
+    reader = cls("retryable", "read", blocked_by_table_locks=True)
     gateway = Gateway(classes=(load, reader), engines=3)
     holder = only(gateway.ask("load", within=9 * S, tables=4), t.Send).engine
     assert holder not in {only(gateway.ask("read", within=9 * S, tables=4), t.Send).engine for _ in range(6)}
@@ -454,9 +463,9 @@
 
 def stands_still(effect):
     """A query of the given effect that meets another gateway's load on the first engine it is sent to."""
-    load = cls("fragile", "load", holds_tables=True, threads=2)
-    reader = cls(effect, "read", blocked_by_loads=True)
-    gateway = Gateway(classes=(load, reader), engines=3, note_period=S)
+    load = cls("fragile", "load", locks_tables=True, threads=2)
+    reader = cls(effect, "read", blocked_by_table_locks=True)
+    gateway = Gateway(classes=(load, reader), engines=3, progress_report_interval=S)
     send = only(gateway.ask("read", within=9 * S, tables=4), t.Send)
     return gateway, send, note(gateway, send, 3, 2.0)
 
@@ -478,7 +487,7 @@
 
 def test_no_pace_is_read_from_work_that_stands_still():
     """From a first note of nothing done, the end was taken to be never: lookups behind a load were refused."""
-    gateway = Gateway(classes=(cls("retryable", "read"),), note_period=S)
+    gateway = Gateway(classes=(cls("retryable", "read"),), progress_report_interval=S)
     send = only(gateway.ask("read", within=5 * S), t.Send)
     gateway.wait(600 * MS)
     assert not note(gateway, send, 1, 0.0)
@@ -489,7 +498,7 @@
 
 
 def test_loads_of_a_table_leave_engines_where_none_comes_and_all_gateways_leave_the_same():
-    load = cls("dedup", "load", holds_tables=True, threads=2, dedup_scope="all", window=25 * S)
+    load = cls("dedup", "load", locks_tables=True, threads=2, idempotency_scope="all", idempotency_window=25 * S)
     loaded = {table: set() for table in range(12)}
     for gateways in (3, 7):
         gateway = Gateway(classes=(load,), engines=6, gateways=gateways)
@@ -503,7 +512,7 @@
 
 
 def test_a_load_goes_where_it_can_when_none_of_its_engines_is_there():
-    load = cls("dedup", "load", holds_tables=True, threads=2)
+    load = cls("dedup", "load", locks_tables=True, threads=2)
     gateway = Gateway(classes=(load,), engines=6)
     first = {only(gateway.ask("load", within=20 * S, tables=1, tenant=""), t.Send).engine for _ in range(4)}
     gateway.list([gateway.entry(f"e{i}", state="Terminating" if f"e{i}" in first else "Ready") for i in range(6)])
@@ -512,46 +521,46 @@
 
 def test_loads_that_would_stand_still_behind_loads_are_refused_at_once_with_a_back_off():
     """Overload day 311: half of all threads in the tally were of loads behind loads, and lookups paid for it."""
-    load = cls("fragile", "load", deadline=25 * S, objective=4 * S, holds_tables=True, threads=2)
+    load = cls("fragile", "load", deadline=25 * S, latency_objective=4 * S, locks_tables=True, threads=2)
     gateway = Gateway(classes=(load,), engines=6, gateways=3)
     gateway.teach(20, cls="load", within=20 * S, elapsed=2 * S, tenant="")
     sent = [only(gateway.ask("load", within=20 * S, tables=1, tenant=""), t.Send) for _ in range(4)]
     assert len({send.engine for send in sent}) == 4
-    assert only(gateway.ask("load", within=20 * S, tables=1, tenant=""), t.Refuse).retry_after > 0
+    assert only(gateway.ask("load", within=20 * S, tables=1, tenant=""), t.Reject).retry_after > 0
     assert of(gateway.ask("load", within=20 * S, tables=2, tenant=""), t.Send)
     gateway.end(sent[2], elapsed=2 * S)
     assert only(gateway.ask("load", within=20 * S, tables=1, tenant=""), t.Send).engine == sent[2].engine
 
 
 def test_a_load_waits_behind_another_where_both_end_in_the_wanted_time():
-    load = cls("fragile", "load", deadline=25 * S, objective=4 * S, holds_tables=True, threads=2)
+    load = cls("fragile", "load", deadline=25 * S, latency_objective=4 * S, locks_tables=True, threads=2)
     gateway = Gateway(classes=(load,), engines=1)
     gateway.teach(60, cls="load", within=20 * S, elapsed=1500 * MS, tenant="")
     acts = [gateway.ask("load", within=20 * S, tables=1, tenant="") for _ in range(5)]
     assert [len(of(each, t.Send)) for each in acts] == [1, 1, 1, 0, 0]  # behind two: 3 s of the 4 s are gone
-    assert all(of(each, t.Refuse) for each in acts[3:])
+    assert all(of(each, t.Reject) for each in acts[3:])
 
 
 # ---- bad plans and memory
 
 
 def note(gateway, send, topic, value, number=0):
-    return gateway.do(t.Note(send.query, number, topic, value, send.engine))
+    return gateway.do(t.ProgressReport(send.query, number, topic, value, send.engine))
 
 
 def test_a_bad_plan_is_called_off_and_tried_once_more():
-    gateway = Gateway(classes=(cls(deadline=15 * S),), note_period=S)
+    gateway = Gateway(classes=(cls(deadline=15 * S),), progress_report_interval=S)
     gateway.teach(40, cls="job", within=15 * S, elapsed=S)
     send = only(gateway.ask("job", within=15 * S), t.Send)
     gateway.wait(S)
     assert only(note(gateway, send, 1, 0.02), t.Cancel).attempt == 0
     again = only(gateway.end(send, "CXL"), t.Send)
     gateway.wait(S)
-    assert only(note(gateway, again, 1, 0.02, 1), t.Refuse).query == again.query
+    assert only(note(gateway, again, 1, 0.02, 1), t.Reject).query == again.query
 
 
 def test_a_query_that_goes_as_usual_is_left_alone():
-    gateway = Gateway(classes=(cls(deadline=15 * S),), note_period=S)
+    gateway = Gateway(classes=(cls(deadline=15 * S),), progress_report_interval=S)
     gateway.teach(40, cls="job", within=15 * S, elapsed=S)
     send = only(gateway.ask("job", within=15 * S), t.Send)
     gateway.wait(S)
@@ -559,11 +568,11 @@
 
 
 def test_grants_follow_the_memory_that_spills_tell_of():
-    gateway = Gateway(grants=True, note_period=S)
+    gateway = Gateway(grants=True, progress_report_interval=S)
     grants = []
     for _ in range(20):
         acts = gateway.ask(memory_mb=100)
-        grants.append(only(acts, t.Terms).grant_mb)
+        grants.append(only(acts, t.ExecutionHints).memory_grant_mb)
         note(gateway, only(acts, t.Send), 2, max(300 - grants[-1], 0))
         gateway.end(only(acts, t.Send))
     assert grants[0] == 125 and 250 < grants[-1] < 330
@@ -583,16 +592,16 @@
 
 
 def test_a_word_from_a_peer_does_no_harm():
-    gateway = Gateway(gateways=2, peers=True)
-    assert gateway.do(t.PeerSaid(1, b"\x00\x02")) == [] == gateway.do(t.PeerSaid(9, b""))
-    assert of(gateway.ask(), t.Send) and not of(gateway.wait(2 * S), t.Tell)
+    gateway = Gateway(gateways=2, gossip=True)
+    assert gateway.do(t.GossipReceived(1, b"\x00\x02")) == [] == gateway.do(t.GossipReceived(9, b""))
+    assert of(gateway.ask(), t.Send) and not of(gateway.wait(2 * S), t.SendGossip)
 
 
 # ---- fairness between classes
 
 
 def test_no_class_starves_under_pressure():
-    dear, cheap = cls("retryable", "dear", worth=10.0), cls("retryable", "cheap", worth=5.0)
+    dear, cheap = cls("retryable", "dear", priority_weight=10.0), cls("retryable", "cheap", priority_weight=5.0)
     gateway = Gateway(classes=(dear, cheap), engines=1)
     gateway.teach(40, cls="dear", within=9 * S)
     gateway.teach(40, cls="cheap", within=9 * S)
@@ -616,15 +625,15 @@
 def test_bare_settings_decide_sensibly():
     control = Control(t.Settings(), seed=0)
     control.handle(1, t.Started())
-    assert of(control.handle(2, t.QueryArrived("a", "unknown", 3 * S)), t.Refuse)
-    control.handle(3, t.EngineList("Complete", (t.EngineEntry("e"),)))
-    assert of(control.handle(4, t.QueryArrived("b", "unknown", 3 * S)), t.Send)
+    assert of(control.handle(2, t.QueryReceived("a", "unknown", 3 * S)), t.Reject)
+    control.handle(3, t.EndpointList("Complete", (t.EngineEntry("e"),)))
+    assert of(control.handle(4, t.QueryReceived("b", "unknown", 3 * S)), t.Send)
 
 
 def test_discovery_that_must_be_asked_is_asked_again_after_an_error():
     gateway = Gateway(discovery="ask")
-    assert not of(gateway.do(t.EngineList("Error")), t.Subscribe)
-    assert of(gateway.wait(3 * S), t.Subscribe)
+    assert not of(gateway.do(t.EndpointList("Error")), t.WatchEndpoints)
+    assert of(gateway.wait(3 * S), t.WatchEndpoints)
     assert of(gateway.ask(), t.Send)
 
 
@@ -660,7 +669,7 @@
         second = only(gateway.end(first, "BAD"), t.Send)
         assert second.engine != first.engine
         (refused,) = finals(gateway.end(second, "BAD", number=1))  # a third would say the same
-        assert isinstance(refused, t.Refuse) and refused.retry_after > 0
+        assert isinstance(refused, t.Reject) and refused.retry_after > 0
         gateway.wait(30 * MS)
     sent = [only(gateway.ask(), t.Send) for _ in range(12)]
     assert {send.engine for send in sent} == {"e0", "e1", "e2", "e3"}
@@ -717,9 +726,9 @@
 
 
 def test_a_stream_that_began_is_neither_called_off_nor_bound_by_the_deadline():
-    gateway = Gateway(note_period=S)
+    gateway = Gateway(progress_report_interval=S)
     send = only(gateway.ask(within=S), t.Send)
-    assert gateway.do(t.StreamBegan(send.query, 0, send.engine)) == []
+    assert gateway.do(t.ResultStreamStarted(send.query, 0, send.engine)) == []
     assert gateway.wait(5 * S) == [] == note(gateway, send, 1, 0.01)
     assert gateway.end(send) == [] and not gateway.control.queries
 
@@ -727,20 +736,20 @@
 def test_a_stream_whose_attempt_ends_unsettled_still_gets_its_answer():
     gateway = Gateway()
     send = only(gateway.ask(within=S), t.Send)
-    gateway.do(t.StreamBegan(send.query, 0, send.engine))
-    assert of(gateway.end(send, "CXL"), t.Refuse)
+    gateway.do(t.ResultStreamStarted(send.query, 0, send.engine))
+    assert of(gateway.end(send, "CXL"), t.Reject)
 
 
 # ---- many gateways and engines, few queries each
 
 
 def test_probes_follow_own_traffic_not_the_number_of_engines():
-    gateway = Gateway(engines=40, gateways=200, probes=True, report_source="pull")
-    probes = of(gateway.wait(5 * S), t.Probe)
+    gateway = Gateway(engines=40, gateways=200, health_checks=True, load_report_source="pull")
+    probes = of(gateway.wait(5 * S), t.CheckHealth)
     assert probes == []
     for _ in range(50):
         gateway.end(only(gateway.ask(), t.Send))
-        probes += of(gateway.wait(200 * MS), t.Probe)
+        probes += of(gateway.wait(200 * MS), t.CheckHealth)
     assert 10 <= len(probes) <= 25
 
 
@@ -748,21 +757,27 @@
     firsts = set()
     for seed in range(30):
         control = Control(t.Settings(classes=(LOOKUP,), gateways=30, kind_cores={"std": 16}), seed=seed)
-        control.handle(S, t.EngineList("Complete", tuple(Gateway.entry(f"e{i}") for i in range(10))))
-        firsts |= {a.engine for a in control.handle(S, t.QueryArrived("q", "lookup", 3 * S)) if isinstance(a, t.Send)}
+        control.handle(S, t.EndpointList("Complete", tuple(Gateway.entry(f"e{i}") for i in range(10))))
+        firsts |= {a.engine for a in control.handle(S, t.QueryReceived("q", "lookup", 3 * S)) if isinstance(a, t.Send)}
     assert len(firsts) >= 6
 
 
 def test_a_cold_engine_is_neither_idle_nor_pushed_over_by_many_gateways():
-    told = {"gateways": 200, "ramp_time": 14 * S, "cold_from": 0.3, "fall": 3 * S, "fall_multiple": 4}
+    told = {
+        "gateways": 200,
+        "slow_start_duration": 14 * S,
+        "slow_start_initial_capacity": 0.3,
+        "slow_start_budget_window": 3 * S,
+        "slow_start_budget_multiple": 4,
+    }
     budget, work, sent = 4 * 0.3 * 16 * 3, 2.0, 0
     for seed in range(200):
-        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, me=seed, **told), seed)
-        entries = Gateway.entry("warm"), Gateway.entry("cold", came_up=100 * S)
-        control.handle(100 * S, t.EngineList("Complete", entries))
+        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, instance_index=seed, **told), seed)
+        entries = Gateway.entry("warm"), Gateway.entry("cold", started_at=100 * S)
+        control.handle(100 * S, t.EndpointList("Complete", entries))
         for turn in range(6):  # one query each half second: a part of the budget is far less than one query's work
             now = 100 * S + (turn + 1) * S // 2
-            acts = control.handle(now, t.QueryArrived(f"q{turn}", "job", now + 9 * S))
+            acts = control.handle(now, t.QueryReceived(f"q{turn}", "job", now + 9 * S))
             sent += sum(a.engine == "cold" for a in acts if isinstance(a, t.Send))
     assert 0.1 * budget < sent * work < budget
 
@@ -792,11 +807,11 @@
 
 
 def probed(waits):
-    gateway = Gateway(engines=4, gateways=64, probes=True)
+    gateway = Gateway(engines=4, gateways=64, health_checks=True)
     gateway.teach()
     gateway.wait(S)  # what was taught is out of the shortest window
     for wait in waits:
-        gateway.do(t.ProbeEnded("e0", "GOOD", wait))
+        gateway.do(t.HealthCheckCompleted("e0", "GOOD", wait))
     return len(crowd(gateway, 20))
 
 
@@ -809,12 +824,14 @@
 
 
 def test_a_probe_to_a_farther_hall_is_no_pressure():
-    gateway = Gateway(engines=4, gateways=64, probes=True)
+    gateway = Gateway(engines=4, gateways=64, health_checks=True)
     gateway.teach()
     gateway.wait(S)
-    gateway.do(t.ProbeEnded("e0", "GOOD", 2_000))  # once: probes wait their turn here
+    gateway.do(t.HealthCheckCompleted("e0", "GOOD", 2_000))  # once: probes wait their turn here
     for turn in range(40):
-        gateway.do(t.ProbeEnded(f"e{turn % 4}", "GOOD", 2_600 if turn % 4 else 700, {"pending": 0.0, "x1": 0.1}))
+        gateway.do(
+            t.HealthCheckCompleted(f"e{turn % 4}", "GOOD", 2_600 if turn % 4 else 700, {"pending": 0.0, "x1": 0.1})
+        )
     assert len(crowd(gateway, 20)) == 20
 
 
@@ -828,22 +845,22 @@
     ],
 )
 def test_disks_and_the_line_for_memory_told_by_probes_are_pressure(told, passes):
-    gateway = Gateway(engines=4, gateways=64, probes=True)
+    gateway = Gateway(engines=4, gateways=64, health_checks=True)
     gateway.teach()
     gateway.wait(S)
     for turn in range(40):
-        gateway.do(t.ProbeEnded(f"e{turn % 4}", "GOOD", 700, told))
+        gateway.do(t.HealthCheckCompleted(f"e{turn % 4}", "GOOD", 700, told))
     assert (len(crowd(gateway, 20)) == 20) == passes
 
 
 def test_latency_is_pressure_also_where_late_reports_still_tell_of_calm():
-    gateway = Gateway(engines=4, gateways=64, probes=True)
+    gateway = Gateway(engines=4, gateways=64, health_checks=True)
     gateway.teach()
     late = [only(gateway.ask(within=9 * S, tenant=""), t.Send) for _ in range(60)]
     gateway.wait(S)
     for send in late:
         gateway.end(send, elapsed=S)
-        gateway.do(t.ProbeEnded(send.engine, "GOOD", 700, {"pending": 0.0, "x1": 0.3}))
+        gateway.do(t.HealthCheckCompleted(send.engine, "GOOD", 700, {"pending": 0.0, "x1": 0.3}))
     assert gateway.control.pressed
 
 
@@ -859,14 +876,14 @@
     gateway.timers = [timer for timer in gateway.timers if timer not in due]
     acts = [act for timer in due for act in gateway.do(t.TimerFired(timer[1]))]
     acts += [act for send in sends for act in gateway.end(send, elapsed=1_300 * MS)]
-    assert not of(acts, (t.Cancel, t.Refuse, t.Fail))
+    assert not of(acts, (t.Cancel, t.Reject, t.Fail))
     assert {only(gateway.ask(), t.Send).engine for _ in range(9)} == {"e0", "e1", "e2"}
 
 
 def test_what_cannot_end_in_time_is_refused_at_once():
     gateway = Gateway()
     gateway.teach(60, elapsed=400 * MS)
-    assert only(gateway.ask(within=200 * MS), t.Refuse).retry_after > 0
+    assert only(gateway.ask(within=200 * MS), t.Reject).retry_after > 0
     assert of(gateway.ask(within=800 * MS), t.Send)
 
 
@@ -874,18 +891,18 @@
 
 
 def test_a_line_for_memory_makes_grants_leaner_and_drops_what_did_not_begin_when_wanted():
-    gateway = Gateway(grants=True, note_period=S)
+    gateway = Gateway(grants=True, progress_report_interval=S)
     acts = gateway.ask(memory_mb=100, within=2_500 * MS)
-    first, send = only(acts, t.Terms).grant_mb, only(acts, t.Send)
+    first, send = only(acts, t.ExecutionHints).memory_grant_mb, only(acts, t.Send)
     for _ in range(10):
         assert note(gateway, send, 3, 1) == []
-    assert only(gateway.ask(memory_mb=100), t.Terms).grant_mb < 0.9 * first
+    assert only(gateway.ask(memory_mb=100), t.ExecutionHints).memory_grant_mb < 0.9 * first
     gateway.wait(600 * MS)
-    assert only(note(gateway, send, 3, 1), t.Refuse).query == send.query
+    assert only(note(gateway, send, 3, 1), t.Reject).query == send.query
 
 
 def test_an_engine_whose_queries_are_called_off_gets_fewer():
-    gateway = Gateway(classes=(cls(deadline=15 * S),), engines=3, note_period=S)
+    gateway = Gateway(classes=(cls(deadline=15 * S),), engines=3, progress_report_interval=S)
     gateway.teach(40, cls="job", within=15 * S, elapsed=S)
     sent = []
     for _ in range(60):
@@ -903,7 +920,7 @@
 
 def test_a_lost_answer_is_fetched_by_a_copy_where_answers_are_seen_to_be_lost():
     def copies(lost):
-        gateway = Gateway(engines=6, cancel=False, second_copies=True)
+        gateway = Gateway(engines=6, cancel=False, hedging=True)
         gateway.teach(60)
         for turn in range(20):
             send = only(gateway.ask(within=2_500 * MS), t.Send)
@@ -929,23 +946,35 @@
 
 
 def test_what_was_sent_before_a_told_restart_is_called_off_and_tried_elsewhere():
-    gateway = Gateway(engines=3, ramp_time=14 * S, cold_from=0.3, fall=3 * S, fall_multiple=4)
+    gateway = Gateway(
+        engines=3,
+        slow_start_duration=14 * S,
+        slow_start_initial_capacity=0.3,
+        slow_start_budget_window=3 * S,
+        slow_start_budget_multiple=4,
+    )
     gateway.teach(60)
     sends = [only(gateway.ask(within=20 * S, tenant=""), t.Send) for _ in range(12)]
     gateway.wait(100 * MS)
     restarted, started = sends[0].engine, gateway.now
     gateway.wait(50 * MS)
     later = only(gateway.ask(within=20 * S, tenant=""), t.Send)
-    acts = gateway.list([gateway.entry(restarted, came_up=started)], scope="Partial")
+    acts = gateway.list([gateway.entry(restarted, started_at=started)], scope="Partial")
     dead = {send.query for send in sends if send.engine == restarted}
     assert {act.query for act in of(acts, t.Cancel)} == dead and later.query not in dead
     again = [only(gateway.end(send, "CXL"), t.Send) for send in sends if send.query in dead]
     assert sum(send.engine == restarted for send in again) < len(again)
-    assert not of(gateway.list([gateway.entry(restarted, came_up=started)], scope="Partial"), t.Cancel)
+    assert not of(gateway.list([gateway.entry(restarted, started_at=started)], scope="Partial"), t.Cancel)
 
 
 def test_where_nothing_can_be_called_off_a_restart_still_frees_the_tally():
-    told = {"cancel": False, "cold_from": 0.3, "fall": 3 * S, "fall_multiple": 4, "ramp_time": 14 * S}
+    told = {
+        "cancel": False,
+        "slow_start_initial_capacity": 0.3,
+        "slow_start_budget_window": 3 * S,
+        "slow_start_budget_multiple": 4,
+        "slow_start_duration": 14 * S,
+    }
     full = []
     for restart in (False, True):
         gateway = Gateway(engines=2, **told)
@@ -954,32 +983,38 @@
             gateway.ask(within=60 * S)
         gateway.wait(100 * MS)
         if restart:
-            gateway.list([gateway.entry(f"e{i}", came_up=gateway.now) for i in range(2)], scope="Partial")
+            gateway.list([gateway.entry(f"e{i}", started_at=gateway.now) for i in range(2)], scope="Partial")
         gateway.wait(200 * MS)
-        full.append(len(of(press(gateway), t.Refuse)))
+        full.append(len(of(press(gateway), t.Reject)))
     assert full[1] < full[0]
 
 
 def test_what_a_restart_lost_does_not_flood_a_full_share():
-    gateway = Gateway(engines=2, ramp_time=14 * S, cold_from=0.3, fall=3 * S, fall_multiple=4)
+    gateway = Gateway(
+        engines=2,
+        slow_start_duration=14 * S,
+        slow_start_initial_capacity=0.3,
+        slow_start_budget_window=3 * S,
+        slow_start_budget_multiple=4,
+    )
     gateway.teach(60)
     sends = [send for _ in range(120) for send in of(gateway.ask(within=60 * S), t.Send)]
     gateway.wait(2 * S)
     press(gateway)
-    gateway.list([gateway.entry("e0", came_up=gateway.now)], scope="Partial")
+    gateway.list([gateway.entry("e0", started_at=gateway.now)], scope="Partial")
     lost = [send for send in sends if send.engine == "e0"]
     acts = [act for send in lost for act in gateway.end(send, "CXL")]
     assert 0 < len(of(acts, t.Send)) < len(lost) and len(finals(acts)) + len(of(acts, t.Send)) == len(lost)
 
 
 def test_one_full_long_past_is_no_pressure():
-    gateway = Gateway(engines=1, probes=False)
+    gateway = Gateway(engines=1, health_checks=False)
     gateway.teach(60)
     for _ in range(80):
         gateway.ask(within=60 * S)
     gateway.end(only(gateway.ask(within=60 * S, tenant=""), t.Send), "FULL")
     gateway.wait(S)
-    assert of(gateway.ask(within=60 * S), t.Refuse)
+    assert of(gateway.ask(within=60 * S), t.Reject)
     gateway.wait(4 * S)
     assert of(gateway.ask(within=60 * S), t.Send)
 
@@ -988,24 +1023,30 @@
     gateway = Gateway(engines=4)
     gateway.teach(60)
     for _ in range(4):
-        gateway.do(t.ProbeEnded("e2", "LATE", elapsed=250 * MS))
+        gateway.do(t.HealthCheckCompleted("e2", "LATE", elapsed=250 * MS))
     sent = [only(gateway.ask(), t.Send).engine for _ in range(12)]
     assert sent.count("e2") == 0
-    refused = [act for _ in range(200) for act in of(gateway.ask(within=60 * S), t.Refuse)]
+    refused = [act for _ in range(200) for act in of(gateway.ask(within=60 * S), t.Reject)]
     assert refused
 
 
 def test_a_slice_falls_with_the_fleet_it_was_measured_against():
     refused = []
     for lost in (0, 3):
-        gateway = Gateway(engines=4, ramp_time=14 * S, cold_from=0.1, fall=3 * S, fall_multiple=4)
+        gateway = Gateway(
+            engines=4,
+            slow_start_duration=14 * S,
+            slow_start_initial_capacity=0.1,
+            slow_start_budget_window=3 * S,
+            slow_start_budget_multiple=4,
+        )
         gateway.teach(60)
         sends = [send for _ in range(100) for send in of(gateway.ask(within=60 * S), t.Send)]
         gateway.wait(2 * S)
         for send in sends[:50]:
             gateway.end(send)
         gateway.list([gateway.entry(f"e{i}", state="Gone") for i in range(lost)], scope="Partial")
-        refused.append(len(of(press(gateway), t.Refuse)))
+        refused.append(len(of(press(gateway), t.Reject)))
     assert refused[0] < refused[1]
 
 
@@ -1020,7 +1061,7 @@
                     gateway.end(again, number=1)
             gateway.wait(10 * MS)
         if restart:
-            gateway.list([gateway.entry("e0", came_up=gateway.now)], scope="Partial")
+            gateway.list([gateway.entry("e0", started_at=gateway.now)], scope="Partial")
         sends = []
         for _ in range(20):
             sends.append(only(gateway.ask(tenant=""), t.Send))
@@ -1031,15 +1072,21 @@
 
 def cold_share(age, pause=500 * MS, gateways=200, turns=4):
     """Of one query each pause at each of many gateways, the work that a cold engine of that age is given."""
-    told = {"gateways": gateways, "ramp_time": 14 * S, "cold_from": 0.3, "fall": 3 * S, "fall_multiple": 4}
+    told = {
+        "gateways": gateways,
+        "slow_start_duration": 14 * S,
+        "slow_start_initial_capacity": 0.3,
+        "slow_start_budget_window": 3 * S,
+        "slow_start_budget_multiple": 4,
+    }
     sent = 0
     for seed in range(gateways):
-        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, me=seed, **told), seed)
-        entries = Gateway.entry("warm"), Gateway.entry("cold", came_up=100 * S - age)
-        control.handle(100 * S, t.EngineList("Complete", entries))
+        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, instance_index=seed, **told), seed)
+        entries = Gateway.entry("warm"), Gateway.entry("cold", started_at=100 * S - age)
+        control.handle(100 * S, t.EndpointList("Complete", entries))
         for turn in range(turns):
             now = 100 * S + (turn + 1) * pause
-            acts = control.handle(now, t.QueryArrived(f"q{turn}", "job", now + 9 * S))
+            acts = control.handle(now, t.QueryReceived(f"q{turn}", "job", now + 9 * S))
             sent += sum(a.engine == "cold" for a in acts if isinstance(a, t.Send))
     return sent * 2.0
 
@@ -1056,10 +1103,10 @@
 def test_room_for_chance_goes_as_pressure_deepens():
     passed = []
     for wait in (1_700, 9_000):
-        gateway = Gateway(engines=4, gateways=64, probes=True)
+        gateway = Gateway(engines=4, gateways=64, health_checks=True)
         gateway.teach()
         for elapsed in [800] * 10 + [wait] * 20:
-            gateway.do(t.ProbeEnded("e0", "GOOD", elapsed))
+            gateway.do(t.HealthCheckCompleted("e0", "GOOD", elapsed))
         passed.append(sum(len(crowd(gateway, 1)) for _ in range(30)))
     assert passed[0] > passed[1]
 
@@ -1070,7 +1117,7 @@
     crowd(gateway, 4, tenant="")
     for _ in range(8):
         for name, busy in (("e0", 2), ("e1", 40), ("e2", 40), ("e3", 40)):
-            gateway.do(t.ProbeEnded(name, "GOOD", elapsed=MS, report={"busy_reqs": busy}))
+            gateway.do(t.HealthCheckCompleted(name, "GOOD", elapsed=MS, report={"busy_reqs": busy}))
     sends = []
     for _ in range(40):
         sends += of(gateway.ask(tenant=""), t.Send)
@@ -1080,25 +1127,31 @@
 
 def test_cold_engines_pool_their_parts_of_the_budget():
     """A gateway whose part in one engine is a fortieth of a query still gives half of a cold fleet its due."""
-    told = {"gateways": 2_000, "ramp_time": 14 * S, "cold_from": 0.3, "fall": 3 * S, "fall_multiple": 4}
-    entries = tuple(Gateway.entry(f"e{i}", came_up=int(86.7 * S) * (i % 2)) for i in range(40))
+    told = {
+        "gateways": 2_000,
+        "slow_start_duration": 14 * S,
+        "slow_start_initial_capacity": 0.3,
+        "slow_start_budget_window": 3 * S,
+        "slow_start_budget_multiple": 4,
+    }
+    entries = tuple(Gateway.entry(f"e{i}", started_at=int(86.7 * S) * (i % 2)) for i in range(40))
     cold = 0
     for seed in range(100):
-        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, me=seed, **told), seed)
-        control.handle(96 * S, t.EngineList("Complete", entries))
+        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, instance_index=seed, **told), seed)
+        control.handle(96 * S, t.EndpointList("Complete", entries))
         for turn in range(4):
             now = 100 * S + turn * 100 * MS
-            acts = control.handle(now, t.QueryArrived(f"q{turn}", "job", now + 9 * S))
+            acts = control.handle(now, t.QueryReceived(f"q{turn}", "job", now + 9 * S))
             cold += sum(int(act.engine[1:]) % 2 for act in acts if isinstance(act, t.Send))
     assert cold > 25
 
 
 def test_an_engine_whose_probes_wait_longer_than_the_fleets_gets_less():
-    gateway = Gateway(engines=4, gateways=40, probes=True)
+    gateway = Gateway(engines=4, gateways=40, health_checks=True)
     gateway.teach(60)
     for turn in range(9):
         for name in ("e0", "e1", "e2", "e3"):
-            gateway.do(t.ProbeEnded(name, "GOOD", elapsed=4_000 if name == "e0" and turn else 1_000))
+            gateway.do(t.HealthCheckCompleted(name, "GOOD", elapsed=4_000 if name == "e0" and turn else 1_000))
     sends = []
     for _ in range(40):
         sends += of(gateway.ask(tenant=""), t.Send)
@@ -1116,12 +1169,12 @@
 def learned(told_by="bills", lies=1, **told):
     """A gateway that has seen light and heavy queries, their estimates `lies` times too high in memory. What proves
     estimates are bills, else the answers' times, unless those are as they please ("noise")."""
-    gateway = Gateway(engines=3, **{"note_period": 0, **told})
+    gateway = Gateway(engines=3, **{"progress_report_interval": 0, **told})
     for turn in range(60):
         ms = (50, 100, 200)[turn % 3]
         estimate = {"noise": (50, 100, 200)[turn // 3 % 3], "nothing": 0}.get(told_by, ms) * MS
         send = only(gateway.ask(estimate=estimate, memory_mb=ms * lies), t.Send)
-        gateway.end(send, elapsed=ms * MS, bill=bill(ms, ms) if told_by == "bills" else 0)
+        gateway.end(send, elapsed=ms * MS, cost=bill(ms, ms) if told_by == "bills" else 0)
         gateway.wait(50 * MS)
     return gateway
 
@@ -1149,7 +1202,7 @@
 
 def test_light_queries_come_before_heavy_ones():
     gateway = learned(priorities=True)
-    light, usual, heavy = (only(gateway.ask(estimate=ms * MS), t.Terms).priority for ms in (20, 115, 1_000))
+    light, usual, heavy = (only(gateway.ask(estimate=ms * MS), t.ExecutionHints).priority for ms in (20, 115, 1_000))
     assert 3 >= light > usual > heavy >= 0
 
 
@@ -1159,7 +1212,7 @@
         for _ in range(20):
             gateway.ask(memory_mb=400, estimate=100 * MS, within=60 * S)
         gateway.wait(9 * S)
-        return only(gateway.ask(memory_mb=400, within=60 * S), t.Terms).grant_mb
+        return only(gateway.ask(memory_mb=400, within=60 * S), t.ExecutionHints).memory_grant_mb
 
     assert 40 < grant(300) < grant(100_000) < 300  # billed 100, estimated 400
 
@@ -1169,26 +1222,28 @@
 
 @pytest.mark.parametrize("answer, called_off", [("GOOD", 0), ("LATE", 1)])
 def test_an_engine_is_asked_before_it_is_taken_for_silent(answer, called_off):
-    gateway = Gateway(engines=3, probes=True)
+    gateway = Gateway(engines=3, health_checks=True)
     gateway.teach()
     gateway.wait(2 * S)
     gateway.ask(within=30 * S)
     acts = gateway.wait(550 * MS)
-    engine = of(acts, t.Probe)[-1].engine
+    engine = of(acts, t.CheckHealth)[-1].engine
     assert not of(acts, t.Cancel)
-    acts = gateway.do(t.ProbeEnded(engine, answer, 250 * MS if answer == "LATE" else MS)) + gateway.wait(400 * MS)
+    acts = gateway.do(t.HealthCheckCompleted(engine, answer, 250 * MS if answer == "LATE" else MS)) + gateway.wait(
+        400 * MS
+    )
     assert len(of(acts, t.Cancel)) == called_off
 
 
 def overdue(came_after_all):
     """Copies of one query after eight that were overdue on engines which answer probes at once."""
-    gateway = Gateway(engines=3, probes=True, second_copies=True)
+    gateway = Gateway(engines=3, health_checks=True, hedging=True)
     gateway.teach()
     for _turn in range(9):
         send = only(gateway.ask(within=30 * S), t.Send)
         for _ in range(20):
-            for probe in of(gateway.wait(100 * MS), t.Probe):
-                gateway.do(t.ProbeEnded(probe.engine, "GOOD", MS))
+            for probe in of(gateway.wait(100 * MS), t.CheckHealth):
+                gateway.do(t.HealthCheckCompleted(probe.engine, "GOOD", MS))
         if came_after_all:
             gateway.end(send, elapsed=2 * S)
     acts = gateway.ask(within=30 * S)
@@ -1196,8 +1251,8 @@
     for _ in range(20):
         acts = gateway.wait(100 * MS)
         copies += [again for again in of(acts, t.Send) if again.query == send.query]
-        for probe in of(acts, t.Probe):
-            gateway.do(t.ProbeEnded(probe.engine, "GOOD", MS))
+        for probe in of(acts, t.CheckHealth):
+            gateway.do(t.HealthCheckCompleted(probe.engine, "GOOD", MS))
     return len(copies)
 
 
@@ -1209,26 +1264,26 @@
 
 
 def test_each_probe_that_waits_its_turn_is_told_to_as_many_peers_as_there_are_engines():
-    told = {"engines": 4, "gateways": 64, "probes": True, "peers": True, "report_source": "silent"}
-    gateway, deaf = Gateway(**told, me=3), Gateway(**{**told, "report_source": "pull"})
+    told = {"engines": 4, "gateways": 64, "health_checks": True, "gossip": True, "load_report_source": "silent"}
+    gateway, deaf = Gateway(**told, instance_index=3), Gateway(**{**told, "load_report_source": "pull"})
     for wait in [800] * 5 + [3_000]:
-        words = of(gateway.do(t.ProbeEnded("e0", "GOOD", wait)), t.Tell)
-        assert not of(deaf.do(t.ProbeEnded("e0", "GOOD", wait)), t.Tell)
+        words = of(gateway.do(t.HealthCheckCompleted("e0", "GOOD", wait)), t.SendGossip)
+        assert not of(deaf.do(t.HealthCheckCompleted("e0", "GOOD", wait)), t.SendGossip)
     assert 3 <= len(words) <= 4 and all(word.peer in range(64) and word.peer != 3 for word in words)
-    idle = [of(gateway.do(t.ProbeEnded(f"e{i}", "GOOD", 800)), t.Tell)[0] for i in (1, 2, 3)]
-    hearer = Gateway(**told, me=words[0].peer)
+    idle = [of(gateway.do(t.HealthCheckCompleted(f"e{i}", "GOOD", 800)), t.SendGossip)[0] for i in (1, 2, 3)]
+    hearer = Gateway(**told, instance_index=words[0].peer)
     for _ in range(6):
         for word in (*idle, words[0]):
-            hearer.do(t.PeerSaid(3, word.contents))
+            hearer.do(t.GossipReceived(3, word.contents))
     sent = [only(hearer.ask(tenant=""), t.Send) for _ in range(40)]
     assert sum(send.engine == "e0" for send in sent) < 10
     for noise in (b"", b"\x00", b"12345", words[0].contents * 2):
-        assert hearer.do(t.PeerSaid(3, noise)) == []
+        assert hearer.do(t.GossipReceived(3, noise)) == []
 
 
 def test_notes_of_known_work_keep_queries_off_a_crowded_engine():
     def share(told_by):
-        gateway = learned(told_by, note_period=S // 2)
+        gateway = learned(told_by, progress_report_interval=S // 2)
         held = {}
         while len(held) < 3:
             send = only(gateway.ask(estimate=100 * MS, within=60 * S), t.Send)
@@ -1247,8 +1302,8 @@
     "effect, window, copies", [("fragile", 0, 0), ("dedup", 25 * S, 1), ("dedup", S // 10, 0), ("retryable", 0, 1)]
 )
 def test_a_copy_of_a_lost_answer_keeps_to_what_its_class_allows(effect, window, copies):
-    job = cls(effect, deadline=30 * S, window=window, dedup_scope="all", serial_by_key=True)
-    gateway = Gateway(classes=(LOOKUP, job), engines=3, probes=True, second_copies=True, max_attempts=3)
+    job = cls(effect, deadline=30 * S, idempotency_window=window, idempotency_scope="all", serial_by_key=True)
+    gateway = Gateway(classes=(LOOKUP, job), engines=3, health_checks=True, hedging=True, max_attempts=3)
     gateway.teach()
     gateway.teach(40, cls="job", within=30 * S)
 
@@ -1256,9 +1311,9 @@
         acts = []
         for _ in range(30):
             acts += gateway.wait(100 * MS)
-            for probe in [act for act in acts if isinstance(act, t.Probe)]:
+            for probe in [act for act in acts if isinstance(act, t.CheckHealth)]:
                 acts.remove(probe)
-                acts += gateway.do(t.ProbeEnded(probe.engine, "GOOD", MS))
+                acts += gateway.do(t.HealthCheckCompleted(probe.engine, "GOOD", MS))
         return of(acts, t.Send)
 
     for _ in range(9):
@@ -1285,17 +1340,17 @@
 
 def test_under_pressure_a_slow_attempt_is_not_moved_and_a_hopeless_one_is_refused_at_once():
     """On overloaded days each query was moved once or twice for nothing: its work was lost and came again."""
-    gateway = Gateway(engines=2, note_period=S)
+    gateway = Gateway(engines=2, progress_report_interval=S)
     gateway.teach(elapsed=S, within=9 * S)
     first, second = only(gateway.ask(within=3 * S), t.Send), only(gateway.ask(within=3 * S), t.Send)
     gateway.wait(S)
     assert of(note(gateway, first, 1, 0.25), t.Cancel)  # no pressure: elsewhere it may yet come in time
     gateway.end(only(gateway.ask(), t.Send), "FULL")
-    assert only(note(gateway, second, 1, 0.25), t.Refuse).query == second.query
+    assert only(note(gateway, second, 1, 0.25), t.Reject).query == second.query
 
 
 def test_a_bad_plan_is_called_off_under_pressure_too_as_it_takes_what_ten_others_need():
-    gateway = Gateway(engines=2, note_period=S)
+    gateway = Gateway(engines=2, progress_report_interval=S)
     gateway.teach()
     send = only(gateway.ask(within=15 * S), t.Send)
     gateway.end(only(gateway.ask(), t.Send), "FULL")
@@ -1307,7 +1362,7 @@
 
 
 def test_where_all_are_slow_alike_none_is_taken_for_a_bad_plan():
-    gateway = Gateway(engines=2, note_period=S)
+    gateway = Gateway(engines=2, progress_report_interval=S)
     gateway.teach()
     gateway.teach(30, elapsed=800 * MS, within=15 * S)
     send = only(gateway.ask(within=15 * S), t.Send)
@@ -1332,12 +1387,12 @@
 
 # ---- a fleet of gateways, each of which sees little of any engine
 
-REPORT = cls(name="report", threads=3, worth=7.5, deadline=20 * S, objective=3 * S)
+REPORT = cls(name="report", threads=3, priority_weight=7.5, deadline=20 * S, latency_objective=3 * S)
 
 
 def silent_for(note_period, engines=3, others=0):
     """When a query of which nothing is heard is called off, if its class takes 100 ms and `others` wait there too."""
-    gateway = Gateway(engines=engines, note_period=note_period)
+    gateway = Gateway(engines=engines, progress_report_interval=note_period)
     gateway.teach(200)
     begun = gateway.now
     for _ in range(1 + others):
@@ -1365,20 +1420,26 @@
 
 def cold_part(name, estimates=True):
     """Of 40 gateways' queries of two classes, the part of this class that a cold half of the fleet gets."""
-    told = {"gateways": 40, "ramp_time": 13 * S, "cold_from": 0.3, "fall": 3 * S, "fall_multiple": 2}
-    entries = tuple(Gateway.entry(f"e{i}", came_up=90 * S * (i % 2)) for i in range(20))
+    told = {
+        "gateways": 40,
+        "slow_start_duration": 13 * S,
+        "slow_start_initial_capacity": 0.3,
+        "slow_start_budget_window": 3 * S,
+        "slow_start_budget_multiple": 2,
+    }
+    entries = tuple(Gateway.entry(f"e{i}", started_at=90 * S * (i % 2)) for i in range(20))
     sends = []
     for seed in range(40):
         control = Control(t.Settings(classes=(LOOKUP, REPORT), kind_cores={"std": 16}, **told), seed)
-        control.handle(90 * S, t.EngineList("Complete", entries))
+        control.handle(90 * S, t.EndpointList("Complete", entries))
         for turn in range(160):
             now = 90 * S + turn * 50 * MS
             of_class = "report" if turn % 6 == 5 else "lookup"
             work = (3_000 if of_class == "report" else 150) * MS * estimates
-            for act in control.handle(now, t.QueryArrived(f"q{turn}", of_class, now + 9 * S, estimate=work)):
+            for act in control.handle(now, t.QueryReceived(f"q{turn}", of_class, now + 9 * S, estimate=work)):
                 if isinstance(act, t.Send):
                     control.handle(
-                        now, t.AttemptEnded(act.query, 0, "GOOD", settled=True, elapsed=MS * 600, engine=act.engine)
+                        now, t.AttemptCompleted(act.query, 0, "GOOD", settled=True, elapsed=MS * 600, engine=act.engine)
                     )
                     if of_class == name and turn > 80:
                         sends.append(int(act.engine[1:]) % 2)
@@ -1396,7 +1457,7 @@
     for turn in range(8):
         for i in range(8):
             busy = 70 if i else 2
-            gateway.do(t.ProbeEnded(f"e{i}", "GOOD", elapsed=MS, report={"busy_reqs": busy}))
+            gateway.do(t.HealthCheckCompleted(f"e{i}", "GOOD", elapsed=MS, report={"busy_reqs": busy}))
         gateway.wait(100 * MS * (turn + 1))
     sends = []
     for _ in range(80):
@@ -1411,7 +1472,7 @@
     gateway.teach(60)
     for busy in (70, 70, 70, 70, 10, 10):
         for i in range(4):
-            gateway.do(t.ProbeEnded(f"e{i}", "GOOD", elapsed=MS, report={"busy_reqs": 10 if i else busy}))
+            gateway.do(t.HealthCheckCompleted(f"e{i}", "GOOD", elapsed=MS, report={"busy_reqs": 10 if i else busy}))
         gateway.wait(2 * S)
     sends = []
     for _ in range(40):
@@ -1424,13 +1485,20 @@
     """Its load against all of its cores looked calm until its start was over: then 40 gateways turned to it at once."""
 
     def refused(new):
-        gateway = Gateway(engines=8, gateways=40, ramp_time=13 * S, cold_from=0.3, fall=3 * S, fall_multiple=2)
+        gateway = Gateway(
+            engines=8,
+            gateways=40,
+            slow_start_duration=13 * S,
+            slow_start_initial_capacity=0.3,
+            slow_start_budget_window=3 * S,
+            slow_start_budget_multiple=2,
+        )
         gateway.teach(60)
         gateway.wait(20 * S)
-        gateway.list([Gateway.entry(f"e{i}", came_up=gateway.now * (new and i > 0)) for i in range(8)])
+        gateway.list([Gateway.entry(f"e{i}", started_at=gateway.now * (new and i > 0)) for i in range(8)])
         for _ in range(4):  # 16 queries: 1 on each core, or 3 on each that is there by now
             for i in range(8):
-                gateway.do(t.ProbeEnded(f"e{i}", "GOOD", elapsed=MS, report={"busy_reqs": 16}))
+                gateway.do(t.HealthCheckCompleted(f"e{i}", "GOOD", elapsed=MS, report={"busy_reqs": 16}))
             gateway.wait(200 * MS)
         return 12 - len(crowd(gateway, 12, within=60 * S))
 
@@ -1446,9 +1514,11 @@
         gateway.wait(20 * S)
         for _ in range(12):
             for i in range(16):
-                gateway.do(t.ProbeEnded(f"e{i}", "GOOD", elapsed=MS, report={"busy_reqs": busy if i > 1 else 1}))
+                gateway.do(
+                    t.HealthCheckCompleted(f"e{i}", "GOOD", elapsed=MS, report={"busy_reqs": busy if i > 1 else 1})
+                )
             for _ in range(30):  # and what comes most
-                gateway.do(t.ProbeEnded("e0", "GOOD", elapsed=MS, report={"busy_reqs": 1}))
+                gateway.do(t.HealthCheckCompleted("e0", "GOOD", elapsed=MS, report={"busy_reqs": 1}))
             gateway.wait(400 * MS)
         return 30 - len(crowd(gateway, 30, within=60 * S))
 
@@ -1461,47 +1531,47 @@
 def test_without_the_fleet_s_word_it_gets_along_as_before_and_a_word_holds_until_the_next():
     gateway = Gateway(engines=2, gateways=4)
     assert gateway.control.parts == gateway.control.cold == 4
-    gateway.do(t.FleetSaid(share=0.5, cold=0.1))
+    gateway.do(t.FleetAllocation(thread_share=0.5, slow_start_share=0.1))
     assert gateway.control.parts == 2 and gateway.control.cold == pytest.approx(10)
-    gateway.do(t.FleetSaid())
+    gateway.do(t.FleetAllocation())
     assert gateway.control.parts == gateway.control.cold == 4
 
 
 def test_what_stands_below_the_level_is_refused_and_stays_away_as_told():
     gateway = Gateway()
-    gateway.do(t.FleetSaid(back=700 * MS))
-    refused = only(gateway.ask(standing=-1), t.Refuse)
+    gateway.do(t.FleetAllocation(minimum_backoff=700 * MS))
+    refused = only(gateway.ask(admission=-1), t.Reject)
     assert 700 * MS <= refused.retry_after <= 1_050 * MS
-    only(gateway.ask(standing=1), t.Send)
-    only(gateway.ask(standing=0), t.Send)
+    only(gateway.ask(admission=1), t.Send)
+    only(gateway.ask(admission=0), t.Send)
 
 
 def test_further_attempts_are_paid_with_the_fleet_s_tokens_where_it_tells_them():
     gateway = Gateway(engines=4)
-    gateway.do(t.FleetSaid(tokens=1.0))
+    gateway.do(t.FleetAllocation(retry_tokens=1.0))
     first, second = only(gateway.ask(), t.Send), only(gateway.ask(), t.Send)
     assert of(gateway.end(first, "NOCONN"), t.Send)
-    assert of(gateway.end(second, "NOCONN"), t.Refuse)
-    gateway.do(t.FleetSaid(tokens=5.0))
+    assert of(gateway.end(second, "NOCONN"), t.Reject)
+    gateway.do(t.FleetAllocation(retry_tokens=5.0))
     third = only(gateway.ask(), t.Send)
     assert of(gateway.end(third, "NOCONN"), t.Send)
 
 
 def test_an_engine_that_another_gateway_tries_out_gets_nothing_and_zones_bind():
     gateway = Gateway(listed=[Gateway.entry("a", zone="x"), Gateway.entry("b", zone="y")])
-    gateway.do(t.FleetSaid(held=frozenset({"a"})))
+    gateway.do(t.FleetAllocation(reserved_engines=frozenset({"a"})))
     assert {only(gateway.ask(), t.Send).engine for _ in range(6)} == {"b"}
-    gateway.do(t.FleetSaid())
+    gateway.do(t.FleetAllocation())
     assert {only(gateway.ask(zones=("x",)), t.Send).engine for _ in range(6)} == {"a"}
-    assert of(gateway.ask(zones=("z",)), t.Refuse)
+    assert of(gateway.ask(zones=("z",)), t.Reject)
 
 
 def test_it_probes_whom_the_fleet_names():
-    gateway = Gateway(engines=4, probes=True)
-    gateway.do(t.FleetSaid(probes=("e2",)))
-    assert {probe.engine for probe in of(gateway.wait(2 * S), t.Probe)} == {"e2"}
-    gateway.do(t.FleetSaid(probes=()))
-    assert not of(gateway.wait(2 * S), t.Probe)
+    gateway = Gateway(engines=4, health_checks=True)
+    gateway.do(t.FleetAllocation(health_check_targets=("e2",)))
+    assert {probe.engine for probe in of(gateway.wait(2 * S), t.CheckHealth)} == {"e2"}
+    gateway.do(t.FleetAllocation(health_check_targets=()))
+    assert not of(gateway.wait(2 * S), t.CheckHealth)
 
 
 def test_a_gateway_of_a_large_fleet_keeps_to_its_part_of_the_engines_and_leaves_it_where_that_cannot_serve():
@@ -1518,8 +1588,8 @@
     entries = tuple(Gateway.entry(f"e{i}") for i in range(36))
     counts = dict.fromkeys((entry.engine for entry in entries), 0)
     for me in range(200):
-        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, gateways=200, me=me), 1)
-        control.handle(100 * S, t.EngineList("Complete", entries))
+        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, gateways=200, instance_index=me), 1)
+        control.handle(100 * S, t.EndpointList("Complete", entries))
         for name in control.own:
             counts[name] += 1
     assert 45 <= min(counts.values()) and max(counts.values()) <= 79, counts
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -25,8 +25,8 @@
     def give_up(self, attempt):
         self.given_up.append(attempt)
 
-    def hurry(self, attempt):
-        self.hurried.append((attempt, attempt.query.level))
+    def promote(self, attempt):
+        self.hurried.append((attempt, attempt.query.priority))
 
     def close_idle(self, engine):
         pass
@@ -103,7 +103,7 @@
     here.ask(budget=900 * MS)
     here.clock.advance(900 * MS + LIMITS.backstop + LIMITS.sweep)
     assert [kind for kind, *_ in here.port.answers] == ["failed"] and here.counters["backstop_answers"] == 1
-    assert isinstance(here.core._control.events[-1], t.ClientLeft)
+    assert isinstance(here.core._control.events[-1], t.ClientDisconnected)
 
 
 def test_a_late_loop_leaves_the_answer_to_the_module():
@@ -117,7 +117,7 @@
 
 def test_a_module_that_breaks_ends_no_daemon():
     module = Scripted()
-    module.acts[t.QueryArrived] = lambda event: 1 / 0
+    module.acts[t.QueryReceived] = lambda event: 1 / 0
     here = Core(module)
     here.ask(budget=S)
     here.clock.advance(2 * S)
@@ -126,28 +126,28 @@
 
 def test_never_two_attempts_at_once_nor_more_than_allowed_nor_two_answers():
     module = Scripted()
-    module.acts[t.QueryArrived] = lambda event: [t.Send(event.query, "e0"), t.Send(event.query, "e1")]
+    module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0"), t.Send(event.query, "e1")]
     here = Core(module)
     query = here.ask(budget=9 * S)
     assert len(here.port.sent) == 1 and here.counters["out_nop"] == 1
-    module.acts[t.AttemptEnded] = lambda event: [] if event.reason == "NOP" else [t.Send(event.query, "e0")]
+    module.acts[t.AttemptCompleted] = lambda event: [] if event.outcome == "NOP" else [t.Send(event.query, "e0")]
     for _ in range(5):
-        if query.out:
-            here.core.ended(next(iter(query.out.values())), "BAD")
+        if query.in_flight:
+            here.core.ended(next(iter(query.in_flight.values())), "BAD")
     assert len(here.port.sent) == SETTINGS.max_attempts
-    module.acts[t.TimerFired] = [t.Refuse(query.id, 5), t.Fail(query.id), t.Refuse(query.id), t.Send(query.id, "e0")]
+    module.acts[t.TimerFired] = [t.Reject(query.id, 5), t.Fail(query.id), t.Reject(query.id), t.Send(query.id, "e0")]
     here.core._due(1)
     assert len(here.port.answers) == 1 and len(here.port.sent) == SETTINGS.max_attempts
 
 
 def test_a_time_out_gives_the_attempt_up_and_tells_the_module():
     module = Scripted()
-    module.acts[t.QueryArrived] = lambda event: [t.Send(event.query, "e0", 200 * MS)]
+    module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0", 200 * MS)]
     here = Core(module)
     here.ask(budget=9 * S)
     here.clock.advance(200 * MS + LIMITS.sweep + LIMITS.handover)
     assert here.port.given_up == here.port.sent
-    assert [event.reason for event in module.events if isinstance(event, t.AttemptEnded)] == ["LATE"]
+    assert [event.outcome for event in module.events if isinstance(event, t.AttemptCompleted)] == ["LATE"]
 
 
 def test_a_client_that_leaves_is_owed_nothing_and_its_work_stops():
@@ -163,25 +163,25 @@
 def test_a_further_attempt_waits_until_the_give_up_has_gone_its_way():
     """On a scored day attempts overtook the give-up of the one before: two were out at once, which is forbidden."""
     module = Scripted()
-    module.acts[t.QueryArrived] = lambda event: [t.Send(event.query, "e0")]
+    module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0")]
     module.acts[t.TimerFired] = lambda event: [t.Cancel(f"{1:016x}", 0)]
-    module.acts[t.AttemptEnded] = lambda event: [t.Send(event.query, "e1")]
+    module.acts[t.AttemptCompleted] = lambda event: [t.Send(event.query, "e1")]
     here = Core(module)
     query = here.ask(budget=9 * S)
     here.core._due(1)
     here.core.ended(here.port.sent[0], "GOOD")  # crossed the give-up: it is none of ours any more
-    assert here.port.given_up == here.port.sent == list(query.out.values()) and here.port.answers == []
+    assert here.port.given_up == here.port.sent == list(query.in_flight.values()) and here.port.answers == []
     here.clock.advance(LIMITS.handover)
     assert [attempt.engine for attempt in here.port.sent] == ["e0", "e1"]
 
 
 def test_a_priority_holds_for_what_is_out():
     module = Scripted()
-    module.acts[t.QueryArrived] = lambda event: [t.Terms(event.query, 0, 2), t.Send(event.query, "e0")]
+    module.acts[t.QueryReceived] = lambda event: [t.ExecutionHints(event.query, 0, 2), t.Send(event.query, "e0")]
     here = Core(module)
     query = here.ask()
-    assert here.port.sent[0].query.level == 2 and here.port.hurried == []
-    module.acts[t.TimerFired] = [t.Terms(query.id, 0, 3)]
+    assert here.port.sent[0].query.priority == 2 and here.port.hurried == []
+    module.acts[t.TimerFired] = [t.ExecutionHints(query.id, 0, 3)]
     here.core._due(1)
     assert here.port.hurried == [(here.port.sent[0], 3)]
 
@@ -195,7 +195,7 @@
     assert here.core.known(first.id)
     here.core.leave(here.ask())
     assert here.core.known(f"{2:016x}")
-    for attempt in [next(iter(here.ask().out.values())) for _ in range(2)]:
+    for attempt in [next(iter(here.ask().in_flight.values())) for _ in range(2)]:
         here.core.ended(attempt, "GOOD")
     assert not here.core.known(first.id)
 
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -23,8 +23,8 @@
 
 TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 ROWS = b"a\tb\tc\n"
-KEYED = replace(SETTINGS, classes=(*CLASSES[:2], replace(CLASSES[2], window=S)))
-FRAGILE = replace(SETTINGS, classes=(replace(CLASSES[0], effect="fragile"), *CLASSES[1:]))
+KEYED = replace(SETTINGS, classes=(*CLASSES[:2], replace(CLASSES[2], idempotency_window=S)))
+FRAGILE = replace(SETTINGS, classes=(replace(CLASSES[0], idempotency="fragile"), *CLASSES[1:]))
 
 
 class Answers:
@@ -61,7 +61,7 @@
             self.clock.now() + budget,
             Answers(),
             tenant="acme",
-            token=TOKEN if cls == "depot-load" else "",
+            idempotency_key=TOKEN if cls == "depot-load" else "",
         )
         self.core.submit(query)
         return query
@@ -115,11 +115,11 @@
     here = make(tds=tds, settings=KEYED)
     query = here.ask("depot-load", 20 * S)
     spin(lambda: len(here.wants()) == 1)
-    (first,) = query.out.values()
+    (first,) = query.in_flight.values()
     here.clock.time += 800 * MS
     here.core.ended(first, "RST")  # within the window: the second one begins to dial
     here.clock.advance(0)  # the loop had stood still: only once it has turned
-    (second,) = query.out.values()
+    (second,) = query.in_flight.values()
     assert second.engine != first.engine
     here.clock.time += 200 * MS  # and is through when the window is over
     spin(lambda: query.closed)
@@ -130,14 +130,14 @@
     """One that surely never ran is no start of it."""
     here = make(3, settings=KEYED)
     query = here.ask("depot-load", 20 * S)
-    (first,) = query.out.values()
+    (first,) = query.in_flight.values()
     here.clock.time += 900 * MS
     here.core.ended(first, "NOCONN")
-    (second,) = query.out.values()
+    (second,) = query.in_flight.values()
     assert not second.send_by
     here.core.ended(second, "RST")
-    (third,) = query.out.values()
-    assert second.sent < third.send_by < second.sent + S
+    (third,) = query.in_flight.values()
+    assert second.sent_at < third.send_by < second.sent_at + S
 
 
 @pytest.mark.parametrize("terms", [300 * MS, 20 * S])
@@ -151,10 +151,10 @@
         Table([Route(cls="depot-load", repeat_within_ms=terms / MS)], KEYED), {"depot-load": 25 * S}, 3
     )
     query = here.ask("depot-load", 20 * S)
-    (first,) = query.out.values()
+    (first,) = query.in_flight.values()
     here.core.ended(first, "RST")
-    (second,) = query.out.values()
-    assert second.send_by == min(first.sent + terms, first.sent + S - S // 20)
+    (second,) = query.in_flight.values()
+    assert second.send_by == min(first.sent_at + terms, first.sent_at + S - S // 20)
 
 
 # ---- clients that go
@@ -208,7 +208,7 @@
     here.told("Ready", "Ready")
     for _ in range(20):  # to whichever engine it goes: the module draws
         query = here.ask()
-        if [attempt.link for attempt in query.out.values()] == [link]:
+        if [attempt.connection for attempt in query.in_flight.values()] == [link]:
             break
     end(here.stands[0].connections[0])
     here.stands[1].act = answer
@@ -225,7 +225,7 @@
     ends, told = [], here.core.ended
     here.core.ended = lambda attempt, how, *more: (ends.append((attempt.query, how)), told(attempt, how, *more))
     queued = here.ask()
-    assert len({attempt.link for query in (ran, queued) for attempt in query.out.values()}) == 1
+    assert len({attempt.connection for query in (ran, queued) for attempt in query.in_flight.values()}) == 1
     reset(here.stands[0].connections[0])
     spin(lambda: ran.closed)
     assert ends[:2] == [(ran, "RST"), (queued, "NOCONN")]
@@ -263,7 +263,7 @@
     link = rest(here)
     (engine,) = here.stands[0].connections
     queries = [here.ask() for _ in range(count)]
-    assert {attempt.link for query in queries for attempt in query.out.values()} == {link}
+    assert {attempt.connection for query in queries for attempt in query.in_flight.values()} == {link}
     spin(lambda: all(here.wants(query) for query in queries))
     body = b"a\tb\t" + b"c" * 5_900 + b"\n"
     said = b"".join(b"".join(command(query.id.encode(), b"200", b"chunks=1", body)) for query in queries)
@@ -273,7 +273,7 @@
     assert len(link.transport.socket.recv(1 << 20, socket.MSG_PEEK)) == len(said)
     reset(engine)
     if writing:
-        assert here.ask().out[0].link is link
+        assert here.ask().in_flight[0].connection is link
     if planted:  # a reader that takes the reset first
         link.transport.doRead = lambda: CONNECTION_LOST
     spin(lambda: all(query.closed for query in queries))
@@ -291,7 +291,7 @@
 
 
 def one_out(query):
-    (attempt,) = query.out.values()
+    (attempt,) = query.in_flight.values()
     return attempt
 
 
@@ -338,8 +338,8 @@
     (link,) = here.links()
     link._out.send = lambda data: False
     query = here.ask()
-    (attempt,) = query.out.values()
-    assert attempt.link is link and attempt.unsent
+    (attempt,) = query.in_flight.values()
+    assert attempt.connection is link and attempt.unsent
     for _ in range(3):
         reactor.iterate(0)
     here.told("Ready", "Ready")
@@ -401,10 +401,10 @@
     here = make(1, tds=tds)
     query = here.ask()
     spin(lambda: here.wants(query))
-    (attempt,) = query.out.values()
-    before = attempt.link._out.given
+    (attempt,) = query.in_flight.values()
+    before = attempt.connection._out.given
     here.core._cancel(t.Cancel(query.id, 0))
-    assert attempt.link._out.given > before and not attempt.link._out.kept()  # before any turn of the loop
+    assert attempt.connection._out.given > before and not attempt.connection._out.kept()  # before any turn of the loop
 
 
 @pytest.mark.parametrize("moved", [False, True])
@@ -420,9 +420,9 @@
     runs = here.ask()
     spin(lambda: len(here.wants()) == 2)
     old, waits = here.links(), here.ask()
-    while waits.out[0].link in old:  # one that waits for a dial
+    while waits.in_flight[0].connection in old:  # one that waits for a dial
         waits = here.ask()
-    entry = t.EngineEntry("e0", "z", "std", came_up=here.clock.now())
+    entry = t.EngineEntry("e0", "z", "std", started_at=here.clock.now())
     here.core.listed([entry], 9)
     here.pools.listed({"e0": ("127.0.0.1", here.stands[moved].port.getHost().port)}, [entry])
     before = sum(len(stand.connections) for stand in here.stands)
@@ -447,10 +447,10 @@
     second = one_out(query)
     assert second.engine != first.engine
     spin(lambda: query.closed)
-    spin(lambda: first.link.up)
+    spin(lambda: first.connection.up)
     spin(lambda: all(stand.connections for stand in here.stands))
     assert [words[1] for words in here.wants()] == [query.id.encode()] and query.reply.came == [("served", ROWS)]
-    while (later := here.ask()).out[0].link is not first.link:
+    while (later := here.ask()).in_flight[0].connection is not first.connection:
         pass
     spin(lambda: later.closed)
     assert later.reply.came == [("served", ROWS)]
@@ -495,7 +495,7 @@
     here.pools._limits = limits_with(LIMITS, spread=1)
     queries = [here.ask() for _ in range(count)]
     spin(lambda: all(here.wants(query) for query in queries))
-    assert len({query.out[0].link for query in queries}) == 1
+    assert len({query.in_flight[0].connection for query in queries}) == 1
     return queries
 
 
@@ -547,7 +547,7 @@
     engine.transport.socket.sendall(GOOD + said)
     if lost:
         reset(engine)
-    spin(lambda: queries[1].closed and (lost or queries[0].out[0].link.half_since))
+    spin(lambda: queries[1].closed and (lost or queries[0].in_flight[0].connection.half_since))
     here.clock.advance(LIMITS.half_frame + 1)
     here.pools.sweep()
     spin(lambda: all(query.closed for query in queries))
@@ -586,10 +586,10 @@
     engine.transport.socket.sendall(b"".join(command(id, b"200", b"chunks=1", b"old\told\told\n")))
     here.core._cancel(t.Cancel(query.id, 0))
     if planted:
-        first.link.stale.clear()
+        first.connection.stale.clear()
     here.clock.advance(2 * LIMITS.handover)
     second = one_out(query)
-    assert second is not first and (second.link is first.link) == planted
+    assert second is not first and (second.connection is first.connection) == planted
     if planted:  # the first copy is read before the second attempt is sent; a further one is not
         spin(lambda: here.counters["engine_strays"] and len(here.wants(query)) == 2)
         engine.say(id, b"200", b"chunks=1", b"old\told\told\n")
@@ -619,10 +619,10 @@
         spin(lambda: query.closed)
     here.clock.advance(query.deadline - here.clock.now() + 50 * MS)
     spin(lambda: query.closed)
-    spin(lambda: answer_first or attempt.link not in here.links())  # nothing was heard on it for so long
+    spin(lambda: answer_first or attempt.connection not in here.links())  # nothing was heard on it for so long
     here.clock.advance(S)
     assert len(query.reply.came) == 1 and (query.reply.came[0][0] == "served") == answer_first
-    assert attempt.over and not here.core.out and not here.core.queries and len(here.wants(query)) == 1
+    assert attempt.done and not here.core.out and not here.core.queries and len(here.wants(query)) == 1
 
 
 def test_a_second_copy_of_an_answer_ends_nothing(make):
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -23,7 +23,7 @@
 from rackhub import interface as t
 from rackhub.core import coordinator
 from rackhub.core.coordinator import Coordinator
-from rackhub.core.request import Attempt, State
+from rackhub.core.request import Attempt, AttemptState
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.net.front import Client
@@ -35,9 +35,16 @@
 
 WINDOW = 300 * MS
 CLASSES = (
-    t.ClassSettings("lookup", deadline=3 * S, objective=S, effect="retryable"),
-    t.ClassSettings("load", deadline=3 * S, objective=S, effect="dedup", dedup_scope="all", window=WINDOW),
-    t.ClassSettings("once", deadline=3 * S, objective=S),
+    t.ClassSettings("lookup", deadline=3 * S, latency_objective=S, idempotency="retryable"),
+    t.ClassSettings(
+        "load",
+        deadline=3 * S,
+        latency_objective=S,
+        idempotency="dedup",
+        idempotency_scope="all",
+        idempotency_window=WINDOW,
+    ),
+    t.ClassSettings("once", deadline=3 * S, latency_objective=S),
 )
 SETTINGS = t.Settings(
     classes=CLASSES,
@@ -138,24 +145,24 @@
         name = type(event).__name__
         return getattr(self, name)(now, event) if hasattr(self, name) else []
 
-    def QueryArrived(self, now, event):  # noqa: N802 - the events' names
+    def QueryReceived(self, now, event):  # noqa: N802 - the events' names
         self.open[event.query] = [event, 0, 0]  # its attempts so far, and how many of them may have run
-        left = event.drop_dead - now - self.random.choice([10, 150]) * MS
+        left = event.deadline - now - self.random.choice([10, 150]) * MS
         return [self.later(left, self.final, event.query), *self.send(event.query)]
 
-    def AttemptEnded(self, now, event):  # noqa: N802
+    def AttemptCompleted(self, now, event):  # noqa: N802
         if event.settled or event.query not in self.open:
             self.open.pop(event.query, None)
             return []
         known = self.open[event.query]
-        known[2] += event.reason not in further.PROVEN
-        effect = next(told.effect for told in CLASSES if told.name == known[0].cls)
-        if event.reason == "NOP" or known[1] >= SETTINGS.max_attempts or effect == "fragile" and known[2]:
+        known[2] += event.outcome not in further.PROVEN
+        effect = next(told.idempotency for told in CLASSES if told.name == known[0].cls)
+        if event.outcome == "NOP" or known[1] >= SETTINGS.max_attempts or effect == "fragile" and known[2]:
             return self.final(event.query)
         wait = self.random.choice([0, 0, 40, 120, 250])
         return [self.later(wait * MS, self.send, event.query)] if wait else self.send(event.query)
 
-    def ClientLeft(self, now, event):  # noqa: N802
+    def ClientDisconnected(self, now, event):  # noqa: N802
         out = range(self.open.pop(event.query, (0, 0, 0))[1])
         return [t.Cancel(event.query, number) for number in out] if self.random.random() < 0.5 else []
 
@@ -177,7 +184,7 @@
 
     def final(self, id):
         event, tries, maybe = self.open.pop(id)
-        return [t.Fail(id)] if event.cls == "once" and tries else [t.Refuse(id, 100 * MS)]
+        return [t.Fail(id)] if event.cls == "once" and tries else [t.Reject(id, 100 * MS)]
 
 
 class CrossingsModel(RuleBasedStateMachine):
@@ -311,9 +318,9 @@
         assert not asked.went or now <= asked.went + GONE_FOR, "an attempt for a client that has gone"
         assert self.states[link.pool.name] == "Ready", "an attempt to an engine that drains"
         assert len(asked.wants) < SETTINGS.max_attempts, "too many attempts"
-        assert told.effect != "fragile" or not asked.maybe, "a further attempt with no proof"
+        assert told.idempotency != "fragile" or not asked.maybe, "a further attempt with no proof"
         window = min(asked.maybe.values(), default=now) + WINDOW
-        assert told.effect != "dedup" or now < window, "out of its window"
+        assert told.idempotency != "dedup" or now < window, "out of its window"
         if self.links[link].ended:  # it crosses the engine's end and comes to nobody
             return
         asked.maybe[len(asked.wants)] = now
@@ -544,17 +551,17 @@
     real = Coordinator._end
 
     def end(self, query, how, *said):
-        out, query.out = query.out, {}
+        out, query.in_flight = query.in_flight, {}
         try:
             return real(self, query, how, *said)
         finally:
-            query.out = out
+            query.in_flight = out
 
     patch.setattr(Coordinator, "_end", end)
 
 
 def sent_to_the_deaf(patch):
-    patch.setattr(Attempt, "barred", lambda self, now, lease=None: "NOCONN" if 0 < self.send_by <= now else "")
+    patch.setattr(Attempt, "send_blocked_by", lambda self, now, lease=None: "NOCONN" if 0 < self.send_by <= now else "")
 
 
 def old_bytes_as_new(patch):
@@ -562,13 +569,13 @@
 
 
 def out_of_the_window(patch):
-    patch.setattr(Attempt, "barred", lambda self, now, lease=None: "NOP" if self.query.reply.deaf else "")
+    patch.setattr(Attempt, "send_blocked_by", lambda self, now, lease=None: "NOP" if self.query.reply.deaf else "")
 
 
 def no_hand_over(patch):
     def give_up(self, attempt, reason):
-        if not attempt.over:
-            attempt.state = State.LEAVING
+        if not attempt.done:
+            attempt.state = AttemptState.CANCELLING
             self.engines.give_up(attempt)
             self._over(attempt, reason)
 
@@ -615,7 +622,7 @@
     a_lost_client_stays,
     an_answer_forgotten,
 )
-SEARCH = settings(STEPS, max_examples=300, phases=[Phase.generate], report_multiple_bugs=False)
+SEARCH = settings(STEPS, max_examples=2_000, phases=[Phase.generate], report_multiple_bugs=False)
 
 
 @pytest.mark.parametrize("plant", PLANTS, ids=lambda plant: plant.__name__)
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -14,7 +14,7 @@
 
 from rackhub import interface as t
 from rackhub.core.coordinator import Coordinator
-from rackhub.core.request import State
+from rackhub.core.request import AttemptState
 from rackhub.net.pool import DialFactory
 
 ROWS = b"a\tb\tc\n"
@@ -161,7 +161,7 @@
 def script(site, arrived, **acts):
     """A module that does what the test says."""
     site.core._control = module = Scripted()
-    module.acts[t.QueryArrived] = arrived
+    module.acts[t.QueryReceived] = arrived
     for name, act in acts.items():
         module.acts[getattr(t, name)] = act
     return module
@@ -177,7 +177,7 @@
     module = script(
         site,
         lambda event: [t.Send(event.query, "e0")],
-        AttemptEnded=[t.Timer(100 * MS, 1)],
+        AttemptCompleted=[t.Timer(100 * MS, 1)],
         TimerFired=lambda event: [t.Send(f"{1:016x}", "e1")],
     )
     client.ask(1)
@@ -215,7 +215,7 @@
     script(
         site,
         lambda event: [t.Send(event.query, "e0")],
-        AttemptEnded=lambda event: [] if event.settled else [t.Send(event.query, "e1")],
+        AttemptCompleted=lambda event: [] if event.settled else [t.Send(event.query, "e1")],
     )
     client.ask(1)
     spin(lambda: wants(site))
@@ -288,12 +288,12 @@
     module = script(
         site,
         lambda event: [t.Send(event.query, "e0", 200 * MS)],
-        AttemptEnded=lambda event: [t.Send(event.query, "e1")],
+        AttemptCompleted=lambda event: [t.Send(event.query, "e1")],
     )
     client.ask(1)
     spin(lambda: held.waiting)
     site.clock.advance(200 * MS + LIMITS.sweep)
-    assert [event.reason for event in module.events if isinstance(event, t.AttemptEnded)] == ["NOCONN"]
+    assert [event.outcome for event in module.events if isinstance(event, t.AttemptCompleted)] == ["NOCONN"]
     site.stands[1].act = answers
     first, second = held.release(), held.release()
     spin(lambda: first.up and second.up and empty(site))
@@ -302,7 +302,7 @@
 
 def test_an_attempt_that_waits_for_its_dial_leaves_an_engine_that_begins_to_drain(site):
     held, client = Held(site.pools), Raw(site)
-    script(site, lambda event: [t.Send(event.query, "e0")], AttemptEnded=lambda event: [t.Send(event.query, "e1")])
+    script(site, lambda event: [t.Send(event.query, "e0")], AttemptCompleted=lambda event: [t.Send(event.query, "e1")])
     client.ask(1)
     spin(lambda: held.waiting)
     drains(site)
@@ -323,13 +323,13 @@
 def test_an_attempt_held_in_a_late_turn_leaves_an_engine_that_begins_to_drain(site):
     warm(site)
     client = Raw(site)
-    script(site, lambda event: [t.Send(event.query, "e0")], AttemptEnded=lambda event: [t.Send(event.query, "e1")])
+    script(site, lambda event: [t.Send(event.query, "e0")], AttemptCompleted=lambda event: [t.Send(event.query, "e1")])
     client.ask(1)
     late(site)
     reactor.iterate(0)
     spin(lambda: site.core.queries)
     (query,) = site.core.queries.values()
-    assert [attempt.state for attempt in query.out.values()] == [State.HELD]
+    assert [attempt.state for attempt in query.in_flight.values()] == [AttemptState.PENDING]
     drains(site)
     turns(site)
     spin(lambda: wants(site))
@@ -433,12 +433,12 @@
 
 
 def handing_over(here, module):
-    module.acts[t.QueryArrived] = lambda event: [t.Send(event.query, "e0", 200 * MS)]
-    module.acts[t.AttemptEnded] = lambda event: [] if event.settled else [t.Send(event.query, "e1")]
+    module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0", 200 * MS)]
+    module.acts[t.AttemptCompleted] = lambda event: [] if event.settled else [t.Send(event.query, "e1")]
     query = here.ask(budget=2 * S)
     (attempt,) = here.port.sent
     here.clock.advance(200 * MS + LIMITS.sweep)
-    assert attempt.state is State.LEAVING
+    assert attempt.state is AttemptState.CANCELLING
     return query, attempt
 
 
@@ -460,7 +460,7 @@
         query.deadline = here.clock.now() - LIMITS.backstop - LIMITS.sweep
         here.core._sweep()
     else:
-        here.core._refuse(t.Refuse(query.id, 5))
+        here.core._refuse(t.Reject(query.id, 5))
         here.core._fail(t.Fail(query.id))
     assert list(here.core.out.values()) == [attempt] and here.port.given_up == [attempt]
     here.clock.advance(LIMITS.handover + MS)
@@ -470,7 +470,7 @@
     if not over:
         here.core.ended(here.port.sent[-1], "GOOD", {}, (ROWS,))
     assert len(here.port.answers) == (event != "leaves") and not here.core.queries and not here.core.out
-    ended = [told for told in module.events if isinstance(told, t.AttemptEnded)]
+    ended = [told for told in module.events if isinstance(told, t.AttemptCompleted)]
     assert [told.attempt for told in ended] == ([0] if over else [0, 1])
 
 
@@ -481,7 +481,7 @@
     script(
         site,
         lambda event: [t.Send(event.query, "e0", 200 * MS)],
-        AttemptEnded=lambda event: [] if event.settled else [t.Refuse(event.query, 5)],
+        AttemptCompleted=lambda event: [] if event.settled else [t.Reject(event.query, 5)],
     )
     id = client.ask(1).encode()
     spin(lambda: wants(site))
@@ -506,8 +506,8 @@
 
 
 ENDS = {
-    "served": lambda here, query: here.core.ended(next(iter(query.out.values())), "GOOD", {}, (ROWS,)),
-    "refused": lambda here, query: here.core._refuse(t.Refuse(query.id, 5)),
+    "served": lambda here, query: here.core.ended(next(iter(query.in_flight.values())), "GOOD", {}, (ROWS,)),
+    "refused": lambda here, query: here.core._refuse(t.Reject(query.id, 5)),
     "failed": lambda here, query: here.core._fail(t.Fail(query.id)),
     "left": lambda here, query: here.core.leave(query),
 }
@@ -517,12 +517,12 @@
 @pytest.mark.parametrize("first", ENDS)
 def test_two_ends_of_a_request_in_one_turn_count_and_tell_one(first, second):
     module = Scripted()
-    module.acts[t.QueryArrived] = lambda event: [t.Send(event.query, "e0")]
+    module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0")]
     here = Core(module)
     query = here.ask()
     (attempt,) = here.port.sent
     ENDS[first](here, query)
-    ENDS[second](here, query) if query.out else here.core.ended(attempt, "GOOD", {}, (ROWS,))
+    ENDS[second](here, query) if query.in_flight else here.core.ended(attempt, "GOOD", {}, (ROWS,))
     here.clock.advance(3 * S)
     here.core.ended(attempt, "GOOD", {}, (ROWS,))
     counts = {how: here.counters[how] for how in ENDS}
@@ -532,7 +532,7 @@
 
 def test_a_send_after_the_answer_in_one_batch_sends_nothing():
     module = Scripted()
-    module.acts[t.QueryArrived] = lambda event: [t.Refuse(event.query, 5), t.Send(event.query, "e0")]
+    module.acts[t.QueryReceived] = lambda event: [t.Reject(event.query, 5), t.Send(event.query, "e0")]
     here = Core(module)
     here.ask()
     assert here.port.sent == [] and len(here.port.answers) == 1 and not here.core.out
@@ -549,7 +549,7 @@
 def test_an_attempt_that_ends_late_takes_nothing_from_a_request_that_came_under_its_id_again():
     """Attempts are kept by their request's id and their number, and few ids are remembered."""
     module = Scripted()
-    module.acts[t.QueryArrived] = lambda event: [t.Send(event.query, "e0")]
+    module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0")]
     here = Core(module, limits=replace(LIMITS, recent_ids=1))
     first = here.ask()
     here.core.leave(first)
@@ -558,7 +558,7 @@
     second = here.ask()
     assert second.id == first.id
     here.core.ended(here.port.sent[0], "RST")
-    assert here.core.out[second.id, 0] is second.out[0]
+    assert here.core.out[second.id, 0] is second.in_flight[0]
 
 
 def test_a_planted_end_that_leaves_its_request_with_the_module_is_seen(monkeypatch):
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -19,7 +19,7 @@
 
 from rackhub import interface as t
 from rackhub.core.coordinator import Coordinator
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.net.asking import Asking
@@ -70,7 +70,13 @@
         self.time, self.counters, self.lists = Timed(), Counters(), []
         self.moved = desk.address
         self.platform = Platform(
-            self.time, SETTINGS, start or Listing(3, (), {}), desk.address, LIMITS, self.counters, lambda: self.moved
+            self.time,
+            SETTINGS,
+            start or EndpointSnapshot(3, (), {}),
+            desk.address,
+            LIMITS,
+            self.counters,
+            lambda: self.moved,
         )
         self.platform.follow(told or self.lists.append)
 
@@ -127,7 +133,7 @@
     desk.silent, desk.rev, desk.engines = False, 4, (A, DRAINS)
     desk.deaf = set(desk.senders())
     watch.pass_by(LIMITS.poll + 7 * LIMITS.poll_again + 10 * MS, desk)
-    spin(lambda: watch.lists and watch.lists[-1].rev == 4)
+    spin(lambda: watch.lists and watch.lists[-1].revision == 4)
     assert {entry.engine: entry.state for entry in watch.lists[-1].entries} == {"a": "Ready", "b": "Terminating"}
     spin(lambda: len(watch.open()) == 1)  # the one before is closed
     assert watch.counters["dns_sockets"] == 1 and len(desk.senders()) == 2
@@ -143,7 +149,7 @@
     assert 5 <= watch.counters["dns_sockets"] - sockets <= 20 and len(watch.open()) == LIMITS.resolver_sockets
     desk.silent, desk.rev, desk.engines = False, 9, (A, DRAINS)  # and the first list of the one that is back counts
     watch.pass_by(LIMITS.poll_again_most + 20 * MS, desk, step=20 * MS)
-    spin(lambda: [listing.rev for listing in watch.lists] == [9] and len(watch.open()) == 1)
+    spin(lambda: [listing.revision for listing in watch.lists] == [9] and len(watch.open()) == 1)
 
 
 @pytest.mark.parametrize("delay", [500 * MS, 1_400 * MS])
@@ -159,7 +165,7 @@
             desk.say(said, rev=5)
             said += 1
             reactor.iterate(0)
-    spin(lambda: [listing.rev for listing in watch.lists] == [5])
+    spin(lambda: [listing.revision for listing in watch.lists] == [5])
 
 
 def test_an_answer_that_is_slow_still_finds_who_asked(desk, watches):
@@ -175,7 +181,7 @@
     watch.pass_by(LIMITS.poll_again_most + 200 * MS, desk, step=20 * MS)
     assert len(desk.asked) > first + 1 > calls and watch.counters["dns_sockets"] == sockets + 1
     desk.say(first, rev=5)
-    spin(lambda: [listing.rev for listing in watch.lists] == [5])
+    spin(lambda: [listing.revision for listing in watch.lists] == [5])
 
 
 def test_where_no_descriptor_is_free_the_socket_that_is_there_goes_on(desk, watches):
@@ -186,7 +192,7 @@
     assert len(watch.time.ports) == 1 and len(desk.senders()) == 1
     desk.silent, desk.rev = False, 7
     watch.pass_by(LIMITS.poll_again_most + 20 * MS, desk, step=20 * MS)
-    spin(lambda: [listing.rev for listing in watch.lists] == [7])
+    spin(lambda: [listing.revision for listing in watch.lists] == [7])
 
 
 def test_answers_that_cross_change_nothing_back(desk, watches):
@@ -200,7 +206,7 @@
     desk.say(1, rev=6, engines=(A, DRAINS))
     desk.transport.write(answer(desk.asked[1][0], 7, A)[:-3], desk.asked[1][1])
     spin(lambda: watch.heard() == 4)
-    assert [listing.rev for listing in watch.lists] == [6]
+    assert [listing.revision for listing in watch.lists] == [6]
     assert (watch.counters["dns_old"], watch.counters["dns_same"], watch.counters["dns_bad"]) == (1, 1, 1)
 
 
@@ -221,11 +227,11 @@
     resolver._random.randrange = lambda most: desk.asked[0][0]
     resolver._asked = {desk.asked[0][0]: Question(0.0, 0)}
     spin(lambda: watch.heard())
-    assert [listing.rev for listing in watch.lists] == [9] * planted
+    assert [listing.revision for listing in watch.lists] == [9] * planted
     if not planted:
         watch.pass_by(10 * MS, desk, other)
         other.say(rev=4, engines=(A, DRAINS))
-        spin(lambda: [listing.rev for listing in watch.lists] == [4])
+        spin(lambda: [listing.revision for listing in watch.lists] == [4])
     other.port.stopListening()
 
 
@@ -234,7 +240,7 @@
     took = []
 
     def told(listing):
-        took.append(listing.rev)
+        took.append(listing.revision)
         if len(took) == 1:
             raise RuntimeError("half taken in")
 
@@ -263,7 +269,7 @@
     desk.rev, desk.engines, watch.moved = 8, (A, DRAINS), desk.address
     watch.platform.reload()
     watch.time.clock.advance(0.02)
-    spin(lambda: watch.lists[-1].rev == 8)
+    spin(lambda: watch.lists[-1].revision == 8)
 
 
 def test_the_first_list_after_a_silence_may_tell_of_a_drain_and_nothing_more_is_sent_there(desk, watches):
@@ -279,7 +285,7 @@
     core = Coordinator(SETTINGS, 7, clock, Timers(clock, clock), LIMITS, Counters())
     core.start(Port(), [t.EngineEntry(name, "z", "std") for name in ("b", "c")], 3)
     desk.silent = True
-    watch = watches(desk, told=lambda listing: core.listed(listing.entries, listing.rev))
+    watch = watches(desk, told=lambda listing: core.listed(listing.entries, listing.revision))
     watch.pass_by(5_000 * MS, desk, step=20 * MS)
     desk.silent, desk.rev, desk.engines = False, 8, (A, DRAINS)
     watch.pass_by(LIMITS.poll_again_most + 20 * MS, desk, step=20 * MS)
@@ -321,7 +327,7 @@
     inner = Resolver.datagramReceived
 
     def forgets(self, packet, addr):
-        self._last = self._last._replace(rev=0)
+        self._last = self._last._replace(revision=0)
         inner(self, packet, addr)
 
     monkeypatch.setattr(Resolver, "datagramReceived", forgets)
--- a/tests/test_distribution_settings.py
+++ b/tests/test_distribution_settings.py
@@ -9,7 +9,7 @@
 from rackhub.config import BadConfig, fleet_settings
 from rackhub.fleet.roles import shares_overload
 
-SITE = interface.Settings(classes=(interface.ClassSettings("lookup"),), peers=True)
+SITE = interface.Settings(classes=(interface.ClassSettings("lookup"),), gossip=True)
 VOTER = {"name": "v1", "role": "voter", "zone": "z1", "address": "127.0.0.1:7101"}
 RELAYS = [
     {"name": "r1", "role": "relay", "zone": "z1", "address": "127.0.0.1:7102"},
@@ -89,7 +89,7 @@
     code = (
         "import sys, rackhub.fleet.part, rackhub.cli.serve; from rackhub import interface; "
         "from rackhub.config import fleet_settings; "
-        "site = interface.Settings(classes=(interface.ClassSettings('lookup'),), peers=True); "
+        "site = interface.Settings(classes=(interface.ClassSettings('lookup'),), gossip=True); "
         "fleet_settings({'cluster': 'a', 'listen': '127.0.0.1:1'}, site, 'n'); "
         "print([name for name in sys.modules if name.startswith('rackhub.fleet.distribution')])"
     )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -48,18 +48,20 @@
 def test_an_engine_that_came_back_is_weighed_anew():
     """What was reckoned of the process before it must not outlive it, however lately that was."""
     settings = t.Settings(
-        classes=(t.ClassSettings("lookup", deadline=3 * S, effect="retryable"),),
+        classes=(t.ClassSettings("lookup", deadline=3 * S, idempotency="retryable"),),
         kind_cores={"std": 8},
-        ramp_time=13 * S,
-        cold_from=0.3,
-        fall=3 * S,
-        fall_multiple=2,
+        slow_start_duration=13 * S,
+        slow_start_initial_capacity=0.3,
+        slow_start_budget_window=3 * S,
+        slow_start_budget_multiple=2,
     )
     control = Control(settings, 1)
-    control.handle(100 * S, t.EngineList("Complete", (t.EngineEntry("a", kind="std"), t.EngineEntry("b", kind="std"))))
-    control.handle(100 * S, t.QueryArrived("q", "lookup", 103 * S))
+    control.handle(
+        100 * S, t.EndpointList("Complete", (t.EngineEntry("a", kind="std"), t.EngineEntry("b", kind="std")))
+    )
+    control.handle(100 * S, t.QueryReceived("q", "lookup", 103 * S))
     before = control.engines["a"].weight
-    control.handle(100 * S + MS, t.EngineList("Partial", (t.EngineEntry("a", kind="std", came_up=100 * S),)))
+    control.handle(100 * S + MS, t.EndpointList("Partial", (t.EngineEntry("a", kind="std", started_at=100 * S),)))
     assert control.warmth(control.engines["a"]) < 0.5 * before
 
 
@@ -102,7 +104,7 @@
     """A list that only ever adds."""
 
     def call(control, event):
-        on_list(control, t.EngineList("Partial", event.entries, event.rev))
+        on_list(control, t.EndpointList("Partial", event.entries, event.revision))
 
     return call
 
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -12,7 +12,7 @@
 
 from rackhub import interface as t
 from rackhub.core.request import Query
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.fleet.overload import records
 from rackhub.fleet.overload.back import Back
 from rackhub.fleet.overload.level import ALL, Demand, Level, hashed, reckon, seed_of
@@ -346,11 +346,11 @@
     classes=CLASSES,
     tenants=TENANTS,
     gateways=6,
-    peers=True,
-    probes=True,
-    repeat_ratio=0.1,
-    free_resends=3,
-    counted_over=10 * SECOND,
+    gossip=True,
+    health_checks=True,
+    retry_budget_ratio=0.1,
+    retry_budget_minimum=3,
+    retry_budget_window=10 * SECOND,
     max_retry_after=5 * SECOND,
 )
 
@@ -559,7 +559,7 @@
     reactor, told = MemoryReactorClock(), []
     clock = type("C", (), {"now": staticmethod(lambda: int(reactor.seconds() * SECOND))})
     prober = Prober(reactor, clock, Limits())
-    prober.listed(Listing(1, (), {"e": ("127.0.0.1", 9)}))
+    prober.listed(EndpointSnapshot(1, (), {"e": ("127.0.0.1", 9)}))
     done = lambda reason, elapsed, report: told.append((reason, elapsed))  # noqa: E731
     prober("e", done)
     probe, wire = reactor.tcpClients[0][2].buildProtocol(None), StringTransport()
@@ -579,7 +579,7 @@
     reactor.tcpClients[1][2].clientConnectionFailed(None, None)
     assert told[2][0] == "NOCONN"
     prober("e", done)
-    prober.listed(Listing(2, (), {}))
+    prober.listed(EndpointSnapshot(2, (), {}))
     reactor.advance(1.0)
     assert len(told) == 3  # let go of with its engine: that says nothing of it
 
@@ -602,10 +602,10 @@
 def test_an_engine_that_comes_back_gets_one_request_first_from_all_gateways_together(led):
     world = World(5, 4, led, lambda at: 1.0, 3)
     took, back = [], []
-    engine, whole = world.engines["e0"], [t.EngineEntry(name, kind="e", came_up=-(10**9)) for name in world.engines]
+    engine, whole = world.engines["e0"], [t.EngineEntry(name, kind="e", started_at=-(10**9)) for name in world.engines]
 
     def tell(entries, rev):
-        listing = Listing(rev, tuple(entries), {})
+        listing = EndpointSnapshot(rev, tuple(entries), {})
         for i, gateway in enumerate(world.gateways):  # each hears of it at its own time
             world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.core.listed(listing.entries, rev))
             if led:
@@ -622,11 +622,11 @@
 
     def taken(gateway, attempt, threads):
         took.append(attempt)
-        back.append(took[0].over)
+        back.append(took[0].done)
         take(gateway, attempt, threads)
 
     engine.take = taken
-    tell([t.EngineEntry("e0", kind="e", came_up=world.time.now()), *whole[1:]], 3)
+    tell([t.EngineEntry("e0", kind="e", started_at=world.time.now()), *whole[1:]], 3)
     world.run(8)
     before = back.index(True)  # sent before the first one had ended
     assert len(took) > 50 and (before == 1 if led else before > 1)
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -8,7 +8,7 @@
 from rackhub.operatorfile import Operator
 from rackhub.trials.fleet.twin import MS, SECOND, Net
 
-PEERS = t.Settings(classes=(t.ClassSettings("lookup"),), peers=True)
+PEERS = t.Settings(classes=(t.ClassSettings("lookup"),), gossip=True)
 PART = {"cluster": "rides", "listen": "127.0.0.1:7001", "join": ["127.0.0.1:7002"]}
 
 
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -12,9 +12,9 @@
 
 from rackhub import interface as t
 from rackhub.core.coordinator import Coordinator
-from rackhub.core.gather import SiteTold, Told
+from rackhub.core.gather import GatherStatus, SiteStatus
 from rackhub.core.request import Query
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.gather import hops
@@ -27,14 +27,14 @@
 
 SETTINGS = t.Settings(
     classes=(
-        t.ClassSettings("report", deadline=4 * S, effect="retryable"),
-        t.ClassSettings("depot-load", effect="dedup", dedup_scope="all", window=S),
+        t.ClassSettings("report", deadline=4 * S, idempotency="retryable"),
+        t.ClassSettings("depot-load", idempotency="dedup", idempotency_scope="all", idempotency_window=S),
         t.ClassSettings("odd"),
     ),
     tenants=(t.TenantSettings("acme"),),
     kind_cores={"std": 8.0},
     period=5 * MS,
-    peers=True,
+    gossip=True,
     cancel=True,
     max_attempts=2,
     max_retry_after=2 * S,
@@ -163,8 +163,9 @@
     begin(machine, cut=("c",))
     machine.came(10, "a", 0, rows("a"))
     answer = only(machine.failed(20, "b", 0, "failed"), Answer)
-    assert answer.pages == [b"a"] and answer.told == Told(
-        whole=False, sites=[SiteTold(site="a"), SiteTold(site="b", missing="failed"), SiteTold(site="c", missing="cut")]
+    assert answer.pages == [b"a"] and answer.told == GatherStatus(
+        whole=False,
+        sites=[SiteStatus(site="a"), SiteStatus(site="b", missing="failed"), SiteStatus(site="c", missing="cut")],
     )
 
 
@@ -374,7 +375,7 @@
 
     def _end(self, now):
         return [
-            effect._replace(told=Told(whole=True, sites=effect.told.sites))
+            effect._replace(told=GatherStatus(whole=True, sites=effect.told.sites))
             if isinstance(effect, Answer) and effect.told
             else effect
             for effect in super()._end(now)
@@ -471,7 +472,7 @@
         self.given_up.append(attempt.engine)
         self.out = [other for other in self.out if other is not attempt]
 
-    def hurry(self, attempt): ...
+    def promote(self, attempt): ...
     def close_idle(self, engine): ...
 
 
@@ -482,7 +483,7 @@
         self.marks, self.said = marks, []
 
     def served(self, query, rows):
-        self.said.append(("served", b"".join(rows), query.mark))
+        self.said.append(("served", b"".join(rows), query.gather_status))
 
     def refused(self, query, backoff):
         self.said.append(("refused", backoff))
@@ -503,7 +504,7 @@
 
     def list(self, *zones):
         entries = tuple(t.EngineEntry(f"e{zone}", zone, "std") for zone in zones)
-        listing = Listing(1, entries, {entry.engine: ("127.0.0.1", 1) for entry in entries})
+        listing = EndpointSnapshot(1, entries, {entry.engine: ("127.0.0.1", 1) for entry in entries})
         if self.core.engines is None:
             self.core.start(self.engines, entries, 1)
         else:
@@ -531,7 +532,7 @@
     assert not client.said
     gateway.end("za", text=b"a\t1\t2\n")
     assert client.said == [
-        ("served", b"a\t1\t2\nb\t1\t2\n", Told(whole=True, sites=[SiteTold(site="a"), SiteTold(site="b")]))
+        ("served", b"a\t1\t2\nb\t1\t2\n", GatherStatus(whole=True, sites=[SiteStatus(site="a"), SiteStatus(site="b")]))
     ]
     assert not gateway.core.queries and not gateway.desk.open
 
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -69,7 +69,7 @@
 def test_a_coordinator_goes_on_from_a_recorded_store():
     files = MemoryFiles()
     golden_disk.write_records(files, GOLDEN["state"])
-    here = test_state.Kept(files, listing=test_state.Listing(0, (), {}))
+    here = test_state.Kept(files, listing=test_state.EndpointSnapshot(0, (), {}))
     left_open = here.keeper.left_open
     assert [(one.token, one.state, one.attempts, one.engine) for one in left_open] == [(f"{4:032x}", "out", 1, "e0")]
     assert [entry.engine for entry in here.listing.entries] == ["e0", "e1"]
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -18,7 +18,7 @@
 from rackhub.ops.figures import Figures
 from rackhub.ops.listener import OpsFront
 
-LIST = (t.EngineEntry("a", came_up=5), t.EngineEntry("b"), t.EngineEntry("c", state="Terminating"))
+LIST = (t.EngineEntry("a", started_at=5), t.EngineEntry("b"), t.EngineEntry("c", state="Terminating"))
 
 
 def shown_states(bans: Bans, entries=LIST) -> dict[str, str]:
@@ -36,9 +36,9 @@
     assert shown_states(bans, (t.EngineEntry("b"),))["b"] == "Terminating"
     assert bans.online("b", 1_000)
     back = {entry.engine: entry for entry in bans.shown(LIST)}["b"]
-    assert back.state == "Ready" and back.came_up == 1_000  # cold from its return on
-    later = {entry.engine: entry for entry in bans.shown((t.EngineEntry("b", came_up=2_000),))}["b"]
-    assert later.came_up == 2_000  # a later start in the list tells the truth from there on
+    assert back.state == "Ready" and back.started_at == 1_000  # cold from its return on
+    later = {entry.engine: entry for entry in bans.shown((t.EngineEntry("b", started_at=2_000),))}["b"]
+    assert later.started_at == 2_000  # a later start in the list tells the truth from there on
 
 
 @given(st.lists(st.tuples(st.sampled_from(["off", "on", "list"]), st.sampled_from("abcx")), max_size=40))
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import Clock
 from twisted.names import dns
 
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.counters import Counters
 from rackhub.net.asking import Asking
 from rackhub.net.resolver import SERVICE, BadAnswer, Resolver, listing_of, question
@@ -42,7 +42,7 @@
     def __init__(self, seed=1):
         self.clock, self.counters, self.lists, self.sent = Clock(), Counters(), [], []
         self.resolver = Resolver(
-            self.clock, ("127.0.0.9", 53), Listing(3, (), {}), self.lists.append, LIMITS, self.counters
+            self.clock, ("127.0.0.9", 53), EndpointSnapshot(3, (), {}), self.lists.append, LIMITS, self.counters
         )
         self.resolver._asking = Asking(LIMITS, random.Random(seed).random)
         self.transport, self.resolver.transport = self, self
@@ -71,7 +71,7 @@
 def test_an_answer_is_the_whole_list():
     listing = listing_of(answer(1, 41, A, B))
     first, second = listing.entries
-    assert (first.engine, first.zone, first.kind, first.cell, first.state, first.size, first.came_up) == (
+    assert (first.engine, first.zone, first.kind, first.cell, first.state, first.size, first.started_at) == (
         "a",
         "east",
         "std",
@@ -80,8 +80,8 @@
         4.0,
         0,
     )
-    assert (second.state, second.came_up) == ("Terminating", 1_700_000_000_123_000)
-    assert listing.rev == 41 and listing.addresses == {"a": ("127.0.0.1", 5050), "b": ("127.0.0.2", 5050)}
+    assert (second.state, second.started_at) == ("Terminating", 1_700_000_000_123_000)
+    assert listing.revision == 41 and listing.addresses == {"a": ("127.0.0.1", 5050), "b": ("127.0.0.2", 5050)}
 
 
 def test_an_empty_list_is_an_answer_too():
@@ -207,9 +207,9 @@
     assert len(here.sent) == 2 and here.server == ("127.0.0.8", 53)
     here.resolver.datagramReceived(answer(here.number, 6, B), ("127.0.0.9", 53))
     here.hear(answer(here.number, 4, B))
-    assert [listing.rev for listing in here.lists] == [5]
+    assert [listing.revision for listing in here.lists] == [5]
     here.hear(answer(here.number, 6, A, B))
-    assert [listing.rev for listing in here.lists] == [5, 6]
+    assert [listing.revision for listing in here.lists] == [5, 6]
     before = len(here.sent)
     for _ in range(10):
         here.clock.advance(LIMITS.poll / 1e6)
@@ -224,7 +224,7 @@
     here.hear(answer(here.number, 5, A))
     here.hear(answer(here.number, 4, A, B))  # overtaken by the newer one
     here.hear(answer(here.number, 6, A)[:-9])
-    assert [listing.rev for listing in here.lists] == [5]
+    assert [listing.revision for listing in here.lists] == [5]
     assert (here.counters["dns_same"], here.counters["dns_old"], here.counters["dns_bad"]) == (1, 1, 2)
     here.hear(answer(here.number, 6, A, B))
-    assert [listing.rev for listing in here.lists] == [5, 6]
+    assert [listing.revision for listing in here.lists] == [5, 6]
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -376,8 +376,8 @@
         for number in range(count)
     ]
     told = listing_of(answer(question(7), 41, engines))
-    assert told.rev == 41 and told.addresses == {each.name: each.address for each in engines}
-    assert {entry.engine: (entry.zone, entry.state, entry.came_up) for entry in told.entries} == {
+    assert told.revision == 41 and told.addresses == {each.name: each.address for each in engines}
+    assert {entry.engine: (entry.zone, entry.state, entry.started_at) for entry in told.entries} == {
         each.name: (each.site, "Terminating" if each.status == "draining" else "Ready", each.since_ms * 1_000)
         for each in engines
     }
--- a/tests/test_site_shapes.py
+++ b/tests/test_site_shapes.py
@@ -26,7 +26,7 @@
     def __init__(self, shape, gateways=4):
         self.shape, self.calm = shape, CALM[shape["source"]]
         classes = (
-            t.ClassSettings("lookup", 5 * S, S, 2.0, 1.0, "retryable", blocked_by_loads=True),
+            t.ClassSettings("lookup", 5 * S, S, 2.0, 1.0, "retryable", blocked_by_table_locks=True),
             t.ClassSettings("report", 25 * S, 3 * S, 2.5, 5.0, "retryable", threads=4),
             t.ClassSettings(
                 "load",
@@ -35,10 +35,10 @@
                 3.0,
                 4.0,
                 shape["load"],
-                dedup_scope="all",
-                window=25 * S,
+                idempotency_scope="all",
+                idempotency_window=25 * S,
                 threads=2,
-                holds_tables=True,
+                locks_tables=True,
             ),
         )
         told = dict(
@@ -49,12 +49,12 @@
             kind_memory={"std": 32_768.0},
             grants=shape["grants"],
             priorities=True,
-            note_period=S // 2,
+            progress_report_interval=S // 2,
             max_attempts=shape["max_attempts"],
-            probes=shape["source"] == "pull",
-            report_source=shape["source"],
+            health_checks=shape["source"] == "pull",
+            load_report_source=shape["source"],
         )
-        self.effects = {told.name: told.effect for told in classes}
+        self.effects = {told.name: told.idempotency for told in classes}
         self.open, self.out, self.ran, self.tries, self.refused = {}, {}, {}, {}, 0
         super().__init__(
             **told, listed=[self.entry(f"e{i}", zone=f"z{i % shape['zones']}", cell=i % 2) for i in range(6)]
@@ -71,13 +71,13 @@
                     cls = self.open[query][0]
                     assert self.effects[cls] != "fragile" or query not in self.ran, "may run twice"
                     self.tries[query], self.out[query] = number + 1, (number, engine, self.now)
-                case t.Refuse(query):
+                case t.Reject(query):
                     cls = self.open.pop(query)[0]
                     assert self.effects[cls] != "fragile" or query not in self.ran and query not in self.out
                     self.refused += 1
                 case t.Fail(query):
                     self.open.pop(query)
-                case t.Probe():
+                case t.CheckHealth():
                     assert self.shape["source"] == "pull", "a probe where none is allowed"
         return []
 
@@ -90,7 +90,7 @@
         name, drop_dead = f"q{self.asked}", self.now + (5 if cls == "lookup" else 25) * S
         self.open[name] = cls, drop_dead
         self.do(
-            t.QueryArrived(
+            t.QueryReceived(
                 name, cls, drop_dead, tenant, estimate=200_000, key=self.asked, memory_mb=200.0, tables=self.asked % 7
             )
         )
@@ -103,7 +103,7 @@
             self.open.pop(query, None)
         settled = good or query not in self.open
         self.do(
-            t.AttemptEnded(
+            t.AttemptCompleted(
                 query,
                 number,
                 reason,
@@ -116,7 +116,7 @@
 
     def note(self, query, topic, value):
         number, engine, _ = self.out[query]
-        self.do(t.Note(query, number, topic, value, engine))
+        self.do(t.ProgressReport(query, number, topic, value, engine))
 
 
 STEPS = st.lists(
@@ -137,7 +137,9 @@
         elif step == "wait":
             site.wait(draw * 2 * MS)
         elif step == "probe" and shape["source"] == "pull":
-            site.do(t.ProbeEnded(f"e{draw % 6}", ("GOOD", "GOOD", "LATE")[draw % 3], 500 + draw * 5, site.calm))
+            site.do(
+                t.HealthCheckCompleted(f"e{draw % 6}", ("GOOD", "GOOD", "LATE")[draw % 3], 500 + draw * 5, site.calm)
+            )
         elif step == "end" and outs:
             site.end(
                 outs[draw % len(outs)],
@@ -157,7 +159,7 @@
         site.ask("lookup" if turn % 5 else ("report", "load")[turn % 2], "ab"[turn % 2])
         if shape["source"] == "pull" and turn % 3 == 0:  # to the own hall the way is shorter, which is no load
             engine = turn // 3 % 6
-            site.do(t.ProbeEnded(f"e{engine}", "GOOD", ways[engine % shape["zones"]] + turn % 40, site.calm))
+            site.do(t.HealthCheckCompleted(f"e{engine}", "GOOD", ways[engine % shape["zones"]] + turn % 40, site.calm))
         site.wait(40 * MS)
         for query, (_, _, sent) in sorted(site.out.items()):
             work = 200 if site.open[query][0] == "lookup" else 900
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -9,7 +9,7 @@
 
 
 def told(starts, came_up, now=NOW):
-    return [entry.came_up for entry in starts.read([EngineEntry("a", came_up=came_up)], now)][0]
+    return [entry.started_at for entry in starts.read([EngineEntry("a", started_at=came_up)], now)][0]
 
 
 def serving():
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -20,7 +20,7 @@
 from rackhub.cli import main
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Query
-from rackhub.core.source import Listing
+from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.state import ledger
@@ -32,7 +32,7 @@
 from rackhub.store.pace import Pace
 
 TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-LIST = Listing(
+LIST = EndpointSnapshot(
     41,
     (t.EngineEntry("e0", "z", "std", 1, "Ready", 4.0, 5 * S), t.EngineEntry("e1", "z", "std", 1, "Terminating")),
     {"e0": ("127.0.0.1", 1), "e1": ("127.0.0.1", 2)},
@@ -51,7 +51,7 @@
         self.sent.append(attempt)
 
     def give_up(self, attempt): ...
-    def hurry(self, attempt): ...
+    def promote(self, attempt): ...
     def close_idle(self, engine): ...
 
     def served(self, query, rows):
@@ -79,7 +79,7 @@
 
     def ask(self, id, cls="depot-load", token=TOKEN):
         until = self.clock.now() + 20 * S
-        self.core.submit(Query(f"{id:016x}", cls, b"x", until, self.port, tenant="acme", token=token))
+        self.core.submit(Query(f"{id:016x}", cls, b"x", until, self.port, tenant="acme", idempotency_key=token))
 
     def turn(self, seconds=0.0):
         """Some turns of the loop, and time."""
@@ -145,16 +145,18 @@
 def test_the_list_of_engines_serves_a_start_that_is_told_none_and_any_told_one_takes_its_place():
     here = Kept()
     here.turn()
-    later = LIST._replace(rev=42, entries=LIST.entries[:1])
+    later = LIST._replace(revision=42, entries=LIST.entries[:1])
     here.keeper.listed(later)
     here.turn()
-    again = Kept(here.files.copy(), listing=Listing(0, (), {}))
-    assert again.listing == Listing(0, later.entries, LIST.addresses)  # numbered so that the resolver's first counts
+    again = Kept(here.files.copy(), listing=EndpointSnapshot(0, (), {}))
+    assert again.listing == EndpointSnapshot(
+        0, later.entries, LIST.addresses
+    )  # numbered so that the resolver's first counts
     assert Kept(here.files.copy(), listing=LIST).listing == LIST
-    start = ledger.start_list(Listing(0, (), {}), ledger.keep_engines(LIST, 0), 90_000 * S, 86_400 * S)
-    assert start == (Listing(0, (), {}), None)  # too old to go by
-    assert ledger.start_list(Listing(0, (), {}), b"no list", 0, S)[1] is None
-    drained, _ = ledger.start_list(Listing(0, (), {}), ledger.keep_engines(LIST, 0), S, 86_400 * S)
+    start = ledger.start_list(EndpointSnapshot(0, (), {}), ledger.keep_engines(LIST, 0), 90_000 * S, 86_400 * S)
+    assert start == (EndpointSnapshot(0, (), {}), None)  # too old to go by
+    assert ledger.start_list(EndpointSnapshot(0, (), {}), b"no list", 0, S)[1] is None
+    drained, _ = ledger.start_list(EndpointSnapshot(0, (), {}), ledger.keep_engines(LIST, 0), S, 86_400 * S)
     assert drained.entries[1].state == "Terminating"
 
 
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -277,7 +277,7 @@
     def give_up(self, attempt):
         self.given_up.append(attempt)
 
-    def hurry(self, attempt): ...
+    def promote(self, attempt): ...
     def close_idle(self, engine): ...
 
     def served(self, query, rows):
@@ -297,11 +297,11 @@
         kind_cores={"std": 8.0},
         period=5 * MS,
         priorities=True,
-        note_period=S,
+        progress_report_interval=S,
         cancel=True,
         max_attempts=3,
         max_retry_after=500 * MS,
-        second_copies=second_copies,
+        hedging=second_copies,
     )
 
 
@@ -324,7 +324,9 @@
 
     def ask(self, cls="lookup", budget=3 * S, token=""):
         self.made += 1
-        query = Query(f"{self.made:016x}", cls, b"x", self.clock.now() + budget, self.port, tenant="acme", token=token)
+        query = Query(
+            f"{self.made:016x}", cls, b"x", self.clock.now() + budget, self.port, tenant="acme", idempotency_key=token
+        )
         self.core.submit(query)
         return query
 
@@ -434,7 +436,7 @@
     here = Core(*(routes or (COPY,)), **more)
     query = here.ask()
     here.clock.advance(250 * MS)
-    assert len(here.port.sent) == 2 and len(query.out) == 2 and here.counters["copies"] == 1
+    assert len(here.port.sent) == 2 and len(query.in_flight) == 2 and here.counters["copies"] == 1
     assert here.port.sent[0].engine != here.port.sent[1].engine
     return here, query, *here.port.sent
 
@@ -459,7 +461,7 @@
 def test_a_copy_that_is_cut_short_leaves_the_other():
     here, query, first, second = copied()
     here.end(second, "RST")
-    assert here.port.answers == [] and list(query.out.values()) == [first] and len(here.port.sent) == 2
+    assert here.port.answers == [] and list(query.in_flight.values()) == [first] and len(here.port.sent) == 2
     here.end(first, "GOOD")
     assert here.port.answers == [(query.id, "served")]
 
@@ -537,7 +539,7 @@
     assert len(here.port.sent) == 2
     module = Scripted()
     here = Core(second_copies=False, module=module)
-    module.acts = {t.QueryArrived: lambda event: [t.Send(event.query, "e0"), t.Send(event.query, "e1")]}
+    module.acts = {t.QueryReceived: lambda event: [t.Send(event.query, "e0"), t.Send(event.query, "e1")]}
     here.ask()
     assert len(here.port.sent) == 1  # whatever the module says
 
@@ -545,9 +547,9 @@
 def test_a_priority_of_the_route_stands_against_the_modules():
     here = Core(Route(cls="lookup", priority=3))
     query = here.ask()
-    assert query.level == 3
-    here.core._terms(t.Terms(query.id, 0.0, 1))
-    assert query.level == 3
+    assert query.priority == 3
+    here.core._terms(t.ExecutionHints(query.id, 0.0, 1))
+    assert query.priority == 3
 
 
 # ---- keyed windows
@@ -576,13 +578,15 @@
             3,
             here.counters.add,
         )
-        query = Query(f"{1:016x}", "depot-load", b"x", here.clock.now() + 20 * S, Port(), tenant="acme", token=TOKEN)
+        query = Query(
+            f"{1:016x}", "depot-load", b"x", here.clock.now() + 20 * S, Port(), tenant="acme", idempotency_key=TOKEN
+        )
         here.core.submit(query)
         spin(lambda: sum(len(stand.wants()) for stand in stands) == 1)
-        (first,) = query.out.values()
+        (first,) = query.in_flight.values()
         here.core.ended(first, "RST")  # the second one begins to dial
-        (second,) = query.out.values()
-        assert second.send_by == first.sent + S and second.engine != first.engine
+        (second,) = query.in_flight.values()
+        assert second.send_by == first.sent_at + S and second.engine != first.engine
         here.clock.time += 2 * S  # its window ends before it is through
         spin(lambda: query.closed)
         assert sum(len(stand.wants()) for stand in stands) == 1 and query.reply.answers == [(query.id, "refused")]
@@ -622,7 +626,7 @@
     here.end(here.port.sent[0], "BAD")
     here.desk.reload(here.table(route))
     here.ask()
-    assert here.port.sent[2].query.life.attempts == 1  # what was spent before counts
+    assert here.port.sent[2].query.terms.max_attempts == 1  # what was spent before counts
     here.end(here.port.sent[2], "BAD")
     assert len(here.port.sent) == 3 and here.port.answers[-1][1] == "refused"
 
@@ -636,7 +640,7 @@
     here.clock.time += max(jump, 0)
     here.clock.advance(15 * S)
     assert sorted(id for id, _ in here.port.answers) == sorted(query.id for query in queries)
-    assert not here.core.out and all(count <= 3 for count in (query.tries for query in queries))
+    assert not here.core.out and all(count <= 3 for count in (query.attempts for query in queries))
 
 
 # ---- one request's life against the rules
@@ -683,8 +687,8 @@
     def ask(self, cls, budget):
         query = self.here.ask(cls, budget, TOKEN if cls == "depot-load" else "")
         self.asked.append(query)
-        if query.life is not None:
-            self.terms[query.id] = query.life.terms
+        if query.terms is not None:
+            self.terms[query.id] = query.terms.terms
         self.watch()
 
     @precondition(lambda self: self.here.core.out)
@@ -726,11 +730,11 @@
         for attempt in sent[self.seen :]:
             query = attempt.query
             assert attempt.engine not in self.drained
-            assert attempt.number < min(self.here.settings.max_attempts, query.life.terms.attempts)
-            if query.token:
-                first = self.first.setdefault(query.id, attempt.sent)
-                within = query.life.terms.repeat_within or 25 * S
-                assert attempt.sent - first < within
+            assert attempt.number < min(self.here.settings.max_attempts, query.terms.terms.attempts)
+            if query.idempotency_key:
+                first = self.first.setdefault(query.id, attempt.sent_at)
+                within = query.terms.terms.repeat_within or 25 * S
+                assert attempt.sent_at - first < within
         self.seen = len(sent)
 
     @invariant()
@@ -741,10 +745,10 @@
         assert len(answered) == len(set(answered))
         now = self.here.clock.now()
         for query in self.asked:
-            assert len(query.out) <= (2 if self.copies else 1)
+            assert len(query.in_flight) <= (2 if self.copies else 1)
             assert query.closed or now <= query.deadline + LIMITS.backstop + LIMITS.sweep
-            if query.life is not None:
-                assert query.life.terms is self.terms[query.id]
+            if query.terms is not None:
+                assert query.terms.terms is self.terms[query.id]
         live = sum(not query.closed for query in self.asked)
         assert sum(self.here.desk.open.values()) == live == len(self.here.core.queries)
 
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -188,7 +188,7 @@
             assert said == []
             query = self.core.open[f"{id:016x}"]
             assert (query.tables, query.deadline) == (3, self.core.clock.now() + 900 * MS)
-            assert query.token == ("k" if method == "depot-load" else "")
+            assert query.idempotency_key == ("k" if method == "depot-load" else "")
 
     @precondition(lambda self: self.ready)
     @rule(
@@ -398,7 +398,7 @@
     @rule()
     def carry(self):
         id = f"{next(self.numbers):016x}"
-        query = Query(id, "depot-load", b"INSERT", self.core.clock.now() + 9 * S, HEARD, token="key")
+        query = Query(id, "depot-load", b"INSERT", self.core.clock.now() + 9 * S, HEARD, idempotency_key="key")
         attempt = self.attempts[id] = Attempt(query, 0, "e0", self.core.clock.now())
         able = not self.silent and not self.blocked()
         assert self.connection.takes(attempt) == able
@@ -592,7 +592,7 @@
         elif sent:
             self.stale.add(id)
             now = self.core.clock.now()
-            self.silent |= self.heard <= attempt.sent and now - attempt.sent >= LIMITS.silence
+            self.silent |= self.heard <= attempt.sent_at and now - attempt.sent_at >= LIMITS.silence
             assert not self.connection.takes(attempt)  # an answer that crossed would pass for a later attempt's
 
     @precondition(lambda self: self.state == "up" and self.stale)
@@ -603,11 +603,11 @@
 
     @precondition(lambda self: self.attempts)
     @rule(data=st.data())
-    def hurry(self, data):
+    def promote(self, data):
         id = self.pick(data, self.attempts)
-        self.connection.hurry(self.attempts[id])
+        self.connection.promote(self.attempts[id])
         heard = id in self.ends and id not in self.pages
-        assert self.wire.take() == (b"".join(command(b"hurry", id.encode(), b"1")) if heard else b"")
+        assert self.wire.take() == (b"".join(command(b"promote", id.encode(), b"1")) if heard else b"")
 
     @precondition(lambda self: self.state == "up")
     @rule(
@@ -706,7 +706,7 @@
         assert self.say(kind, body, cuts) == []
         (query,) = self.core.open.values()
         assert query.deadline == self.core.clock.now() + (3 * S if batch else 25 * S) and query.tenant == "acme"
-        assert (query.cls, query.token, query.estimate, query.memory_mb, query.statement) == (
+        assert (query.cls, query.idempotency_key, query.estimate, query.memory_mb, query.statement) == (
             ("lookup", "", 0, 0, "SELECT 'é' FROM a_3.b".encode()) if batch else ("depot-load", "k", 1500, 7, b"x")
         )
         self.state, self.kind = "busy", codec.DONE if batch else codec.DONEPROC
