--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -438,3 +438,14 @@
     disk.write(damaged.begin_anew(400), lambda: None)
     net.time.run(MS)
     assert not list(disk.scan("distribution/history/")) and damaged.oldest == 400
+
+
+def test_a_voter_undoes_an_edit_that_was_decided_before_its_own_restart():
+    stand = Stand()
+    stand.edit("e1", 0, a=1)
+    stand.edit("e2", 1, a=2)
+    stand.wait(lambda: stand.everywhere(2))
+    stand.kill("v0")
+    stand.restart("v0")
+    assert isinstance(stand.ask("v0", "u1", on=2, kind="undo", to=1), EditDone)
+    assert stand.content() == {"p": {"a": 1}}
