--- a/rackhub/counters.py
+++ b/rackhub/counters.py
@@ -1,8 +1,11 @@
-"""Counts of what the program takes in, sends and answers; printed on request and at exit."""
+"""Counters of what the process receives, sends and answers; printed on request and at exit.
+
+The names are those of the operators' pages and stay as they are.
+"""
 
 
 class Counters(dict[str, int]):
-    """A tally by name. Only names in `NAMES` count, so that a misspelt one shows at once in a test."""
+    """Counters by name. Only names in `NAMES` exist, so that a misspelt one raises `KeyError` at once in a test."""
 
     NAMES = (
         "clients_accepted",
@@ -103,8 +106,9 @@
         super().__init__(dict.fromkeys(self.NAMES, 0))
 
     def add(self, name: str, count: int = 1) -> None:
+        """Add to a counter; `KeyError` for a name that is not in `NAMES`."""
         self[name] = self[name] + count
 
     def line(self) -> str:
-        """All that happened, as name=count; what never did is left off."""
+        """All counters above zero as `name=count` with spaces between them, or `nothing`."""
         return " ".join(f"{name}={count}" for name, count in self.items() if count) or "nothing"
--- a/rackhub/operatorfile.py
+++ b/rackhub/operatorfile.py
@@ -1,4 +1,4 @@
-"""The operator's file: the TDS front, TDS engines, the store, timings by route; all off unless it sets them up."""
+"""Types of the operator's file: the TDS front, TDS engines, and the optional components, all off by default."""
 
 import base64
 import binascii
@@ -9,18 +9,21 @@
 
 import msgspec
 
-SCRYPT = {"n": 1 << 12, "r": 8, "p": 1, "dklen": 32}  # some 10 ms: the check stands in the way of requests
+SCRYPT = {"n": 1 << 12, "r": 8, "p": 1, "dklen": 32}  # cheap enough to run on the event loop at each login
 
 
 def hashed(password: str, salt: bytes | None = None) -> str:
-    """What stands in the file for a password."""
+    """The text that the file holds for a password: `scrypt:SALT:KEY` in base64; a random salt where none is given."""
     salt = os.urandom(16) if salt is None else salt
     key = hashlib.scrypt(password.encode(), salt=salt, **SCRYPT)
     return "scrypt:" + base64.b64encode(salt).decode() + ":" + base64.b64encode(key).decode()
 
 
 class TdsLogin(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One login and what its batches run with. `password` is what `rackhub hash-password` printed."""
+    """One login and the defaults of its batches.
+
+    `password` is what `rackhub hash-password` printed. Raises `ValueError` for anything else.
+    """
 
     user: str
     password: str
@@ -29,6 +32,7 @@
     budget_ms: int = 0  # 0: the class's deadline
 
     def accepts(self, password: str) -> bool:
+        """Whether this is the login's password, compared in constant time."""
         _, salt, _ = self.password.split(":")
         return hmac.compare_digest(hashed(password, base64.b64decode(salt)), self.password)
 
@@ -46,12 +50,14 @@
 
 
 class TdsFrontSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """The TDS front: the address it listens on, the database it offers and who may log in."""
+
     listen: str
     database: str
     login: list[TdsLogin]
 
     def check(self, user: str, password: str) -> TdsLogin | None:
-        """The login that these words open. A user that is not known costs as much time as one that is."""
+        """The login of this user and password, or None. An unknown user costs as much time as a known one."""
         found = next((login for login in self.login if login.user == user), None)
         if found is None:
             hashed(password, b"0" * 16)
@@ -60,7 +66,7 @@
 
 
 class TdsEngineSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """With this part, all engines of the list are spoken to in TDS."""
+    """Where this is set, all engines of the endpoint list are spoken to in TDS."""
 
     user: str
     password: str
@@ -68,9 +74,10 @@
 
 
 class Operator(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """The whole file. The optional components read and check their own tables when they are loaded."""
+
     tds_front: TdsFrontSettings | None = None
     tds_engines: TdsEngineSettings | None = None
-    # these are read by the parts that they turn on, which are loaded where they are there
     store: dict[str, Any] | None = None
     timings: dict[str, Any] | None = None
     fleet: dict[str, Any] | None = None
--- a/rackhub/statement.py
+++ b/rackhub/statement.py
@@ -52,7 +52,10 @@
 
 def read_group(statement: bytes) -> int | None:
     """The same by reading the whole statement: the first name where a table stands, else the first of any."""
-    elsewhere, table, in_tables, at = None, False, False, 0
+    elsewhere = None
+    table = False
+    in_tables = False
+    at = 0
     while found := SCAN.search(statement, at):
         at, kind = found.end(), found.lastgroup
         if kind == "word":
