--- a/rackhub/components.py
+++ b/rackhub/components.py
@@ -13,7 +13,7 @@
     "timings": "rackhub.timings.part",
     "ops": "rackhub.ops.part",
     "fleet": "rackhub.fleet.part",
-    "gather": "rackhub.gather.part",
+    "gather": "rackhub.gather.component",
 }
 LATE = ("timings",)  # may be turned on by a reload; the others take a restart
 
--- /dev/null
+++ b/rackhub/gather/component.py
@@ -0,0 +1,115 @@
+"""Gathering as a component of the daemon: rules from the operator's file, or from the rule set of the fleet."""
+
+import logging
+from collections.abc import Mapping, Sequence
+from typing import Any
+
+from rackhub.config import gather_rules
+from rackhub.core.component import Component, ComponentContext
+from rackhub.core.source import EndpointSnapshot
+from rackhub.fleet.ports import Fleet, Level, Member
+from rackhub.gather.dispatcher import GatherDispatcher
+from rackhub.gather.remote_gateways import RemoteGateways
+from rackhub.gather.rules import GatherRules, Site
+from rackhub.operatorfile import Operator
+
+log = logging.getLogger(__name__)
+
+
+class GatherComponent(Component):
+    """Hands the core a `GatherDispatcher`, and keeps its rules and the endpoint list current."""
+
+    def __init__(self, context: ComponentContext):
+        super().__init__(context)
+        limits = context.config.limits
+        self.remotes = RemoteGateways(
+            context.reactor, limits.dial_timeout, limits.result, lambda name: self.dispatcher.count(name)
+        )
+        self._file_rules: GatherRules = gather_rules(context.operator.gather or {}, context.source.settings)
+        self._fleet: Fleet | None = None
+        self.dispatcher = GatherDispatcher(
+            context.core,
+            self._file_rules,
+            self.remotes,
+            context.config.seed,
+            gateways_unreachable=self._gateways_unreachable,
+        )
+        context.core.gathers = self.dispatcher
+
+    def join_fleet(self, fleet: Fleet, level: Level | None) -> None:
+        """Use the fleet's membership for reachability, its overload level, and its budget of retries."""
+        self._fleet = fleet
+        self.dispatcher.level = level
+        fleet.members.follow(self._member_changed)
+
+    def _member_changed(self, member: Member) -> None:
+        self.dispatcher.cancel_unreachable()
+
+    def _gateways_unreachable(self, site: Site) -> bool:
+        """Whether all coordinators of another installation are members of this fleet and none can be reached.
+
+        Nothing is known of one that is no member; it is asked.
+        """
+        if self._fleet is None:
+            return False
+        members = self._fleet.members
+        heard = members.heard()
+        names_by_address = {member.serves: name for name, member in members.all().items()}
+        names = [names_by_address.get(address) for address in site.addresses]
+        return all(name is not None and name not in heard for name in names)
+
+    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
+        """Join the fleet and its rule set where they are on."""
+        fleet: Any = self.context.components.get("fleet")  # not by its type: where it is off it is not imported
+        if fleet is not None:
+            self.join_fleet(fleet.fleet, fleet.overload)
+            if fleet.rules is not None:
+                fleet.rules.part("gather", self)
+        self.dispatcher.update_endpoints(listing)
+        return listing
+
+    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
+        """Take a new endpoint list."""
+        self.dispatcher.update_endpoints(listing)
+
+    def reload(self, operator: Operator) -> None:
+        """Apply the file's rules, unless those of the rule set are in force."""
+        version = self.dispatcher.active.version
+        if version:
+            log.info("reload: the rule book's version %d holds, not the file's [gather]", version)
+            return
+        try:
+            self._file_rules = gather_rules(operator.gather or {}, self.context.source.settings)
+        except ValueError as bad:
+            log.error("reload: bad gather rules, the old ones hold: %s", bad)
+            return
+        self.dispatcher.apply_rules(self._file_rules, 0)
+
+    # ---- as `fleet.ports.RulePart`
+
+    def check(self, part: Mapping[str, Any] | None) -> None:
+        """Raise `ValueError` for rules that can't be used."""
+        gather_rules(dict(part or {}), self.context.source.settings)
+
+    def hold(self, part: Mapping[str, Any] | None, version: int) -> None:
+        """Apply the rules of a version of the rule set; None: those of the file."""
+        rules = self._file_rules if part is None else gather_rules(dict(part), self.context.source.settings)
+        self.dispatcher.apply_rules(rules, version)
+
+    def stop(self) -> None:
+        """Close the connections to other installations."""
+        self.remotes.close()
+
+    def metrics(self) -> Mapping[str, float]:
+        """Counters and gauges by name."""
+        return self.dispatcher.metrics()
+
+    def summary_lines(self) -> Sequence[str]:
+        """One line with all values above zero."""
+        values = " ".join(f"{name}={value}" for name, value in self.metrics().items() if value)
+        return [f"gather: {values or 'none'}"]
+
+
+def part(context: ComponentContext) -> GatherComponent:
+    """Create the component."""
+    return GatherComponent(context)
--- /dev/null
+++ b/rackhub/gather/dispatcher.py
@@ -0,0 +1,333 @@
+"""Gathered requests of one coordinator: a state machine for each, its subrequests here and at other installations.
+
+Implements `core.gather.GatherPort`. All decisions are in `state`; here its effects are carried out.
+"""
+
+import random
+from collections import Counter
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any, NamedTuple, Protocol
+
+from rackhub.core.coordinator import Coordinator
+from rackhub.core.gather import Missing
+from rackhub.core.request import Query, Reply
+from rackhub.core.source import Address, EndpointSnapshot
+from rackhub.fleet.ports import Level
+from rackhub.gather import hop_count
+from rackhub.gather.latency import SiteLatencies
+from rackhub.gather.remote_gateways import RemoteGateways
+from rackhub.gather.result_cache import ResultCache
+from rackhub.gather.rules import GatherRules, Rule, Site
+from rackhub.gather.state import Answer, CancelSubrequest, Effect, Gather, Rows, SendSubrequest, StartTimer
+
+MS = 1_000  # microseconds
+MEBIBYTE = 1_048_576
+JOIN_TIME_US = 20 * MS  # of the client's time, reserved for joining the rows and writing them
+DEFAULT_BACKOFF_US = 200 * MS  # for a refusal for which no site gave one
+
+
+class Call(Protocol):
+    """A subrequest in flight."""
+
+    def cancel(self) -> None:
+        """Its result is not wanted any longer."""
+
+
+class LocalCall(Reply):
+    """A subrequest to engines of this coordinator's list: a request of the core's own, whose answer arrives here."""
+
+    __slots__ = ("dispatcher", "request", "site", "attempt", "query", "done")
+    marks = False
+
+    def __init__(self, dispatcher: "GatherDispatcher", request: "GatheredRequest", site: str, attempt: int):
+        self.dispatcher = dispatcher
+        self.request = request
+        self.site = site
+        self.attempt = attempt
+        self.done = False
+        self.query: Query | None = None
+
+    def cancel(self) -> None:
+        """Disconnect from the core's request."""
+        if not self.done and self.query is not None:
+            self.done = True
+            self.dispatcher.core.leave(self.query)
+
+    def served(self, query: Query, rows: Sequence[bytes]) -> None:
+        """The subrequest has its rows."""
+        if not self.done:
+            self.done = True
+            self.dispatcher.complete_with_rows(self.request, self.site, self.attempt, rows)
+
+    def refused(self, query: Query, backoff: int) -> None:
+        """The subrequest was rejected, with a backoff in microseconds."""
+        self._complete_without_rows("refused", backoff)
+
+    def failed(self, query: Query, why: str) -> None:
+        """The subrequest failed."""
+        self._complete_without_rows("failed", 0)
+
+    def _complete_without_rows(self, reason: Missing, backoff: int) -> None:
+        if self.done:
+            return
+        self.done = True
+        late = self.query is not None and self.dispatcher.core.out_of_time(self.query)
+        if late:
+            reason = "late"
+        self.dispatcher.complete_without_rows(self.request, self.site, self.attempt, reason, backoff, False)
+
+
+class GatheredRequest:
+    """One request that is being gathered, under the rules and sites that were in force when it began."""
+
+    __slots__ = ("query", "rule", "sites", "state", "hops", "calls", "sent_at", "attempted_addresses")
+
+    def __init__(self, query: Query, rule: Rule, sites: Mapping[str, Site], hops: int):
+        self.query = query
+        self.rule = rule
+        self.sites = sites
+        self.hops = hops
+        self.state: Gather
+        self.calls: dict[tuple[str, int], Call] = {}  # by site and attempt
+        self.sent_at: dict[tuple[str, int], int] = {}
+        self.attempted_addresses: dict[str, set[Address]] = {}
+
+
+class ActiveRules(NamedTuple):
+    """The rules in force and their version; 0: those of the operator's file."""
+
+    rules: GatherRules
+    version: int
+
+
+class GatherDispatcher:
+    """Carries out the effects of all gathered requests.
+
+    `gateways_unreachable(site)`: whether members report all coordinators of another installation as unreachable.
+    `level`: the fleet's overload level, where there is a fleet.
+    """
+
+    def __init__(
+        self,
+        core: Coordinator,
+        rules: GatherRules,
+        remotes: RemoteGateways,
+        seed: int,
+        level: Level | None = None,
+        gateways_unreachable: Callable[[Site], bool] = lambda site: False,
+    ):
+        self.core = core
+        self.remotes = remotes
+        self.level = level
+        self._gateways_unreachable = gateways_unreachable
+        self.active = ActiveRules(rules, 0)
+        self.random = random.Random(f"gather {seed}")
+        self.latencies = SiteLatencies()
+        self.result_cache = ResultCache(int(rules.file.cache_mb * MEBIBYTE))
+        self.counts = Counter[str]()
+        self.requests: dict[str, GatheredRequest] = {}
+        self._ready_zones: frozenset[str] = frozenset()
+
+    def count(self, name: str) -> None:
+        """Add one to a counter of this component."""
+        self.counts[name] += 1
+
+    # ---- rules and endpoints
+
+    def apply_rules(self, rules: GatherRules, version: int) -> None:
+        """Use other rules for requests from now on; those in flight end under theirs."""
+        self.active = ActiveRules(rules, version)
+        self.count("gather_rules_held")
+
+    def update_endpoints(self, endpoints: EndpointSnapshot) -> None:
+        """Take a new endpoint list."""
+        self._ready_zones = frozenset(entry.zone for entry in endpoints.entries if entry.state == "Ready")
+        self.cancel_unreachable()
+
+    def cancel_unreachable(self) -> None:
+        """Reachability has changed: don't wait for unreachable sites any longer."""
+        for request in list(self.requests.values()):
+            for site in [site for site in request.state.in_flight if self._is_unreachable(request.sites[site])]:
+                self._apply(request, request.state.mark_unreachable(self.core.clock.now(), site))
+
+    def _is_unreachable(self, site: Site) -> bool:
+        if site.zones:
+            return not self._ready_zones.intersection(site.zones)
+        return self._gateways_unreachable(site)
+
+    # ---- core.gather.GatherPort
+
+    def take(self, query: Query) -> bool:
+        """Gather the request if a rule matches it; False leaves it to the core."""
+        rules = self.active.rules
+        rule = rules.find(query.cls, query.tenant, query.tables)
+        if rule is None:
+            return False
+        hops = hop_count.hop_count_of(query.id)
+        if hops >= rules.file.hops:  # sites that gather from one another: here it runs as an ordinary request
+            self.count("gather_hops_ended")
+            return False
+        self.count("gathers")
+        now = self.core.clock.now()
+        request = GatheredRequest(query, rule, rules.sites, hops + 1)
+        request.state = self._new_state(query, rule, rules, now)
+        self.requests[query.id] = request
+        overloaded = self.level is not None and self.level.over()
+        unreachable = lambda site: self._is_unreachable(rules.sites[site])  # noqa: E731
+        self._apply(request, request.state.start(now, unreachable, overloaded))
+        return True
+
+    def _new_state(self, query: Query, rule: Rule, rules: GatherRules, now: int) -> Gather:
+        cache_key = query.cls, query.tenant, query.statement
+        return Gather(
+            rule,
+            rules.weights,
+            now,
+            query.deadline - min(JOIN_TIME_US, max(query.deadline - now, 0) // 4),
+            self.core.limits.result,
+            lambda site: self.latencies.quantile(site, query.cls, rule.latency_quantile),
+            lambda site: self.result_cache.get(site, cache_key),
+            self._take_retry_token,
+            DEFAULT_BACKOFF_US,
+            getattr(query.reply, "marks", False),
+        )
+
+    def client_disconnected(self, query: Query) -> None:
+        """The client is gone, or the core has answered the request: cancel its subrequests."""
+        request = self.requests.pop(query.id, None)
+        if request is not None:
+            self._apply(request, request.state.cancel())
+
+    def _take_retry_token(self) -> bool:
+        return self.level.token() if self.level is not None else True
+
+    # ---- results of subrequests
+
+    def complete_with_rows(self, request: GatheredRequest, site: str, attempt: int, pages: Sequence[bytes]) -> None:
+        """A subrequest returned its rows."""
+        now = self.core.clock.now()
+        self._record_latency(request, site, attempt, now)
+        rows = Rows(tuple(pages))
+        query = request.query
+        if request.rule.fill_ms:
+            self.result_cache.put(site, (query.cls, query.tenant, query.statement), rows, now)
+        self._apply(request, request.state.receive_rows(now, site, attempt, rows))
+
+    def complete_without_rows(
+        self, request: GatheredRequest, site: str, attempt: int, reason: Missing, backoff: int, may_retry: bool
+    ) -> None:
+        """A subrequest ended without rows. `may_retry`: another coordinator of the site could be asked."""
+        now = self.core.clock.now()
+        request.calls.pop((site, attempt), None)
+        request.sent_at.pop((site, attempt), None)
+        self.count(f"gather_parts_{reason}")
+        self._apply(request, request.state.fail_site(now, site, attempt, reason, backoff, may_retry))
+
+    def _record_latency(self, request: GatheredRequest, site: str, attempt: int, now: int) -> None:
+        request.calls.pop((site, attempt), None)
+        sent_at = request.sent_at.pop((site, attempt), None)
+        if sent_at is not None:
+            self.latencies.add(site, request.query.cls, now - sent_at)
+
+    # ---- effects
+
+    def _apply(self, request: GatheredRequest, effects: Sequence[Effect]) -> None:
+        for effect in effects:
+            match effect:
+                case SendSubrequest():
+                    if not request.state.done:  # an earlier effect may have led to the answer
+                        self._send_subrequest(request, effect)
+                case CancelSubrequest(site, attempt):
+                    self._cancel_call(request, site, attempt)
+                case StartTimer(at):
+                    self.core.timers.at(at, self._timer_fired, request)
+                case Answer():
+                    self._answer(request, effect)
+
+    def _timer_fired(self, request: GatheredRequest) -> None:
+        self._apply(request, request.state.timer_fired(self.core.clock.now()))
+
+    def _send_subrequest(self, request: GatheredRequest, effect: SendSubrequest) -> None:
+        now = self.core.clock.now()
+        request.sent_at[effect.site, effect.attempt] = now
+        self.count("gather_parts")
+        if effect.attempt:
+            self.count("gather_further_tries")
+        site = request.sites[effect.site]
+        request_id = hop_count.subrequest_id(self.random, request.hops)
+        if site.zones:
+            self._send_locally(request, effect, site, request_id)
+        else:
+            self._send_to_gateway(request, effect, site, request_id, effect.deadline - now)
+
+    def _send_locally(self, request: GatheredRequest, effect: SendSubrequest, site: Site, request_id: str) -> None:
+        query = request.query
+        call = LocalCall(self, request, effect.site, effect.attempt)
+        subrequest = Query(
+            request_id,
+            query.cls,
+            query.statement,
+            effect.deadline,
+            call,
+            tenant=query.tenant,
+            estimate=query.estimate,
+            memory_mb=query.memory_mb,
+            tables=query.tables,
+        )
+        subrequest.is_subrequest = True
+        subrequest.zones = site.zones
+        call.query = subrequest
+        request.calls[effect.site, effect.attempt] = call
+        self.core.submit(subrequest)
+
+    def _send_to_gateway(
+        self, request: GatheredRequest, effect: SendSubrequest, site: Site, request_id: str, budget: int
+    ) -> None:
+        attempted = request.attempted_addresses.setdefault(site.name, set())
+        candidates = [address for address in site.addresses if address not in attempted] or list(site.addresses)
+        address = self.random.choice(candidates)
+        attempted.add(address)
+        others_left = len(attempted) < len(site.addresses)
+
+        def completed(body: bytes | None, reason: Missing, backoff: int, may_retry: bool) -> None:
+            if body is not None:
+                self.complete_with_rows(request, effect.site, effect.attempt, (body,))
+            else:
+                retry = may_retry and others_left
+                self.complete_without_rows(request, effect.site, effect.attempt, reason, backoff, retry)
+
+        call = self.remotes.call(address, request.query, request_id, budget, completed)
+        if call is None:
+            self.complete_without_rows(request, effect.site, effect.attempt, "refused", 0, others_left)
+            return
+        request.calls[effect.site, effect.attempt] = call
+
+    def _cancel_call(self, request: GatheredRequest, site: str, attempt: int) -> None:
+        call = request.calls.pop((site, attempt), None)
+        sent_at = request.sent_at.pop((site, attempt), None)
+        self.count("gather_parts_called_off")
+        if sent_at is not None:  # it would have taken longer
+            self.latencies.add(site, request.query.cls, self.core.clock.now() - sent_at)
+        if call is not None:
+            call.cancel()
+
+    def _answer(self, request: GatheredRequest, answer: Answer) -> None:
+        query = request.query
+        self.requests.pop(query.id, None)
+        if answer.outcome == "refused":
+            self.count("gather_refused")
+            self.core.gathered(query, "refused", backoff=answer.backoff)
+            return
+        status = answer.status
+        self.count("gather_whole" if status is None or status.whole else "gather_partial")
+        query.gather_status = status if getattr(query.reply, "marks", False) else None
+        self.core.gathered(query, "served", answer.pages)
+
+    def metrics(self) -> dict[str, Any]:
+        """Counters and gauges by name, for DUMP and the control port."""
+        return {
+            **self.counts,
+            "gather_open": len(self.requests),
+            "gather_kept_bytes": self.result_cache.size_bytes,
+            "gather_rules_version": self.active.version,
+        }
--- /dev/null
+++ b/rackhub/gather/remote_gateways.py
@@ -0,0 +1,237 @@
+"""Subrequests to other installations: their coordinators over the clients' protocol, JSON-RPC 2.0, a message a line.
+
+One connection to each coordinator, dialled when a subrequest needs it. Everything received is bounded and checked:
+what answers no pending call, or holds no complete rows, is counted and ends the connection.
+"""
+
+import itertools
+import logging
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+from twisted.protocols.basic import LineOnlyReceiver
+
+from rackhub.core.gather import Missing
+from rackhub.core.request import Query
+from rackhub.core.source import Address
+from rackhub.net.dial import OneDial
+
+log = logging.getLogger(__name__)
+REJECTED_CODE = -32008  # of a JSON-RPC error: retrying is harmless
+MAX_LINE_BYTES = 131_072  # 48,000 bytes of rows in base64, and what surrounds them
+MAX_PENDING_CALLS = 32  # on one connection, by the protocol
+COLUMNS = 3
+MAX_BACKOFF_MS = 1e6
+MS = 1_000  # microseconds
+SECOND = 1_000_000  # microseconds
+Completion = Callable[[bytes | None, Missing, int, bool], None]
+"""The end of a call: its rows, or None with the reason, a backoff in microseconds, and whether it may be retried."""
+
+
+class ErrorObject(msgspec.Struct):
+    """The `error` of a response."""
+
+    code: int = 0
+    data: dict[str, Any] = {}
+
+    @property
+    def backoff(self) -> int:
+        """The backoff that the error asks for in microseconds, 0 where it asks for none that is sensible."""
+        backoff = self.data.get("backoff", 0)
+        if not isinstance(backoff, int | float) or not 0 <= backoff <= MAX_BACKOFF_MS:
+            return 0
+        return int(backoff * MS)
+
+
+class GatherResult(msgspec.Struct):
+    """What a gathered result says of itself. `whole`: it is complete."""
+
+    whole: bool
+
+
+class Result(msgspec.Struct):
+    """The `result` of a response; `body` is base64 on the wire."""
+
+    body: bytes
+    gather: GatherResult | None = None
+
+
+class Response(msgspec.Struct):
+    """One response of another coordinator."""
+
+    id: int
+    result: Result | None = None
+    error: ErrorObject | None = None
+
+
+RESPONSE_DECODER = msgspec.json.Decoder(Response)
+
+
+def are_complete_rows(body: bytes, max_bytes: int) -> bool:
+    """Whether this is a result: rows of three text columns, the last one terminated, within the size of a result."""
+    if len(body) > max_bytes or body and not body.endswith(b"\n"):
+        return False
+    try:
+        body.decode()
+    except UnicodeDecodeError:
+        return False
+    return all(row.count(b"\t") == COLUMNS - 1 for row in body.split(b"\n")[:-1])
+
+
+class Connection(LineOnlyReceiver):
+    """One connection to another coordinator, with its pending calls."""
+
+    delimiter = b"\n"
+    MAX_LENGTH = MAX_LINE_BYTES
+    transport: Any
+
+    def __init__(self, remotes: "RemoteGateways", address: Address):
+        self.remotes = remotes
+        self.address = address
+        self.is_open = False
+        self.closed = False
+        self.pending_calls: dict[int, Completion] = {}
+        self._unsent_lines: list[bytes] = []
+        self._call_ids = itertools.count(1)
+
+    def call(self, params: dict[str, Any], method: str, completed: Completion) -> int:
+        """Send a call and return its id; `completed` is called once unless it is cancelled."""
+        call_id = next(self._call_ids)
+        self.pending_calls[call_id] = completed
+        self._send({"jsonrpc": "2.0", "id": call_id, "method": method, "params": params})
+        return call_id
+
+    def cancel(self, call_id: int) -> None:
+        """Cancel a pending call."""
+        if self.pending_calls.pop(call_id, None) is not None:
+            self._send({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": call_id}})
+
+    def _send(self, message: dict[str, Any]) -> None:
+        line = msgspec.json.encode(message) + b"\n"
+        if self.is_open:
+            self.transport.write(line)
+        else:
+            self._unsent_lines.append(line)
+
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's names
+        """Send what was called while the connection was being dialled."""
+        if self.closed:
+            self.transport.abortConnection()
+            return
+        self.is_open = True
+        self.transport.setTcpNoDelay(True)
+        unsent = self._unsent_lines
+        self._unsent_lines = []
+        self.transport.writeSequence(unsent)
+
+    def lineReceived(self, line: bytes) -> None:  # noqa: N802
+        """Complete the call that a response belongs to."""
+        try:
+            response = RESPONSE_DECODER.decode(line)
+        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
+            self._abort("an answer that can't be read")
+            return
+        completed = self.pending_calls.pop(response.id, None)
+        if completed is None:  # it crossed a cancellation, or was sent twice
+            self.remotes.count("gather_strays")
+        elif response.error is not None:
+            rejected = response.error.code == REJECTED_CODE
+            completed(None, "refused" if rejected else "failed", response.error.backoff, True)
+        else:
+            self._complete(response.result, completed)
+
+    def _complete(self, result: Result | None, completed: Completion) -> None:
+        if result is None or not are_complete_rows(result.body, self.remotes.max_result_bytes):
+            completed(None, "failed", 0, True)
+            self._abort("an answer that is no rows")
+        elif result.gather is not None and not result.gather.whole:  # it gathered the request itself
+            self.remotes.count("gather_partial_parts")
+            completed(None, "failed", 0, False)
+        else:
+            completed(result.body, "failed", 0, False)
+
+    def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
+        """End a connection that sends a line without end."""
+        self._abort(f"a line of more than {MAX_LINE_BYTES} bytes")
+
+    def _abort(self, what: str) -> None:
+        self.remotes.count("gather_spoilt")
+        log.warning("gather: gateway %s:%d sent %s", *self.address, what)
+        self.transport.abortConnection()
+
+    def connectionLost(self, reason: object = None) -> None:  # noqa: N802
+        """Fail what was pending."""
+        self.connection_closed()
+
+    def connection_closed(self) -> None:
+        """The connection is lost or was never made: pending calls may be retried elsewhere, as they are idempotent."""
+        self.closed = True
+        self.is_open = False
+        self.remotes.forget(self)
+        pending = self.pending_calls
+        self.pending_calls = {}
+        for completed in pending.values():
+            completed(None, "cut", 0, True)
+
+
+class RemoteCall:
+    """One call that can be cancelled."""
+
+    __slots__ = ("_connection", "_call_id")
+
+    def __init__(self, connection: Connection, call_id: int):
+        self._connection = connection
+        self._call_id = call_id
+
+    def cancel(self) -> None:
+        """The result is not wanted any longer."""
+        self._connection.cancel(self._call_id)
+
+
+class RemoteGateways:
+    """Connections to the coordinators of other installations.
+
+    `count(name)` adds one to a counter. `dial_timeout`: microseconds. `max_result_bytes`: of one result.
+    """
+
+    def __init__(self, reactor: Any, dial_timeout: int, max_result_bytes: int, count: Callable[[str], None]):
+        self._reactor = reactor
+        self._dial_timeout_s = dial_timeout / SECOND
+        self.max_result_bytes = max_result_bytes
+        self.count = count
+        self._connections: dict[Address, Connection] = {}
+
+    def call(
+        self, address: Address, query: Query, request_id: str, budget: int, completed: Completion
+    ) -> RemoteCall | None:
+        """Send a subrequest to one coordinator, with a time budget in microseconds.
+
+        None: it can take no further call now, and `completed` is not called.
+        """
+        connection = self._connections.get(address)
+        if connection is None:
+            connection = self._connections[address] = Connection(self, address)
+            factory = OneDial(connection, connection.connection_closed)
+            self._reactor.connectTCP(*address, factory, timeout=self._dial_timeout_s)
+        if len(connection.pending_calls) >= MAX_PENDING_CALLS:
+            return None
+        params: dict[str, Any] = {"rid": request_id, "budget": max(budget // MS, 1), "body": query.statement}
+        if query.tenant:
+            params["acct"] = query.tenant
+        if query.estimate:
+            params["est"] = query.estimate / MS
+        if query.memory_mb:
+            params["ram"] = query.memory_mb
+        return RemoteCall(connection, connection.call(params, query.cls, completed))
+
+    def forget(self, connection: Connection) -> None:
+        """Use another connection from now on."""
+        if self._connections.get(connection.address) is connection:
+            del self._connections[connection.address]
+
+    def close(self) -> None:
+        """Close all connections."""
+        for connection in list(self._connections.values()):
+            if connection.is_open:
+                connection.transport.loseConnection()
--- a/rackhub/gather/rules.py
+++ b/rackhub/gather/rules.py
@@ -1,4 +1,4 @@
-"""Which requests are gathered, from which sites, and what is enough: the `[gather]` part as it is written, checked.
+"""Which requests are gathered, from which sites, and what suffices: the `[gather]` table of the operator's file.
 
 Times are milliseconds. Pure; docs/operators/gather.md has every key.
 """
@@ -14,7 +14,9 @@
 
 Names = str | list[str]
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}\Z")
-SITES, RULES, GATEWAYS = 16, 100, 16  # most of each
+MAX_SITES = 16
+MAX_RULES = 100
+MAX_GATEWAYS = 16  # of one site
 DAY_MS = 86_400_000
 
 
@@ -28,6 +30,7 @@
 
     @property
     def addresses(self) -> tuple[tuple[str, int], ...]:
+        """Addresses of the other installation's coordinators; none for a site of zones."""
         return tuple(address(text, "gateways") for text in self.gateways)
 
 
@@ -48,50 +51,60 @@
     needs: Literal["all"] | tuple[str, ...] = "all"
     weight: Annotated[float, Meta(gt=0, le=1)] | None = None
     wait: Literal["budget", "need", "learned"] = "budget"
-    worth: Annotated[float, Meta(gt=0, lt=1)] = 0.9
-    patience_ms: Annotated[float, Meta(ge=0, le=DAY_MS)] = 200.0  # where nothing is learned of a site yet
+    latency_quantile: Annotated[float, Meta(gt=0, lt=1)] = msgspec.field(name="worth", default=0.9)
+    # where the latency of a site is not known yet
+    default_wait_ms: Annotated[float, Meta(ge=0, le=DAY_MS)] = msgspec.field(name="patience_ms", default=200.0)
     fill_ms: Annotated[float, Meta(ge=0, le=DAY_MS)] = 0.0
     spare: tuple[str, ...] = ()
     partial: bool = False
-    tries: Annotated[int, Meta(ge=1, le=4)] = 2  # of a part at another installation; never two at once
+    # at another installation, one after the other
+    max_attempts: Annotated[int, Meta(ge=1, le=4)] = msgspec.field(name="tries", default=2)
 
 
 class GatherFile(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The `[gather]` part."""
+    """The `[gather]` table."""
 
     site: tuple[Site, ...] = ()
     rule: tuple[Rule, ...] = ()
-    hops: Annotated[int, Meta(ge=1, le=4)] = 1  # a part that has come so far is gathered no further
-    kept_mb: Annotated[float, Meta(ge=0, le=1024)] = 8.0  # of last answers, for `fill_ms`
+    hops: Annotated[int, Meta(ge=1, le=4)] = 1  # a subrequest that has passed so many coordinators is not gathered
+    cache_mb: Annotated[float, Meta(ge=0, le=1024)] = msgspec.field(name="kept_mb", default=8.0)
 
 
 class Fault(NamedTuple):
+    """A value that can't be used: its key, the value as JSON and the reason."""
+
     key: str
     value: Any
-    why: str
+    reason: str
 
     def __str__(self) -> str:
-        return f"{self.key}: {msgspec.json.encode(self.value).decode()}: {self.why}"
+        return f"{self.key}: {msgspec.json.encode(self.value).decode()}: {self.reason}"
 
 
 class GatherRules:
-    """The rules in force, by class, tenant and group of tables."""
+    """The rules in force, found by class, tenant and table group."""
 
-    def __init__(self, told: GatherFile):
-        self.told = told
-        self.sites = {site.name: site for site in told.site}
-        self.weights = {site.name: site.weight for site in told.site}
+    def __init__(self, file: GatherFile):
+        self.file = file
+        self.sites = {site.name: site for site in file.site}
+        self.weights = {site.name: site.weight for site in file.site}
 
     def find(self, cls: str, tenant: str, tables: int | None) -> Rule | None:
-        return next((rule for rule in self.told.rule if meets(rule, cls, tenant, tables)), None)
+        """The first rule that matches, or None."""
+        return next((rule for rule in self.file.rule if matches(rule, cls, tenant, tables)), None)
 
 
-def names(told: Names | None) -> tuple[str, ...] | None:
-    return (told,) if isinstance(told, str) else None if told is None else tuple(told)
+def names(configured: Names | None) -> tuple[str, ...] | None:
+    """Names as a tuple, or None where the key was left out and all names match."""
+    if configured is None:
+        return None
+    return (configured,) if isinstance(configured, str) else tuple(configured)
 
 
-def meets(rule: Rule, cls: str, tenant: str, tables: int | None) -> bool:
-    classes, tenants = names(rule.cls), names(rule.tenant)
+def matches(rule: Rule, cls: str, tenant: str, tables: int | None) -> bool:
+    """Whether a rule is for requests of this class, tenant and table group."""
+    classes = names(rule.cls)
+    tenants = names(rule.tenant)
     return (
         (classes is None or cls in classes)
         and (tenants is None or tenant in tenants)
@@ -99,30 +112,29 @@
     )
 
 
-def gather_rules(part: dict[str, Any], settings: interface.Settings) -> GatherRules:
-    """The part as it is used. Raises `ValueError` with all its faults, each with key, value and reason."""
+def gather_rules(table: dict[str, Any], settings: interface.Settings) -> GatherRules:
+    """The checked rules of a table. Raises `ValueError` with all faults, each with key, value and reason."""
     try:
-        told = msgspec.convert(part, GatherFile, strict=False)
+        file = msgspec.convert(table, GatherFile, strict=False)
     except msgspec.ValidationError as bad:
         raise ValueError(str(bad)) from None
-    faults = [
-        *_site_faults(told),
-        *(fault for i, rule in enumerate(told.rule) for fault in _rule_faults(f"rule[{i}]", rule, told, settings)),
-    ]
-    if len(told.rule) > RULES:
-        faults.append(Fault("rule", len(told.rule), f"more than {RULES} rules"))
+    faults = _site_faults(file)
+    for index, rule in enumerate(file.rule):
+        faults += _rule_faults(f"rule[{index}]", rule, file, settings)
+    if len(file.rule) > MAX_RULES:
+        faults.append(Fault("rule", len(file.rule), f"more than {MAX_RULES} rules"))
     if faults:
         raise ValueError("; ".join(f"gather.{fault}" for fault in faults))
-    return GatherRules(told)
+    return GatherRules(file)
 
 
-def _site_faults(told: GatherFile) -> list[Fault]:
+def _site_faults(file: GatherFile) -> list[Fault]:
     faults = []
-    if len(told.site) > SITES:
-        faults.append(Fault("site", len(told.site), f"more than {SITES} sites"))
+    if len(file.site) > MAX_SITES:
+        faults.append(Fault("site", len(file.site), f"more than {MAX_SITES} sites"))
     seen: set[str] = set()
-    for i, site in enumerate(told.site):
-        key = f"site[{i}]"
+    for index, site in enumerate(file.site):
+        key = f"site[{index}]"
         if not NAME.match(site.name):
             faults.append(Fault(f"{key}.name", site.name, "not 1 to 63 letters, digits, dots, dashes or underscores"))
         if site.name in seen:
@@ -130,37 +142,55 @@
         seen.add(site.name)
         if bool(site.zones) == bool(site.gateways):
             faults.append(Fault(f"{key}.zones", site.zones, "a site has either zones or gateways"))
-        if len(site.gateways) > GATEWAYS:
-            faults.append(Fault(f"{key}.gateways", len(site.gateways), f"more than {GATEWAYS}"))
-        for j, text in enumerate(site.gateways):
-            try:
-                address(text, f"{key}.gateways[{j}]")
-            except ValueError:
-                faults.append(Fault(f"{key}.gateways[{j}]", text, "not an address and port"))
+        faults += _address_faults(key, site)
     return faults
 
 
-def _rule_faults(key: str, rule: Rule, told: GatherFile, settings: interface.Settings) -> list[Fault]:
+def _address_faults(key: str, site: Site) -> list[Fault]:
+    faults = []
+    if len(site.gateways) > MAX_GATEWAYS:
+        faults.append(Fault(f"{key}.gateways", len(site.gateways), f"more than {MAX_GATEWAYS}"))
+    for index, text in enumerate(site.gateways):
+        try:
+            address(text, f"{key}.gateways[{index}]")
+        except ValueError:
+            faults.append(Fault(f"{key}.gateways[{index}]", text, "not an address and port"))
+    return faults
+
+
+def _rule_faults(key: str, rule: Rule, file: GatherFile, settings: interface.Settings) -> list[Fault]:
+    return [
+        *_class_faults(key, rule, settings),
+        *_tenant_faults(key, rule, settings),
+        *_rule_site_faults(key, rule, {site.name for site in file.site}),
+        *_partial_faults(key, rule),
+    ]
+
+
+def _class_faults(key: str, rule: Rule, settings: interface.Settings) -> list[Fault]:
     faults = []
-    classes, sites = {cls.name: cls for cls in settings.classes}, {site.name for site in told.site}
+    classes = {cls.name: cls for cls in settings.classes}
     for name in names(rule.cls) or ():
         if name not in classes:
             faults.append(Fault(f"{key}.class", name, "the site has no such class"))
-        elif classes[name].idempotency != "retryable":  # a part may have run where its site did not answer
-            faults.append(
-                Fault(
-                    f"{key}.class",
-                    name,
-                    f"may not simply be repeated (effect {classes[name].idempotency}), so it is never gathered",
-                )
-            )
+        elif classes[name].idempotency != "retryable":  # a subrequest may have run where its site did not answer
+            effect = classes[name].idempotency
+            reason = f"may not simply be repeated (effect {effect}), so it is never gathered"
+            faults.append(Fault(f"{key}.class", name, reason))
+    return faults
+
+
+def _tenant_faults(key: str, rule: Rule, settings: interface.Settings) -> list[Fault]:
     tenants = {tenant.name for tenant in settings.tenants}
-    for name in names(rule.tenant) or ():
-        if tenants and name not in tenants:
-            faults.append(Fault(f"{key}.tenant", name, "the site has no such tenant"))
-    for name in rule.sites:
-        if name not in sites:
-            faults.append(Fault(f"{key}.sites", name, "no gather.site has that name"))
+    return [
+        Fault(f"{key}.tenant", name, "the site has no such tenant")
+        for name in names(rule.tenant) or ()
+        if tenants and name not in tenants
+    ]
+
+
+def _rule_site_faults(key: str, rule: Rule, sites: set[str]) -> list[Fault]:
+    faults = [Fault(f"{key}.sites", name, "no gather.site has that name") for name in rule.sites if name not in sites]
     if len(set(rule.sites)) != len(rule.sites) or len(rule.sites) < 2:
         faults.append(Fault(f"{key}.sites", rule.sites, "two sites or more are needed, each once"))
     needed = rule.needs if rule.needs != "all" else ()
@@ -174,20 +204,19 @@
             faults.append(Fault(f"{key}.spare", name, "needed, so it can't be spared"))
     if rule.needs != "all" and rule.weight is not None:
         faults.append(Fault(f"{key}.weight", rule.weight, "needs names the sites already"))
-    if not rule.partial:  # what only a partial answer could use would never hold
-        for name, on in (
-            ("needs", rule.needs != "all"),
-            ("weight", rule.weight is not None),
-            ("fill_ms", rule.fill_ms > 0),
-            ("spare", bool(rule.spare)),
-            ("wait", rule.wait != "budget"),
-        ):
-            if on:
-                faults.append(
-                    Fault(
-                        f"{key}.{name}",
-                        getattr(rule, name),
-                        "without partial = true no answer that is not whole is given",
-                    )
-                )
     return faults
+
+
+def _partial_faults(key: str, rule: Rule) -> list[Fault]:
+    """Keys that only a partial answer could use, in a rule that allows none."""
+    if rule.partial:
+        return []
+    configured = (
+        ("needs", rule.needs, rule.needs != "all"),
+        ("weight", rule.weight, rule.weight is not None),
+        ("fill_ms", rule.fill_ms, rule.fill_ms > 0),
+        ("spare", rule.spare, bool(rule.spare)),
+        ("wait", rule.wait, rule.wait != "budget"),
+    )
+    reason = "without partial = true no answer that is not whole is given"
+    return [Fault(f"{key}.{name}", value, reason) for name, value, is_set in configured if is_set]
--- a/rackhub/gather/state.py
+++ b/rackhub/gather/state.py
@@ -1,7 +1,7 @@
-"""One gather as a state machine: its parts' ends in, an answer or calls to make out. No I/O, no clock of its own.
+"""One gathered request as a state machine: events of its subrequests in, effects out. No I/O, no clock of its own.
 
-Times are microseconds of the gathering gateway's clock. A part is one attempt at a time; what comes after its end, or
-twice, changes nothing.
+Times are microseconds of the gathering coordinator's clock. A site has at most one subrequest in flight; what arrives
+after its end, or twice, changes nothing.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -10,235 +10,280 @@
 from rackhub.core.gather import GatherStatus, Missing, SiteStatus
 from rackhub.gather.rules import Rule
 
-MS = 1_000
+MS = 1_000  # microseconds
+WEIGHT_TOLERANCE = 1e-9  # for sums of weights as floating-point numbers
 
 
 class Rows(NamedTuple):
-    """All rows of one site, in pages, and how old they are: 0, fresh."""
+    """All rows of one site, in pages, and their age in microseconds; 0: read just now."""
 
     pages: Sequence[bytes]
     age: int = 0
 
     @property
     def size(self) -> int:
+        """Bytes of all pages."""
         return sum(map(len, self.pages))
 
 
 # ---- effects
 
 
-class SendPart(NamedTuple):
-    """Ask the site, for the `number`th time from 0; its end is due by `until`."""
+class SendSubrequest(NamedTuple):
+    """Send the request to a site, as attempt number `attempt` from 0; its result is needed before `deadline`."""
 
     site: str
-    number: int
-    until: int
+    attempt: int
+    deadline: int
 
 
-class CallOff(NamedTuple):
+class CancelSubrequest(NamedTuple):
+    """Cancel the attempt that is in flight at a site."""
+
     site: str
-    number: int
+    attempt: int
+
 
+class StartTimer(NamedTuple):
+    """Call `Gather.timer_fired` at this time."""
 
-class Wake(NamedTuple):
     at: int
 
 
 class Answer(NamedTuple):
-    """`how` is served, with rows in the sites' order and what stands beside them (None: whole), or refused."""
+    """The final answer: served, with the sites' rows in order and their status (None: complete), or refused.
+
+    `backoff`: microseconds for which a refused client should stay away. `reason`: for the log alone.
+    """
 
-    how: Literal["served", "refused"]
+    outcome: Literal["served", "refused"]
     pages: Sequence[bytes] = ()
-    told: GatherStatus | None = None
+    status: GatherStatus | None = None
     backoff: int = 0
-    why: str = ""
+    reason: str = ""
 
 
-Effect = SendPart | CallOff | Wake | Answer
+Effect = SendSubrequest | CancelSubrequest | StartTimer | Answer
 
 
-class Kept(NamedTuple):
-    """What stands by for a site that is missing."""
+class CachedResult(NamedTuple):
+    """An earlier result of a site, which may stand in for a missing one, and when it was read."""
 
     rows: Rows
-    at: int  # when they were read
+    read_at: int
 
 
 class Gather:
-    """From the start to its answer. `learned(site)`: how long the site takes by the rule's quantile, 0: not known.
-    `kept(site)`: its last whole answer to this request. `token()`: takes one further attempt from the fleet's budget.
-    `weights`: of the sites."""
+    """A gathered request from its start to its answer.
+
+    `weights`: by site. `usual_latency(site)`: the latency at the rule's quantile, 0 where it is unknown.
+    `cached_result(site)`: the last complete result of this request. `take_retry_token()`: takes one retry from the
+    fleet's budget, False where none is left. `partial_accepted`: the client's protocol can mark an answer as partial.
+    """
 
     def __init__(
         self,
         rule: Rule,
         weights: Mapping[str, float],
-        began: int,
+        started_at: int,
         deadline: int,
-        most_bytes: int,
-        learned: Callable[[str], int],
-        kept: Callable[[str], Kept | None],
-        token: Callable[[], bool],
+        max_bytes: int,
+        usual_latency: Callable[[str], int],
+        cached_result: Callable[[str], CachedResult | None],
+        take_retry_token: Callable[[], bool],
         backoff: int,
-        marks: bool = True,
+        partial_accepted: bool = True,
     ):
-        self.rule, self.weights, self.began, self.deadline = rule, weights, began, deadline
-        self._most, self._learned, self._kept, self._token = most_bytes, learned, kept, token
-        self._partial = rule.partial and marks
+        self.rule = rule
+        self.weights = weights
+        self.started_at = started_at
+        self.deadline = deadline
         self.fresh: dict[str, Rows] = {}
         self.missing: dict[str, Missing] = {}
-        self.out: dict[str, int] = {}  # sites that are asked, by the number of the try
-        self.tries: dict[str, int] = dict.fromkeys(rule.sites, 0)
-        self.over = False
-        self._backoff, self._met_at = backoff, 0
+        self.in_flight: dict[str, int] = {}  # site -> number of the attempt
+        self.attempts: dict[str, int] = dict.fromkeys(rule.sites, 0)
+        self.done = False
+        self._max_bytes = max_bytes
+        self._usual_latency = usual_latency
+        self._cached_result = cached_result
+        self._take_retry_token = take_retry_token
+        self._partial_allowed = rule.partial and partial_accepted
+        self._backoff = backoff
+        self._sufficient_at = 0
 
     # ---- events
 
-    def start(self, now: int, cut: Callable[[str], bool], over_level: bool) -> list[Effect]:
-        """Admit it as a whole: what is cut off is not waited for; over the fleet's level parts are spared, as far as
-        the need can still be met without."""
+    def start(self, now: int, is_unreachable: Callable[[str], bool], overloaded: bool) -> list[Effect]:
+        """Admit or refuse the request as a whole.
+
+        Unreachable sites are not waited for. While the fleet is overloaded, sites that the rule can spare are left out
+        as far as the others can still suffice.
+        """
         for site in self.rule.sites:
-            if cut(site):
+            if is_unreachable(site):
                 self.missing[site] = "cut"
-        if over_level and self._partial:
-            for site in self.rule.spare:
-                if site not in self.missing and self._can(frozenset(self.missing) | {site}, now):
-                    self.missing[site] = "spared"
-        if not self._can(frozenset(self.missing), now):
-            return self._end(now)
-        asked = [site for site in self.rule.sites if site not in self.missing]
-        sends: list[Effect] = [self._send(site) for site in asked]
-        return [*sends, Wake(self.deadline), *self._look(now)]
-
-    def came(self, now: int, site: str, number: int, rows: Rows) -> list[Effect]:
-        """The whole answer of a part. A later one, or one of a try that was given up, counts for nothing."""
-        if self.over or self.out.get(site) != number:
+        if overloaded and self._partial_allowed:
+            self._spare_sites(now)
+        if not self._can_succeed(frozenset(self.missing), now):
+            return self._finish(now)
+        targets = [site for site in self.rule.sites if site not in self.missing]
+        sends: list[Effect] = [self._send_subrequest(site) for site in targets]
+        return [*sends, StartTimer(self.deadline), *self._evaluate(now)]
+
+    def _spare_sites(self, now: int) -> None:
+        for site in self.rule.spare:
+            if site not in self.missing and self._can_succeed(frozenset(self.missing) | {site}, now):
+                self.missing[site] = "spared"
+
+    def receive_rows(self, now: int, site: str, attempt: int, rows: Rows) -> list[Effect]:
+        """A subrequest returned its complete rows. A second result, or one of an older attempt, is ignored."""
+        if self.done or self.in_flight.get(site) != attempt:
             return []
-        del self.out[site]
+        del self.in_flight[site]
         self.fresh[site] = rows
-        return self._look(now)
+        return self._evaluate(now)
 
-    def failed(
-        self, now: int, site: str, number: int, why: Missing, backoff: int = 0, again: bool = False
+    def fail_site(
+        self, now: int, site: str, attempt: int, reason: Missing, backoff: int = 0, may_retry: bool = False
     ) -> list[Effect]:
-        """A part ended without an answer. `again`: another gateway of the site could be asked."""
-        if self.over or self.out.get(site) != number:
+        """A subrequest ended without rows. `may_retry`: another coordinator of the site could be asked."""
+        if self.done or self.in_flight.get(site) != attempt:
             return []
-        del self.out[site]
+        del self.in_flight[site]
         self._backoff = max(self._backoff, backoff)
-        if again and self.tries[site] < self.rule.tries and now < self.deadline and self._token():
-            return [self._send(site)]
-        self.missing[site] = why
-        return self._look(now)
-
-    def cut(self, now: int, site: str) -> list[Effect]:
-        """Members say that the site can't be reached: its part is not waited for any more."""
-        if self.over or site not in self.out:
+        if may_retry and self._retry_allowed(site, now):
+            return [self._send_subrequest(site)]
+        self.missing[site] = reason
+        return self._evaluate(now)
+
+    def _retry_allowed(self, site: str, now: int) -> bool:
+        return self.attempts[site] < self.rule.max_attempts and now < self.deadline and self._take_retry_token()
+
+    def mark_unreachable(self, now: int, site: str) -> list[Effect]:
+        """The members report a site as unreachable: its subrequest is not waited for any longer."""
+        if self.done or site not in self.in_flight:
             return []
-        number = self.out.pop(site)
+        attempt = self.in_flight.pop(site)
         self.missing[site] = "cut"
-        return [CallOff(site, number), *self._look(now)]
+        return [CancelSubrequest(site, attempt), *self._evaluate(now)]
 
-    def woke(self, now: int) -> list[Effect]:
-        if self.over:
+    def timer_fired(self, now: int) -> list[Effect]:
+        """A timer that `StartTimer` asked for is due."""
+        if self.done:
             return []
         if now >= self.deadline:
-            return self._end(now)
-        return self._look(now)
-
-    def left(self) -> list[Effect]:
-        """The client is gone, or has had its answer from elsewhere."""
-        self.over = True
-        return self._call_off()
-
-    # ---- what is decided
-
-    def _send(self, site: str) -> SendPart:
-        number = self.tries[site]
-        self.tries[site] = number + 1
-        self.out[site] = number
-        return SendPart(site, number, self.deadline)
-
-    def _look(self, now: int) -> list[Effect]:
-        """After each end: answer if nothing is out, if the need can't be met any more, or if it is met and what is out
-        is not worth its lateness."""
-        if not self.out or not self._can(frozenset(self.missing), now):
-            return self._end(now)
-        if not self._partial or self.rule.wait == "budget" or not self._met(frozenset(self.fresh)):
+            return self._finish(now)
+        return self._evaluate(now)
+
+    def cancel(self) -> list[Effect]:
+        """The client has disconnected, or was answered from elsewhere."""
+        self.done = True
+        return self._cancel_calls()
+
+    # ---- decisions
+
+    def _send_subrequest(self, site: str) -> SendSubrequest:
+        attempt = self.attempts[site]
+        self.attempts[site] = attempt + 1
+        self.in_flight[site] = attempt
+        return SendSubrequest(site, attempt, self.deadline)
+
+    def _evaluate(self, now: int) -> list[Effect]:
+        """Finish if nothing is in flight, if the answer can't suffice any more, or if the wait is over."""
+        if not self.in_flight or not self._can_succeed(frozenset(self.missing), now):
+            return self._finish(now)
+        if not self._partial_allowed or self.rule.wait == "budget" or not self._is_sufficient(frozenset(self.fresh)):
             return []
-        until = self._worth_until(now)
-        return self._end(now) if now >= until else [Wake(until)]
+        wait_limit = self._wait_limit(now)
+        return self._finish(now) if now >= wait_limit else [StartTimer(wait_limit)]
 
-    def _worth_until(self, now: int) -> int:
-        """Until when the missing sites are waited for once the need is met."""
-        self._met_at = self._met_at or now
+    def _wait_limit(self, now: int) -> int:
+        """Until when missing sites are waited for once the others suffice."""
+        self._sufficient_at = self._sufficient_at or now
         if self.rule.wait == "need":
-            return self._met_at
-        waits = [
-            self.began + learned if (learned := self._learned(site)) else self._met_at + int(self.rule.patience_ms * MS)
-            for site in self.out
-        ]
-        return min(max(waits, default=now), self.deadline)
-
-    def _fills(self, site: str, now: int) -> Rows | None:
-        kept = self._kept(site) if self._partial and self.rule.fill_ms else None
-        if kept is None or now - kept.at > self.rule.fill_ms * MS:
+            return self._sufficient_at
+        limits = [self._wait_limit_of(site) for site in self.in_flight]
+        return min(max(limits, default=now), self.deadline)
+
+    def _wait_limit_of(self, site: str) -> int:
+        latency = self._usual_latency(site)
+        if latency:
+            return self.started_at + latency
+        return self._sufficient_at + int(self.rule.default_wait_ms * MS)
+
+    def _stand_in(self, site: str, now: int) -> Rows | None:
+        """The cached rows of a site where the rule allows them and they are recent enough."""
+        cached = self._cached_result(site) if self._partial_allowed and self.rule.fill_ms else None
+        if cached is None or now - cached.read_at > self.rule.fill_ms * MS:
             return None
-        return Rows(kept.rows.pages, max(now - kept.at, 1))
+        return Rows(cached.rows.pages, max(now - cached.read_at, 1))
 
-    def _met(self, having: frozenset[str]) -> bool:
-        """Whether these sites are enough."""
-        if not self._partial:
-            return having.issuperset(self.rule.sites)
+    def _is_sufficient(self, present: frozenset[str]) -> bool:
+        """Whether these sites are enough for an answer."""
+        if not self._partial_allowed:
+            return present.issuperset(self.rule.sites)
         if self.rule.weight is not None:
-            whole = sum(self.weights[site] for site in self.rule.sites)
-            return sum(self.weights[site] for site in having) >= self.rule.weight * whole - 1e-9
-        return having.issuperset(self.rule.sites if self.rule.needs == "all" else self.rule.needs)
-
-    def _can(self, missing: frozenset[str], now: int) -> bool:
-        """Whether it can still be met without these, at least one site fresh, by what stands by for them too."""
-        having = {site for site in self.rule.sites if site not in missing}
-        filled = {site for site in missing if self._fills(site, now) is not None}
-        return bool(having) and self._met(frozenset(having | filled))
-
-    def _end(self, now: int) -> list[Effect]:
-        """The one answer, of what is here."""
-        late: dict[str, Missing] = {**self.missing, **dict.fromkeys(self.out, "late")}
+            total = sum(self.weights[site] for site in self.rule.sites)
+            return sum(self.weights[site] for site in present) >= self.rule.weight * total - WEIGHT_TOLERANCE
+        return present.issuperset(self.rule.sites if self.rule.needs == "all" else self.rule.needs)
+
+    def _can_succeed(self, missing: frozenset[str], now: int) -> bool:
+        """Whether the answer can still suffice without these sites: one site fresh, cached results for others."""
+        present = {site for site in self.rule.sites if site not in missing}
+        stood_in = {site for site in missing if self._stand_in(site, now) is not None}
+        return bool(present) and self._is_sufficient(frozenset(present | stood_in))
+
+    # ---- the answer
+
+    def _finish(self, now: int) -> list[Effect]:
+        """The final answer, from what is here."""
+        absent: dict[str, Missing] = {**self.missing, **dict.fromkeys(self.in_flight, "late")}
         rows = dict(self.fresh)
-        for site in late:
-            if (filled := self._fills(site, now)) is not None:
-                rows[site] = filled
-        if not self.fresh or not self._met(frozenset(rows)):
-            self.over = True
-            told = ", ".join(f"{site} {why}" for site, why in late.items())
-            return [*self._call_off(), Answer("refused", backoff=self._backoff, why=told)]
-        for site in reversed(self.rule.sites):  # what is over the most that a result may hold is left out from the end
+        for site in absent:
+            stand_in = self._stand_in(site, now)
+            if stand_in is not None:
+                rows[site] = stand_in
+        self.done = True
+        if not self.fresh or not self._is_sufficient(frozenset(rows)):
+            reasons = ", ".join(f"{site} {reason}" for site, reason in absent.items())
+            return [*self._cancel_calls(), self._refusal(reasons)]
+        self._drop_oversized(rows, absent)
+        if self._total_size(rows) > self._max_bytes:
+            return [*self._cancel_calls(), self._refusal(f"the sites' rows are more than {self._max_bytes} bytes")]
+        pages = [page for site in self.rule.sites if site in rows for page in rows[site].pages]
+        return [*self._cancel_calls(), Answer("served", pages, self._status(rows, absent))]
+
+    def _drop_oversized(self, rows: dict[str, Rows], absent: dict[str, Missing]) -> None:
+        """Leave out sites from the end of the rule while the rows are too large and the others still suffice."""
+        for site in reversed(self.rule.sites):
             if (
                 site in rows
-                and sum(part.size for part in rows.values()) > self._most
-                and self._partial
-                and self._met(frozenset(rows) - {site})
+                and self._total_size(rows) > self._max_bytes
+                and self._partial_allowed
+                and self._is_sufficient(frozenset(rows) - {site})
                 and set(rows) & set(self.fresh) - {site}
             ):
                 del rows[site]
-                late[site] = "failed"
-        self.over = True
-        if sum(part.size for part in rows.values()) > self._most:
-            return [
-                *self._call_off(),
-                Answer("refused", backoff=self._backoff, why=f"the sites' rows are more than {self._most} bytes"),
-            ]
-        whole = set(rows) == set(self.rule.sites) and not any(part.age for part in rows.values())
+                absent[site] = "failed"
+
+    def _refusal(self, reason: str) -> Answer:
+        return Answer("refused", backoff=self._backoff, reason=reason)
+
+    def _status(self, rows: Mapping[str, Rows], absent: Mapping[str, Missing]) -> GatherStatus:
+        complete = set(rows) == set(self.rule.sites) and not any(result.age for result in rows.values())
         sites = [
             SiteStatus(site=site, age_ms=-(-rows[site].age // MS))
             if site in rows
-            else SiteStatus(site=site, missing=late[site])
+            else SiteStatus(site=site, missing=absent[site])
             for site in self.rule.sites
         ]
-        pages = [page for site in self.rule.sites if site in rows for page in rows[site].pages]
-        return [*self._call_off(), Answer("served", pages, GatherStatus(whole=whole, sites=sites))]
+        return GatherStatus(whole=complete, sites=sites)
+
+    @staticmethod
+    def _total_size(rows: Mapping[str, Rows]) -> int:
+        return sum(result.size for result in rows.values())
 
-    def _call_off(self) -> list[Effect]:
-        calls: list[Effect] = [CallOff(site, number) for site, number in self.out.items()]
-        self.out.clear()
-        return calls
+    def _cancel_calls(self) -> list[Effect]:
+        effects: list[Effect] = [CancelSubrequest(site, attempt) for site, attempt in self.in_flight.items()]
+        self.in_flight.clear()
+        return effects
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -17,12 +17,13 @@
 from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
-from rackhub.gather import hops
-from rackhub.gather.desk import GatherDesk
-from rackhub.gather.learned import ENTRY, Shelf, Times
-from rackhub.gather.remote import Remotes, whole_rows
+from rackhub.gather import hop_count
+from rackhub.gather.dispatcher import GatherDispatcher
+from rackhub.gather.latency import SiteLatencies
+from rackhub.gather.remote_gateways import RemoteGateways, are_complete_rows
+from rackhub.gather.result_cache import ENTRY_OVERHEAD_BYTES, ResultCache
 from rackhub.gather.rules import Rule, gather_rules
-from rackhub.gather.state import Answer, CallOff, Gather, Kept, Rows, SendPart, Wake
+from rackhub.gather.state import Answer, CachedResult, CancelSubrequest, Gather, Rows, SendSubrequest, StartTimer
 from rackhub.limits import Limits
 
 SETTINGS = t.Settings(
@@ -92,7 +93,7 @@
 
 def test_the_first_rule_that_a_request_meets_holds():
     rules = gather_rules({"site": SITES, "rule": [RULE | {"tables": [3]}, RULE | {"tenant": "acme"}]}, SETTINGS)
-    first, second = rules.told.rule
+    first, second = rules.file.rule
     assert rules.find("report", "acme", 3) is first and rules.find("report", "acme", 4) is second
     assert rules.find("report", "other", 4) is None and rules.find("odd", "acme", 3) is None
 
@@ -143,27 +144,27 @@
 
 def test_a_whole_answer_has_the_rows_in_the_order_of_the_sites():
     machine = gather()
-    assert [part.site for part in of(begin(machine), SendPart)] == ["a", "b", "c"]
-    assert not machine.came(10, "c", 0, rows("c")) and not machine.came(20, "a", 0, rows("a"))
-    answer = only(machine.came(30, "b", 0, rows("b")), Answer)
-    assert (answer.how, answer.pages, answer.told.whole) == ("served", [b"a", b"b", b"c"], True)
+    assert [part.site for part in of(begin(machine), SendSubrequest)] == ["a", "b", "c"]
+    assert not machine.receive_rows(10, "c", 0, rows("c")) and not machine.receive_rows(20, "a", 0, rows("a"))
+    answer = only(machine.receive_rows(30, "b", 0, rows("b")), Answer)
+    assert (answer.outcome, answer.pages, answer.status.whole) == ("served", [b"a", b"b", b"c"], True)
 
 
 def test_as_soon_as_the_need_cannot_be_met_it_is_refused_and_the_rest_called_off():
     machine = gather()
     begin(machine)
-    effects = machine.failed(50 * MS, "a", 0, "refused", backoff=700 * MS)
-    assert {(call.site, call.number) for call in of(effects, CallOff)} == {("b", 0), ("c", 0)}
+    effects = machine.fail_site(50 * MS, "a", 0, "refused", backoff=700 * MS)
+    assert {(call.site, call.attempt) for call in of(effects, CancelSubrequest)} == {("b", 0), ("c", 0)}
     answer = only(effects, Answer)
-    assert (answer.how, answer.backoff) == ("refused", 700 * MS) and "a refused" in answer.why
+    assert (answer.outcome, answer.backoff) == ("refused", 700 * MS) and "a refused" in answer.reason
 
 
 def test_a_partial_answer_says_which_sites_are_in_and_why_the_others_are_not():
     machine = gather()
     begin(machine, cut=("c",))
-    machine.came(10, "a", 0, rows("a"))
-    answer = only(machine.failed(20, "b", 0, "failed"), Answer)
-    assert answer.pages == [b"a"] and answer.told == GatherStatus(
+    machine.receive_rows(10, "a", 0, rows("a"))
+    answer = only(machine.fail_site(20, "b", 0, "failed"), Answer)
+    assert answer.pages == [b"a"] and answer.status == GatherStatus(
         whole=False,
         sites=[SiteStatus(site="a"), SiteStatus(site="b", missing="failed"), SiteStatus(site="c", missing="cut")],
     )
@@ -172,80 +173,82 @@
 def test_what_a_class_or_a_front_does_not_allow_is_never_partial():
     for machine in (gather(marks=False), gather(partial=False, needs="all")):
         begin(machine)
-        machine.came(10, "a", 0, rows("a"))
-        assert only(machine.failed(20, "b", 0, "failed"), Answer).how == "refused"
+        machine.receive_rows(10, "a", 0, rows("a"))
+        assert only(machine.fail_site(20, "b", 0, "failed"), Answer).outcome == "refused"
 
 
 def test_the_need_may_be_a_part_by_weight():
     machine = gather(needs="all", weight=0.75, wait="need")
     begin(machine)
-    assert not machine.came(10, "a", 0, rows("a"))
-    assert only(machine.came(20, "b", 0, rows("b")), Answer).told.sites[2].missing == "late"
+    assert not machine.receive_rows(10, "a", 0, rows("a"))
+    assert only(machine.receive_rows(20, "b", 0, rows("b")), Answer).status.sites[2].missing == "late"
 
 
 def test_once_the_need_is_met_it_waits_to_the_budget_not_at_all_or_as_long_as_sites_usually_take():
     patient = gather(wait="budget")
     begin(patient)
-    assert not of(patient.came(10, "a", 0, rows("a")), Answer)
-    assert only(patient.woke(1_000 * MS), Answer).told.sites[1].missing == "late"
+    assert not of(patient.receive_rows(10, "a", 0, rows("a")), Answer)
+    assert only(patient.timer_fired(1_000 * MS), Answer).status.sites[1].missing == "late"
     hasty = gather(wait="need")
     begin(hasty)
-    assert only(hasty.came(10, "a", 0, rows("a")), Answer)
+    assert only(hasty.receive_rows(10, "a", 0, rows("a")), Answer)
     knowing = gather(wait="learned", learned={"b": 80 * MS, "c": 300 * MS})
     begin(knowing)
-    assert only(knowing.came(10 * MS, "a", 0, rows("a")), Wake).at == 300 * MS
-    assert not of(knowing.woke(299 * MS), Answer)
-    assert not of(knowing.came(299 * MS, "b", 0, rows("b")), Answer)  # c is still worth its lateness
-    assert only(knowing.woke(300 * MS), Answer).told.sites[2].missing == "late"
+    assert only(knowing.receive_rows(10 * MS, "a", 0, rows("a")), StartTimer).at == 300 * MS
+    assert not of(knowing.timer_fired(299 * MS), Answer)
+    assert not of(knowing.receive_rows(299 * MS, "b", 0, rows("b")), Answer)  # c is still worth its lateness
+    assert only(knowing.timer_fired(300 * MS), Answer).status.sites[2].missing == "late"
 
 
 def test_a_last_answer_fills_in_marked_with_its_age_and_not_when_it_is_too_old_nor_alone():
-    kept = {"a": Kept(rows("old"), 0), "b": Kept(rows("older"), 0)}
+    kept = {"a": CachedResult(rows("old"), 0), "b": CachedResult(rows("older"), 0)}
     machine = gather(needs="all", fill_ms=60.0, kept=kept)
     begin(machine, now=50 * MS)
-    machine.came(51 * MS, "c", 0, rows("c"))
-    machine.failed(52 * MS, "a", 0, "late")
-    answer = only(machine.failed(55 * MS, "b", 0, "cut"), Answer)
-    assert answer.pages == [b"old", b"older", b"c"] and [site.age_ms for site in answer.told.sites] == [55, 55, 0]
-    assert not answer.told.whole
+    machine.receive_rows(51 * MS, "c", 0, rows("c"))
+    machine.fail_site(52 * MS, "a", 0, "late")
+    answer = only(machine.fail_site(55 * MS, "b", 0, "cut"), Answer)
+    assert answer.pages == [b"old", b"older", b"c"] and [site.age_ms for site in answer.status.sites] == [55, 55, 0]
+    assert not answer.status.whole
     late = gather(needs="all", fill_ms=60.0, kept=kept)
     begin(late, now=50 * MS)
-    assert only(late.failed(61 * MS, "a", 0, "late"), Answer).how == "refused"
-    alone = gather(needs="all", fill_ms=60.0, kept=kept | {"c": Kept(rows("c"), 0)})
-    assert only(begin(alone, cut=("a", "b", "c"), now=10 * MS), Answer).how == "refused"
+    assert only(late.fail_site(61 * MS, "a", 0, "late"), Answer).outcome == "refused"
+    alone = gather(needs="all", fill_ms=60.0, kept=kept | {"c": CachedResult(rows("c"), 0)})
+    assert only(begin(alone, cut=("a", "b", "c"), now=10 * MS), Answer).outcome == "refused"
 
 
 def test_over_the_level_spare_parts_are_left_out_before_anything_goes_out():
     machine = gather(spare=("b", "c"))
-    assert [part.site for part in of(begin(machine, over=True), SendPart)] == ["a"]
-    assert only(machine.came(10, "a", 0, rows("a")), Answer).told.sites[1].missing == "spared"
+    assert [part.site for part in of(begin(machine, over=True), SendSubrequest)] == ["a"]
+    assert only(machine.receive_rows(10, "a", 0, rows("a")), Answer).status.sites[1].missing == "spared"
     weighed = gather(needs="all", weight=0.75, spare=("a", "b", "c"))  # b can't be spared: the need would not be met
-    assert [part.site for part in of(begin(weighed, over=True), SendPart)] == ["b", "c"]
+    assert [part.site for part in of(begin(weighed, over=True), SendSubrequest)] == ["b", "c"]
 
 
 def test_a_second_try_is_paid_for_and_never_beside_the_first():
     machine = gather(tokens=1)
     begin(machine)
-    assert only(machine.failed(5, "c", 0, "cut", again=True), SendPart) == SendPart("c", 1, 1_000 * MS)
-    assert not machine.failed(6, "c", 0, "cut", again=True)  # the end of the first try, told twice
-    assert not of(machine.failed(7, "c", 1, "cut", again=True), SendPart) and machine.missing["c"] == "cut"
+    assert only(machine.fail_site(5, "c", 0, "cut", may_retry=True), SendSubrequest) == SendSubrequest(
+        "c", 1, 1_000 * MS
+    )
+    assert not machine.fail_site(6, "c", 0, "cut", may_retry=True)  # the end of the first try, told twice
+    assert not of(machine.fail_site(7, "c", 1, "cut", may_retry=True), SendSubrequest) and machine.missing["c"] == "cut"
     broke = gather(tokens=0)
     begin(broke)
-    assert not of(broke.failed(5, "b", 0, "refused", again=True), SendPart)
+    assert not of(broke.fail_site(5, "b", 0, "refused", may_retry=True), SendSubrequest)
 
 
 def test_what_all_sites_hold_together_stays_within_the_most_of_a_result():
     machine = gather(most=5)
     begin(machine)
     for site, text in (("a", "aaa"), ("b", "bb")):
-        machine.came(10, site, 0, rows(text))
-    answer = only(machine.came(11, "c", 0, rows("c")), Answer)
-    assert answer.pages == [b"aaa", b"bb"] and answer.told.sites[2].missing == "failed"
+        machine.receive_rows(10, site, 0, rows(text))
+    answer = only(machine.receive_rows(11, "c", 0, rows("c")), Answer)
+    assert answer.pages == [b"aaa", b"bb"] and answer.status.sites[2].missing == "failed"
     strict = gather(most=5, needs="all", partial=False)
     begin(strict)
     for site, text in (("a", "aaa"), ("b", "bb")):
-        strict.came(10, site, 0, rows(text))
-    assert only(strict.came(11, "c", 0, rows("c")), Answer).how == "refused"
+        strict.receive_rows(10, site, 0, rows(text))
+    assert only(strict.receive_rows(11, "c", 0, rows("c")), Answer).outcome == "refused"
 
 
 class Checked:
@@ -257,11 +260,11 @@
     def see(self, effects, now):
         for effect in effects:
             match effect:
-                case SendPart(site, number):
+                case SendSubrequest(site, number):
                     assert site not in self.out, "two attempts of one part"
                     assert not self.answers
                     self.out[site] = number
-                case CallOff(site, number):
+                case CancelSubrequest(site, number):
                     assert self.out.pop(site) == number
                 case Answer():
                     assert not self.answers, "answered twice"
@@ -273,9 +276,9 @@
 
     def judge(self, answer, now):
         rule = self.machine.rule
-        if answer.how == "refused":
+        if answer.outcome == "refused":
             return
-        said = {site.site: site for site in answer.told.sites}
+        said = {site.site: site for site in answer.status.sites}
         assert list(said) == list(rule.sites)
         inside = [site for site in rule.sites if said[site].missing is None]
         pages = []
@@ -287,7 +290,7 @@
                 pages.append(self.came.get(site))
         assert list(answer.pages) == pages, "rows not of the sites named"
         whole = len(inside) == len(rule.sites) and not any(site.age_ms for site in said.values())
-        assert answer.told.whole == whole, "partial passed as whole"
+        assert answer.status.whole == whole, "partial passed as whole"
         assert whole or rule.partial, "partial to who does not allow it"
         if rule.weight is not None:
             weights = self.machine.weights
@@ -326,31 +329,41 @@
 def follow(rule, need, steps, cut, over, make=Gather):
     told = rule | need
     told["spare"] = tuple(s for s in told["spare"] if s not in (told["needs"] if told["needs"] != "all" else ()))
-    kept = {"a": Kept(rows("old a"), 0), "b": Kept(rows("old b"), -30 * MS)}
+    kept = {"a": CachedResult(rows("old a"), 0), "b": CachedResult(rows("old b"), -30 * MS)}
     plain = gather(learned={"a": 100 * MS, "b": 200 * MS}, kept=kept, **told)
-    machine = make(plain.rule, plain.weights, 0, 1_000 * MS, 48_000, plain._learned, plain._kept, plain._token, 9)
+    machine = make(
+        plain.rule,
+        plain.weights,
+        0,
+        1_000 * MS,
+        48_000,
+        plain._usual_latency,
+        plain._cached_result,
+        plain._take_retry_token,
+        9,
+    )
     seen, now = Checked(machine), 0
     seen.see(begin(machine, cut, over), now)
     for what, site, later in steps:
         now += later * MS
-        number = machine.out.get(site, 0)
+        number = machine.in_flight.get(site, 0)
         if what in ("came", "twice") and site in seen.out:
             text = f"{site} {number}"
             seen.came[site] = text.encode()
             del seen.out[site]
-            seen.see(machine.came(now, site, number, rows(text)), now)
+            seen.see(machine.receive_rows(now, site, number, rows(text)), now)
             if what == "twice":
-                seen.see(machine.came(now, site, number, rows("late")), now)
+                seen.see(machine.receive_rows(now, site, number, rows("late")), now)
         elif what in ("failed", "again") and site in seen.out:
             del seen.out[site]
-            seen.see(machine.failed(now, site, number, "failed", again=what == "again"), now)
+            seen.see(machine.fail_site(now, site, number, "failed", may_retry=what == "again"), now)
         elif what == "cut":
-            seen.see(machine.cut(now, site), now)
+            seen.see(machine.mark_unreachable(now, site), now)
         elif what == "woke":
-            seen.see(machine.woke(now), now)
+            seen.see(machine.timer_fired(now), now)
         elif what == "came":  # one that was given up, or is over: it must count for nothing
-            seen.see(machine.came(now, site, number, rows("late")), now)
-    seen.see(machine.woke(max(now, 1_000 * MS)), now)
+            seen.see(machine.receive_rows(now, site, number, rows("late")), now)
+    seen.see(machine.timer_fired(max(now, 1_000 * MS)), now)
     assert len(seen.answers) == 1
     return seen
 
@@ -364,36 +377,39 @@
 class LateCounted(Gather):
     """Planted: what comes after its end still counts."""
 
-    def came(self, now, site, number, rows):
-        self.out.setdefault(site, number)
+    def receive_rows(self, now, site, number, rows):
+        self.in_flight.setdefault(site, number)
         self.missing.pop(site, None)
-        return super().came(now, site, number, rows) if not self.over else []
+        return super().receive_rows(now, site, number, rows) if not self.done else []
 
 
 class Unmarked(Gather):
     """Planted: a partial answer is told as whole."""
 
-    def _end(self, now):
+    def _finish(self, now):
         return [
-            effect._replace(told=GatherStatus(whole=True, sites=effect.told.sites))
-            if isinstance(effect, Answer) and effect.told
+            effect._replace(status=GatherStatus(whole=True, sites=effect.status.sites))
+            if isinstance(effect, Answer) and effect.status
             else effect
-            for effect in super()._end(now)
+            for effect in super()._finish(now)
         ]
 
 
 class Twice(Gather):
     """Planted: the second try goes out while the first is."""
 
-    def woke(self, now):
-        return [*super().woke(now), *([self._send(next(iter(self.out)))] if self.out and not self.over else [])]
+    def timer_fired(self, now):
+        return [
+            *super().timer_fired(now),
+            *([self._send_subrequest(next(iter(self.in_flight)))] if self.in_flight and not self.done else []),
+        ]
 
 
 class Waiting(Gather):
     """Planted: held to the end although the need can't be met any more."""
 
-    def _can(self, missing, now):
-        return bool(self.out) or super()._can(missing, now)
+    def _can_succeed(self, missing, now):
+        return bool(self.in_flight) or super()._can_succeed(missing, now)
 
 
 PLAIN = {"wait": "budget", "fill_ms": 0.0, "spare": (), "tries": 2}
@@ -415,18 +431,18 @@
 def test_one_that_is_held_although_it_is_lost_is_found():
     machine = gather()
     begin(machine)
-    assert of(machine.failed(5, "a", 0, "cut"), Answer)
+    assert of(machine.fail_site(5, "a", 0, "cut"), Answer)
     held = gather()
     held.__class__ = Waiting
     begin(held)
-    assert not of(held.failed(5, "a", 0, "cut"), Answer)
+    assert not of(held.fail_site(5, "a", 0, "cut"), Answer)
 
 
 # ---- what is learned and kept, how far a part has come
 
 
 def test_times_tell_a_quantile_once_there_are_enough_and_forget_old_ones():
-    times = Times()
+    times = SiteLatencies()
     for took in range(7):
         times.add("a", "report", took)
     assert not times.quantile("a", "report", 0.9)
@@ -436,12 +452,16 @@
 
 
 def test_the_shelf_keeps_within_its_bytes_and_lets_the_least_lately_used_go():
-    shelf = Shelf(3 * (ENTRY + 10))
+    shelf = ResultCache(3 * (ENTRY_OVERHEAD_BYTES + 10))
     for number in range(3):
         shelf.put("a", number, Rows((b"x" * 10,)), number)
-    assert shelf.get("a", 0).at == 0
+    assert shelf.get("a", 0).read_at == 0
     shelf.put("a", 3, Rows((b"x" * 10,)), 3)
-    assert shelf.get("a", 1) is None and shelf.get("a", 0) is not None and shelf.held <= 3 * (ENTRY + 10)
+    assert (
+        shelf.get("a", 1) is None
+        and shelf.get("a", 0) is not None
+        and shelf.size_bytes <= 3 * (ENTRY_OVERHEAD_BYTES + 10)
+    )
     shelf.put("a", 9, Rows((b"x" * 9_999,)), 3)
     assert shelf.get("a", 9) is None
 
@@ -450,10 +470,10 @@
     import random
 
     draw = random.Random(3)
-    for told in range(1, hops.MOST + 1):
-        id = hops.part_id(draw, told)
-        assert len(id) == 16 and hops.hops_of(id) == told and id != hops.part_id(draw, told)
-    assert not any(hops.hops_of(f"{draw.getrandbits(64):016x}") for _ in range(2_000))
+    for told in range(1, hop_count.MAX_HOPS + 1):
+        id = hop_count.subrequest_id(draw, told)
+        assert len(id) == 16 and hop_count.hop_count_of(id) == told and id != hop_count.subrequest_id(draw, told)
+    assert not any(hop_count.hop_count_of(f"{draw.getrandbits(64):016x}") for _ in range(2_000))
 
 
 # ---- at one gateway
@@ -498,8 +518,10 @@
         self.reactor = reactor or MemoryReactorClock()
         self.core = Coordinator(SETTINGS, 1, self.clock, Timers(self.clock, self.clock), Limits(), Counters())
         rules = gather_rules({"site": SITES, "rule": [PARTIAL | rule]}, SETTINGS)
-        self.desk = GatherDesk(self.core, rules, Remotes(self.reactor, 250 * MS, 48_000, lambda name: None), 1, level)
-        self.core.gathers = self.desk
+        self.dispatcher = GatherDispatcher(
+            self.core, rules, RemoteGateways(self.reactor, 250 * MS, 48_000, lambda name: None), 1, level
+        )
+        self.core.gathers = self.dispatcher
         self.list("za", "zb")
 
     def list(self, *zones):
@@ -509,7 +531,7 @@
             self.core.start(self.engines, entries, 1)
         else:
             self.core.listed(entries, 2)
-        self.desk.listed(listing)
+        self.dispatcher.update_endpoints(listing)
 
     def ask(self, marks=True, number=1, within=3 * S, id=None):
         client = Client(marks)
@@ -527,14 +549,16 @@
     gateway = Gateway(sites=["a", "b"])
     query, client = gateway.ask()
     assert sorted(attempt.engine for attempt in gateway.engines.out) == ["eza", "ezb"]
-    assert all(len(attempt.query.id) == 16 and hops.hops_of(attempt.query.id) == 1 for attempt in gateway.engines.out)
+    assert all(
+        len(attempt.query.id) == 16 and hop_count.hop_count_of(attempt.query.id) == 1 for attempt in gateway.engines.out
+    )
     gateway.end("zb", text=b"b\t1\t2\n")
     assert not client.said
     gateway.end("za", text=b"a\t1\t2\n")
     assert client.said == [
         ("served", b"a\t1\t2\nb\t1\t2\n", GatherStatus(whole=True, sites=[SiteStatus(site="a"), SiteStatus(site="b")]))
     ]
-    assert not gateway.core.queries and not gateway.desk.open
+    assert not gateway.core.queries and not gateway.dispatcher.requests
 
 
 def test_at_the_deadline_what_is_here_is_answered_in_time_and_what_runs_is_called_off():
@@ -565,9 +589,9 @@
     gateway = Gateway(sites=["a", "b"])
     query, client = gateway.ask()
     gateway.core.leave(query)
-    assert not client.said and len(gateway.engines.given_up) == 2 and not gateway.desk.open
+    assert not client.said and len(gateway.engines.given_up) == 2 and not gateway.dispatcher.requests
     _, client = gateway.ask(number=2)
-    gateway.desk.hold(gather_rules({}, SETTINGS), 7)
+    gateway.dispatcher.apply_rules(gather_rules({}, SETTINGS), 7)
     gateway.end("zb", text=b"b\t1\t2\n")
     gateway.end("za", text=b"a\t1\t2\n")
     assert client.said[0][1] == b"a\t1\t2\nb\t1\t2\n"
@@ -579,32 +603,32 @@
     import random
 
     gateway = Gateway(sites=["a", "b"])
-    gateway.ask(id=hops.part_id(random.Random(1), 1))
-    assert len(gateway.engines.out) == 1 and gateway.desk.counts["gather_hops_ended"] == 1
+    gateway.ask(id=hop_count.subrequest_id(random.Random(1), 1))
+    assert len(gateway.engines.out) == 1 and gateway.dispatcher.counts["gather_hops_ended"] == 1
 
 
-class Changing(GatherDesk):
+class Changing(GatherDispatcher):
     """Planted: an open gather goes by the rules that hold by now."""
 
-    def hold(self, rules, version):
-        super().hold(rules, version)
-        for open in self.open.values():
-            open.gather.rule = rules.told.rule[0] if rules.told.rule else open.rule
+    def apply_rules(self, rules, version):
+        super().apply_rules(rules, version)
+        for open in self.requests.values():
+            open.state.rule = rules.file.rule[0] if rules.file.rule else open.rule
 
 
 def test_an_open_request_that_changes_its_version_is_found():
     """The open one needs all; the version that comes meanwhile would let it be partial."""
     lax = gather_rules({"site": SITES, "rule": [PARTIAL | {"sites": ["a", "b"]}]}, SETTINGS)
     said = {}
-    for kind in (GatherDesk, Changing):
+    for kind in (GatherDispatcher, Changing):
         gateway = Gateway(sites=["a", "b"], needs="all")
-        gateway.desk.__class__ = kind
+        gateway.dispatcher.__class__ = kind
         _, client = gateway.ask()
-        gateway.desk.hold(lax, 2)
+        gateway.dispatcher.apply_rules(lax, 2)
         gateway.end("za", text=b"a\t1\t2\n")
         gateway.clock.advance(3 * S)
         said[kind] = client.said[0][0]
-    assert said == {GatherDesk: "refused", Changing: "served"}
+    assert said == {GatherDispatcher: "refused", Changing: "served"}
 
 
 # ---- at another installation
@@ -648,7 +672,7 @@
     [asked] = remote.heard()
     params = asked["params"]
     assert set(params) == {"rid", "budget", "acct", "body"} and b64decode(params["body"]) == b"SELECT 1"
-    assert hops.hops_of(params["rid"]) == 1 and 0 < params["budget"] < 3_000 and asked["method"] == "report"
+    assert hop_count.hop_count_of(params["rid"]) == 1 and 0 < params["budget"] < 3_000 and asked["method"] == "report"
     gateway.end("za", text=b"a\t1\t2\n")
     remote.say(id=asked["id"], result=body(b"c\t1\t2\n"))
     assert client.said[0][:2] == ("served", b"a\t1\t2\nc\t1\t2\n")
@@ -682,7 +706,7 @@
     other = Remote(reactor, 1)
     assert other.address != remote.address
     other.say(id=other.heard()[0]["id"], error={"code": -32008, "message": "x", "data": {"backoff": 400}})
-    assert client.said == [("refused", 900 * MS)] and gateway.desk.counts["gather_further_tries"] == 1
+    assert client.said == [("refused", 900 * MS)] and gateway.dispatcher.counts["gather_further_tries"] == 1
 
 
 def test_a_gateway_that_goes_is_cut_and_what_is_called_off_is_withdrawn_there():
@@ -701,5 +725,5 @@
 
 
 def test_rows_are_whole_or_none():
-    assert whole_rows(b"", 9) and whole_rows(b"a\tb\tc\n", 9)
-    assert not any(whole_rows(text, 9) for text in (b"a\tb\n", b"a\tb\tc", b"a\tb\tc\n" * 2, b"\xff\t\t\n"))
+    assert are_complete_rows(b"", 9) and are_complete_rows(b"a\tb\tc\n", 9)
+    assert not any(are_complete_rows(text, 9) for text in (b"a\tb\n", b"a\tb\tc", b"a\tb\tc\n" * 2, b"\xff\t\t\n"))
