--- a/rackhub/core/component.py
+++ b/rackhub/core/component.py
@@ -32,7 +32,7 @@
         "counters",
         "serving",
         "republish_endpoints",
-        "reread",
+        "read_config",
         "components",
     )
 
@@ -50,7 +50,7 @@
         reread: Callable[[], "Config"],
     ):
         self.reactor, self.clock, self.config, self.operator, self.core = reactor, clock, config, operator, core
-        self.source, self.counters, self.serving, self.republish_endpoints, self.reread = (
+        self.source, self.counters, self.serving, self.republish_endpoints, self.read_config = (
             source,
             counters,
             serving,
--- a/rackhub/core/coordinator.py
+++ b/rackhub/core/coordinator.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from rackhub import interface, logs
-from rackhub.core.lease import ListLease, Standing
+from rackhub.core.lease import EndpointLease, Standing
 from rackhub.core.request import Attempt, AttemptState, EnginePort, Query
 from rackhub.core.timers import Clock, Timers
 from rackhub.counters import Counters
@@ -29,6 +29,7 @@
 
 OK, SHED, ERRORS, TRIES = range(4)
 ANSWERED = ("GOOD", "BAD")  # ends by an engine that took the request
+REPLY_METHODS = {"served": "served", "refused": "rejected", "failed": "failed"}
 TALLY = {"served": OK, "refused": SHED, "failed": ERRORS}  # how a request ended: what counts it by class
 
 
@@ -44,16 +45,16 @@
         self.tenants = {told.name for told in settings.tenants} or {""}
         self.queries: dict[str, Query] = {}
         self._recent: dict[str, None] = {}  # ids of requests answered lately, oldest first
-        self.out: dict[tuple[str, int], Attempt] = {}  # by query and number, also of one that is closed
+        self.in_flight: dict[tuple[str, int], Attempt] = {}  # by query and number, also of one that is closed
         self.engines: EnginePort | None = None
-        self.lease: ListLease | None = None  # on the list of engines; none: it is always in force
+        self.lease: EndpointLease | None = None  # on the list of engines; none: it is always in force
         self._unconfirmed: list[Attempt] = []  # held until the list is confirmed, or until nothing answers
         self._barred: frozenset[str] = frozenset()  # engines for which the lease is over
         self._said = interface.FleetAllocation()  # by the gateways of the fleet, less what is barred here
-        self.ledger: RequestJournal | None = None  # of keyed requests; the others never get there
-        self.desk: RequestPolicy | None = None  # the operator's terms, by route
-        self.gathers: GatherPort | None = None  # what is sent to several sites and answered once
-        self.guide: FleetCoordinator | None = (
+        self.request_journal: RequestJournal | None = None  # of keyed requests; the others never get there
+        self.request_policy: RequestPolicy | None = None  # the operator's terms, by route
+        self.gather_port: GatherPort | None = None  # what is sent to several sites and answered once
+        self.fleet_coordinator: FleetCoordinator | None = (
             None  # what the gateways of the fleet agree on, where they may speak to one another
         )
         self._kinds: dict[str, str] = {}  # of engines, as the list has them
@@ -75,9 +76,11 @@
         self._handling, self._behind, self._sweep_due = False, False, clock.now()
         self._held = 0  # bytes of the statements of all open requests
         self._lag = 0  # how late the loop lately was at worst; it fades
-        self.taking = True  # the one place that says whether this process takes new work: from SIGTERM on it does not
+        self.accepting = (
+            True  # the one place that says whether this process takes new work: from SIGTERM on it does not
+        )
         self._away = 0  # the back-off of who comes after that
-        self.by_class: dict[str, list[int]] = {name: [0, 0, 0, 0] for name in self.classes}  # see `TALLY`
+        self.counts_by_class: dict[str, list[int]] = {name: [0, 0, 0, 0] for name in self.classes}  # see `TALLY`
 
     # ---- what the ports bring
 
@@ -88,18 +91,18 @@
         self._tell(interface.EndpointList("Persisted", tuple(entries), rev))
         self._sweep()
 
-    def listed(self, entries: Sequence[interface.EngineEntry], rev: int) -> None:
+    def update_endpoints(self, entries: Sequence[interface.EngineEntry], rev: int) -> None:
         """The whole list of engines, as the resolver has it now."""
         self.counters.add("lists_told")
         self._kinds = {entry.engine: entry.kind for entry in entries}
         self._tell(interface.EndpointList("Complete", tuple(entries), rev))
 
-    def known(self, id: str) -> bool:
+    def is_known_id(self, id: str) -> bool:
         """Whether a request of this id is open, or was answered or withdrawn lately. Ids are new with each request,
         also with a client's retry; one that comes again is none of a client that keeps to the protocol."""
         return id in self.queries or id in self._recent
 
-    def out_of_time(self, query: Query) -> bool:
+    def is_near_deadline(self, query: Query) -> bool:
         """Whether an answer given now is given for want of time: the module ends a request two periods early."""
         return self.clock.now() >= query.deadline - 2 * self.settings.period
 
@@ -109,7 +112,7 @@
         full = (
             len(self.queries) >= self.limits.held_requests or self._held + len(query.statement) > self.limits.held_bytes
         )
-        if not self.taking and not query.is_subrequest:  # a part is of a request that was taken before
+        if not self.accepting and not query.is_subrequest:  # a part is of a request that was taken before
             return self._turn_back(query, "refused_ending", self._away)
         if self._standing() is Standing.EXPIRED and not query.is_subrequest:
             return self._turn_back(query, "over_lease", min(SECOND, self.settings.max_retry_after or SECOND))
@@ -120,22 +123,26 @@
         self.queries[query.id] = query
         log.debug("request_taken", request=query.id, cls=query.cls, left_us=query.deadline - self.clock.now())
         self._held += len(query.statement)
-        if self.ledger is not None and query.idempotency_key:
-            self.ledger.taken(query)
+        if self.request_journal is not None and query.idempotency_key:
+            self.request_journal.request_admitted(query)
         # An answer given at the deadline is on the wire some turns of the loop later, and what came in had waited for
         # one: on a scored day one answer in 14 was late by that. So the module is told to be done sooner.
         if not query.is_subrequest:  # its whole has paid for it
             query.deadline -= min(self._margin(), (query.deadline - self.clock.now()) // 4)
-        if self.gathers is not None and not query.is_subrequest:
+        if self.gather_port is not None and not query.is_subrequest:
             query.is_gathered = True  # if so the module hears of its parts alone, each a request of its own
-            if self.gathers.take(query):
+            if self.gather_port.accept(query):
                 return
             query.is_gathered = False
         attempts = within = 0
-        if self.desk is not None:
-            query.terms = self.desk.begin(query.cls, query.tenant, query.estimate, self.clock.now())
+        if self.request_policy is not None:
+            query.terms = self.request_policy.begin_request(query.cls, query.tenant, query.estimate, self.clock.now())
             attempts, within = query.terms.max_attempts, query.terms.retry_window
-        standing = self.guide.arrived(query, self.clock.now()) if self.guide is not None else 0
+        standing = (
+            self.fleet_coordinator.request_received(query, self.clock.now())
+            if self.fleet_coordinator is not None
+            else 0
+        )
         self._tell(
             interface.QueryReceived(
                 query.id,
@@ -158,16 +165,16 @@
         log.debug("request_turned_back", request=query.id, reason=why)
         self._end(query, "refused", backoff)
 
-    def ending(self, away: int) -> None:
+    def start_draining(self, away: int) -> None:
         """SIGTERM came: what was taken is answered as before, every request read from now on is refused at once and
         never sent on, with the back-off `away` in microseconds."""
-        self.taking, self._away = False, away
+        self.accepting, self._away = False, away
 
     def _margin(self) -> int:
         """How much earlier than the client's own deadline an answer is due here: more as the loop lags."""
         return self.limits.margin + 2 * self._lag
 
-    def leave(self, query: Query) -> None:
+    def disconnect_client(self, query: Query) -> None:
         """The client cancelled or is gone: no answer is owed, and what runs for it is stopped."""
         if self._end(query, "left"):
             self._call_off(query)
@@ -176,10 +183,10 @@
         """It is over without the word of whoever decides on it."""
         if not query.is_gathered:
             self._tell(interface.ClientDisconnected(query.id))
-        elif self.gathers is not None:
-            self.gathers.client_disconnected(query)
+        elif self.gather_port is not None:
+            self.gather_port.client_disconnected(query)
 
-    def gathered(self, query: Query, how: str, rows: Sequence[bytes] = (), backoff: int = 0) -> bool:
+    def complete_gathered(self, query: Query, how: str, rows: Sequence[bytes] = (), backoff: int = 0) -> bool:
         """The answer of a request that `gathers` took: served with `rows` (and `query.mark`), refused with `backoff` in
         microseconds, or failed. False: it has had its answer, or its client is gone."""
         return self._end(
@@ -192,7 +199,7 @@
             }[how],
         )
 
-    def ended(
+    def complete_attempt(
         self, attempt: Attempt, reason: str, report: dict[str, float] | None = None, rows: Sequence[bytes] = ()
     ) -> None:
         """What the port tells of an attempt's end. With GOOD `rows` are all pages."""
@@ -205,14 +212,14 @@
         """The one end of an attempt. Its client has the answer before the module knows."""
         attempt.state, query, now = AttemptState.DONE, attempt.query, self.clock.now()
         query.in_flight.pop(attempt.number, None)
-        if sent := self.out.get((query.id, attempt.number)) is attempt:
-            del self.out[query.id, attempt.number]
+        if sent := self.in_flight.get((query.id, attempt.number)) is attempt:
+            del self.in_flight[query.id, attempt.number]
         if reason in PROVEN:
             query.possibly_executed.pop(attempt.number, None)
         if self.lease is not None and reason == "FULL":
-            self.lease.turned_away(attempt.engine, now)
+            self.lease.engine_rejected(attempt.engine, now)
         elif self.lease is not None and reason in ANSWERED:
-            self.lease.taken(attempt.engine, attempt.sent_at)
+            self.lease.engine_accepted(attempt.engine, attempt.sent_at)
         self.counters.add(f"out_{reason.lower()}")
         log.debug(
             "attempt_ended",
@@ -225,11 +232,11 @@
         if reason == "GOOD":
             self._end(query, "served", rows)
         again, wait, backoff = True, 0, 0
-        if self.guide is not None and sent:
-            self.guide.ended(attempt, reason, now)
-        if query.terms is not None and self.desk is not None and reason != "NOP":
+        if self.fleet_coordinator is not None and sent:
+            self.fleet_coordinator.attempt_completed(attempt, reason, now)
+        if query.terms is not None and self.request_policy is not None and reason != "NOP":
             cut = reason == "LATE" and attempt.timeout_configured
-            self.desk.ended(
+            self.request_policy.attempt_completed(
                 query.terms,
                 attempt.number,
                 self._kinds.get(attempt.engine, ""),
@@ -240,7 +247,7 @@
                 now,
             )
             if not query.closed and not query.in_flight:
-                again, wait, backoff = self.desk.after(query.terms, reason, query.attempts, now)
+                again, wait, backoff = self.request_policy.retry_decision(query.terms, reason, query.attempts, now)
         self._tell(
             interface.AttemptCompleted(
                 query.id,
@@ -256,11 +263,11 @@
             )
         )
 
-    def noted(self, attempt: Attempt, topic: int, value: float) -> None:
+    def report_progress(self, attempt: Attempt, topic: int, value: float) -> None:
         if not attempt.done:
             self.counters.add("notes_in")
             if self.lease is not None:
-                self.lease.taken(attempt.engine, attempt.sent_at)
+                self.lease.engine_accepted(attempt.engine, attempt.sent_at)
             self._tell(interface.ProgressReport(attempt.query.id, attempt.number, topic, value, attempt.engine))
 
     # ---- the module
@@ -288,34 +295,36 @@
 
     # subscriptions are not needed on this wire, so nothing is done for them
 
-    def probed(self, engine: str, reason: str, elapsed: int, report: dict[str, float] | None = None) -> None:
+    def complete_health_check(
+        self, engine: str, reason: str, elapsed: int, report: dict[str, float] | None = None
+    ) -> None:
         """The end of a probe that the guide sent. `reason`: GOOD, LATE or NOCONN; `elapsed` in microseconds."""
         self._tell(interface.HealthCheckCompleted(engine, reason, elapsed, report or {}))
 
-    def peer_said(self, peer: int, contents: bytes) -> None:
+    def receive_gossip(self, peer: int, contents: bytes) -> None:
         """The word of another gateway's module."""
         self._tell(interface.GossipReceived(peer, contents))
 
-    def fleet_said(self, said: interface.FleetAllocation) -> None:
+    def apply_allocation(self, said: interface.FleetAllocation) -> None:
         """What the gateways of the fleet agree on, as far as this one knows; it holds until the next."""
         self._said = said
         self._tell(replace(said, reserved_engines=said.reserved_engines | self._barred))
 
     def _bar(self, now: int) -> None:
         """Tell the module of the engines that may not be sent to, as the list is not in force for them."""
-        barred = self.lease.barred(self._kinds, now) if self.lease is not None else frozenset()
+        barred = self.lease.ineligible(self._kinds, now) if self.lease is not None else frozenset()
         if barred != self._barred:
             log.info("engines_barred", engines=sorted(barred), reason="the list of engines is not confirmed")
             self._barred = barred
-            self.fleet_said(self._said)
+            self.apply_allocation(self._said)
 
     def _probe(self, act: interface.CheckHealth) -> None:
-        if self.guide is not None:  # without a guide there are no peers, and this wire has no probes
-            self.guide.probe(act.engine)
+        if self.fleet_coordinator is not None:  # without a guide there are no peers, and this wire has no probes
+            self.fleet_coordinator.check_health(act.engine)
 
     def _tell_peer(self, act: interface.SendGossip) -> None:
-        if self.guide is not None:
-            self.guide.tell(act.peer, act.contents)
+        if self.fleet_coordinator is not None:
+            self.fleet_coordinator.send_gossip(act.peer, act.contents)
 
     def _timer(self, act: interface.Timer) -> None:
         self.timers.at(self.clock.now() + act.delay, self._due, act.ref)
@@ -340,9 +349,9 @@
         self._tell(interface.TimerFired(ref))
 
     def _tally(self, cls: str, what: int) -> None:
-        counts = self.by_class.get(cls)
+        counts = self.counts_by_class.get(cls)
         if counts is None:
-            counts = self.by_class[cls] = [0, 0, 0, 0]
+            counts = self.counts_by_class[cls] = [0, 0, 0, 0]
         counts[what] += 1
 
     def _end(self, query: Query, how: str, *said: object) -> bool:
@@ -361,7 +370,7 @@
         if self.queries.get(query.id) is query:  # else it was turned back, and nobody knows of it
             self._forget(query, how)
         if how != "left":
-            getattr(query.reply, how)(query, *said)
+            getattr(query.reply, REPLY_METHODS[how])(query, *said)
         for attempt in [attempt for attempt in query.in_flight.values() if attempt.unsent]:
             self._give_up(attempt, "NOP")
         if not self.queries and self.on_idle:
@@ -371,12 +380,12 @@
     def _forget(self, query: Query, how: str) -> None:
         del self.queries[query.id]
         self._held -= len(query.statement)
-        if self.ledger is not None and query.idempotency_key:
-            self.ledger.over(query, how)
-        if query.terms is not None and self.desk is not None:
-            self.desk.end(query.terms, self.clock.now())
-        if self.guide is not None and not query.is_gathered:
-            self.guide.closed(query, how, self.clock.now())
+        if self.request_journal is not None and query.idempotency_key:
+            self.request_journal.request_completed(query, how)
+        if query.terms is not None and self.request_policy is not None:
+            self.request_policy.end_request(query.terms, self.clock.now())
+        if self.fleet_coordinator is not None and not query.is_gathered:
+            self.fleet_coordinator.request_completed(query, how, self.clock.now())
 
     def _send(self, act: interface.Send) -> None:
         query, timeout = self.queries.get(act.query), act.timeout
@@ -390,12 +399,12 @@
             self.counters.add("attempts_not_sent")
             return self._over(attempt, "NOP")
         copy_after = 0
-        if query.terms is not None and self.desk is not None:
+        if query.terms is not None and self.request_policy is not None:
             kind, copy = self._kinds.get(act.engine, ""), bool(query.in_flight) and query.hedge_requested
-            if query.attempts and not self.desk.may_send(query.terms, query.attempts, copy, now):
+            if query.attempts and not self.request_policy.may_send(query.terms, query.attempts, copy, now):
                 self.counters.add("attempts_not_sent")
                 return self._over(attempt, "NOP")
-            sending = self.desk.sending(query.terms, attempt.number, kind, copy, now)
+            sending = self.request_policy.attempt_terms(query.terms, attempt.number, kind, copy, now)
             attempt.send_by, copy_after = sending.send_by, sending.hedge_after
             if sending.timeout and now + sending.timeout < until:
                 until, attempt.timeout_configured = now + sending.timeout, True
@@ -412,18 +421,18 @@
                 attempt.send_by = min(attempt.send_by or edge, edge)
             query.possibly_executed[attempt.number] = now
         query.attempts += 1
-        query.in_flight[attempt.number] = self.out[query.id, attempt.number] = attempt
+        query.in_flight[attempt.number] = self.in_flight[query.id, attempt.number] = attempt
         attempt.deadline = until
         self.counters.add("attempts")
         log.debug("attempt_chosen", request=query.id, attempt=attempt.number, engine=attempt.engine)
         self._tally(query.cls, TRIES)
-        if self.ledger is not None and query.idempotency_key:
-            self.ledger.out(attempt)
-        if self.guide is not None:
-            self.guide.sent(attempt, now)
+        if self.request_journal is not None and query.idempotency_key:
+            self.request_journal.attempt_sent(attempt)
+        if self.fleet_coordinator is not None:
+            self.fleet_coordinator.attempt_sent(attempt, now)
         if copy_after and now + copy_after < until:
             self.timers.at(now + copy_after, self._copy_due, attempt)
-        self.timers.when_read(-1 if query.reply.stale else self.limits.unread_turn, self._begin, attempt)
+        self.timers.call_after_reads(-1 if query.reply.stale else self.limits.unread_turn, self._begin, attempt)
 
     def _begin(self, attempt: Attempt) -> None:
         """The attempt goes to the port, unless it was called off while it was held."""
@@ -442,17 +451,17 @@
     def _standing(self) -> Standing:
         return self.lease.standing(self.clock.now()) if self.lease is not None else Standing.CONFIRMED
 
-    def asked(self) -> int:
+    def endpoint_poll_started(self) -> int:
         """The resolver is asked; the time of that."""
         now = self.clock.now()
         if self.lease is not None:
-            self.lease.asked(now)
+            self.lease.poll_started(now)
         return now
 
-    def confirmed(self, asked_at: int) -> None:
+    def endpoint_poll_confirmed(self, asked_at: int) -> None:
         """The list of engines in force is that of the resolver, as of when it was asked."""
         if self.lease is not None:
-            self.lease.confirmed(asked_at)
+            self.lease.poll_confirmed(asked_at)
             self._bar(self.clock.now())
         self._release()
 
@@ -466,9 +475,17 @@
         """By the operator's terms a second copy may go out beside this attempt. Which engine gets it, and whether this
         is the time for it, the module says."""
         query = attempt.query
-        if attempt.done or query.closed or len(query.in_flight) != 1 or query.terms is None or self.desk is None:
+        if (
+            attempt.done
+            or query.closed
+            or len(query.in_flight) != 1
+            or query.terms is None
+            or self.request_policy is None
+        ):
             return
-        if self.desk.may_copy(query.terms, self._kinds.get(attempt.engine, ""), query.attempts, self.clock.now()):
+        if self.request_policy.may_hedge(
+            query.terms, self._kinds.get(attempt.engine, ""), query.attempts, self.clock.now()
+        ):
             query.hedge_requested = True
             self._tell(interface.HedgeDue(query.id))
             query.hedge_requested = False
@@ -483,7 +500,7 @@
                 self.engines.promote(attempt)
 
     def _cancel(self, act: interface.Cancel) -> None:
-        attempt = self.out.get((act.query, act.attempt))
+        attempt = self.in_flight.get((act.query, act.attempt))
         if attempt is not None:
             self._give_up(attempt, "CXL")
 
@@ -526,7 +543,7 @@
         self._lag = max(late, self._lag - self._lag // 256)
         if self._behind:
             log.debug("loop_late", late_us=late)
-        for attempt in [a for a in self.out.values() if a.deadline <= now and not a.done]:
+        for attempt in [a for a in self.in_flight.values() if a.deadline <= now and not a.done]:
             self._give_up(attempt, "LATE")
         self._bar(now)
         if self._unconfirmed and self._standing() is not Standing.UNCONFIRMED:
--- a/rackhub/core/starts.py
+++ b/rackhub/core/engine_start_times.py
@@ -11,16 +11,16 @@
 
 from rackhub.interface import EngineEntry
 
-OLDEST_NEWS = 60_000_000  # microseconds that a start may be old when a list first tells of it
+MAX_REPORTED_START_AGE = 60_000_000  # microseconds that a start may be old when a list first tells of it
 
 
-class Starts:
+class EngineStartTimes:
     """The starts that lists have told of. Times are microseconds."""
 
     def __init__(self) -> None:
         self._read: dict[tuple[str, int], int] | None = None  # (engine, start as told) -> start by the process's clock
 
-    def read(self, entries: Sequence[EngineEntry], now: int) -> tuple[EngineEntry, ...]:
+    def on_local_clock(self, entries: Sequence[EngineEntry], now: int) -> tuple[EngineEntry, ...]:
         """The entries with their starts by the process's clock, which is at `now`."""
         before, self._read = self._read, {}
         return tuple(self._entry(entry, before, now) for entry in entries)
@@ -31,6 +31,6 @@
         key = entry.engine, entry.started_at
         known = before.get(key) if before is not None else min(entry.started_at, now)
         if known is None:
-            known = entry.started_at if 0 <= now - entry.started_at <= OLDEST_NEWS else now
+            known = entry.started_at if 0 <= now - entry.started_at <= MAX_REPORTED_START_AGE else now
         self._read[key] = known
         return replace(entry, started_at=known)
--- a/rackhub/core/fleet.py
+++ b/rackhub/core/fleet.py
@@ -12,20 +12,20 @@
     the core's clock.
     """
 
-    def arrived(self, query: Query, now: int) -> int:
+    def request_received(self, query: Query, now: int) -> int:
         """Where the request stands against the fleet's level: 1 above, -1 below, 0 no level holds."""
 
-    def sent(self, attempt: Attempt, now: int) -> None:
+    def attempt_sent(self, attempt: Attempt, now: int) -> None:
         """An attempt goes out; a further one (`attempt.number` > 0) is paid from the fleet's budget."""
 
-    def ended(self, attempt: Attempt, reason: str, now: int) -> None:
+    def attempt_completed(self, attempt: Attempt, reason: str, now: int) -> None:
         """Its outcome, worded as in `interface.AttemptCompleted`."""
 
-    def closed(self, query: Query, how: str, now: int) -> None:
+    def request_completed(self, query: Query, how: str, now: int) -> None:
         """The request is over: served, refused, failed or left."""
 
-    def probe(self, engine: str) -> None:
+    def check_health(self, engine: str) -> None:
         """The module wants to know how an engine is."""
 
-    def tell(self, peer: int, contents: bytes) -> None:
+    def send_gossip(self, peer: int, contents: bytes) -> None:
         """The module's word to another gateway; -1: to all."""
--- a/rackhub/core/gather.py
+++ b/rackhub/core/gather.py
@@ -21,7 +21,7 @@
 class GatherStatus(msgspec.Struct, frozen=True, kw_only=True):
     """What stands beside the rows of a gathered answer, in the order of the sites."""
 
-    whole: bool  # every site is in and fresh
+    complete: bool = msgspec.field(name="whole")  # every site is in and fresh
     sites: Sequence[SiteStatus]
 
 
@@ -29,7 +29,7 @@
     """Asked by the core for each request that is taken on. It answers by `Coordinator.gathered`, and submits parts as
     requests of its own: `Query.part` set, `Query.zones` where they may run, and a `Reply` of its own."""
 
-    def take(self, query: Query) -> bool:
+    def accept(self, query: Query) -> bool:
         """Whether a rule gathers the request: then it is the caller's no more. Admitted or refused as a whole."""
 
     def client_disconnected(self, query: Query) -> None:
--- a/rackhub/core/lease.py
+++ b/rackhub/core/lease.py
@@ -23,7 +23,7 @@
     EXPIRED = enum.auto()  # it may be out of date, and nothing answers: nothing may be sent by it
 
 
-class ListLease:
+class EndpointLease:
     """A lease on the list of engines, renewed by each good answer from when its question was asked."""
 
     def __init__(self, limits: Limits, grace: int, now: int):
@@ -37,13 +37,13 @@
         self._turned_away: dict[str, int] = {}  # by engine: when it last turned a request away
         self._asked_last = now
 
-    def asked(self, now: int) -> None:
+    def poll_started(self, now: int) -> None:
         """A question has been sent."""
         if self._waits_since is None or now - self._asked_last >= self._patience:
             self._waits_since = now
         self._asked_last = now
 
-    def confirmed(self, asked_at: int) -> None:
+    def poll_confirmed(self, asked_at: int) -> None:
         """A good answer came to the question asked then: the list holds all that had happened by that time."""
         self._confirmed, self._waits_since = max(self._confirmed, asked_at), None
 
@@ -59,11 +59,11 @@
 
     # ---- single engines
 
-    def taken(self, engine: str, sent: int) -> None:
+    def engine_accepted(self, engine: str, sent: int) -> None:
         """An engine has taken a request that was sent then."""
         self._taken[engine] = max(sent, self._taken.get(engine, sent))
 
-    def turned_away(self, engine: str, now: int) -> None:
+    def engine_rejected(self, engine: str, now: int) -> None:
         """An engine has turned a request away: it is full, or it drains."""
         self._turned_away[engine] = now
 
@@ -77,7 +77,7 @@
             return False
         return age <= self._prompt or now <= taken + self._grace
 
-    def barred(self, engines: Iterable[str], now: int) -> frozenset[str]:
+    def ineligible(self, engines: Iterable[str], now: int) -> frozenset[str]:
         """Those of the engines that may not be sent to."""
         if now - self._confirmed <= self._patience:
             return frozenset()
--- a/rackhub/core/request.py
+++ b/rackhub/core/request.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any, Protocol
 
-from rackhub.core.lease import ListLease, Standing
+from rackhub.core.lease import EndpointLease, Standing
 
 if TYPE_CHECKING:
     from rackhub.core.request_policy import RequestTerms
@@ -13,15 +13,16 @@
 class Reply(Protocol):
     """Where a front takes its one answer. `rows` are the pages of the result, in order. One that has
     `marks` true tells beside them what stands in `Query.gather_status`; no other is given an answer that needs it.
-    While `deaf` is true nothing is read from the client, so it can't be seen that it has gone; while `stale` is,
+    While `reading_paused` is true nothing is read from the client, so it can't be seen that it has gone; while
+    `stale` is,
     what is read had waited for that, from `stale_since` on at the longest, and its end may lie behind it."""
 
-    deaf: bool = False
+    reading_paused: bool = False
     stale: bool = False
     stale_since: int = 0
 
     def served(self, query: "Query", rows: Sequence[bytes]) -> None: ...
-    def refused(self, query: "Query", backoff: int) -> None: ...
+    def rejected(self, query: "Query", backoff: int) -> None: ...
     def failed(self, query: "Query", why: str) -> None: ...
 
 
@@ -129,11 +130,11 @@
         """Whether it surely never ran, as nothing of it has left."""
         return self.state in (AttemptState.PENDING, AttemptState.QUEUED)
 
-    def send_blocked_by(self, now: int, lease: "ListLease | None" = None) -> str:
+    def send_blocked_by(self, now: int, lease: "EndpointLease | None" = None) -> str:
         """Why it must not leave now, as its end is worded; empty: it may. A client that is not read from may have gone
         long ago; a key that is too old is one that an engine may have forgotten; by a list whose lease is over the
         engine may have drained."""
-        if self.query.reply.deaf:
+        if self.query.reply.reading_paused:
             return "NOP"
         if lease is not None and lease.standing(now) is not Standing.CONFIRMED:
             return "NOP" if lease.standing(now) is Standing.EXPIRED else "NOCONN"
--- a/rackhub/core/source.py
+++ b/rackhub/core/source.py
@@ -16,11 +16,11 @@
     addresses: dict[str, Address]
 
 
-class LeaseKeeper(Protocol):
+class EndpointPollObserver(Protocol):
     """Who is told of questions and good answers. `asked` gives the time of the question, which `confirmed` gets."""
 
-    def asked(self) -> int: ...
-    def confirmed(self, asked_at: int) -> None: ...
+    def endpoint_poll_started(self) -> int: ...
+    def endpoint_poll_confirmed(self, asked_at: int) -> None: ...
 
 
 class Source(Protocol):
@@ -29,7 +29,7 @@
     settings: interface.Settings
     start: EndpointSnapshot
 
-    def follow(self, told: Callable[[EndpointSnapshot], None], lease: LeaseKeeper | None = None) -> None:
+    def follow(self, told: Callable[[EndpointSnapshot], None], lease: EndpointPollObserver | None = None) -> None:
         """Call back with each list that is new from now on; `lease` hears of questions and good answers."""
 
     def reload(self) -> None:
--- a/rackhub/core/timers.py
+++ b/rackhub/core/timers.py
@@ -36,9 +36,9 @@
     def _arm(self) -> None:
         self._armed = self._heap[0][0] if self._heap else 0
         if self._armed:
-            self._waker.wake_after(max(self._armed - self._clock.now(), 0), self.run_due)
+            self._waker.wake_after(max(self._armed - self._clock.now(), 0), self.run_expired)
 
-    def when_read(self, late: int, call: Callable[..., None], *args: Any) -> None:
+    def call_after_reads(self, late: int, call: Callable[..., None], *args: Any) -> None:
         """Call now; where the loop is more than `late` behind its time, after all sockets have been read twice. The
         loop makes calls that are due before it reads, and what it reads may be long there: a client's end may lie in
         the kernel, alone or behind its last bytes, that a turn in time would have seen. Put off once, never again."""
@@ -54,7 +54,7 @@
         else:
             call(*args)
 
-    def run_due(self) -> None:
+    def run_expired(self) -> None:
         """Make the calls that are due; those asked for meanwhile wait for the next turn of the loop."""
         now, last = self._clock.now(), self._asked
         self._late = now - self._armed
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -15,9 +15,9 @@
 from rackhub.config import Config, address
 from rackhub.core.component import ComponentContext
 from rackhub.core.coordinator import Coordinator
-from rackhub.core.lease import ListLease
+from rackhub.core.engine_start_times import EngineStartTimes
+from rackhub.core.lease import EndpointLease
 from rackhub.core.source import Address, EndpointSnapshot, Source
-from rackhub.core.starts import Starts
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.net.jsonrpc import jsonrpc_front
@@ -70,7 +70,7 @@
         self._ports: list[SharedPort] = []
         self._leaving = self._serving = False
         self._listing: EndpointSnapshot | None = None
-        self._starts = Starts()
+        self._starts = EngineStartTimes()
         self._host = ComponentContext(
             reactor,
             clock,
@@ -79,7 +79,7 @@
             self.core,
             self.source,
             self.counters,
-            lambda: self._serving and self.core.taking,
+            lambda: self._serving and self.core.accepting,
             self._relist,
             reread,
         )
@@ -95,12 +95,12 @@
     def _tell_list(self, listing: EndpointSnapshot) -> None:
         # the module first: once it knows of a drain it sends nothing there, and what the pools give back goes elsewhere
         entries = self._shown(listing)
-        self.core.listed(entries, listing.revision)
+        self.core.update_endpoints(entries, listing.revision)
         self.engines.listed(listing.addresses, entries)
 
     def _shown(self, listing: EndpointSnapshot) -> tuple:
         """The list as the module is to see it."""
-        self._listing, entries = listing, self._starts.read(listing.entries, self._host.clock.now())
+        self._listing, entries = listing, self._starts.on_local_clock(listing.entries, self._host.clock.now())
         for part in self.parts.values():
             entries = tuple(part.visible_endpoints(entries))
         return entries
@@ -133,7 +133,7 @@
         self.engines.listed(engines.addresses, entries)
         self.core.start(self.engines, entries, engines.revision)
         PythonLoggingObserver().start()  # a fault in a callback of the reactor's shows in the log, not nowhere
-        self.core.lease = ListLease(self.config.limits, self.config.settings.drain_grace, self._host.clock.now())
+        self.core.lease = EndpointLease(self.config.limits, self.config.settings.drain_grace, self._host.clock.now())
         self.source.follow(self._listed, self.core)
         # before anyone can connect: a signal that comes then would end the process
         for number, call in zip(SIGNALS, (self._term, self._term, self.tell, self._reload), strict=True):
@@ -192,10 +192,10 @@
 
     def _term(self) -> None:
         """Answer what was taken, refuse what clients still send, then leave."""
-        if self.core.taking:
+        if self.core.accepting:
             succeeded = any(part.succeeded() for part in self.parts.values())
             # where another process serves on the address the next try goes there, and need not wait
-            self.core.ending(0 if succeeded else self.config.settings.max_retry_after)
+            self.core.start_draining(0 if succeeded else self.config.settings.max_retry_after)
             log.info("told to end: %d requests open", len(self.core.queries))
             for part in self.parts.values():
                 part.drain()
--- a/rackhub/fleet/overload/part.py
+++ b/rackhub/fleet/overload/part.py
@@ -34,11 +34,13 @@
 class Core(Protocol):
     """What this part asks of `Coordinator`."""
 
-    out: dict[tuple[str, int], Attempt]
+    in_flight: dict[tuple[str, int], Attempt]
 
-    def fleet_said(self, said: t.FleetAllocation) -> None: ...
-    def probed(self, engine: str, reason: str, elapsed: int, report: dict[str, float] | None = None) -> None: ...
-    def peer_said(self, peer: int, contents: bytes) -> None: ...
+    def apply_allocation(self, said: t.FleetAllocation) -> None: ...
+    def complete_health_check(
+        self, engine: str, reason: str, elapsed: int, report: dict[str, float] | None = None
+    ) -> None: ...
+    def receive_gossip(self, peer: int, contents: bytes) -> None: ...
 
 
 Done = Callable[[str, int, dict[str, float]], None]  # GOOD, LATE or NOCONN; after how many microseconds; a load report
@@ -113,37 +115,37 @@
 
     # ---- core.fleet.Guide
 
-    def arrived(self, query: Query, now: int) -> int:
+    def request_received(self, query: Query, now: int) -> int:
         if now - self._ticked > LATE:
             self.tick()
         return self.reckoning.arrived(query.cls, query.tenant, query.statement, query.estimate)
 
-    def sent(self, attempt: Attempt, now: int) -> None:
+    def attempt_sent(self, attempt: Attempt, now: int) -> None:
         self.reckoning.sent(attempt.query.cls, attempt.number > 0)
         if self.trials.cases and self.trials.sent(now, attempt.engine):
             self._news(now)
 
-    def ended(self, attempt: Attempt, reason: str, now: int) -> None:
+    def attempt_completed(self, attempt: Attempt, reason: str, now: int) -> None:
         self.reckoning.ended(attempt.query.cls, reason, now - attempt.sent_at)
         if self.trials.ended(now, attempt.engine, reason):
             self._news(now)
 
-    def closed(self, query: Query, how: str, now: int) -> None:
+    def request_completed(self, query: Query, how: str, now: int) -> None:
         self.reckoning.closed(query.cls, how, query.attempts)
 
-    def probe(self, engine: str) -> None:
+    def check_health(self, engine: str) -> None:
         now = self.fleet.clock.now()
         if engine not in self.probing.mine:
             known = self.probing.latest(now, engine)
             if known is not None:
-                return self.core.probed(engine, known.reason, known.elapsed)
+                return self.core.complete_health_check(engine, known.reason, known.elapsed)
             if now - self._asked.get(engine, -ASK) < ASK or engine not in self.probing.engines:
                 return self._tally("overload_probes_spared")
             self._asked[engine] = now
         self._tally("overload_probes")
         self._probe(engine, lambda reason, elapsed, report: self._found(engine, reason, elapsed, report))
 
-    def tell(self, peer: int, contents: bytes) -> None:
+    def send_gossip(self, peer: int, contents: bytes) -> None:
         """The module's word on an engine goes to all, with the result that it is on; once, whoever it is for."""
         known = len(contents) == MODULE_WORD and self.probing.said(int.from_bytes(contents[:4], "big"), contents[4])
         if not known:
@@ -154,7 +156,7 @@
     def _found(self, engine: str, reason: str, elapsed: int, report: dict[str, float]) -> None:
         now = self.fleet.clock.now()
         self.probing.found(now, engine, reason, elapsed)
-        self.core.probed(engine, reason, elapsed, report)
+        self.core.complete_health_check(engine, reason, elapsed, report)
         if reason == "NOCONN":
             self.trials.out(now, engine)
             self._say(now)
@@ -174,7 +176,7 @@
         for engine, result in self.probing.heard_of(now, record.owner, record.age, seen):
             word = result.word if result.word >= 0 else SILENT if result.reason != "GOOD" else -1
             if word >= 0:
-                self.core.peer_said(peer, records.code(engine).to_bytes(4, "big") + bytes([word]))
+                self.core.receive_gossip(peer, records.code(engine).to_bytes(4, "big") + bytes([word]))
             if result.reason == "NOCONN":
                 self.trials.out(now, engine)
 
@@ -212,7 +214,7 @@
         took, self._ticked = now - self._ticked, now
         if took <= 0:
             return
-        own.hand = sum(own.measure.threads.get(attempt.query.cls, 1) for attempt in self.core.out.values())
+        own.hand = sum(own.measure.threads.get(attempt.query.cls, 1) for attempt in self.core.in_flight.values())
         members, held = self.fleet.members, self.fleet.board.read(records.LOAD)
         loads = {
             name: load
@@ -249,7 +251,7 @@
         held = self.trials.see(now, heard)
         if own.view is None:
             return
-        self.core.fleet_said(
+        self.core.apply_allocation(
             t.FleetAllocation(
                 thread_share=own.part,
                 slow_start_share=own.part,
--- a/rackhub/fleet/overload/safe.py
+++ b/rackhub/fleet/overload/safe.py
@@ -23,27 +23,27 @@
         if self._faults <= TOLD:
             log.exception("fleet: the guide failed on %s", what)
 
-    def arrived(self, query: Query, now: int) -> int:
+    def request_received(self, query: Query, now: int) -> int:
         try:
-            return self._guide.arrived(query, now)
+            return self._guide.request_received(query, now)
         except Exception:
             self._fault("a request")
             return 0
 
-    def sent(self, attempt: Attempt, now: int) -> None:
-        self._safe(self._guide.sent, "an attempt", attempt, now)
+    def attempt_sent(self, attempt: Attempt, now: int) -> None:
+        self._safe(self._guide.attempt_sent, "an attempt", attempt, now)
 
-    def ended(self, attempt: Attempt, reason: str, now: int) -> None:
-        self._safe(self._guide.ended, "an attempt's end", attempt, reason, now)
+    def attempt_completed(self, attempt: Attempt, reason: str, now: int) -> None:
+        self._safe(self._guide.attempt_completed, "an attempt's end", attempt, reason, now)
 
-    def closed(self, query: Query, how: str, now: int) -> None:
-        self._safe(self._guide.closed, "a request's end", query, how, now)
+    def request_completed(self, query: Query, how: str, now: int) -> None:
+        self._safe(self._guide.request_completed, "a request's end", query, how, now)
 
-    def probe(self, engine: str) -> None:
-        self._safe(self._guide.probe, "a probe", engine)
+    def check_health(self, engine: str) -> None:
+        self._safe(self._guide.check_health, "a probe", engine)
 
-    def tell(self, peer: int, contents: bytes) -> None:
-        self._safe(self._guide.tell, "the module's word", peer, contents)
+    def send_gossip(self, peer: int, contents: bytes) -> None:
+        self._safe(self._guide.send_gossip, "the module's word", peer, contents)
 
     def _safe(self, call: Callable[..., None], what: str, *words: Any) -> None:
         try:
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -110,7 +110,7 @@
 
     def _counts(self) -> tuple[int, int, int]:
         """Requests over, refused, and failed or over time, of all classes since the start."""
-        sums = [sum(counts) for counts in zip(*self.context.core.by_class.values(), strict=True)]
+        sums = [sum(counts) for counts in zip(*self.context.core.counts_by_class.values(), strict=True)]
         return sum(sums[:3]), sums[1], sums[2]
 
     def _time(self, table: Table) -> None:
@@ -127,7 +127,7 @@
 
     def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
         if self.overload is not None:
-            self.context.core.guide = Safe(self.overload, self._tally)
+            self.context.core.fleet_coordinator = Safe(self.overload, self._tally)
         return listing
 
     def open(self) -> None:
--- a/rackhub/gather/desk.py
+++ b/rackhub/gather/desk.py
@@ -43,14 +43,14 @@
     def call_off(self) -> None:
         if not self.over and self.query is not None:
             self.over = True
-            self.desk.core.leave(self.query)
+            self.desk.core.disconnect_client(self.query)
 
     def served(self, query: Query, rows: Sequence[bytes]) -> None:
         if not self.over:
             self.over = True
             self.desk.came(self.open, self.site, self.number, rows)
 
-    def refused(self, query: Query, backoff: int) -> None:
+    def rejected(self, query: Query, backoff: int) -> None:
         self._without("refused", backoff)
 
     def failed(self, query: Query, why: str) -> None:
@@ -59,7 +59,7 @@
     def _without(self, why: Missing, backoff: int) -> None:
         if not self.over:
             self.over = True
-            late = self.query is not None and self.desk.core.out_of_time(self.query)
+            late = self.query is not None and self.desk.core.is_near_deadline(self.query)
             self.desk.without(self.open, self.site, self.number, "late" if late else why, backoff, False)
 
 
@@ -129,7 +129,7 @@
 
     # ---- core.gather.Gathers
 
-    def take(self, query: Query) -> bool:
+    def accept(self, query: Query) -> bool:
         rules = self.held.rules
         rule = rules.find(query.cls, query.tenant, query.tables)
         if rule is None:
@@ -265,12 +265,12 @@
         query = open.query
         if answer.how == "refused":
             self.count("gather_refused")
-            self.core.gathered(query, "refused", backoff=answer.backoff)
+            self.core.complete_gathered(query, "refused", backoff=answer.backoff)
             return
         told = answer.told
-        self.count("gather_whole" if told is None or told.whole else "gather_partial")
+        self.count("gather_whole" if told is None or told.complete else "gather_partial")
         query.gather_status = told if getattr(query.reply, "marks", False) else None
-        self.core.gathered(query, "served", answer.pages)
+        self.core.complete_gathered(query, "served", answer.pages)
 
     def figures(self) -> dict[str, Any]:
         return {
--- a/rackhub/gather/part.py
+++ b/rackhub/gather/part.py
@@ -24,7 +24,7 @@
         rules = gather_rules(host.operator.gather or {}, host.source.settings)
         self._file, self._fleet = rules, None  # type: tuple[Any, Fleet | None]
         self.desk = GatherDesk(host.core, rules, self.remotes, host.config.seed, cut=self._cut)
-        host.core.gathers = self.desk
+        host.core.gather_port = self.desk
 
     def join(self, fleet: Fleet, level: Level | None) -> None:
         """The fleet is on: its members' word spares waits, its level spares parts, its budget pays for second tries."""
--- a/rackhub/gather/state.py
+++ b/rackhub/gather/state.py
@@ -236,7 +236,7 @@
             for site in self.rule.sites
         ]
         pages = [page for site in self.rule.sites if site in rows for page in rows[site].pages]
-        return [*self._call_off(), Answer("served", pages, GatherStatus(whole=whole, sites=sites))]
+        return [*self._call_off(), Answer("served", pages, GatherStatus(complete=whole, sites=sites))]
 
     def _call_off(self) -> list[Effect]:
         calls: list[Effect] = [CallOff(site, number) for site, number in self.out.items()]
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -48,7 +48,7 @@
     told = core.classes[cls]
     if len(id) != 16 or not HEX.issuperset(id):
         raise Unusable("the request id is not 16 hex digits")
-    if core.known(id):  # one that was answered too: its engines may still know it, by another statement
+    if core.is_known_id(id):  # one that was answered too: its engines may still know it, by another statement
         raise Unusable("the request id is not new")
     if not 0 < budget_ms <= MOST_MS:  # also no NaN
         raise Unusable("the budget is out of range")
@@ -207,12 +207,12 @@
         if self.held() != self.unread:
             if not self.unread and not self.stale:
                 self.stale_since = self.core.clock.now()
-            self.stale = self.stale or self.deaf  # until all that lies unread is read
+            self.stale = self.stale or self.reading_paused  # until all that lies unread is read
             self.unread, self._paused_at = not self.unread, self.core.clock.now()
             (self.transport.pauseProducing if self.unread else self.transport.resumeProducing)()
 
     @property
-    def deaf(self) -> bool:
+    def reading_paused(self) -> bool:
         """Whether a cancel or the client's close may have gone unseen. One answer that fills the buffer stops the
         reading for a turn, which tells nothing."""
         return self.unread and self.core.clock.now() - self._paused_at > self.front.limits.unread_turn
--- a/rackhub/net/jsonrpc.py
+++ b/rackhub/net/jsonrpc.py
@@ -82,7 +82,7 @@
         left, self.open = list(self.open.values()), {}
         log.debug("client_lost", client=self, open=len(left), half_read=len(self._buffer), reason=reason)
         for query in left:
-            self.core.leave(query)
+            self.core.disconnect_client(query)
 
     def dataReceived(self, data: bytes) -> None:
         if self.ending:
@@ -146,7 +146,7 @@
         elif message.method == "alive":
             self.counters.add("alives_in")
             if message.id is not NO_ID:
-                self._write(message.id, b'"result":{"pass":%s}' % (b"true" if self.core.taking else b"false"))
+                self._write(message.id, b'"result":{"pass":%s}' % (b"true" if self.core.accepting else b"false"))
             else:
                 self._no_id()
         elif message.id is NO_ID or message.id is None:
@@ -208,7 +208,7 @@
     def _withdrawn(self, id: Any) -> bool:
         query = self.open.pop(id, None)
         if query is not None:
-            self.core.leave(query)
+            self.core.disconnect_client(query)
             self._end_if_done()
         return query is not None
 
@@ -230,7 +230,7 @@
         )  # never on the platform
         self._answer(query, b'"result":{"body":"', b2a_base64(b"".join(rows), newline=False), b'"', told, b"}")
 
-    def refused(self, query: Query, backoff: int) -> None:
+    def rejected(self, query: Query, backoff: int) -> None:
         self._answer(
             query,
             b'"error":{"code":%d,"message":"refused: try again later","data":{"backoff":%d}}'
--- a/rackhub/net/pool.py
+++ b/rackhub/net/pool.py
@@ -141,7 +141,7 @@
         spoilt answer or a reset, ends all attempts that share it (on a scored day up to 16 at a time)."""
         pool = self.pools.get(attempt.engine)
         if pool is None:
-            return self._core.ended(attempt, "NOCONN")
+            return self._core.complete_attempt(attempt, "NOCONN")
         able = [link for link in pool.links if link.takes(attempt)]
         link = min(able, key=lambda link: link.load(), default=None)
         crowded = link is not None and link.load() >= self._limits.few and len(pool.links) < self._limits.spread
@@ -152,7 +152,7 @@
                 link = self._dial(pool)
                 pool.links.append(link)
         if link is None:
-            return self._core.ended(attempt, "NOCONN")
+            return self._core.complete_attempt(attempt, "NOCONN")
         link.carry(attempt)
 
     def _links(self) -> list[Link]:
--- a/rackhub/net/resolver.py
+++ b/rackhub/net/resolver.py
@@ -17,7 +17,7 @@
 from twisted.names import dns
 
 from rackhub import interface, logs
-from rackhub.core.source import Address, EndpointSnapshot, LeaseKeeper
+from rackhub.core.source import Address, EndpointPollObserver, EndpointSnapshot
 from rackhub.counters import Counters
 from rackhub.limits import Limits
 from rackhub.net.asking import Asking
@@ -112,7 +112,7 @@
         limits: Limits,
         counters: Counters,
         renew: Callable[[], None] = lambda: None,
-        lease: LeaseKeeper | None = None,
+        lease: EndpointPollObserver | None = None,
         settled: Callable[[], None] = lambda: None,
     ):
         self._reactor, self._server, self._last, self._told = reactor, server, start, told
@@ -157,7 +157,7 @@
         number = self._random.randrange(1 << 16)
         while len(self._asked) >= self._limits.polls_open:
             del self._asked[next(iter(self._asked))]
-        leased = self._lease.asked() if self._lease is not None else 0
+        leased = self._lease.endpoint_poll_started() if self._lease is not None else 0
         self._asked[number] = Question(self._reactor.seconds(), leased)
         self._counters.add("dns_sent")
         try:
@@ -205,7 +205,7 @@
         if self._reactor.seconds() - asked.sent < self._asking.first_round() / 1_000_000:
             self._settled()
         if self._lease is not None:
-            self._lease.confirmed(asked.leased)
+            self._lease.endpoint_poll_confirmed(asked.leased)
 
     def _log_changes(self, listing: EndpointSnapshot) -> None:
         before, after = set(self._last.entries), set(listing.entries)
@@ -250,7 +250,7 @@
         self._reread, self._resolver = reread, None
         self._ports: list[IListeningPort] = []  # the last one is asked from; the others may still bring answers
 
-    def follow(self, told: Callable[[EndpointSnapshot], None], lease: LeaseKeeper | None = None) -> None:
+    def follow(self, told: Callable[[EndpointSnapshot], None], lease: EndpointPollObserver | None = None) -> None:
         self._resolver = Resolver(
             self._reactor,
             self._server,
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -161,7 +161,7 @@
         del self._waiting[id]
         attempt = self.open.pop(id)
         log.debug("attempt_returned", request=attempt.query.id, engine=self.pool.name, reason=why)
-        self.core.ended(attempt, "NOCONN")
+        self.core.complete_attempt(attempt, "NOCONN")
 
     def _return_late(self, now: int) -> None:
         """What the socket has not taken for so long goes elsewhere, as after a dial that takes too long."""
@@ -226,7 +226,7 @@
         """The socket takes bytes. Where they waited for it over a late turn a client's end may lie unread: that is read
         first."""
         if self.clock.now() - self._waits_since() > self.limits.unread_turn:
-            self.core.timers.when_read(self.limits.unread_turn, self._send_waiting)
+            self.core.timers.call_after_reads(self.limits.unread_turn, self._send_waiting)
         else:
             self._send_waiting()
 
@@ -245,7 +245,7 @@
     def _bar(self, id: bytes, attempt: Attempt, why: str) -> None:
         del self.open[id], self._waiting[id]
         log.debug("attempt_barred", request=attempt.query.id, engine=self.pool.name, reason=why)
-        self.core.ended(attempt, why)
+        self.core.complete_attempt(attempt, why)
 
     def _send(self, id: bytes, attempt: Attempt) -> bool:
         query, now = attempt.query, self.clock.now()
@@ -281,7 +281,7 @@
             if why := attempt.send_blocked_by(self.heard, self.core.lease):  # it waited too long for this
                 self._bar(id, attempt, why)
         stale = any(attempt.query.reply.stale for attempt in self.open.values())
-        self.core.timers.when_read(-1 if stale else self.limits.unread_turn, self._opened)
+        self.core.timers.call_after_reads(-1 if stale else self.limits.unread_turn, self._opened)
 
     def _opened(self) -> None:
         if self.closed:  # lost meanwhile, or what came on it was no answer
@@ -310,7 +310,7 @@
         self._spans.clear()
         self.paging.clear()
         for attempt, unread in ended:
-            self.core.ended(attempt, "NOCONN" if unread else "RST")
+            self.core.complete_attempt(attempt, "NOCONN" if unread else "RST")
 
     def dataReceived(self, data: bytes) -> None:
         if self.closed:
@@ -422,7 +422,7 @@
         elif word == b"status":
             topic = TOPICS.get(fields.get(b"remark", b""))
             if topic:
-                self.core.noted(attempt, topic, figure(fields, b"amount", float))
+                self.core.report_progress(attempt, topic, figure(fields, b"amount", float))
         elif word == b"503" and id not in self.paging:
             self._over(id, attempt, "FULL", report_of(fields))
         elif word == b"504" and id not in self.paging:  # over before it was read: there is no time to try again
@@ -475,7 +475,7 @@
         """More than a result may hold: memory is bounded, so the attempt has failed after it ran."""
         log.warning("result_too_large", engine=self.pool.name, request=attempt.query.id)
         self.give_up(attempt)
-        self.core.ended(attempt, "BAD")
+        self.core.complete_attempt(attempt, "BAD")
 
     def _over(
         self, id: bytes, attempt: Attempt, reason: str, report: dict[str, float], rows: Iterable[bytes] = ()
@@ -485,7 +485,7 @@
         if reason != "GOOD":  # tried again here, it could be credited with a second copy of this end
             self._stale(id, self.clock.now())
         self._let_go()
-        self.core.ended(attempt, reason, report, rows)
+        self.core.complete_attempt(attempt, reason, report, rows)
 
 
 def resp_pools(reactor: IReactorTCP, clock: Clock, limits: Limits, counters: Counters, core: Coordinator) -> Pools:
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -177,7 +177,7 @@
     def _end(self, reason: str, rows: tuple[bytes, ...] = ()) -> None:
         attempt, self._attempt, self.used = self._attempt, None, self.clock.now()
         if attempt is not None:
-            self.core.ended(attempt, reason, self._report, rows)
+            self.core.complete_attempt(attempt, reason, self._report, rows)
         if self.retired:
             self.close_if_idle()
 
@@ -186,7 +186,7 @@
     def _writable(self) -> None:
         """The socket takes bytes. Where the attempt waited for it over a late turn the client's end may lie unread."""
         late = self.clock.now() - self._waits_since > self.limits.unread_turn
-        self.core.timers.when_read(self.limits.unread_turn, self._call) if late else self._call()
+        self.core.timers.call_after_reads(self.limits.unread_turn, self._call) if late else self._call()
 
     def _call(self) -> None:
         if self._attempt is None or self.state != self.READY:  # it went elsewhere meanwhile
@@ -290,7 +290,7 @@
             # no result of ours, or more than one may hold: it ran, and it can't be passed on whole
             attempt = self._attempt
             self.give_up(attempt)
-            return self.core.ended(attempt, "BAD")
+            return self.core.complete_attempt(attempt, "BAD")
         self._rows.append(text)
 
     def _info(self, info: codec.Notice) -> None:
@@ -303,7 +303,7 @@
                 raise codec.BadTds("a note without a figure") from None
             if not 0 <= value < 1e12:
                 raise codec.BadTds("a note whose figure is out of range")
-            self.core.noted(self._attempt, TOPICS[info.number], value)
+            self.core.report_progress(self._attempt, TOPICS[info.number], value)
 
 
 def tds_pools(
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -80,7 +80,7 @@
         self.front.lost(self)
         query, self._query = self._query, None
         if query is not None:
-            self.core.leave(query)
+            self.core.disconnect_client(query)
 
     def busy(self) -> bool:
         return self.state in (self.BUSY, self.ROWS)
@@ -230,7 +230,7 @@
             raise codec.BadTds("Attention before a login")
         query, self._query = self._query, None
         if query is not None:
-            self.core.leave(query)
+            self.core.disconnect_client(query)
         ack = codec.done(codec.DONE_ATTN)
         if self.state == self.ROWS:  # inside the answer: it ends here, short of its rows, and says so
             self._pages = []
@@ -271,9 +271,9 @@
     def stopProducing(self) -> None:
         self._pages = []
 
-    def refused(self, query: Query, backoff: int) -> None:
+    def rejected(self, query: Query, backoff: int) -> None:
         if query is self._query:
-            late = self.core.out_of_time(query)
+            late = self.core.is_near_deadline(query)
             self._say_error(
                 DEADLINE if late else REFUSED,
                 HARMLESS,
@@ -284,7 +284,7 @@
 
     def failed(self, query: Query, why: str) -> None:
         if query is self._query:
-            late = self.core.out_of_time(query)
+            late = self.core.is_near_deadline(query)
             self._say_error(
                 DEADLINE if late else FAILED,
                 UNKNOWN if late else 1,
--- a/rackhub/ops/part.py
+++ b/rackhub/ops/part.py
@@ -34,7 +34,7 @@
         self._mark = statefile.mark(self._path)  # of the file as it was last read or written here
         self.bans = statefile.kept_bans(self._path, host.counters.add)
         figures = Figures(
-            host.core.by_class,
+            host.core.counts_by_class,
             lambda: len(host.core.queries),
             lambda: len(self._listed),
             lambda: self.bans.avoided(self._listed),
--- a/rackhub/state/keeper.py
+++ b/rackhub/state/keeper.py
@@ -93,15 +93,15 @@
         """The list of engines as it is told now."""
         self._put(ledger.ENGINES, ledger.keep_engines(listing, self._clock.now()))
 
-    def taken(self, query: Query) -> None:
+    def request_admitted(self, query: Query) -> None:
         self._keyed.taken(query.idempotency_key, query.cls, query.tenant, self._clock.now())
         self._soon()
 
-    def out(self, attempt: Attempt) -> None:
+    def attempt_sent(self, attempt: Attempt) -> None:
         self._keyed.out(attempt.query.idempotency_key, attempt.query.cls, attempt.engine, self._clock.now())
         self._soon()
 
-    def over(self, query: Query, how: str) -> None:
+    def request_completed(self, query: Query, how: str) -> None:
         self._keyed.over(query.idempotency_key, query.cls, cast(ledger.State, how), self._clock.now())
         self._soon()
 
--- a/rackhub/state/part.py
+++ b/rackhub/state/part.py
@@ -27,7 +27,7 @@
             )
         except (StoreError, OSError) as fault:
             raise ComponentStartError(f"[store]: {fault}") from None
-        host.core.ledger = self.keeper
+        host.core.request_journal = self.keeper
 
     def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
         return self.keeper.start(listing)
--- a/rackhub/timings/bench.py
+++ b/rackhub/timings/bench.py
@@ -150,7 +150,7 @@
         start = time.process_time()
         for id in range(number * requests + 1, (number + 1) * requests + 1):
             rig.ask(id)
-            for attempt in list(rig.core.out.values()):
+            for attempt in list(rig.core.in_flight.values()):
                 rig._end(attempt, "GOOD", 3)
             rig.world.run(rig.world.time + chance.randrange(2 * MS))
         took[number % 2].append((time.process_time() - start) / requests * 1e6)
--- a/rackhub/timings/desk.py
+++ b/rackhub/timings/desk.py
@@ -94,7 +94,7 @@
 
     # ---- the life of a request
 
-    def begin(self, cls: str, tenant: str, estimate: int, now: int) -> Life:
+    def begin_request(self, cls: str, tenant: str, estimate: int, now: int) -> Life:
         """A request was taken. While its budget is spent it gets one attempt, and the module knows: told only when it
         has called the first one off to place it elsewhere, it would have done that for nothing."""
         terms = self._table.find(cls, tenant, estimate)
@@ -106,7 +106,7 @@
             life.max_attempts = 1
         return life
 
-    def end(self, life: Life, now: int) -> None:
+    def end_request(self, life: Life, now: int) -> None:
         """It has its answer, or its client is gone."""
         if not life.sent:  # turned away, as a rule
             for window in (life.retries, life.copies):
@@ -142,7 +142,7 @@
         terms = life.terms
         return life.retries is None or life.retries.may(now, terms.share or 0.0, terms.floor)
 
-    def sending(self, life: Life, number: int, kind: str, copy: bool, now: int) -> AttemptTerms:
+    def attempt_terms(self, life: Life, number: int, kind: str, copy: bool, now: int) -> AttemptTerms:
         """An attempt goes out; what holds for it. A further one is paid for here."""
         kinds = life.terms.kinds
         engine = kinds[kind] if kind in kinds else kinds[""]
@@ -173,7 +173,7 @@
                 copy_after = int(limit * MS) if limit else 0
         return AttemptTerms(timeout, send_by, copy_after, engine.priority)
 
-    def may_copy(self, life: Life, kind: str, tries: int, now: int) -> bool:
+    def may_hedge(self, life: Life, kind: str, tries: int, now: int) -> bool:
         """Whether a copy that is due may go, by its share and by the request's attempts. Where an engine was full for
         it none goes: that is pressure, which copies add to."""
         if life.copied or life.full or not self.may_send(life, tries, True, now):
@@ -183,7 +183,7 @@
             return False
         return True
 
-    def ended(
+    def attempt_completed(
         self, life: Life, number: int, kind: str, engine: str, reason: str, elapsed: int, cut: bool, now: int
     ) -> None:
         """An attempt has ended; `cut` where the terms' own time-out ended it. What it took is learned."""
@@ -201,7 +201,7 @@
         if self._quantiles is not None and (reason == "GOOD" or cut):
             self._quantiles.saw(life.cls, kind, engine, elapsed, now, cut)
 
-    def after(self, life: Life, reason: str, tries: int, now: int) -> RetryDecision:
+    def retry_decision(self, life: Life, reason: str, tries: int, now: int) -> RetryDecision:
         """What may come after an attempt that ended without an answer, when nothing else of the request is out."""
         word = WORDS.get(reason)
         if word is not None and word not in life.terms.retry_on:
--- a/rackhub/timings/part.py
+++ b/rackhub/timings/part.py
@@ -19,7 +19,7 @@
         self.desk = Desk(
             timings_table(host.operator.timings or {}, settings), windows, host.config.seed, host.counters.add
         )
-        host.core.desk = self.desk
+        host.core.request_policy = self.desk
         self.again: Callable[[], None] | None = None  # where a rule book is: it says what the file is still good for
 
     def reload(self, operator: Operator) -> None:
@@ -30,7 +30,9 @@
             if self.again is not None:
                 return self.again()
             table = timings_table(part, self.context.source.settings)
-            timings_table(part, self.context.reread().settings)  # those that a restart would bring must allow it too
+            timings_table(
+                part, self.context.read_config().settings
+            )  # those that a restart would bring must allow it too
         except ValueError as bad:
             self.context.counters.add("timings_reloads_bad")
             return log.error("reload: bad timings, the old ones hold: %s", bad)
--- a/rackhub/timings/rig.py
+++ b/rackhub/timings/rig.py
@@ -179,7 +179,7 @@
             if faults:
                 raise ValueError("; ".join(map(str, faults)))
             windows = {scene.cls.name: scene.cls.idempotency_window} if scene.cls.idempotency == "dedup" else {}
-            self.core.desk = Desk(Table(routes, self.settings), windows, seed, self.counters.add)
+            self.core.request_policy = Desk(Table(routes, self.settings), windows, seed, self.counters.add)
         self.engines = {
             f"e{i}": Engine(self.world, scene.cores, scene.speeds.get(i, 1.0), scene.most) for i in range(scene.engines)
         }
@@ -214,7 +214,7 @@
 
     def _end(self, attempt: Attempt, reason: str, load: int) -> None:
         rows = (b"a\tb\tc\n",) if reason == "GOOD" else ()
-        self.core.ended(attempt, reason, {"busy_reqs": float(load), "pending": 0.0}, rows)
+        self.core.complete_attempt(attempt, reason, {"busy_reqs": float(load), "pending": 0.0}, rows)
 
     def give_up(self, attempt: Attempt) -> None:
         self.world.at(self.world.time + LATENCY, self._stop, attempt)
@@ -237,7 +237,7 @@
         self.took.append(took)
         self.good += took <= self.scene.cls.latency_objective + 1.5 * self._works[query.id]
 
-    def refused(self, query: Query, backoff: int) -> None:
+    def rejected(self, query: Query, backoff: int) -> None:
         self.answers[query.id].append("refused")
 
     def failed(self, query: Query, why: str) -> None:
--- a/rackhub/trials/fleet/overload_world.py
+++ b/rackhub/trials/fleet/overload_world.py
@@ -91,9 +91,9 @@
                 self.probe,
                 FleetSettings(cluster="rig", listen="127.0.0.1:7001"),
             )
-            self.core.guide = self.part
+            self.core.fleet_coordinator = self.part
         else:
-            self.core.guide = Alone(self)
+            self.core.fleet_coordinator = Alone(self)
         listing = EndpointSnapshot(
             1, tuple(t.EngineEntry(name, kind="e", started_at=-(10**9)) for name in world.engines), {}
         )
@@ -144,7 +144,7 @@
     def close_idle(self, engine: str) -> None: ...
 
     def ended(self, attempt: Attempt, reason: str, report: dict[str, float]) -> None:
-        self.world.time.later(WIRE, lambda: self.core.ended(attempt, reason, report, (b"a\tb\tc\n",)))
+        self.world.time.later(WIRE, lambda: self.core.complete_attempt(attempt, reason, report, (b"a\tb\tc\n",)))
 
     def probe(self, engine: str, done: Callable[[str, int, dict[str, float]], None]) -> None:
         found = self.world.engines[engine]
@@ -158,16 +158,18 @@
     def __init__(self, gateway: Gateway):
         self._gateway = gateway
 
-    def probe(self, engine: str) -> None:
-        self._gateway.probe(engine, lambda reason, elapsed, report: self._gateway.core.probed(engine, reason, elapsed))
+    def check_health(self, engine: str) -> None:
+        self._gateway.probe(
+            engine, lambda reason, elapsed, report: self._gateway.core.complete_health_check(engine, reason, elapsed)
+        )
 
-    def arrived(self, query: Query, now: int) -> int:
+    def request_received(self, query: Query, now: int) -> int:
         return 0
 
-    def sent(self, attempt: Attempt, now: int) -> None: ...
-    def ended(self, attempt: Attempt, reason: str, now: int) -> None: ...
-    def closed(self, query: Query, how: str, now: int) -> None: ...
-    def tell(self, peer: int, contents: bytes) -> None: ...
+    def attempt_sent(self, attempt: Attempt, now: int) -> None: ...
+    def attempt_completed(self, attempt: Attempt, reason: str, now: int) -> None: ...
+    def request_completed(self, query: Query, how: str, now: int) -> None: ...
+    def send_gossip(self, peer: int, contents: bytes) -> None: ...
 
 
 class Request(Reply):
@@ -207,7 +209,7 @@
         if query.id == self.open:  # else its process is dead
             self.over("served")
 
-    def refused(self, query: Query, backoff: int) -> None:
+    def rejected(self, query: Query, backoff: int) -> None:
         if query.id != self.open:
             return
         if self.asked > CARRIED:
--- a/rackhub/trials/scale/engines.py
+++ b/rackhub/trials/scale/engines.py
@@ -47,7 +47,7 @@
         self._revision += 1
         state = "Terminating" if self._revision % 2 == 0 else "Ready"
         self._entries[-1] = replace(self._entries[-1], state=state)
-        self.rig.core.listed(tuple(self._entries), self._revision)
+        self.rig.core.update_endpoints(tuple(self._entries), self._revision)
 
     def check(self) -> None:
         served = self.rig.core.counters["served"]
--- a/rackhub/trials/virtual/cost.py
+++ b/rackhub/trials/virtual/cost.py
@@ -116,11 +116,11 @@
         self.core.submit(query)
         while len(self.out) > OUT:
             report = {"busy_reqs": 6.0 + number % 5, "pending": 0.0}
-            self.core.ended(self.out.popleft(), "GOOD", report, (b"a\tb\tc\n",))
+            self.core.complete_attempt(self.out.popleft(), "GOOD", report, (b"a\tb\tc\n",))
 
     def served(self, query: Query, rows: Sequence[bytes]) -> None: ...
 
-    def refused(self, query: Query, backoff: int) -> None: ...
+    def rejected(self, query: Query, backoff: int) -> None: ...
 
     def failed(self, query: Query, why: str) -> None: ...
 
--- a/rackhub/trials/virtual/rig.py
+++ b/rackhub/trials/virtual/rig.py
@@ -234,11 +234,11 @@
         if self.open.pop(attempt, None) is not None:
             self.used = self.site.now()
             report = {"busy_reqs": float(running), "pending": 0.0}
-            self.world.clock.callLater(WIRE, self.site.core.ended, attempt, "GOOD", report, (b"a\tb\tc\n",))
+            self.world.clock.callLater(WIRE, self.site.core.complete_attempt, attempt, "GOOD", report, (b"a\tb\tc\n",))
 
     def noted(self, attempt: Attempt, share: float) -> None:
         if attempt in self.open:
-            self.world.clock.callLater(WIRE, self.site.core.noted, attempt, 1, share)
+            self.world.clock.callLater(WIRE, self.site.core.report_progress, attempt, 1, share)
 
     def lost(self) -> None:
         self.closed, self.up = True, False
@@ -246,7 +246,7 @@
         self.pool.lost(self)
         ended, self.open = list(self.open), {}
         for attempt in ended:
-            self.site.core.ended(attempt, "RST")
+            self.site.core.complete_attempt(attempt, "RST")
 
     # ---- what the pool asks
 
@@ -289,7 +289,7 @@
         self.closed = True
         ended, self.open = list(self.open), {}
         for attempt in ended:
-            self.site.core.ended(attempt, "NOCONN")
+            self.site.core.complete_attempt(attempt, "NOCONN")
 
 
 class Site:
@@ -349,7 +349,7 @@
                 self.gone.pop(name, None)
             else:
                 self.gone.setdefault(name, self.world.time())
-        self.core.listed(listing.entries, listing.revision)
+        self.core.update_endpoints(listing.entries, listing.revision)
         self.pools.listed(listing.addresses)
 
     def request(self) -> None:
@@ -448,7 +448,7 @@
     def served(self, query: Query, rows: Sequence[bytes]) -> None:
         self._answer(query, "served")
 
-    def refused(self, query: Query, backoff: int) -> None:
+    def rejected(self, query: Query, backoff: int) -> None:
         self._answer(query, "refused")
 
     def failed(self, query: Query, why: str) -> None:
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -36,9 +36,9 @@
     for number in range(1, 5):
         here.ask(number, token=f"{number:032x}")
         here.turn()
-    here.core.ended(here.port.sent[0], "GOOD", {}, (b"a\tb\tc\n",))
-    here.core.ended(here.port.sent[1], "BAD")
-    here.core.leave(here.core.queries[f"{3:016x}"])
+    here.core.complete_attempt(here.port.sent[0], "GOOD", {}, (b"a\tb\tc\n",))
+    here.core.complete_attempt(here.port.sent[1], "BAD")
+    here.core.disconnect_client(here.core.queries[f"{3:016x}"])
     here.core.submit(Query("f" * 16, "lookup", b"x", here.clock.now() + 3 * S, here.port, tenant="acme"))
     here.turn()
     here.keeper.end()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,7 +14,7 @@
 class Port:
     """Engines and client in one: notes what it is told."""
 
-    deaf = stale = False
+    reading_paused = stale = False
 
     def __init__(self):
         self.sent, self.given_up, self.hurried, self.answers = [], [], [], []
@@ -34,7 +34,7 @@
     def served(self, query, rows):
         self.answers.append(("served", query.id, b"".join(rows)))
 
-    def refused(self, query, backoff):
+    def rejected(self, query, backoff):
         self.answers.append(("refused", query.id, backoff))
 
     def failed(self, query, why):
@@ -73,11 +73,11 @@
     here = Core()
     here.ask()
     (attempt,) = here.port.sent
-    here.core.ended(attempt, "GOOD", {"busy_reqs": 3.0}, (b"a", b"b"))
-    here.core.ended(attempt, "RST")  # a second end crosses: it counts for nothing
+    here.core.complete_attempt(attempt, "GOOD", {"busy_reqs": 3.0}, (b"a", b"b"))
+    here.core.complete_attempt(attempt, "RST")  # a second end crosses: it counts for nothing
     here.clock.advance(30 * S)
     assert here.port.answers == [("served", f"{1:016x}", b"ab")]
-    assert not here.core.queries and not here.core.out and here.counters["out_rst"] == 0
+    assert not here.core.queries and not here.core.in_flight and here.counters["out_rst"] == 0
 
 
 def test_an_unanswered_request_is_answered_before_its_deadline():
@@ -92,7 +92,7 @@
 def test_a_refusal_of_the_module_is_passed_on_at_once():
     """Never held back, so that a client asks less often: the issue forbids it."""
     here = Core()
-    here.core.listed([], 2)
+    here.core.update_endpoints([], 2)
     here.ask()
     ((kind, _, back_off),) = here.port.answers
     assert kind == "refused" and 0 < back_off <= SETTINGS.max_retry_after
@@ -133,7 +133,7 @@
     module.acts[t.AttemptCompleted] = lambda event: [] if event.outcome == "NOP" else [t.Send(event.query, "e0")]
     for _ in range(5):
         if query.in_flight:
-            here.core.ended(next(iter(query.in_flight.values())), "BAD")
+            here.core.complete_attempt(next(iter(query.in_flight.values())), "BAD")
     assert len(here.port.sent) == SETTINGS.max_attempts
     module.acts[t.TimerFired] = [t.Reject(query.id, 5), t.Fail(query.id), t.Reject(query.id), t.Send(query.id, "e0")]
     here.core._due(1)
@@ -153,11 +153,11 @@
 def test_a_client_that_leaves_is_owed_nothing_and_its_work_stops():
     here = Core()
     query = here.ask()
-    here.core.leave(query)
-    here.core.leave(query)
+    here.core.disconnect_client(query)
+    here.core.disconnect_client(query)
     here.clock.advance(30 * S)
     assert here.port.answers == [] and here.port.given_up == here.port.sent and here.counters["left"] == 1
-    assert here.counters["out_cxl"] == 1 and not here.core.out
+    assert here.counters["out_cxl"] == 1 and not here.core.in_flight
 
 
 def test_a_further_attempt_waits_until_the_give_up_has_gone_its_way():
@@ -169,7 +169,7 @@
     here = Core(module)
     query = here.ask(budget=9 * S)
     here.core._due(1)
-    here.core.ended(here.port.sent[0], "GOOD")  # crossed the give-up: it is none of ours any more
+    here.core.complete_attempt(here.port.sent[0], "GOOD")  # crossed the give-up: it is none of ours any more
     assert here.port.given_up == here.port.sent == list(query.in_flight.values()) and here.port.answers == []
     here.clock.advance(LIMITS.handover)
     assert [attempt.engine for attempt in here.port.sent] == ["e0", "e1"]
@@ -190,14 +190,14 @@
     """A bad client's request under the id of one just served reached engines, which knew it by another statement."""
     here = Core(limits=msgspec.structs.replace(LIMITS, recent_ids=2))
     first = here.ask()
-    assert here.core.known(first.id)
-    here.core.ended(here.port.sent[0], "GOOD")
-    assert here.core.known(first.id)
-    here.core.leave(here.ask())
-    assert here.core.known(f"{2:016x}")
+    assert here.core.is_known_id(first.id)
+    here.core.complete_attempt(here.port.sent[0], "GOOD")
+    assert here.core.is_known_id(first.id)
+    here.core.disconnect_client(here.ask())
+    assert here.core.is_known_id(f"{2:016x}")
     for attempt in [next(iter(here.ask().in_flight.values())) for _ in range(2)]:
-        here.core.ended(attempt, "GOOD")
-    assert not here.core.known(first.id)
+        here.core.complete_attempt(attempt, "GOOD")
+    assert not here.core.is_known_id(first.id)
 
 
 def test_memory_is_bounded_by_refusing_at_once():
@@ -210,7 +210,7 @@
 def test_a_few_long_statements_are_bounded_as_many_short_ones_are():
     here = Core(limits=msgspec.structs.replace(LIMITS, held_bytes=2))
     first = here.ask()
-    here.core.leave(first)
+    here.core.disconnect_client(first)
     for _ in range(3):
         here.ask()
     assert [kind for kind, *_ in here.port.answers] == ["refused"] and here.counters["over_held"] == 1
@@ -253,24 +253,24 @@
     here.ask()
     here.ask()
     for attempt in list(here.port.sent):
-        here.core.ended(attempt, "GOOD")
+        here.core.complete_attempt(attempt, "GOOD")
     assert len(told) == 1
 
 
 def test_after_sigterm_every_request_is_refused_at_once_and_counted_by_class_and_what_was_taken_goes_on():
     here = Core()
     taken = here.ask(budget=2 * S)
-    assert here.core.taking
-    here.core.ending(500 * MS)
-    assert not here.core.taking
+    assert here.core.accepting
+    here.core.start_draining(500 * MS)
+    assert not here.core.accepting
     short, long = here.ask(budget=200 * MS), here.ask(budget=2 * S)
     assert here.port.answers == [("refused", short.id, 500 * MS), ("refused", long.id, 500 * MS)]
     assert [attempt.query for attempt in here.port.sent] == [taken] and list(here.core.queries) == [taken.id]
-    assert here.counters["refused_ending"] == 2 and here.core.by_class["lookup"][1] == 2
-    here.core.ended(here.port.sent[0], "BAD")  # its further attempts are as before
+    assert here.counters["refused_ending"] == 2 and here.core.counts_by_class["lookup"][1] == 2
+    here.core.complete_attempt(here.port.sent[0], "BAD")  # its further attempts are as before
     here.clock.advance(200 * MS)
     assert [attempt.query for attempt in here.port.sent] == [taken, taken]
-    here.core.ended(here.port.sent[1], "GOOD", {}, (b"a",))
+    here.core.complete_attempt(here.port.sent[1], "GOOD", {}, (b"a",))
     assert here.port.answers[2:] == [("served", taken.id, b"a")]
 
 
@@ -278,7 +278,7 @@
     here = Core()
     served, left = here.ask(), here.ask()
     attempt = next(a for a in here.port.sent if a.query is served)
-    here.core.ended(attempt, "GOOD", {}, (b"a",))
-    here.core.leave(left)
-    ok, shed, errors, tries = here.core.by_class["lookup"]
+    here.core.complete_attempt(attempt, "GOOD", {}, (b"a",))
+    here.core.disconnect_client(left)
+    ok, shed, errors, tries = here.core.counts_by_class["lookup"]
     assert (ok, shed, errors) == (1, 0, 0) and tries == len(here.port.sent)
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -386,12 +386,12 @@
     client = here.client()
     client.send(ask(1))
     spin(lambda: here.core.queries)
-    assert not client.served_by.deaf
+    assert not client.served_by.reading_paused
     client.send(*[b"{\n"] * (LIMITS.free_faults + 1), ask(2))
     spin(lambda: here.counters["requests_in"] == 2)
-    assert client.served_by.unread and not client.served_by.deaf and here.counters["clients_slowed"] == 1
+    assert client.served_by.unread and not client.served_by.reading_paused and here.counters["clients_slowed"] == 1
     here.clock.advance(LIMITS.unread_turn + 1)
-    assert client.served_by.deaf
+    assert client.served_by.reading_paused
     client.socket.close()
     here.clock.advance(LIMITS.penance)
     spin(lambda: not here.core.queries)
@@ -443,10 +443,10 @@
     spin(lambda: here.counters["served"] == 8)
     assert client.served_by.choked_since
     here.clock.advance(LIMITS.unread_turn + 1)
-    assert client.served_by.deaf
+    assert client.served_by.reading_paused
     spin(lambda: client.read() or client.got.count(b"\n") == 8)
     assert len(client.answers()) == 8
-    spin(lambda: not client.served_by.deaf)
+    spin(lambda: not client.served_by.reading_paused)
     client.send(ask(9))
     spin(lambda: here.clock.advance(0) or here.counters["served"] == 9)  # held until all that had waited is read
 
@@ -472,7 +472,7 @@
     here.patch.setattr(reactor, "connectTCP", lambda *given, **more: dials.append((given, more)))
     client.send(ask(1))
     spin(lambda: dials)
-    here.core.ending(300 * MS)
+    here.core.start_draining(300 * MS)
     for each in (client, late):
         each.send(ask(2, budget=200) if each is client else ask(3), ALIVE)
     spin(lambda: len(client.answers()) == len(late.answers()) == 2)
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -30,7 +30,7 @@
 class Answers:
     """Where a request's one answer goes."""
 
-    marks = deaf = stale = False
+    marks = reading_paused = stale = False
 
     def __init__(self):
         self.came = []
@@ -38,7 +38,7 @@
     def served(self, query, rows):
         self.came.append(("served", b"".join(rows)))
 
-    def refused(self, query, backoff):
+    def rejected(self, query, backoff):
         self.came.append(("refused", b""))
 
     def failed(self, query, why):
@@ -76,7 +76,7 @@
         """A list with the engines in these states; None: gone."""
         entries = [t.EngineEntry(f"e{i}", "z", "std", state=state) for i, state in enumerate(states) if state]
         self.rev += 1
-        self.core.listed(entries, self.rev)  # the order of `Daemon._tell_list`
+        self.core.update_endpoints(entries, self.rev)  # the order of `Daemon._tell_list`
         self.pools.listed(
             {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(self.stands) if states[i]},
             entries,
@@ -117,7 +117,7 @@
     spin(lambda: len(here.wants()) == 1)
     (first,) = query.in_flight.values()
     here.clock.time += 800 * MS
-    here.core.ended(first, "RST")  # within the window: the second one begins to dial
+    here.core.complete_attempt(first, "RST")  # within the window: the second one begins to dial
     here.clock.advance(0)  # the loop had stood still: only once it has turned
     (second,) = query.in_flight.values()
     assert second.engine != first.engine
@@ -132,10 +132,10 @@
     query = here.ask("depot-load", 20 * S)
     (first,) = query.in_flight.values()
     here.clock.time += 900 * MS
-    here.core.ended(first, "NOCONN")
+    here.core.complete_attempt(first, "NOCONN")
     (second,) = query.in_flight.values()
     assert not second.send_by
-    here.core.ended(second, "RST")
+    here.core.complete_attempt(second, "RST")
     (third,) = query.in_flight.values()
     assert second.sent_at < third.send_by < second.sent_at + S
 
@@ -147,12 +147,12 @@
     from rackhub.timings.table import Table
 
     here = make(3, settings=KEYED)
-    here.core.desk = Desk(
+    here.core.request_policy = Desk(
         Table([Route(cls="depot-load", repeat_within_ms=terms / MS)], KEYED), {"depot-load": 25 * S}, 3
     )
     query = here.ask("depot-load", 20 * S)
     (first,) = query.in_flight.values()
-    here.core.ended(first, "RST")
+    here.core.complete_attempt(first, "RST")
     (second,) = query.in_flight.values()
     assert second.send_by == min(first.sent_at + terms, first.sent_at + S - S // 20)
 
@@ -166,7 +166,7 @@
     """Also where the site allows no cancel, and so the module calls nothing off."""
     here = make(1, tds=tds, settings=replace(SETTINGS, cancel=cancel), act=answer)
     gone = here.ask()
-    here.core.leave(gone)
+    here.core.disconnect_client(gone)
     spin(lambda: here.stands[0].connections)
     stays = here.ask()
     spin(lambda: stays.closed)
@@ -222,8 +222,11 @@
     here = make(1, settings=FRAGILE)
     ran = here.ask()
     spin(lambda: here.wants(ran))
-    ends, told = [], here.core.ended
-    here.core.ended = lambda attempt, how, *more: (ends.append((attempt.query, how)), told(attempt, how, *more))
+    ends, told = [], here.core.complete_attempt
+    here.core.complete_attempt = lambda attempt, how, *more: (
+        ends.append((attempt.query, how)),
+        told(attempt, how, *more),
+    )
     queued = here.ask()
     assert len({attempt.connection for query in (ran, queued) for attempt in query.in_flight.values()}) == 1
     reset(here.stands[0].connections[0])
@@ -239,8 +242,11 @@
     here.stands[0].connections[0].transport.pauseProducing()
     here.stands[0].connections[0].transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     link.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-    whole, ends, told = [here.ask()], [], here.core.ended
-    here.core.ended = lambda attempt, how, *more: (ends.append((attempt.query, how)), told(attempt, how, *more))
+    whole, ends, told = [here.ask()], [], here.core.complete_attempt
+    here.core.complete_attempt = lambda attempt, how, *more: (
+        ends.append((attempt.query, how)),
+        told(attempt, how, *more),
+    )
     spin(lambda: not link._waiting)
     while not link._out.kept():
         whole.append(here.ask(statement=b"x" * 40_000))
@@ -358,13 +364,13 @@
     """It came up in a late turn, so that what waited for it was held for three turns; the list came in between."""
     here = make(2, act=answer, settings=FRAGILE)
     here.told("Ready", None)
-    held, when_read = [], here.core.timers.when_read
-    here.core.timers.when_read = lambda late, call, *args: (
-        held.append(call) if call.__name__ == "_opened" else when_read(late, call, *args)
+    held, call_after_reads = [], here.core.timers.call_after_reads
+    here.core.timers.call_after_reads = lambda late, call, *args: (
+        held.append(call) if call.__name__ == "_opened" else call_after_reads(late, call, *args)
     )
     query = here.ask()
     spin(lambda: held)
-    here.core.timers.when_read = when_read
+    here.core.timers.call_after_reads = call_after_reads
     here.told("Terminating", "Ready")
     held[0]()
     spin(lambda: query.closed)
@@ -423,7 +429,7 @@
     while waits.in_flight[0].connection in old:  # one that waits for a dial
         waits = here.ask()
     entry = t.EngineEntry("e0", "z", "std", started_at=here.clock.now())
-    here.core.listed([entry], 9)
+    here.core.update_endpoints([entry], 9)
     here.pools.listed({"e0": ("127.0.0.1", here.stands[moved].port.getHost().port)}, [entry])
     before = sum(len(stand.connections) for stand in here.stands)
     for stand in here.stands:
@@ -433,7 +439,7 @@
     assert waits.reply.came == [("served", ROWS)]
     assert not any(link in old for pool in here.pools.pools.values() for link in pool.links)
     assert sum(len(stand.connections) for stand in here.stands) > before
-    here.core.leave(runs)
+    here.core.disconnect_client(runs)
     spin(lambda: not any(link in old for link in here.links()))
 
 
@@ -460,7 +466,7 @@
     """Each holds a descriptor until it has ended. What dials with nothing to carry any more is called off."""
     here = make(8, limits=limits_with(LIMITS, engine_links=3, leaving=2))
     while len(here.links()) < 3:
-        here.core.leave(here.ask())
+        here.core.disconnect_client(here.ask())
     here.clock.advance(2 * LIMITS.handover)
     for _ in range(20):
         here.ask()
@@ -622,7 +628,7 @@
     spin(lambda: answer_first or attempt.connection not in here.links())  # nothing was heard on it for so long
     here.clock.advance(S)
     assert len(query.reply.came) == 1 and (query.reply.came[0][0] == "served") == answer_first
-    assert attempt.done and not here.core.out and not here.core.queries and len(here.wants(query)) == 1
+    assert attempt.done and not here.core.in_flight and not here.core.queries and len(here.wants(query)) == 1
 
 
 def test_a_second_copy_of_an_answer_ends_nothing(make):
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -249,7 +249,7 @@
         for socket in self.links.values():
             socket.end()
         self.run(200 * MS)
-        assert not self.core.queries and not self.core.out and self.core._held == 0
+        assert not self.core.queries and not self.core.in_flight and self.core._held == 0
         assert not any(link.open for link in self.links) and not any(one.protocol.open for one in self.clients)
         counted = sum(self.counters[how] for how in ("served", "refused", "failed", "left"))
         assert counted == self.counters["requests_in"]
@@ -487,7 +487,7 @@
         self.states[name] = state
         there = {name: state for name, state in self.states.items() if state != "gone"}
         entries = [t.EngineEntry(name, "z", "std", state=state) for name, state in there.items()]
-        self.core.listed(entries, 2)
+        self.core.update_endpoints(entries, 2)
         self.pools.listed({name: ("127.0.0.1", int(name[1:])) for name in there}, entries)
         self.look()
 
@@ -515,11 +515,11 @@
         for _ in range(6):
             self.turn()
 
-    @precondition(lambda self: self.core.taking and len(self.asked) > 9)
+    @precondition(lambda self: self.core.accepting and len(self.asked) > 9)
     @rule(seldom=st.integers(0, 3))
     def sigterm(self, seldom):
         if not seldom:
-            self.core.ending(200 * MS)
+            self.core.start_draining(200 * MS)
 
 
 def commands(said):
@@ -544,7 +544,7 @@
 
 
 def in_any_turn(patch):
-    patch.setattr(Timers, "when_read", lambda self, late, call, *args: call(*args))
+    patch.setattr(Timers, "call_after_reads", lambda self, late, call, *args: call(*args))
 
 
 def left_to_the_module(patch):
@@ -569,7 +569,9 @@
 
 
 def out_of_the_window(patch):
-    patch.setattr(Attempt, "send_blocked_by", lambda self, now, lease=None: "NOP" if self.query.reply.deaf else "")
+    patch.setattr(
+        Attempt, "send_blocked_by", lambda self, now, lease=None: "NOP" if self.query.reply.reading_paused else ""
+    )
 
 
 def no_hand_over(patch):
@@ -601,7 +603,7 @@
 
 
 def a_lost_client_stays(patch):
-    patch.setattr(coordinator.Coordinator, "leave", lambda self, query: None)
+    patch.setattr(coordinator.Coordinator, "disconnect_client", lambda self, query: None)
 
 
 def an_answer_forgotten(patch):
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -141,7 +141,7 @@
     links = [link for pool in site.pools.pools.values() for link in pool.links]
     return not (
         site.core.queries
-        or site.core.out
+        or site.core.in_flight
         or any(link.open for link in links)
         or any(connection.open for connection in site.fronts[0].connections)
     )
@@ -315,7 +315,7 @@
 def drains(site):
     """e0, told as the program tells it."""
     entries = [t.EngineEntry("e0", "z", "std", state="Draining"), t.EngineEntry("e1", "z", "std")]
-    site.core.listed(entries, 2)
+    site.core.update_endpoints(entries, 2)
     addresses = {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(site.stands)}
     site.pools.listed(addresses, entries)
 
@@ -342,14 +342,14 @@
 @pytest.mark.parametrize("further", [False, True])
 def test_nothing_begins_for_a_client_that_is_not_read_from_and_it_has_one_answer(further):
     here = Core()
-    here.port.deaf = not further
+    here.port.reading_paused = not further
     here.ask()
     if further:
-        here.port.deaf = True
-        here.core.ended(here.port.sent[0], "FULL")
+        here.port.reading_paused = True
+        here.core.complete_attempt(here.port.sent[0], "FULL")
     here.clock.advance(2 * S)
     assert len(here.port.sent) == further and [kind for kind, *_ in here.port.answers] == ["refused"]
-    assert not here.core.queries and not here.core.out
+    assert not here.core.queries and not here.core.in_flight
 
 
 def test_a_dial_that_ends_while_the_client_is_not_read_from_writes_nothing(site):
@@ -420,7 +420,7 @@
 class Deaf:
     """The client's connection as it is while it is paused."""
 
-    deaf, stale = True, False
+    reading_paused, stale = True, False
 
     def __init__(self, connection):
         self.connection, self.said = connection, []
@@ -448,10 +448,10 @@
     here = Core(module)
     query, attempt = handing_over(here, module)
     if event == "leaves":
-        here.core.leave(query)
-        here.core.leave(query)
+        here.core.disconnect_client(query)
+        here.core.disconnect_client(query)
     elif event in ("answer", "reset"):
-        here.core.ended(attempt, "GOOD" if event == "answer" else "RST", {}, (ROWS,))
+        here.core.complete_attempt(attempt, "GOOD" if event == "answer" else "RST", {}, (ROWS,))
     elif event == "cancel":
         here.core._cancel(t.Cancel(query.id, 0))
     elif event == "time-out again":
@@ -462,14 +462,14 @@
     else:
         here.core._refuse(t.Reject(query.id, 5))
         here.core._fail(t.Fail(query.id))
-    assert list(here.core.out.values()) == [attempt] and here.port.given_up == [attempt]
+    assert list(here.core.in_flight.values()) == [attempt] and here.port.given_up == [attempt]
     here.clock.advance(LIMITS.handover + MS)
     over = event in ("leaves", "backstop", "refused")
     assert [sent.engine for sent in here.port.sent] == ["e0"] if over else ["e0", "e1"]
     assert here.counters["out_late"] == 1 and not here.counters["out_good"] and not here.counters["out_rst"]
     if not over:
-        here.core.ended(here.port.sent[-1], "GOOD", {}, (ROWS,))
-    assert len(here.port.answers) == (event != "leaves") and not here.core.queries and not here.core.out
+        here.core.complete_attempt(here.port.sent[-1], "GOOD", {}, (ROWS,))
+    assert len(here.port.answers) == (event != "leaves") and not here.core.queries and not here.core.in_flight
     ended = [told for told in module.events if isinstance(told, t.AttemptCompleted)]
     assert [told.attempt for told in ended] == ([0] if over else [0, 1])
 
@@ -506,10 +506,10 @@
 
 
 ENDS = {
-    "served": lambda here, query: here.core.ended(next(iter(query.in_flight.values())), "GOOD", {}, (ROWS,)),
+    "served": lambda here, query: here.core.complete_attempt(next(iter(query.in_flight.values())), "GOOD", {}, (ROWS,)),
     "refused": lambda here, query: here.core._refuse(t.Reject(query.id, 5)),
     "failed": lambda here, query: here.core._fail(t.Fail(query.id)),
-    "left": lambda here, query: here.core.leave(query),
+    "left": lambda here, query: here.core.disconnect_client(query),
 }
 
 
@@ -522,11 +522,11 @@
     query = here.ask()
     (attempt,) = here.port.sent
     ENDS[first](here, query)
-    ENDS[second](here, query) if query.in_flight else here.core.ended(attempt, "GOOD", {}, (ROWS,))
+    ENDS[second](here, query) if query.in_flight else here.core.complete_attempt(attempt, "GOOD", {}, (ROWS,))
     here.clock.advance(3 * S)
-    here.core.ended(attempt, "GOOD", {}, (ROWS,))
+    here.core.complete_attempt(attempt, "GOOD", {}, (ROWS,))
     counts = {how: here.counters[how] for how in ENDS}
-    assert counts == {how: int(how == first) for how in ENDS} and not here.core.queries and not here.core.out
+    assert counts == {how: int(how == first) for how in ENDS} and not here.core.queries and not here.core.in_flight
     assert [kind for kind, *_ in here.port.answers] == [first] * (first != "left") and here.core._held == 0
 
 
@@ -535,14 +535,14 @@
     module.acts[t.QueryReceived] = lambda event: [t.Reject(event.query, 5), t.Send(event.query, "e0")]
     here = Core(module)
     here.ask()
-    assert here.port.sent == [] and len(here.port.answers) == 1 and not here.core.out
+    assert here.port.sent == [] and len(here.port.answers) == 1 and not here.core.in_flight
 
 
 def test_a_request_that_is_turned_back_has_one_end_and_its_id_is_not_new():
     here = Core(limits=replace(LIMITS, held_requests=0))
     query = here.ask()
-    here.core.leave(query)  # its client goes in the same turn
-    assert here.core.known(query.id) and [kind for kind, *_ in here.port.answers] == ["refused"]
+    here.core.disconnect_client(query)  # its client goes in the same turn
+    assert here.core.is_known_id(query.id) and [kind for kind, *_ in here.port.answers] == ["refused"]
     assert here.counters["refused"] == 1 and not here.counters["left"] and here.core._held == 0
 
 
@@ -552,13 +552,13 @@
     module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0")]
     here = Core(module, limits=replace(LIMITS, recent_ids=1))
     first = here.ask()
-    here.core.leave(first)
-    here.core.leave(here.ask())
+    here.core.disconnect_client(first)
+    here.core.disconnect_client(here.ask())
     here.made = 0
     second = here.ask()
     assert second.id == first.id
-    here.core.ended(here.port.sent[0], "RST")
-    assert here.core.out[second.id, 0] is second.in_flight[0]
+    here.core.complete_attempt(here.port.sent[0], "RST")
+    assert here.core.in_flight[second.id, 0] is second.in_flight[0]
 
 
 def test_a_planted_end_that_leaves_its_request_with_the_module_is_seen(monkeypatch):
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -285,7 +285,7 @@
     core = Coordinator(SETTINGS, 7, clock, Timers(clock, clock), LIMITS, Counters())
     core.start(Port(), [t.EngineEntry(name, "z", "std") for name in ("b", "c")], 3)
     desk.silent = True
-    watch = watches(desk, told=lambda listing: core.listed(listing.entries, listing.revision))
+    watch = watches(desk, told=lambda listing: core.update_endpoints(listing.entries, listing.revision))
     watch.pass_by(5_000 * MS, desk, step=20 * MS)
     desk.silent, desk.rev, desk.engines = False, 8, (A, DRAINS)
     watch.pass_by(LIMITS.poll_again_most + 20 * MS, desk, step=20 * MS)
@@ -299,7 +299,7 @@
                 "lookup",
                 b"x",
                 clock.now() + 3_000 * MS,
-                SimpleNamespace(deaf=False, stale=False, refused=lambda *_: None),
+                SimpleNamespace(reading_paused=False, stale=False, rejected=lambda *_: None),
                 tenant="acme",
             )
         )
@@ -336,10 +336,10 @@
 
 
 def test_a_planted_module_that_is_not_told_of_drains_is_seen(desk, watches, monkeypatch):
-    inner = Coordinator.listed
+    inner = Coordinator.update_endpoints
     monkeypatch.setattr(
         Coordinator,
-        "listed",
+        "update_endpoints",
         lambda self, entries, rev: inner(self, [replace(entry, state="Ready") for entry in entries], rev),
     )
     with pytest.raises(AssertionError):
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -546,7 +546,7 @@
     world.run(10)
     before = gateway.part._ticked
     query = Query("x", "lookup", b"select 1", node.now() + SECOND, None, tenant="north")
-    gateway.part.arrived(query, node.now())
+    gateway.part.request_received(query, node.now())
     assert gateway.part._ticked == node.now() > before + 6 * SECOND
     own = gateway.part.reckoning
     assert own.who.silent == {"g1", "g2"} and own.part <= 1 / 3  # what it holds of them is old
@@ -607,7 +607,7 @@
     def tell(entries, rev):
         listing = EndpointSnapshot(rev, tuple(entries), {})
         for i, gateway in enumerate(world.gateways):  # each hears of it at its own time
-            world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.core.listed(listing.entries, rev))
+            world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.core.update_endpoints(listing.entries, rev))
             if led:
                 world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.part.listed(listing))
 
@@ -677,12 +677,12 @@
 
     counted = []
     safe = Safe(Broken(), counted.append)
-    assert safe.arrived(None, 0) == 0
-    safe.sent(None, 0)
-    safe.ended(None, "GOOD", 0)
-    safe.closed(None, "served", 0)
-    safe.probe("e")
-    safe.tell(-1, b"")
+    assert safe.request_received(None, 0) == 0
+    safe.attempt_sent(None, 0)
+    safe.attempt_completed(None, "GOOD", 0)
+    safe.request_completed(None, "served", 0)
+    safe.check_health("e")
+    safe.send_gossip(-1, b"")
     assert counted == ["guide_faults"] * 6
 
 
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -375,12 +375,12 @@
     part = TimingsPart(lambda: site, lambda: None, desk.reload)
     with pytest.raises(ValueError, match=r"timings\.route\[0\]\.class = \"nosuch\""):
         part.check({"route": [{"class": "nosuch"}]})
-    life = desk.begin("lookup", "", 0, 0)
+    life = desk.begin_request("lookup", "", 0, 0)
     part.again()
     part.hold({"route": [{"class": "lookup", "attempts": 1}]}, 4)
-    assert life.max_attempts == site.max_attempts and desk.begin("lookup", "", 0, 0).max_attempts == 1
+    assert life.max_attempts == site.max_attempts and desk.begin_request("lookup", "", 0, 0).max_attempts == 1
     part.hold(None, 5)
-    assert desk.begin("lookup", "", 0, 0).max_attempts == site.max_attempts and part.version == 5
+    assert desk.begin_request("lookup", "", 0, 0).max_attempts == site.max_attempts and part.version == 5
     part.again()
     assert desk.open == {1: 1, 3: 1, 4: 1, 5: 0}
 
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -146,7 +146,7 @@
     assert [part.site for part in of(begin(machine), SendPart)] == ["a", "b", "c"]
     assert not machine.came(10, "c", 0, rows("c")) and not machine.came(20, "a", 0, rows("a"))
     answer = only(machine.came(30, "b", 0, rows("b")), Answer)
-    assert (answer.how, answer.pages, answer.told.whole) == ("served", [b"a", b"b", b"c"], True)
+    assert (answer.how, answer.pages, answer.told.complete) == ("served", [b"a", b"b", b"c"], True)
 
 
 def test_as_soon_as_the_need_cannot_be_met_it_is_refused_and_the_rest_called_off():
@@ -164,7 +164,7 @@
     machine.came(10, "a", 0, rows("a"))
     answer = only(machine.failed(20, "b", 0, "failed"), Answer)
     assert answer.pages == [b"a"] and answer.told == GatherStatus(
-        whole=False,
+        complete=False,
         sites=[SiteStatus(site="a"), SiteStatus(site="b", missing="failed"), SiteStatus(site="c", missing="cut")],
     )
 
@@ -207,7 +207,7 @@
     machine.failed(52 * MS, "a", 0, "late")
     answer = only(machine.failed(55 * MS, "b", 0, "cut"), Answer)
     assert answer.pages == [b"old", b"older", b"c"] and [site.age_ms for site in answer.told.sites] == [55, 55, 0]
-    assert not answer.told.whole
+    assert not answer.told.complete
     late = gather(needs="all", fill_ms=60.0, kept=kept)
     begin(late, now=50 * MS)
     assert only(late.failed(61 * MS, "a", 0, "late"), Answer).how == "refused"
@@ -287,7 +287,7 @@
                 pages.append(self.came.get(site))
         assert list(answer.pages) == pages, "rows not of the sites named"
         whole = len(inside) == len(rule.sites) and not any(site.age_ms for site in said.values())
-        assert answer.told.whole == whole, "partial passed as whole"
+        assert answer.told.complete == whole, "partial passed as whole"
         assert whole or rule.partial, "partial to who does not allow it"
         if rule.weight is not None:
             weights = self.machine.weights
@@ -375,7 +375,7 @@
 
     def _end(self, now):
         return [
-            effect._replace(told=GatherStatus(whole=True, sites=effect.told.sites))
+            effect._replace(told=GatherStatus(complete=True, sites=effect.told.sites))
             if isinstance(effect, Answer) and effect.told
             else effect
             for effect in super()._end(now)
@@ -477,7 +477,7 @@
 
 
 class Client:
-    deaf = stale = False
+    reading_paused = stale = False
 
     def __init__(self, marks=True):
         self.marks, self.said = marks, []
@@ -485,7 +485,7 @@
     def served(self, query, rows):
         self.said.append(("served", b"".join(rows), query.gather_status))
 
-    def refused(self, query, backoff):
+    def rejected(self, query, backoff):
         self.said.append(("refused", backoff))
 
     def failed(self, query, why):
@@ -499,7 +499,7 @@
         self.core = Coordinator(SETTINGS, 1, self.clock, Timers(self.clock, self.clock), Limits(), Counters())
         rules = gather_rules({"site": SITES, "rule": [PARTIAL | rule]}, SETTINGS)
         self.desk = GatherDesk(self.core, rules, Remotes(self.reactor, 250 * MS, 48_000, lambda name: None), 1, level)
-        self.core.gathers = self.desk
+        self.core.gather_port = self.desk
         self.list("za", "zb")
 
     def list(self, *zones):
@@ -508,7 +508,7 @@
         if self.core.engines is None:
             self.core.start(self.engines, entries, 1)
         else:
-            self.core.listed(entries, 2)
+            self.core.update_endpoints(entries, 2)
         self.desk.listed(listing)
 
     def ask(self, marks=True, number=1, within=3 * S, id=None):
@@ -520,7 +520,7 @@
     def end(self, zone, reason="GOOD", text=b""):
         attempt = next(attempt for attempt in self.engines.out if attempt.engine == f"e{zone}")
         self.engines.out.remove(attempt)
-        self.core.ended(attempt, reason, rows=[text] if reason == "GOOD" else ())
+        self.core.complete_attempt(attempt, reason, rows=[text] if reason == "GOOD" else ())
 
 
 def test_parts_run_in_their_zones_alone_and_the_answer_is_joined_and_marked():
@@ -532,7 +532,11 @@
     assert not client.said
     gateway.end("za", text=b"a\t1\t2\n")
     assert client.said == [
-        ("served", b"a\t1\t2\nb\t1\t2\n", GatherStatus(whole=True, sites=[SiteStatus(site="a"), SiteStatus(site="b")]))
+        (
+            "served",
+            b"a\t1\t2\nb\t1\t2\n",
+            GatherStatus(complete=True, sites=[SiteStatus(site="a"), SiteStatus(site="b")]),
+        )
     ]
     assert not gateway.core.queries and not gateway.desk.open
 
@@ -544,7 +548,7 @@
     deadline = query.deadline
     gateway.clock.advance(3 * S)
     [(how, body, mark)] = client.said
-    assert (how, body, mark.whole, mark.sites[1].missing) == ("served", b"a\t1\t2\n", False, "late")
+    assert (how, body, mark.complete, mark.sites[1].missing) == ("served", b"a\t1\t2\n", False, "late")
     assert "ezb" in gateway.engines.given_up and gateway.core.counters["backstop_answers"] == 0
     assert deadline <= gateway.clock.now()
 
@@ -564,7 +568,7 @@
 def test_a_client_that_leaves_takes_its_parts_along_and_open_gathers_end_under_their_rules():
     gateway = Gateway(sites=["a", "b"])
     query, client = gateway.ask()
-    gateway.core.leave(query)
+    gateway.core.disconnect_client(query)
     assert not client.said and len(gateway.engines.given_up) == 2 and not gateway.desk.open
     _, client = gateway.ask(number=2)
     gateway.desk.hold(gather_rules({}, SETTINGS), 7)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -3,7 +3,7 @@
 import pytest
 from msgspec.structs import replace
 
-from rackhub.core.lease import ListLease, Standing
+from rackhub.core.lease import EndpointLease, Standing
 from rackhub.limits import Limits
 
 MS, S = 1_000, 1_000_000
@@ -15,9 +15,9 @@
 
 def lease(asked_from=None, until=0):
     """One that was granted at 0, and has been asked for again every 400 ms without an answer."""
-    made = ListLease(LIMITS, GRACE, 0)
+    made = EndpointLease(LIMITS, GRACE, 0)
     for at in range(asked_from, until + 1, 400 * MS) if asked_from is not None else ():
-        made.asked(at)
+        made.poll_started(at)
     return made
 
 
@@ -41,22 +41,22 @@
 
 def test_an_answer_renews_it_from_when_it_was_asked_for():
     here = lease(250 * MS, S)
-    here.confirmed(2 * S)
+    here.poll_confirmed(2 * S)
     assert here.standing(2 * S + PROMPT) is Standing.CONFIRMED
     assert here.standing(2 * S + PROMPT + 1) is Standing.UNCONFIRMED
 
 
 def test_an_older_answer_takes_nothing_back():
     here = lease()
-    here.confirmed(2 * S)
-    here.confirmed(S)
+    here.poll_confirmed(2 * S)
+    here.poll_confirmed(S)
     assert here.standing(2 * S + PROMPT) is Standing.CONFIRMED
 
 
 def test_without_a_grace_it_is_over_when_the_drain_counts_as_told():
-    here = ListLease(LIMITS, 0, 0)
+    here = EndpointLease(LIMITS, 0, 0)
     for at in range(250 * MS, LIMITS.told_longest, 400 * MS):
-        here.asked(at)
+        here.poll_started(at)
     assert here.standing(LIMITS.told_longest) is Standing.EXPIRED
 
 
@@ -76,15 +76,15 @@
 def test_in_a_silence_an_engine_is_believed_by_what_it_takes(taken, turned_away, now, allowed):
     here = lease(250 * MS, now)
     if taken is not None:
-        here.taken("a", taken)
+        here.engine_accepted("a", taken)
     if turned_away is not None:
-        here.turned_away("a", turned_away)
+        here.engine_rejected("a", turned_away)
     assert here.allows("a", now) is allowed
-    assert here.barred(["a"], now) == (frozenset() if allowed else {"a"})
+    assert here.ineligible(["a"], now) == (frozenset() if allowed else {"a"})
 
 
 def test_a_confirmed_list_forgets_what_was_turned_away():
     here = lease()
-    here.turned_away("a", S)
-    here.confirmed(2 * S)
+    here.engine_rejected("a", S)
+    here.poll_confirmed(2 * S)
     assert here.allows("a", 2 * S + PROMPT)
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -2,20 +2,20 @@
 
 import pytest
 
-from rackhub.core.starts import OLDEST_NEWS, Starts
+from rackhub.core.engine_start_times import MAX_REPORTED_START_AGE, EngineStartTimes
 from rackhub.interface import EngineEntry
 
 S, HOUR, NOW = 1_000_000, 3_600_000_000, 1_700_000_000_000_000
 
 
 def told(starts, came_up, now=NOW):
-    return [entry.started_at for entry in starts.read([EngineEntry("a", started_at=came_up)], now)][0]
+    return [entry.started_at for entry in starts.on_local_clock([EngineEntry("a", started_at=came_up)], now)][0]
 
 
 def serving():
     """Of a process that has read its first list, without the engine."""
-    starts = Starts()
-    starts.read([], NOW - 100 * S)
+    starts = EngineStartTimes()
+    starts.on_local_clock([], NOW - 100 * S)
     return starts
 
 
@@ -24,8 +24,8 @@
     [
         (0, 0),
         (NOW - 2 * S, NOW - 2 * S),
-        (NOW - OLDEST_NEWS, NOW - OLDEST_NEWS),
-        (NOW - OLDEST_NEWS - 1, NOW),
+        (NOW - MAX_REPORTED_START_AGE, NOW - MAX_REPORTED_START_AGE),
+        (NOW - MAX_REPORTED_START_AGE - 1, NOW),
         (NOW + HOUR - 2 * S, NOW),  # its wall clock was stepped on: it would be cold for an hour
         (NOW - HOUR - 2 * S, NOW),  # stepped back: it would be warm at once, and get more than it can bear
     ],
@@ -41,5 +41,5 @@
 
 
 def test_the_first_list_may_tell_of_older_starts():
-    assert told(Starts(), NOW - 90 * S) == NOW - 90 * S
-    assert told(Starts(), NOW + HOUR) == NOW
+    assert told(EngineStartTimes(), NOW - 90 * S) == NOW - 90 * S
+    assert told(EngineStartTimes(), NOW + HOUR) == NOW
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -42,7 +42,7 @@
 class Engines:
     """The engine port and the client in one: what was sent, what was answered."""
 
-    deaf = stale = False
+    reading_paused = stale = False
 
     def __init__(self):
         self.sent, self.answers = [], []
@@ -57,7 +57,7 @@
     def served(self, query, rows):
         self.answers.append("served")
 
-    def refused(self, query, backoff):
+    def rejected(self, query, backoff):
         self.answers.append("refused")
 
     def failed(self, query, why):
@@ -73,7 +73,7 @@
         settings = store_settings({"path": "memory"} | more)
         self.keeper = Keeper(self.reactor, settings, CLASSES, self.clock, self.counters, self.files)
         self.core = Coordinator(SETTINGS, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
-        self.core.ledger = self.keeper
+        self.core.request_journal = self.keeper
         self.listing = self.keeper.start(listing)
         self.core.start(self.port, self.listing.entries, 1)
 
@@ -97,7 +97,7 @@
     (one,) = here.keyed()
     assert (one.token, one.cls, one.state, one.attempts) == (TOKEN, "depot-load", "out", 1)
     assert one.engine == here.port.sent[0].engine and one.until == here.clock.now() + 25 * S
-    here.core.ended(here.port.sent[0], "GOOD", {}, (b"a\tb\tc\n",))
+    here.core.complete_attempt(here.port.sent[0], "GOOD", {}, (b"a\tb\tc\n",))
     here.turn()
     assert here.keyed()[0].state == "served" and here.port.answers == ["served"]
 
@@ -135,7 +135,7 @@
     again.turn()
     (one,) = again.keyed()
     assert one.tries == 2 and one.attempts == 2 and one.until == left.until  # the window runs from the first attempt
-    again.core.ended(again.port.sent[0], "GOOD", {}, (b"",))
+    again.core.complete_attempt(again.port.sent[0], "GOOD", {}, (b"",))
     again.clock.advance(30 * S)
     again.ask(3, token="f" * 32)
     again.turn()
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -159,7 +159,7 @@
     here.end(here.port.sent[0], "GOOD")
     (window,) = here.desk._retries.values()
     assert window.sums == [1, 0, 0]
-    here.core.listed([], 2)
+    here.core.update_endpoints([], 2)
     here.ask()
     assert here.port.answers[-1][1] == "refused" and window.sums == [1, 0, 1]
 
@@ -266,7 +266,7 @@
 class Port:
     """Engines and client: what was sent, given up, answered."""
 
-    deaf = stale = False
+    reading_paused = stale = False
 
     def __init__(self):
         self.sent, self.given_up, self.answers = [], [], []
@@ -283,7 +283,7 @@
     def served(self, query, rows):
         self.answers.append((query.id, "served"))
 
-    def refused(self, query, backoff):
+    def rejected(self, query, backoff):
         self.answers.append((query.id, "refused"))
 
     def failed(self, query, why):
@@ -312,7 +312,7 @@
         self.clock, self.counters, self.port, self.made = FakeClock(), Counters(), Port(), 0
         self.settings = site(second_copies)
         self.core = Coordinator(self.settings, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
-        self.desk = self.core.desk = Desk(self.table(*routes), {"depot-load": 25 * S}, 3, self.counters.add)
+        self.desk = self.core.request_policy = Desk(self.table(*routes), {"depot-load": 25 * S}, 3, self.counters.add)
         if module:
             self.core._control = module
         self.entries = [t.EngineEntry(f"e{i}", "z", "std") for i in range(engines)]
@@ -331,7 +331,7 @@
         return query
 
     def end(self, attempt, reason):
-        self.core.ended(attempt, reason, {"busy_reqs": 1.0}, (b"a\tb\tc\n",) if reason == "GOOD" else ())
+        self.core.complete_attempt(attempt, reason, {"busy_reqs": 1.0}, (b"a\tb\tc\n",) if reason == "GOOD" else ())
 
 
 def test_an_attempt_is_timed_out_by_its_route_and_the_next_goes_elsewhere():
@@ -386,7 +386,7 @@
         entry if entry is stays else t.EngineEntry(entry.engine, "z", "std", state="Terminating")
         for entry in here.entries
     ]
-    here.core.listed(drained, 2)  # all but one drain while it waits
+    here.core.update_endpoints(drained, 2)  # all but one drain while it waits
     here.clock.advance(20 * MS)
     assert [attempt.engine for attempt in here.port.sent[1:]] == [stays.engine]
 
@@ -395,7 +395,7 @@
     here = Core(Route(cls="lookup", backoff_ms=Backoff(100.0, jitter="none")))
     query = here.ask()
     here.end(here.port.sent[0], "BAD")
-    here.core.leave(query)
+    here.core.disconnect_client(query)
     here.clock.advance(S)
     assert len(here.port.sent) == 1 and here.port.answers == [] and here.desk.open == {1: 0}
 
@@ -448,7 +448,7 @@
     assert here.port.answers == [(query.id, "served")] and here.port.given_up == [both[1 - winner]]
     here.end(both[1 - winner], "GOOD")  # late, or in the same turn
     here.clock.advance(5 * S)
-    assert here.port.answers == [(query.id, "served")] and not here.core.out and not here.core.queries
+    assert here.port.answers == [(query.id, "served")] and not here.core.in_flight and not here.core.queries
 
 
 def test_both_copies_good_in_one_turn_are_one_answer():
@@ -507,7 +507,7 @@
     assert len(here.port.sent) == 2 and here.counters["copies"] == 0
     here = Core(COPY)
     here.ask()
-    here.core.listed(
+    here.core.update_endpoints(
         [
             t.EngineEntry(
                 entry.engine, "z", "std", state="Terminating" if entry.engine == here.port.sent[0].engine else "Ready"
@@ -522,7 +522,7 @@
     for _ in range(20):
         here.ask()
     for attempt in here.port.sent[:10]:
-        here.core.ended(attempt, "GOOD", {"busy_reqs": 400.0}, (b"",))  # engines told full of work
+        here.core.complete_attempt(attempt, "GOOD", {"busy_reqs": 400.0}, (b"",))  # engines told full of work
     here.clock.advance(300 * MS)
     assert here.counters["copies"] == 0
 
@@ -572,7 +572,7 @@
     stands = [Stand(TdsEngine if tds else RespEngine) for _ in range(2)]
     here = Loopback(*stands, tds_engines=tds)
     try:
-        here.core.desk = Desk(
+        here.core.request_policy = Desk(
             Table([Route(cls="depot-load", repeat_within_ms=1_000.0)], here.core.settings),
             {"depot-load": 25 * S},
             3,
@@ -584,7 +584,7 @@
         here.core.submit(query)
         spin(lambda: sum(len(stand.wants()) for stand in stands) == 1)
         (first,) = query.in_flight.values()
-        here.core.ended(first, "RST")  # the second one begins to dial
+        here.core.complete_attempt(first, "RST")  # the second one begins to dial
         (second,) = query.in_flight.values()
         assert second.send_by == first.sent_at + S and second.engine != first.engine
         here.clock.time += 2 * S  # its window ends before it is through
@@ -640,7 +640,7 @@
     here.clock.time += max(jump, 0)
     here.clock.advance(15 * S)
     assert sorted(id for id, _ in here.port.answers) == sorted(query.id for query in queries)
-    assert not here.core.out and all(count <= 3 for count in (query.attempts for query in queries))
+    assert not here.core.in_flight and all(count <= 3 for count in (query.attempts for query in queries))
 
 
 # ---- one request's life against the rules
@@ -691,10 +691,10 @@
             self.terms[query.id] = query.terms.terms
         self.watch()
 
-    @precondition(lambda self: self.here.core.out)
+    @precondition(lambda self: self.here.core.in_flight)
     @rule(data=st.data(), reason=st.sampled_from(["GOOD", "GOOD", "BAD", "FULL", "NOCONN", "RST"]))
     def end(self, data, reason):
-        out = sorted(self.here.core.out.values(), key=lambda one: (one.query.id, one.number))
+        out = sorted(self.here.core.in_flight.values(), key=lambda one: (one.query.id, one.number))
         self.here.end(data.draw(st.sampled_from(out)), reason)
         self.watch()
 
@@ -711,7 +711,7 @@
     @rule(drained=st.sets(st.sampled_from(["e0", "e1", "e2", "e3"]), max_size=3))
     def drain(self, drained):
         self.drained = drained
-        self.here.core.listed(
+        self.here.core.update_endpoints(
             [
                 t.EngineEntry(entry.engine, "z", "std", state="Terminating" if entry.engine in drained else "Ready")
                 for entry in self.here.entries
@@ -722,7 +722,9 @@
     @precondition(lambda self: self.here.core.queries)
     @rule(data=st.data())
     def leave(self, data):
-        self.here.core.leave(data.draw(st.sampled_from(sorted(self.here.core.queries.values(), key=lambda q: q.id))))
+        self.here.core.disconnect_client(
+            data.draw(st.sampled_from(sorted(self.here.core.queries.values(), key=lambda q: q.id)))
+        )
 
     def watch(self):
         """What has gone out since, one by one."""
@@ -755,7 +757,7 @@
     def teardown(self):
         if hasattr(self, "here"):
             self.here.clock.advance(40 * S)
-            assert not self.here.core.queries and not self.here.core.out
+            assert not self.here.core.queries and not self.here.core.in_flight
 
 
 Lives.TestCase.settings = hypothesis_settings(max_examples=80, stateful_step_count=40, deadline=None, derandomize=True)
@@ -791,7 +793,7 @@
     for tds in (False, True):
         here = Loopback(Stand(act=lambda engine, word, id, *rest: engine.say(id, b"500") if word == b"want" else None))
         try:
-            here.core.desk = Desk(
+            here.core.request_policy = Desk(
                 Table([Route(cls="lookup", attempts=1, priority=3)], here.core.settings), {}, 3, here.counters.add
             )
             if tds:
--- a/tests/test_two_fronts.py
+++ b/tests/test_two_fronts.py
@@ -63,7 +63,7 @@
     assert client.answers[1][0][1].status == codec.DONE_ATTN
     spin(lambda: any(words[0] == b"shut" for words in stand.heard))
     here.clock.advance(LIMITS.handover)
-    assert not here.core.queries and not here.core.out
+    assert not here.core.queries and not here.core.in_flight
     client.call("SELECT short FROM r_3.t")
     spin(lambda: len(client.answers) == 3)
     assert rows(client.answers[2]) == ROWS and here.counters["out_cxl"] == 1
@@ -154,7 +154,7 @@
         spin(lambda i=i: len(client.lines) == i if front == "json" else len(client.answers) == i + 1)
         here.clock.advance(200 * MS)
         outcomes.append(outcome(client.lines[-1] if front == "json" else client.answers[-1]))
-        spin(lambda: not here.core.out)
+        spin(lambda: not here.core.in_flight)
     wants = [(words[1], words[2], words[3]) for words in told if words[0] == b"want"]
     names = (
         "attempts",
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -26,8 +26,8 @@
 
 STEPS = settings(derandomize=True, max_examples=25, stateful_step_count=40, deadline=None, database=None)
 CUTS = st.lists(st.integers(1, 40), max_size=3)
-HEARD = SimpleNamespace(deaf=False, stale=False)  # a client that is read from
-BACK = (("served", [b"a\tb\tc\n", b"d\te\tf\n"]), ("refused", 250_500), ("failed", "why"))
+HEARD = SimpleNamespace(reading_paused=False, stale=False)  # a client that is read from
+BACK = (("served", [b"a\tb\tc\n", b"d\te\tf\n"]), ("rejected", 250_500), ("failed", "why"))
 
 
 class Transport(StringTransport):
@@ -103,25 +103,25 @@
         self.timers = Timers(self.clock, self.clock)
         self.open, self.left, self.ends, self.notes = {}, [], [], []
         self.tenants = {"acme"}
-        self.taking, self.late, self.lease = True, False, None
+        self.accepting, self.late, self.lease = True, False, None
 
-    def known(self, id):
+    def is_known_id(self, id):
         return id in self.open
 
     def submit(self, query):
         self.open[query.id] = query
 
-    def leave(self, query):
+    def disconnect_client(self, query):
         self.left.append(query.id)
         del self.open[query.id]
 
-    def out_of_time(self, query):
+    def is_near_deadline(self, query):
         return self.late
 
-    def ended(self, attempt, reason, report=None, rows=()):
+    def complete_attempt(self, attempt, reason, report=None, rows=()):
         self.ends.append((attempt.query.id, reason, b"".join(rows)))
 
-    def noted(self, attempt, topic, value):
+    def report_progress(self, attempt, topic, value):
         self.notes.append((attempt.query.id, topic, value))
 
 
@@ -258,7 +258,7 @@
         assert said["id"] == id
         if how[0] == "served":
             assert base64.b64decode(said["result"]["body"]) == b"".join(how[1])
-        elif how[0] == "refused":
+        elif how[0] == "rejected":
             assert said["error"]["code"] == -32008 and said["error"]["data"] == {"backoff": 251}
         else:
             assert said["error"]["code"] == -32000
@@ -747,8 +747,8 @@
             return self.rows_are_through()  # a transport asks a new producer at once, and the pages may fill no packet
         (answer,) = self.heard()
         error = answer[0][1]
-        wanted = (50003, 1 if how[0] == "refused" else 2) if late else (50001 if how[0] == "refused" else 50002, 1)
-        assert (error.number, error.state) == wanted and (how[0] != "refused" or "retry after 251 ms" in error.text)
+        wanted = (50003, 1 if how[0] == "rejected" else 2) if late else (50001 if how[0] == "rejected" else 50002, 1)
+        assert (error.number, error.state) == wanted and (how[0] != "rejected" or "retry after 251 ms" in error.text)
         assert answer[-1] == (self.kind, codec.Done(codec.DONE_ERROR, 0))
         self.state = "ready"
 
