--- a/rackhub/gather/component.py
+++ b/rackhub/gather/component.py
@@ -34,7 +34,7 @@
             context.config.seed,
             gateways_unreachable=self._gateways_unreachable,
         )
-        context.core.gathers = self.dispatcher
+        context.core.gather_port = self.dispatcher
 
     def join_fleet(self, fleet: Fleet, level: Level | None) -> None:
         """Use the fleet's membership for reachability, its overload level, and its budget of retries."""
--- a/rackhub/gather/dispatcher.py
+++ b/rackhub/gather/dispatcher.py
@@ -51,7 +51,7 @@
         """Disconnect from the core's request."""
         if not self.done and self.query is not None:
             self.done = True
-            self.dispatcher.core.leave(self.query)
+            self.dispatcher.core.disconnect_client(self.query)
 
     def served(self, query: Query, rows: Sequence[bytes]) -> None:
         """The subrequest has its rows."""
@@ -59,7 +59,7 @@
             self.done = True
             self.dispatcher.complete_with_rows(self.request, self.site, self.attempt, rows)
 
-    def refused(self, query: Query, backoff: int) -> None:
+    def rejected(self, query: Query, backoff: int) -> None:
         """The subrequest was rejected, with a backoff in microseconds."""
         self._complete_without_rows("refused", backoff)
 
@@ -71,7 +71,7 @@
         if self.done:
             return
         self.done = True
-        late = self.query is not None and self.dispatcher.core.out_of_time(self.query)
+        late = self.query is not None and self.dispatcher.core.is_near_deadline(self.query)
         if late:
             reason = "late"
         self.dispatcher.complete_without_rows(self.request, self.site, self.attempt, reason, backoff, False)
@@ -157,7 +157,7 @@
 
     # ---- core.gather.GatherPort
 
-    def take(self, query: Query) -> bool:
+    def accept(self, query: Query) -> bool:
         """Gather the request if a rule matches it; False leaves it to the core."""
         rules = self.active.rules
         rule = rules.find(query.cls, query.tenant, query.tables)
@@ -316,12 +316,12 @@
         self.requests.pop(query.id, None)
         if answer.outcome == "refused":
             self.count("gather_refused")
-            self.core.gathered(query, "refused", backoff=answer.backoff)
+            self.core.complete_gathered(query, "refused", backoff=answer.backoff)
             return
         status = answer.status
-        self.count("gather_whole" if status is None or status.whole else "gather_partial")
+        self.count("gather_whole" if status is None or status.complete else "gather_partial")
         query.gather_status = status if getattr(query.reply, "marks", False) else None
-        self.core.gathered(query, "served", answer.pages)
+        self.core.complete_gathered(query, "served", answer.pages)
 
     def metrics(self) -> dict[str, Any]:
         """Counters and gauges by name, for DUMP and the control port."""
--- a/rackhub/gather/state.py
+++ b/rackhub/gather/state.py
@@ -277,7 +277,7 @@
             else SiteStatus(site=site, missing=absent[site])
             for site in self.rule.sites
         ]
-        return GatherStatus(whole=complete, sites=sites)
+        return GatherStatus(complete=complete, sites=sites)
 
     @staticmethod
     def _total_size(rows: Mapping[str, Rows]) -> int:
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -147,7 +147,7 @@
     assert [part.site for part in of(begin(machine), SendSubrequest)] == ["a", "b", "c"]
     assert not machine.receive_rows(10, "c", 0, rows("c")) and not machine.receive_rows(20, "a", 0, rows("a"))
     answer = only(machine.receive_rows(30, "b", 0, rows("b")), Answer)
-    assert (answer.outcome, answer.pages, answer.status.whole) == ("served", [b"a", b"b", b"c"], True)
+    assert (answer.outcome, answer.pages, answer.status.complete) == ("served", [b"a", b"b", b"c"], True)
 
 
 def test_as_soon_as_the_need_cannot_be_met_it_is_refused_and_the_rest_called_off():
@@ -165,7 +165,7 @@
     machine.receive_rows(10, "a", 0, rows("a"))
     answer = only(machine.fail_site(20, "b", 0, "failed"), Answer)
     assert answer.pages == [b"a"] and answer.status == GatherStatus(
-        whole=False,
+        complete=False,
         sites=[SiteStatus(site="a"), SiteStatus(site="b", missing="failed"), SiteStatus(site="c", missing="cut")],
     )
 
@@ -208,7 +208,7 @@
     machine.fail_site(52 * MS, "a", 0, "late")
     answer = only(machine.fail_site(55 * MS, "b", 0, "cut"), Answer)
     assert answer.pages == [b"old", b"older", b"c"] and [site.age_ms for site in answer.status.sites] == [55, 55, 0]
-    assert not answer.status.whole
+    assert not answer.status.complete
     late = gather(needs="all", fill_ms=60.0, kept=kept)
     begin(late, now=50 * MS)
     assert only(late.fail_site(61 * MS, "a", 0, "late"), Answer).outcome == "refused"
@@ -290,7 +290,7 @@
                 pages.append(self.came.get(site))
         assert list(answer.pages) == pages, "rows not of the sites named"
         whole = len(inside) == len(rule.sites) and not any(site.age_ms for site in said.values())
-        assert answer.status.whole == whole, "partial passed as whole"
+        assert answer.status.complete == whole, "partial passed as whole"
         assert whole or rule.partial, "partial to who does not allow it"
         if rule.weight is not None:
             weights = self.machine.weights
@@ -388,7 +388,7 @@
 
     def _finish(self, now):
         return [
-            effect._replace(status=GatherStatus(whole=True, sites=effect.status.sites))
+            effect._replace(status=GatherStatus(complete=True, sites=effect.status.sites))
             if isinstance(effect, Answer) and effect.status
             else effect
             for effect in super()._finish(now)
@@ -497,7 +497,7 @@
 
 
 class Client:
-    deaf = stale = False
+    reading_paused = stale = False
 
     def __init__(self, marks=True):
         self.marks, self.said = marks, []
@@ -505,7 +505,7 @@
     def served(self, query, rows):
         self.said.append(("served", b"".join(rows), query.gather_status))
 
-    def refused(self, query, backoff):
+    def rejected(self, query, backoff):
         self.said.append(("refused", backoff))
 
     def failed(self, query, why):
@@ -521,7 +521,7 @@
         self.dispatcher = GatherDispatcher(
             self.core, rules, RemoteGateways(self.reactor, 250 * MS, 48_000, lambda name: None), 1, level
         )
-        self.core.gathers = self.dispatcher
+        self.core.gather_port = self.dispatcher
         self.list("za", "zb")
 
     def list(self, *zones):
@@ -530,7 +530,7 @@
         if self.core.engines is None:
             self.core.start(self.engines, entries, 1)
         else:
-            self.core.listed(entries, 2)
+            self.core.update_endpoints(entries, 2)
         self.dispatcher.update_endpoints(listing)
 
     def ask(self, marks=True, number=1, within=3 * S, id=None):
@@ -542,7 +542,7 @@
     def end(self, zone, reason="GOOD", text=b""):
         attempt = next(attempt for attempt in self.engines.out if attempt.engine == f"e{zone}")
         self.engines.out.remove(attempt)
-        self.core.ended(attempt, reason, rows=[text] if reason == "GOOD" else ())
+        self.core.complete_attempt(attempt, reason, rows=[text] if reason == "GOOD" else ())
 
 
 def test_parts_run_in_their_zones_alone_and_the_answer_is_joined_and_marked():
@@ -556,7 +556,11 @@
     assert not client.said
     gateway.end("za", text=b"a\t1\t2\n")
     assert client.said == [
-        ("served", b"a\t1\t2\nb\t1\t2\n", GatherStatus(whole=True, sites=[SiteStatus(site="a"), SiteStatus(site="b")]))
+        (
+            "served",
+            b"a\t1\t2\nb\t1\t2\n",
+            GatherStatus(complete=True, sites=[SiteStatus(site="a"), SiteStatus(site="b")]),
+        )
     ]
     assert not gateway.core.queries and not gateway.dispatcher.requests
 
@@ -568,7 +572,7 @@
     deadline = query.deadline
     gateway.clock.advance(3 * S)
     [(how, body, mark)] = client.said
-    assert (how, body, mark.whole, mark.sites[1].missing) == ("served", b"a\t1\t2\n", False, "late")
+    assert (how, body, mark.complete, mark.sites[1].missing) == ("served", b"a\t1\t2\n", False, "late")
     assert "ezb" in gateway.engines.given_up and gateway.core.counters["backstop_answers"] == 0
     assert deadline <= gateway.clock.now()
 
@@ -588,7 +592,7 @@
 def test_a_client_that_leaves_takes_its_parts_along_and_open_gathers_end_under_their_rules():
     gateway = Gateway(sites=["a", "b"])
     query, client = gateway.ask()
-    gateway.core.leave(query)
+    gateway.core.disconnect_client(query)
     assert not client.said and len(gateway.engines.given_up) == 2 and not gateway.dispatcher.requests
     _, client = gateway.ask(number=2)
     gateway.dispatcher.apply_rules(gather_rules({}, SETTINGS), 7)
