--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -25,8 +25,8 @@
 from rackhub.fleet.ports import Fleet, RulePart
 from rackhub.fleet.register.disk import StoreDisk
 from rackhub.fleet.roles import RELAY, VOTER, shares_overload
-from rackhub.fleet.rules.part import RuleBook
-from rackhub.fleet.rules.timings import TimingsPart
+from rackhub.fleet.rules.timings import TimingsSection
+from rackhub.fleet.rules.versioned_rules import VersionedRules
 from rackhub.fleet.settings import FleetSettings
 from rackhub.timings.table import Table
 
@@ -63,7 +63,7 @@
         self.disk: StoreDisk | None = None
         self.distribution = self._distribution() if self.told.role else None
         self.book = self._book() if self.told.keepers and not self.told.role else None
-        self.timings = TimingsPart(lambda: host.source.settings, lambda: host.operator.timings, self._time)
+        self.timings = TimingsSection(lambda: host.source.settings, lambda: host.operator.timings, self._time)
         for name, part in self._rule_parts().items():
             if self.rules is not None:
                 self.rules.part(name, part)
@@ -76,7 +76,7 @@
         return self.fleet._replace(members=MembersWithout(self.fleet.members, nodes))
 
     @property
-    def rules(self) -> "RuleBook | Distribution | None":
+    def rules(self) -> "VersionedRules | Distribution | None":
         """Whoever holds the rule book here: that of a fleet without relays, or what distribution brings."""
         return self.book if self.distribution is None else self.distribution
 
@@ -99,12 +99,12 @@
         except ValueError as bad:
             raise ComponentStartError(f"[fleet] state: {bad}") from None
 
-    def _book(self) -> RuleBook:
+    def _book(self) -> VersionedRules:
         """The rule book of a fleet without relays, kept on a store of its own where there is a directory for it."""
         if self.told.state:
             self.disk = open_disk(self.context.reactor, self.told.state, "register")
         try:
-            return RuleBook(self.fleet, self.told, self.control, self.disk, self._counts)
+            return VersionedRules(self.fleet, self.told, self.control, self.disk, self._counts)
         except ValueError as bad:
             raise ComponentStartError(f"[fleet] state: {bad}") from None
 
@@ -119,7 +119,7 @@
         if found is None and table.routes:
             found = self.context.components["timings"] = components.load("timings", self.context)
         if found is not None:
-            found.again = self.timings.again
+            found.again = self.timings.reload_file
             found.desk.reload(table)
 
     def _tally(self, name: str, by: int = 1) -> None:
@@ -157,7 +157,7 @@
         if self.rules is not None:
             timed: Any = self.context.components.get("timings")
             if timed is not None:
-                timed.again = self.timings.again
+                timed.again = self.timings.reload_file
             self._start_rules()
         log.info("member %s of the fleet %s at %s", self.told.name, self.told.cluster, self.told.listen)
 
--- a/rackhub/fleet/rules/__init__.py
+++ b/rackhub/fleet/rules/__init__.py
@@ -1,7 +1,8 @@
-"""The rule book: routing rules in numbered versions that all gateways hold, their edits, undo and trials.
+"""The versioned rule set that all gateways of a fleet share: its edits, undo and trials.
 
-`book` decides what an edit makes of the book, `holder` what this gateway holds of it, `guard` when a trial is ended;
-`spread`, `checks` and `trials` put that on mail, board and timers; `service`, with `requests`, `queries` and `waiting`,
-answers on the control port, and sees the book through `ports`; `part` is the whole.
+Pure: `versions` applies a change to the rule set, `active_version` decides which version applies at this gateway,
+`trial_guard` when a trial is ended early. `dissemination`, `checks`, `changes` and `trials` connect these to messages,
+gossip, the register and timers. `service`, with `requests`, `queries` and `propagation`, answers on the control port
+and sees the rules through `ports`. `versioned_rules` puts all of it together.
 Design: docs/design/rules.md. Use: docs/operators/rules.md.
 """
--- /dev/null
+++ b/rackhub/fleet/rules/active_version.py
@@ -0,0 +1,87 @@
+"""Which version applies at this gateway: versions only advance, and a trial ends by the local clock. Pure.
+
+A version on trial stands for two contents: its own where it is on trial, its parent's elsewhere. It is on trial only at
+the gateways it names, and only while its age is known and below its duration. After a restart no age is known.
+"""
+
+from typing import Any, NamedTuple
+
+import msgspec
+
+from rackhub.fleet.rules.messages import UNKNOWN_AGE, RuleSet, Version
+from rackhub.fleet.rules.versions import content_of, merge
+
+
+class ActiveVersion(NamedTuple):
+    """The version and the content that new requests are to meet."""
+
+    version: int
+    on_trial: bool
+    content: dict[str, Any]
+
+
+class StoredRules(msgspec.Struct, frozen=True):
+    """The record on disk. `version` is the newest that was applied."""
+
+    rule_set: RuleSet = msgspec.field(name="book")
+    version: int
+
+
+class LearnResult(NamedTuple):
+    """`advanced`: there is a newer version now. `conflicts`: numbers under which the contents differ."""
+
+    advanced: bool
+    conflicts: list[int]
+
+
+class VersionTracker:
+    """The rule set that this gateway knows. Times are microseconds of the local clock."""
+
+    def __init__(self, gateway: str, stored: StoredRules | None = None):
+        self.gateway = gateway
+        self.rule_set = stored.rule_set if stored is not None else RuleSet()
+        self.applied_version = stored.version if stored is not None else 0
+        self._timed_version = 0  # the version whose trial's end is known
+        self._trial_end = 0
+
+    def learn(self, versions: tuple[Version, ...], trial_age: int, now: int) -> LearnResult:
+        """Merge versions that a majority chose.
+
+        `trial_age` is an upper bound of the age of the newest one's trial, or `UNKNOWN_AGE`.
+        """
+        before = self.rule_set.newest_number
+        self.rule_set, conflicts = merge(self.rule_set, versions)
+        newest = self.open_trial()
+        if newest is not None and newest.trial is not None and newest.number > before and trial_age >= 0:
+            self._timed_version = newest.number
+            self._trial_end = now - trial_age + newest.trial.duration_ms * 1_000
+        return LearnResult(self.rule_set.newest_number > before, conflicts)
+
+    def target(self, now: int) -> ActiveVersion:
+        """Return what should apply at this moment."""
+        newest = self.rule_set.newest
+        if newest is None:
+            return ActiveVersion(0, False, {})
+        if newest.trial is None:
+            return ActiveVersion(newest.number, False, newest.content)
+        if self.gateway in newest.trial.gateways and self.trial_remaining(now) > 0:
+            return ActiveVersion(newest.number, True, newest.content)
+        return ActiveVersion(newest.number, False, content_of(self.rule_set, newest.parent))
+
+    def trial_remaining(self, now: int) -> int:
+        """Return the time until the newest version's trial ends; 0: it is over, has no known age, or is none."""
+        if not self._timed_version or self._timed_version != self.rule_set.newest_number:
+            return 0
+        return max(self._trial_end - now, 0)
+
+    def trial_age(self, now: int) -> int:
+        """Return the age of the newest version's trial as it is sent to others, or `UNKNOWN_AGE`."""
+        newest = self.open_trial()
+        if newest is None or newest.trial is None or self._timed_version != newest.number:
+            return UNKNOWN_AGE
+        return now - (self._trial_end - newest.trial.duration_ms * 1_000)
+
+    def open_trial(self) -> Version | None:
+        """Return the newest version where that is on trial."""
+        newest = self.rule_set.newest
+        return newest if newest is not None and newest.trial is not None else None
--- a/rackhub/fleet/rules/changes.py
+++ b/rackhub/fleet/rules/changes.py
@@ -1,115 +1,163 @@
-"""Changes of the book at the register: one that an editor asks for, the end of a trial, one that was left half done."""
+"""Changes of the rule set in the register: an editor's, the end of a trial, and one whose outcome is not known."""
 
 import logging
 import time
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
 from rackhub.fleet.ports import Fleet
 from rackhub.fleet.register.keeper import Keeper
 from rackhub.fleet.register.proposer import Outcome, Proposer
-from rackhub.fleet.rules import book as books
-from rackhub.fleet.rules.holder import Holder
-from rackhub.fleet.rules.spread import Spread, posts
-from rackhub.fleet.rules.words import FORMAT, Ask, Refused, Version, encode
+from rackhub.fleet.rules import versions
+from rackhub.fleet.rules.active_version import VersionTracker
+from rackhub.fleet.rules.dissemination import Dissemination, LearnVersions, gossiped_statuses
+from rackhub.fleet.rules.messages import (
+    FORMAT_VERSION,
+    UNKNOWN_AGE,
+    ChangeRejectedError,
+    EditRequest,
+    RuleSet,
+    Version,
+    encode,
+)
 
 log = logging.getLogger(__name__)
-WITHIN = 5_000_000  # for one change at the register
-UNFINISHED = 1_000_000  # how long a keeper holds a value that nobody told was chosen, before it asks
+CHANGE_TIMEOUT = 5_000_000  # microseconds, for one change or read of the register
+UNSETTLED_DELAY = 1_000_000  # microseconds for which an acceptor may have an accepted value that is not known as chosen
 
 
-class Changes:
-    """`learn` gets what was chosen, and the age of the newest one's trial."""
+class _Change:
+    """One change: what the register calls with its value, and then with the outcome."""
 
     def __init__(
         self,
         fleet: Fleet,
-        holder: Holder,
+        tracker: VersionTracker,
+        learn: LearnVersions,
+        request: EditRequest,
+        done: Callable[[Outcome], None],
+    ):
+        self._fleet = fleet
+        self._tracker = tracker
+        self._learn = learn
+        self._request = request
+        self._done = done
+        self._started_at = fleet.clock.now()
+        self._proposed = False
+
+    def propose(self, value: bytes | None) -> tuple[bytes | None, Version | ChangeRejectedError]:
+        """Return the register's next value, and the answer that the outcome is to carry."""
+        try:
+            rule_set = self._current(value)
+            changed, made = versions.apply(rule_set, self._request)
+        except ChangeRejectedError as rejection:
+            return value, rejection
+        if changed == rule_set:  # an earlier attempt made it: its trial's age is known only if this change proposed it
+            return value, made
+        self._proposed = True
+        return encode(changed), made
+
+    def _current(self, value: bytes | None) -> RuleSet:
+        local = self._tracker.rule_set
+        # a register that was never written, or lost with the acceptors' disks, continues from the local rule set
+        rule_set = versions.decode_rule_set(value) if value is not None else local
+        if rule_set.newest_number < local.newest_number:
+            raise ChangeRejectedError(
+                f"the keepers hold version {rule_set.newest_number}, and this gateway {local.newest_number}: they "
+                "were put back; docs/operators/rules.md says what to do"
+            )
+        if rule_set.format > FORMAT_VERSION:
+            raise ChangeRejectedError(
+                f"the book was written by a later program (format {rule_set.format}, here {FORMAT_VERSION}): "
+                "edit it at a gateway that runs that one"
+            )
+        return rule_set
+
+    def complete(self, outcome: Outcome) -> None:
+        """Learn what was chosen, then report the outcome."""
+        if outcome.kind == "done" and outcome.value is not None:
+            chosen = versions.decode_rule_set(outcome.value)
+            made = outcome.answer
+            made_here = self._proposed and isinstance(made, Version) and made.number == chosen.newest_number
+            age = self._fleet.clock.now() - self._started_at if made_here else UNKNOWN_AGE
+            self._learn(chosen.versions, age)
+        if outcome.kind == "done" and isinstance(outcome.answer, ChangeRejectedError):
+            outcome = Outcome("refused", why=str(outcome.answer))
+        self._done(outcome)
+
+
+class ChangeCoordinator:
+    """Proposes changes to the register.
+
+    `learn` gets the chosen versions and the age of the newest one's trial in microseconds, or `UNKNOWN_AGE`.
+    """
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        tracker: VersionTracker,
         proposer: Proposer,
-        spread: Spread,
-        learn: Callable[[tuple[Version, ...], int], None],
+        dissemination: Dissemination,
+        learn: LearnVersions,
     ):
-        self._fleet, self._holder, self._proposer, self._spread, self._learn = fleet, holder, proposer, spread, learn
-        self._lapsing = False
-        self._odd = 0  # since when the own keeper holds what is not known as chosen
-        self._seen: bytes | None = None
-        self._accepted = 0  # the newest version of what the own keeper accepted
-
-    def change(self, ask: Ask, done: Callable[[Outcome], None]) -> None:
-        """Have the register take it; `done` gets the version as the answer, or the refusal's words as `why`."""
-        began, offered = self._fleet.clock.now(), False
-
-        def propose(value: bytes | None) -> tuple[bytes | None, Any]:
-            nonlocal offered
-            book, held = books.decode(value), self._holder.book
-            if value is None:  # never written, or lost with the keepers' disks: what this gateway holds goes on
-                book = held
-            elif book.newest < held.newest:
-                return value, Refused(
-                    f"the keepers hold version {book.newest}, and this gateway {held.newest}: they "
-                    "were put back; docs/operators/rules.md says what to do"
-                )
-            if book.format > FORMAT:
-                return value, Refused(
-                    f"the book was written by a later program (format {book.format}, here {FORMAT}): "
-                    "edit it at a gateway that runs that one"
-                )
-            try:
-                after, made = books.apply(book, ask)
-            except Refused as bad:
-                return value, bad
-            if after == book:  # said before: of its age this gateway knows only where it said so in this very change
-                return value, made
-            offered = True
-            return encode(after), made
-
-        def over(outcome: Outcome) -> None:
-            if outcome.kind == "done" and outcome.value is not None:
-                newest = books.decode(outcome.value)
-                mine = offered and isinstance(outcome.answer, Version) and outcome.answer.number == newest.newest
-                self._learn(newest.versions, self._fleet.clock.now() - began if mine else -1)
-            if outcome.kind == "done" and isinstance(outcome.answer, Refused):
-                outcome = Outcome("refused", why=str(outcome.answer))
-            done(outcome)
-
-        ahead = max((post.newest for post in posts(self._fleet).values()), default=0)
-        if ahead > self._holder.book.newest:
-            self._spread.look()
-        self._proposer.change(propose, over, WITHIN)
-
-    def lapse(self, ask: Ask) -> None:
-        def over(outcome: Outcome) -> None:
-            self._lapsing = False
+        self._fleet = fleet
+        self._tracker = tracker
+        self._proposer = proposer
+        self._dissemination = dissemination
+        self._learn = learn
+        self._ending_trial = False
+        self._unsettled_since = 0  # since when the local acceptor has a value that is not known as chosen; 0: it hasn't
+        self._last_value: bytes | None = None
+        self._accepted_number = 0  # the newest version of the local acceptor's value
+
+    def propose(self, request: EditRequest, done: Callable[[Outcome], None]) -> None:
+        """Propose a change; `done` gets the version as the answer, or the text of the rejection as `why`."""
+        change = _Change(self._fleet, self._tracker, self._learn, request, done)
+        published = max((status.newest for status in gossiped_statuses(self._fleet).values()), default=0)
+        if published > self._tracker.rule_set.newest_number:
+            self._dissemination.fetch_published()
+        self._proposer.change(change.propose, change.complete, CHANGE_TIMEOUT)
+
+    def end_trial(self, request: EditRequest) -> None:
+        """Propose the end of a trial, unless such a proposal is in flight already."""
+
+        def complete(outcome: Outcome) -> None:
+            self._ending_trial = False
             if outcome.kind == "done":
-                log.warning("fleet: rule version %d is undone: %s", ask.on, ask.reason)
+                log.warning("fleet: rule version %d is undone: %s", request.base_version, request.reason)
                 self._fleet.tally("rules_lapsed", 1)
 
-        if not self._lapsing:
-            self._lapsing = True
-            self.change(msgspec.structs.replace(ask, told=int(time.time())), over)
+        if not self._ending_trial:
+            self._ending_trial = True
+            self.propose(msgspec.structs.replace(request, created_at=int(time.time())), complete)
+
+    def settle(self, acceptor: Keeper) -> None:
+        """Read the register where the local acceptor's value has not become known as chosen for `UNSETTLED_DELAY`.
 
-    def finish(self, keeper: Keeper) -> None:
-        """An editor's gateway may have gone between accept and answer: what the own keeper then holds may be chosen
-        without that anybody knows. A read settles it."""
+        The proposer may have stopped between accept and answer, with the value chosen and nobody aware of it.
+        """
         now = self._fleet.clock.now()
-        value = keeper.state.value if keeper.state.voting else None
-        if value is not self._seen:
-            self._seen, self._odd = value, 0
-            try:
-                self._accepted = books.decode(value).newest
-            except msgspec.MsgspecError as bad:  # a later program's, or none of a proposer's: it is left to those
-                log.error("fleet: the register's value can't be read: %s", bad)
-                self._accepted = 0
-        if self._accepted <= self._holder.book.newest:
-            self._odd = 0
-        elif not self._odd:
-            self._odd = now
-        elif now - self._odd > UNFINISHED:
-            self._odd = now
-            self._proposer.read(self._read, WITHIN)
-
-    def _read(self, outcome: Outcome) -> None:
+        self._observe(acceptor.state.value if acceptor.state.voting else None)
+        if self._accepted_number <= self._tracker.rule_set.newest_number:
+            self._unsettled_since = 0
+        elif not self._unsettled_since:
+            self._unsettled_since = now
+        elif now - self._unsettled_since > UNSETTLED_DELAY:
+            self._unsettled_since = now
+            self._proposer.read(self._on_read, CHANGE_TIMEOUT)
+
+    def _observe(self, value: bytes | None) -> None:
+        if value is self._last_value:
+            return
+        self._last_value = value
+        self._unsettled_since = 0
+        try:
+            self._accepted_number = versions.decode_rule_set(value).newest_number
+        except msgspec.MsgspecError as error:  # written by a later program: left to gateways that run it
+            log.error("fleet: the register's value can't be read: %s", error)
+            self._accepted_number = 0
+
+    def _on_read(self, outcome: Outcome) -> None:
         if outcome.kind == "done" and outcome.value is not None:
-            self._learn(books.decode(outcome.value).versions, -1)
+            self._learn(versions.decode_rule_set(outcome.value).versions, UNKNOWN_AGE)
--- a/rackhub/fleet/rules/checks.py
+++ b/rackhub/fleet/rules/checks.py
@@ -1,78 +1,99 @@
-"""Ask every live gateway whether its own check takes a content, before it is proposed."""
+"""Checks a content at all living gateways before it is proposed: each must be able to apply it."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
 from rackhub.fleet.ports import Fleet, Name
-from rackhub.fleet.rules.words import KIND, Check, Checked, encode
+from rackhub.fleet.rules.messages import MESSAGE_KIND, CheckRequest, CheckResult, encode
 
-WITHIN, AGAIN = 4_000_000, 400_000  # one that has just ended is known as gone by then, and not waited for
-AT_ONCE = 16  # rounds of asking; beyond, editors are refused
+CHECK_TIMEOUT = 4_000_000  # microseconds; a gateway that has just ended is known as gone by then
+RESEND_INTERVAL = 400_000  # microseconds
+MAX_CONCURRENT_CHECKS = 16
+MAX_FAULT_LENGTH = 2_000  # characters of the fault that is sent
 
 
-class Asked(NamedTuple):
-    """`faults`: by gateway; `silent`: heard, and without an answer; `unasked`: cut off, and without an answer."""
+class CheckOutcome(NamedTuple):
+    """`faults` by gateway. Without an answer: `unresponsive` are still received from, `unreachable` are cut off."""
 
     faults: dict[Name, str]
-    silent: list[Name]
-    unasked: list[Name]
+    unresponsive: list[Name]
+    unreachable: list[Name]
 
 
-class _Round:
-    def __init__(self, content: Mapping[str, Any], done: Callable[[Asked], None], left: set[Name], until: int):
-        self.content, self.done, self.left, self.until = dict(content), done, left, until
+class _OpenCheck:
+    def __init__(
+        self, content: Mapping[str, Any], done: Callable[[CheckOutcome], None], pending: set[Name], deadline: int
+    ):
+        self.content = dict(content)
+        self.done = done
+        self.pending = pending
+        self.deadline = deadline
         self.faults: dict[Name, str] = {}
 
 
-class Checks:
-    """`own`: this gateway's check; gives the fault or nothing."""
+class FleetChecks:
+    """`check_locally` is this gateway's check: it returns the fault, empty where there is none."""
 
-    def __init__(self, fleet: Fleet, own: Callable[[Mapping[str, Any]], str]):
-        self._fleet, self._own = fleet, own
-        self._mark = 0
-        self._rounds: dict[int, _Round] = {}
+    def __init__(self, fleet: Fleet, check_locally: Callable[[Mapping[str, Any]], str]):
+        self._fleet = fleet
+        self._check_locally = check_locally
+        self._last_id = 0
+        self._open: dict[int, _OpenCheck] = {}
 
-    def ask(self, content: Mapping[str, Any], done: Callable[[Asked], None]) -> None:
-        """`done` once, within `WITHIN`: as soon as one refuses or all have answered."""
-        me = self._fleet.members.me
-        fault = self._own(content)
+    def check(self, content: Mapping[str, Any], done: Callable[[CheckOutcome], None]) -> None:
+        """Call `done` once, within `CHECK_TIMEOUT`: on the first fault, or when all have answered."""
+        local = self._fleet.members.me
+        fault = self._check_locally(content)
+        if not fault and len(self._open) >= MAX_CONCURRENT_CHECKS:
+            fault = f"{MAX_CONCURRENT_CHECKS} edits are being checked already"
         if fault:
-            return done(Asked({me: fault}, [], []))
-        if len(self._rounds) >= AT_ONCE:
-            return done(Asked({me: f"{AT_ONCE} edits are being checked already"}, [], []))
-        left = set(self._fleet.members.living() - {me})
-        if not left:
-            return done(Asked({}, [], []))
-        self._mark += 1
-        self._rounds[self._mark] = _Round(content, done, left, self._fleet.clock.now() + WITHIN)
-        self._send(self._mark)
-
-    def _send(self, mark: int) -> None:
-        one = self._rounds.get(mark)
-        if one is None:
+            done(CheckOutcome({local: fault}, [], []))
             return
-        left = one.until - self._fleet.clock.now()
-        if left <= 0 or left < WITHIN and not one.left & self._fleet.members.heard():
-            return self._over(mark)
-        body = encode(Check(mark, one.content))
-        for name in sorted(one.left):
-            self._fleet.mail.send(name, KIND, body)
-        self._fleet.later(AGAIN, lambda: self._send(mark))
-
-    def heard(self, source: Name, message: Check | Checked) -> None:
-        if isinstance(message, Check):
-            fault = self._own(message.content)[:2_000]
-            return self._fleet.mail.send(source, KIND, encode(Checked(message.mark, fault)))
-        one = self._rounds.get(message.mark)
-        if one is None or source not in one.left:
+        pending = set(self._fleet.members.living() - {local})
+        if not pending:
+            done(CheckOutcome({}, [], []))
             return
-        one.left.discard(source)
-        if message.fault:
-            one.faults[source] = message.fault
-        if message.fault or not one.left:
-            self._over(message.mark)
-
-    def _over(self, mark: int) -> None:
-        one, heard = self._rounds.pop(mark), self._fleet.members.heard()
+        self._last_id += 1
+        deadline = self._fleet.clock.now() + CHECK_TIMEOUT
+        self._open[self._last_id] = _OpenCheck(content, done, pending, deadline)
+        self._send(self._last_id)
+
+    def _send(self, request_id: int) -> None:
+        check = self._open.get(request_id)
+        if check is None:
+            return
+        remaining = check.deadline - self._fleet.clock.now()
+        all_cut_off = not check.pending & self._fleet.members.heard()
+        if remaining <= 0 or (remaining < CHECK_TIMEOUT and all_cut_off):
+            self._complete(request_id)
+            return
+        body = encode(CheckRequest(request_id, check.content))
+        for name in sorted(check.pending):
+            self._fleet.mail.send(name, MESSAGE_KIND, body)
+        self._fleet.later(RESEND_INTERVAL, lambda: self._send(request_id))
+
+    def on_message(self, source: Name, message: CheckRequest | CheckResult) -> None:
+        """Handle a message of another gateway."""
+        if isinstance(message, CheckRequest):
+            fault = self._check_locally(message.content)[:MAX_FAULT_LENGTH]
+            self._fleet.mail.send(source, MESSAGE_KIND, encode(CheckResult(message.request_id, fault)))
+        else:
+            self._on_result(source, message)
+
+    def _on_result(self, source: Name, result: CheckResult) -> None:
+        check = self._open.get(result.request_id)
+        if check is None or source not in check.pending:
+            return
+        check.pending.discard(source)
+        if result.fault:
+            check.faults[source] = result.fault
+        if result.fault or not check.pending:
+            self._complete(result.request_id)
+
+    def _complete(self, request_id: int) -> None:
+        check = self._open.pop(request_id)
+        reachable = self._fleet.members.heard()
         living = self._fleet.members.living()
-        one.done(Asked(one.faults, sorted(one.left & heard), sorted((one.left - heard) & living)))
+        unresponsive = sorted(check.pending & reachable)
+        unreachable = sorted((check.pending - reachable) & living)
+        check.done(CheckOutcome(check.faults, unresponsive, unreachable))
--- a/rackhub/fleet/rules/ports.py
+++ b/rackhub/fleet/rules/ports.py
@@ -1,29 +1,33 @@
-"""What the calls of the control port see of the rule book: read by `queries`, `waiting` and `service`."""
+"""What the control port's calls need of the rules: used by `queries`, `propagation` and `service`."""
 
 from typing import Protocol
 
 from rackhub.fleet.ports import Fleet, Name
-from rackhub.fleet.rules.changes import Changes
-from rackhub.fleet.rules.checks import Checks
-from rackhub.fleet.rules.holder import Holder, Holds
-from rackhub.fleet.rules.trials import Trials
+from rackhub.fleet.rules.active_version import ActiveVersion, VersionTracker
+from rackhub.fleet.rules.changes import ChangeCoordinator
+from rackhub.fleet.rules.checks import FleetChecks
+from rackhub.fleet.rules.trials import TrialMonitor
 
 
-class RuleBookView(Protocol):
-    """The rule book as one gateway has it. `confirmed`: the version that each other gateway has said to this one alone
-    that it holds; the board tells the same of all of them, a little later."""
+class RulesView(Protocol):
+    """The rules as one gateway has them.
+
+    `confirmed_versions`: what other gateways reported to this one directly as applied; gossip reports it a little
+    later.
+    """
 
     fleet: Fleet
-    me: Name
-    keepers: tuple[Name, ...]
-    holder: Holder
-    checks: Checks
-    changes: Changes
-    trials: Trials
-    confirmed: dict[Name, int]
+    gateway: Name
+    acceptors: tuple[Name, ...]
+    tracker: VersionTracker
+    checks: FleetChecks
+    changes: ChangeCoordinator
+    trials: TrialMonitor
+    confirmed_versions: dict[Name, int]
 
     @property
-    def held(self) -> Holds: ...
+    def active(self) -> ActiveVersion:
+        """What requests meet at this gateway."""
 
-    def damages(self) -> str:
-        """What of this gateway's disk could not be read; empty where all could."""
+    def damage_report(self) -> str:
+        """Return what of this gateway's disk could not be read; empty where all could."""
--- a/rackhub/fleet/rules/queries.py
+++ b/rackhub/fleet/rules/queries.py
@@ -1,6 +1,7 @@
-"""Calls that only read the rule book: one version, the history, a difference, the status of all gateways.
+"""Calls that only read the rules: one version, the history, a difference, the status of all gateways.
 
-Each gives the JSON object that the command line prints. Raises `Refused` for a version that is not kept here.
+Each returns the JSON object that the command line prints. Raises `ChangeRejectedError` for a version that is not
+retained here.
 """
 
 from collections.abc import Mapping
@@ -8,81 +9,89 @@
 
 import msgspec
 
-from rackhub.fleet.rules.ports import RuleBookView
+from rackhub.fleet.rules.dissemination import gossiped_statuses
+from rackhub.fleet.rules.messages import ChangeRejectedError, GossipedStatus, Version
+from rackhub.fleet.rules.ports import RulesView
 from rackhub.fleet.rules.requests import Request
-from rackhub.fleet.rules.spread import posts
-from rackhub.fleet.rules.words import Post, Refused, Version
 
 
-def show(book: RuleBookView, request: Request) -> Mapping[str, Any]:
-    """One version with its content, and which one this gateway holds."""
+def show(rules: RulesView, request: Request) -> Mapping[str, Any]:
+    """Return one version with its content, and the one that applies at this gateway."""
     return {
-        "version": described(_version(book, request.version)),
-        "held": book.held.version,
-        "on_trial": book.held.on,
+        "version": to_json(_version(rules, request.version)),
+        "held": rules.active.version,
+        "on_trial": rules.active.on_trial,
     }
 
 
-def history(book: RuleBookView, request: Request) -> Mapping[str, Any]:
-    """The newest versions without their contents, newest first."""
+def history(rules: RulesView, request: Request) -> Mapping[str, Any]:
+    """Return the newest versions without their contents, newest first."""
     if request.limit < 1:
         raise ValueError(f"limit: {request.limit} is below 1")
-    newest_first = book.holder.book.versions[-request.limit :][::-1]
+    newest_first = rules.tracker.rule_set.versions[-request.limit :][::-1]
     return {"versions": [_without_content(version) for version in newest_first]}
 
 
-def diff(book: RuleBookView, request: Request) -> Mapping[str, Any]:
-    """The parts that differ between two versions; the older one is the newer one's parent where it is not given."""
-    new = _version(book, request.version)
-    old = _version(book, request.old if request.old >= 0 else max(new.number - 1, 0))
+def diff(rules: RulesView, request: Request) -> Mapping[str, Any]:
+    """Return the sections that differ between two versions; the older one defaults to the newer one's parent."""
+    new = _version(rules, request.version)
+    old = _version(rules, request.old if request.old >= 0 else max(new.number - 1, 0))
     names = sorted(set(old.content) | set(new.content))
-    parts = {
+    sections = {
         name: {"old": old.content.get(name), "new": new.content.get(name)}
         for name in names
         if old.content.get(name) != new.content.get(name)
     }
-    return {"old": old.number, "new": new.number, "parts": parts}
+    return {"old": old.number, "new": new.number, "parts": sections}
 
 
-def status(book: RuleBookView, request: Request) -> Mapping[str, Any]:
-    """Which version each gateway holds, who votes, and the trial that is open."""
-    seen = posts(book.fleet)
-    names = sorted(set(book.fleet.members.all()) | set(seen))
+def status(rules: RulesView, request: Request) -> Mapping[str, Any]:
+    """Return the version that applies at each gateway, who votes, and the open trial."""
+    statuses = gossiped_statuses(rules.fleet)
+    names = sorted(set(rules.fleet.members.all()) | set(statuses))
     return {
-        "gateway": book.me,
-        "version": book.held.version,
-        "newest": book.holder.book.newest,
-        "keepers": list(book.keepers),
-        "damage": book.damages(),
-        "gateways": [_gateway(book, name, seen.get(name)) for name in names],
-        "trial": _trial(book),
+        "gateway": rules.gateway,
+        "version": rules.active.version,
+        "newest": rules.tracker.rule_set.newest_number,
+        "keepers": list(rules.acceptors),
+        "damage": rules.damage_report(),
+        "gateways": [_gateway(rules, name, statuses.get(name)) for name in names],
+        "trial": _trial(rules),
     }
 
 
-def described(version: Version) -> dict[str, Any]:
-    """A version as JSON, with what is derived from it."""
+def to_json(version: Version) -> dict[str, Any]:
+    """Return a version as JSON, with what is derived from it."""
     plain = msgspec.to_builtins(version)
     return {**plain, "kind": version.kind, "parent": version.parent, "digest": version.digest()}
 
 
 def _without_content(version: Version) -> dict[str, Any]:
-    return {key: value for key, value in described(version).items() if key != "content"}
+    return {key: value for key, value in to_json(version).items() if key != "content"}
 
 
-def _version(book: RuleBookView, number: int) -> Version:
-    kept = book.holder.book
-    wanted = kept.newest if number < 0 else number
-    found = kept.find(wanted)
+def _version(rules: RulesView, number: int) -> Version:
+    rule_set = rules.tracker.rule_set
+    wanted = rule_set.newest_number if number < 0 else number
+    found = rule_set.find(wanted)
     if found is not None:
         return found
     if wanted == 0:
-        return Version(0, {}, "-", "the files hold", 0, book.me, "-")
-    oldest = kept.versions[0].number if kept.versions else 0
-    raise Refused(f"version {wanted} is not kept here: there are {oldest} to {kept.newest}")
-
-
-def _gateway(book: RuleBookView, name: str, post: Post | None) -> Mapping[str, Any]:
-    members = book.fleet.members
+        return Version(
+            number=0,
+            content={},
+            author="-",
+            reason="the files hold",
+            created_at=0,
+            gateway=rules.gateway,
+            id="-",
+        )
+    oldest = rule_set.versions[0].number if rule_set.versions else 0
+    raise ChangeRejectedError(f"version {wanted} is not kept here: there are {oldest} to {rule_set.newest_number}")
+
+
+def _gateway(rules: RulesView, name: str, status: GossipedStatus | None) -> Mapping[str, Any]:
+    members = rules.fleet.members
     known = members.all().get(name)
     row: dict[str, Any] = {
         "name": name,
@@ -90,28 +99,28 @@
         "heard": name in members.heard(),
         "state": known.state.value if known is not None else "unknown",
     }
-    if post is None:
+    if status is None:
         return row | {"version": None}
     return row | {
-        "version": post.version,
-        "on_trial": post.on,
-        "newest": post.newest,
-        "why": post.why,
-        "keeper": post.keeper,
-        "digest": post.digest,
+        "version": status.version,
+        "on_trial": status.on_trial,
+        "newest": status.newest,
+        "why": status.fault,
+        "keeper": status.acceptor_status,
+        "digest": status.digest,
     }
 
 
-def _trial(book: RuleBookView) -> Mapping[str, Any] | None:
-    version = book.holder.trial()
+def _trial(rules: RulesView) -> Mapping[str, Any] | None:
+    version = rules.tracker.open_trial()
     if version is None or version.trial is None:
         return None
-    on, off = book.trials.sides
+    on, off = rules.trials.counts
     return {
         "version": version.number,
         "author": version.author,
-        "first": list(version.trial.first),
-        "left_ms": book.holder.left(book.fleet.clock.now()) // 1_000,
+        "first": list(version.trial.gateways),
+        "left_ms": rules.tracker.trial_remaining(rules.fleet.clock.now()) // 1_000,
         "on": list(on),
         "off": list(off),
     }
--- a/rackhub/fleet/rules/requests.py
+++ b/rackhub/fleet/rules/requests.py
@@ -1,17 +1,21 @@
-"""One call of the rule book on the control port, as it comes: the same type for all words, with and without roles."""
+"""The parameters of a call on the control port: one type for all calls on rules, with and without relays."""
 
 from collections.abc import Mapping
 from typing import Any
 
 import msgspec
 
-MOST_WAIT = 60_000  # milliseconds that a caller may wait for all gateways
-SHORTEST_TRIAL, LONGEST_TRIAL = 1_000, 3_600_000  # milliseconds
+MAX_WAIT_MS = 60_000  # for all gateways to apply a version
+MIN_TRIAL_MS = 1_000
+MAX_TRIAL_MS = 3_600_000
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """`on`: the version that a change builds on, -1: what this gateway holds. In a fleet with relays a version is a
-    revision. Times are milliseconds. Unknown keys are ignored."""
+    """The call's JSON object; each field has its key's name, and unknown keys are ignored.
+
+    `on`: the version that a change builds on; -1: the newest one that this gateway knows. `parts`: sections by name.
+    `first`: how many gateways a trial has. In a fleet with relays a version is a revision. Times are milliseconds.
+    """
 
     version: int = -1
     old: int = -1
@@ -28,8 +32,8 @@
 
 
 def read(call: Mapping[str, Any]) -> Request:
-    """Raises `ValueError` or `msgspec.ValidationError`, worded with the key."""
+    """Decode a call. Raises `ValueError` or `msgspec.ValidationError` that names the key at fault."""
     request = msgspec.convert({key: value for key, value in call.items() if key != "call"}, Request)
-    if not 0 <= request.wait_ms <= MOST_WAIT:
-        raise ValueError(f"wait_ms: {request.wait_ms} is not from 0 to {MOST_WAIT}")
+    if not 0 <= request.wait_ms <= MAX_WAIT_MS:
+        raise ValueError(f"wait_ms: {request.wait_ms} is not from 0 to {MAX_WAIT_MS}")
     return request
--- a/rackhub/fleet/rules/timings.py
+++ b/rackhub/fleet/rules/timings.py
@@ -1,4 +1,4 @@
-"""The `timings` part of the rule book: checked like the file, held by a reload of the desk that the core asks."""
+"""The `timings` section of the rules: checked like the operator's file, applied by a reload of the route policy."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -8,58 +8,81 @@
 from rackhub import interface
 from rackhub.timings.table import Table, read_table
 
+Section = Mapping[str, Any]
 
-class ReadPart(NamedTuple):
-    """A part of the rule book as it was read last, encoded, and under which settings."""
+
+class ParsedSection(NamedTuple):
+    """The section that was parsed last, encoded, and under which settings."""
 
     encoded: bytes
     settings: interface.Settings
     table: Table
 
 
-class TimingsPart:
-    """`settings` gives the site's as they are now; `file` the part of the operator's file, which holds where the book
-    has none; `reload` has the desk take a table for requests from now on: a new generation, open requests end under
-    theirs."""
+class TimingsSection:
+    """Applies the `timings` section.
+
+    `settings` returns the site's settings of this moment. `file` returns the section of the operator's file, which
+    applies where the rules have none. `reload` applies a table to requests from now on; open requests end under theirs.
+    """
 
     def __init__(
         self,
         settings: Callable[[], interface.Settings],
-        file: Callable[[], Mapping[str, Any] | None],
+        file: Callable[[], Section | None],
         reload: Callable[[Table], None],
     ):
-        self._settings, self._file, self._reload = settings, file, reload
+        self._settings = settings
+        self._file = file
+        self._reload = reload
         self.version = 0
-        self._part: Mapping[str, Any] | None = None
-        self._last_read: ReadPart | None = None
-
-    def check(self, part: Mapping[str, Any] | None) -> None:
-        if part is not None:
-            self._table(part)
-
-    def hold(self, part: Mapping[str, Any] | None, version: int) -> None:
-        self._reload(self._table(part if part is not None else self._file() or {}))
-        self._part, self.version = part, version
-
-    def again(self) -> None:
-        """The operator's file was read anew: it holds where the book has no such part. Raises `ValueError` where the
-        file's, or the book's under the site's new settings, can't be used; what held goes on."""
-        self.hold(self._part, self.version)
-
-    def _table(self, part: Mapping[str, Any]) -> Table:
-        """One edit is checked for its editor, checked again when it arrives, and held: it is read once for all three.
-        A table only remembers what it looked up, so it may be handed out again."""
-        settings, last, encoded = self._settings(), self._last_read, _encoded(part)
+        self._section: Section | None = None
+        self._last_parsed: ParsedSection | None = None
+
+    def check(self, section: Section | None) -> None:
+        """Raise `ValueError` that names each key at fault; None: the rules have no such section."""
+        if section is not None:
+            self._parse(section)
+
+    def hold(self, section: Section | None, version: int) -> None:
+        """Apply a section, or the operator's file where there is none.
+
+        Raises `ValueError`; what applied before stays then.
+        """
+        self._reload(self._parse(section if section is not None else self._file() or {}))
+        self._section = section
+        self.version = version
+
+    def reload_file(self) -> None:
+        """Apply the operator's file, which was read anew, where the rules have no such section.
+
+        Raises `ValueError` where the file's section, or that of the rules under the site's new settings, can't be
+        used; what applied before stays.
+        """
+        self.hold(self._section, self.version)
+
+    def _parse(self, section: Section) -> Table:
+        """Return the section's table.
+
+        An edit is checked for its editor, checked when it arrives, and applied: it is parsed once for all three. The
+        table can be shared, as its only state is a cache of lookups.
+        """
+        settings = self._settings()
+        last = self._last_parsed
+        encoded = _encoded(section)
         if last is not None and last.settings is settings and last.encoded == encoded:
             return last.table
-        table = read_table(dict(part), settings)
-        self._last_read = ReadPart(encoded, settings, table) if encoded else None
+        table = read_table(dict(section), settings)
+        self._last_parsed = ParsedSection(encoded, settings, table) if encoded else None
         return table
 
 
-def _encoded(part: Mapping[str, Any]) -> bytes:
-    """To compare parts by: values that Python holds equal, as 1 and true, differ in it. Empty where there is none."""
+def _encoded(section: Section) -> bytes:
+    """Encode a section for comparison: values that are equal in Python, as 1 and true, differ in it.
+
+    Empty where the section can't be encoded.
+    """
     try:
-        return msgspec.msgpack.encode(part)
+        return msgspec.msgpack.encode(section)
     except (TypeError, ValueError, OverflowError):
         return b""
--- a/rackhub/trials/fleet/rules_torture.py
+++ b/rackhub/trials/fleet/rules_torture.py
@@ -1,4 +1,4 @@
-"""Edits, undos and trials of the rule book under faults, on the twin, from one seed: what must never be is counted.
+"""Edits, undos and trials of the rule set under faults, on the twin, from one seed: what must never be is counted.
 
 Cuts of both ways and of one, pauses, kills between accept and answer, restarts, lost disks, editors in a minority,
 gateways asleep through an edit and its undo. Time is virtual. All calls go into a history, which is checked.
@@ -17,8 +17,9 @@
 from rackhub.fleet.ports import Answer, State
 from rackhub.fleet.register.disk import MemoryDisk
 from rackhub.fleet.register.proposer import Outcome
-from rackhub.fleet.rules.part import RuleBook
-from rackhub.fleet.rules.words import Ask, Version
+from rackhub.fleet.rules.active_version import LearnResult
+from rackhub.fleet.rules.messages import EditRequest, Version
+from rackhub.fleet.rules.versioned_rules import VersionedRules
 from rackhub.fleet.settings import FleetSettings
 from rackhub.trials.fleet.history import Op, linearizable
 from rackhub.trials.fleet.twin import MS, SECOND, Net
@@ -64,7 +65,7 @@
 
 
 class Shed:
-    """A part of the book that takes tables with a whole `level`, and tells what holds."""
+    """A section of the rules that takes tables with a whole `level`, and reports what applies."""
 
     def __init__(self, told: Callable[[Mapping[str, Any] | None, int], None]):
         self._told = told
@@ -78,14 +79,14 @@
 
 
 class Stand:
-    """Gateways with their rule books on one net; the first `keepers` keep the register."""
+    """Gateways with their rules on one net; the first `keepers` keep the register."""
 
     def __init__(self, seed: int = 1, gateways: int = 5, keepers: int = 3):
         self.names = [f"g{i:02}" for i in range(gateways)]
         self.keepers = tuple(self.names[:keepers])
         self.net, self.report = Net(self.names, seed), Report(seed, gateways)
         self.disks = {name: MemoryDisk(self.net.time.later, f"{name}-1") for name in self.names}
-        self.books: dict[str, RuleBook] = {}
+        self.rules: dict[str, VersionedRules] = {}
         self.words: dict[str, Words] = {}
         self.ops: list[Op] = []
         self.seen: dict[int, Version] = {}  # all that any gateway ever learned
@@ -102,40 +103,44 @@
     def up(self, name: str) -> None:
         node, words = self.net.nodes[name], Words()
         settings = FleetSettings(cluster="t", listen="127.0.0.1:1", name=name, keepers=self.keepers, state="/x")
-        book = RuleBook(node.fleet(self.report.seed), settings, words, self.disks[name], lambda: self.counts[name])
-        book.part("shed", Shed(lambda part, version: self._holds(name, part, version)))
-        learn, change = book.holder.learn, book.changes.change
+        rules = VersionedRules(
+            node.fleet(self.report.seed), settings, words, self.disks[name], lambda: self.counts[name]
+        )
+        rules.part("shed", Shed(lambda part, version: self._holds(name, part, version)))
+        learn, change = rules.tracker.learn, rules.changes.propose
 
-        def learned(versions: tuple[Version, ...], age: int, now: int) -> tuple[bool, list[int]]:
+        def learned(versions: tuple[Version, ...], trial_age: int, now: int) -> LearnResult:
             for one in versions:
                 self.report.two_contents += self.seen.setdefault(one.number, one) != one
-            return learn(versions, age, now)
+            return learn(versions, trial_age, now)
 
-        def changed(ask: Ask, done: Callable[[Outcome], None]) -> None:
+        def changed(request: EditRequest, done: Callable[[Outcome], None]) -> None:
             begin, ended = self.net.time.now(), [False]
-            self.began.setdefault(ask.id, begin)
+            self.began.setdefault(request.id, begin)
 
             def over(outcome: Outcome) -> None:
                 ended[0] = True
-                self.ops[at] = self._op(ask, begin, outcome)
+                self.ops[at] = self._op(request, begin, outcome)
                 done(outcome)
 
             at = len(self.ops)
-            self.ops.append(Op(begin, 0, ask.id, ask.on, "unknown"))  # and so it stays where its gateway is killed
-            change(ask, over)
+            self.ops.append(
+                Op(begin, 0, request.id, request.base_version, "unknown")
+            )  # and so it stays where its gateway is killed
+            change(request, over)
 
-        book.holder.learn, book.changes.change = learned, changed  # type: ignore[method-assign]
-        self.books[name], self.words[name] = book, words
-        book.start()
+        rules.tracker.learn, rules.changes.propose = learned, changed  # type: ignore[method-assign]
+        self.rules[name], self.words[name] = rules, words
+        rules.start()
 
-    def _op(self, ask: Ask, begin: int, outcome: Outcome) -> Op:
+    def _op(self, request: EditRequest, begin: int, outcome: Outcome) -> Op:
         now = self.net.time.now()
         if outcome.kind == "done":
-            self.acked[ask.id] = outcome.answer.number
-            return Op(begin, now, ask.id, ask.on, "done", outcome.answer.number)
+            self.acked[request.id] = outcome.answer.number
+            return Op(begin, now, request.id, request.base_version, "done", outcome.answer.number)
         if outcome.kind == "unknown":
-            return Op(begin, now, ask.id, ask.on, "unknown")
-        return Op(begin, now, ask.id, ask.on, "conflict" if "since then" in outcome.why else "failed")
+            return Op(begin, now, request.id, request.base_version, "unknown")
+        return Op(begin, now, request.id, request.base_version, "conflict" if "since then" in outcome.why else "failed")
 
     def _holds(self, name: str, part: Any, version: int) -> None:
         self.report.back += version < self.top[name]
@@ -145,7 +150,7 @@
     def down(self, name: str) -> None:
         self.net.nodes[name].kill()
         self.disks[name].crash()
-        self.books.pop(name)._ended = True  # nothing of it is told any more, not even that it ends
+        self.rules.pop(name)._stopped = True  # nothing of it is told any more, not even that it ends
 
     def again(self, name: str, empty: bool = False) -> None:
         self.net.nodes[name].restart()
@@ -178,11 +183,16 @@
                         node.say(other, state)
 
     def _look(self) -> None:
-        for name, book in self.books.items():
-            self.report.back += book.version < self.top[name]
-            trial = self.seen.get(book.held.version)
-            if book.held.on and not self.net.nodes[name].paused and trial is not None and trial.trial is not None:
-                over = self.net.time.now() - self.began[trial.id] - trial.trial.span_ms * MS
+        for name, rules in self.rules.items():
+            self.report.back += rules.version < self.top[name]
+            trial = self.seen.get(rules.active.version)
+            if (
+                rules.active.on_trial
+                and not self.net.nodes[name].paused
+                and trial is not None
+                and trial.trial is not None
+            ):
+                over = self.net.time.now() - self.began[trial.id] - trial.trial.duration_ms * MS
                 self.report.trials_kept += over > 1 * MS
 
     # ---- editors
@@ -209,10 +219,10 @@
         for id, number in self.acked.items():
             report.lost += number not in self.seen or self.seen[number].id != id
         last = self.seen.get(newest)
-        for book in self.books.values():
+        for rules in self.rules.values():
             report.still_held += last is not None and (
-                book.held.version != newest
-                or book.held.content != (last.content if last.trial is None else self.seen[newest - 1].content)
+                rules.active.version != newest
+                or rules.active.content != (last.content if last.trial is None else self.seen[newest - 1].content)
             )
         for part, version in self.held.values():
             able = (
@@ -270,7 +280,7 @@
 
     def _edit(self) -> None:
         stand, draw = self.stand, self.random
-        able = [name for name in stand.books if not stand.net.nodes[name].paused]
+        able = [name for name in stand.rules if not stand.net.nodes[name].paused]
         if not able:
             return
         name = draw.choice(able)
@@ -279,7 +289,7 @@
             "author": draw.choice(["ann", "bob"]),
             "reason": f"number {self.asked}",
             "id": f"e{self.asked}",
-            "on": stand.books[name].holder.book.newest,
+            "on": stand.rules[name].tracker.rule_set.newest_number,
         }
         what = draw.choice(["edit", "edit", "undo", "undo", "trial", "confirm"])
         if self.doubtful and draw.random() < 0.5:
@@ -306,7 +316,7 @@
         if draw.random() < 0.1:
             stand.net.time.run(draw.randrange(1, 12) * MS)
             victim = draw.choice([name, *stand.keepers])
-            if victim in stand.books and len(stand.books) > stand.report.gateways - 2:
+            if victim in stand.rules and len(stand.rules) > stand.report.gateways - 2:
                 stand.down(victim)
                 self._count("killed in the middle")
                 if open_ == [victim]:  # its editor has no answer, and says it again elsewhere
@@ -316,7 +326,7 @@
         """Cut one from all others that holds a trial by now, until past its end."""
         stand = self.stand
         stand.run(300 * MS)
-        on = [name for name, book in stand.books.items() if book.held.on]
+        on = [name for name, rules in stand.rules.items() if rules.active.on_trial]
         if on:
             stand.net.cut({self.random.choice(on)}, set(stand.names))
             self._count("cut off on trial")
@@ -325,7 +335,7 @@
     def _fault(self) -> None:
         stand, draw = self.stand, self.random
         name, roll = draw.choice(stand.names), draw.random()
-        down = [one for one in stand.names if one not in stand.books]
+        down = [one for one in stand.names if one not in stand.rules]
         if roll < 0.12:
             some = set(draw.sample(stand.names, draw.randint(1, len(stand.names) // 2)))
             stand.net.cut(some, set(stand.names), both=draw.random() < 0.6)
@@ -333,17 +343,17 @@
         elif roll < 0.3:
             stand.net.heal()
             self._count("healed")
-        elif roll < 0.4 and name in stand.books:
+        elif roll < 0.4 and name in stand.rules:
             node = stand.net.nodes[name]
             node.pause()
             stand.net.time.later(draw.randrange(500, 8_000) * MS, node.wake)
             self._count("paused")
-        elif roll < 0.5 and name in stand.books and len(down) < 2:
+        elif roll < 0.5 and name in stand.rules and len(down) < 2:
             stand.down(name)
             self._count("killed")
         if down and draw.random() < 0.5:
             name = draw.choice(down)
-            others = [stand.books[one].keeper for one in stand.keepers if one != name and one in stand.books]
+            others = [stand.rules[one].acceptor for one in stand.keepers if one != name and one in stand.rules]
             sound = sum(one is not None and one.state.voting for one in others) > len(stand.keepers) // 2
             empty = draw.random() < 0.4 and (name not in stand.keepers or sound)
             stand.again(name, empty)
@@ -354,22 +364,22 @@
         stand.net.heal()
         stand.net.lose = stand.net.double = 0.0
         for name in stand.names:
-            if name not in stand.books:
+            if name not in stand.rules:
                 stand.again(name)
             elif stand.net.nodes[name].paused:
                 stand.net.nodes[name].wake()
 
     def _undos(self) -> None:
         """Undos with 3% of all messages lost, and nothing else: until the last gateway holds each."""
-        stand, books = self.stand, self.stand.books
+        stand, rules = self.stand, self.stand.rules
         stand.net.lose = stand.net.double = 0.03
         for number in range(self.many):
             name = self.random.choice(stand.names)
-            began, before = stand.net.time.now(), books[name].holder.book.newest
+            began, before = stand.net.time.now(), rules[name].tracker.rule_set.newest_number
             stand.call(name, "undo", lambda told: None, on=before, author="ann", reason="timed", id=f"t{number}")
 
             def everywhere(at: int = before) -> bool:
-                return all(one.version > at for one in books.values())
+                return all(one.version > at for one in rules.values())
 
             if stand.net.time.run(10 * SECOND, everywhere):
                 self.undos.append((stand.net.time.now() - began) / MS)
--- a/rackhub/trials/scale/roles.py
+++ b/rackhub/trials/scale/roles.py
@@ -4,7 +4,7 @@
 
 from rackhub.fleet.distribution.limits import SECOND
 from rackhub.fleet.distribution.limits import Limits as DistributionLimits
-from rackhub.fleet.rules.words import BOOK as RULE_BOOK_BYTES
+from rackhub.fleet.rules.messages import MAX_RULE_SET_BYTES
 from rackhub.limits import Limits
 from rackhub.trials.processes.resolver import MOST as ANSWER_BYTES
 from rackhub.trials.scale.coordinator_role import coordinator
@@ -92,7 +92,7 @@
     return [
         Row(
             figure="rule book, most",
-            value=RULE_BOOK_BYTES / 1_000,
+            value=MAX_RULE_SET_BYTES / 1_000,
             unit="KB",
             source="limit of the book",
             mechanism="register at one, three or five voters",
--- a/rackhub/trials/scale/rule_changes.py
+++ b/rackhub/trials/scale/rule_changes.py
@@ -92,7 +92,7 @@
         return kept, Traffic(self.total.messages, self.total.bytes)
 
     def _in_force_everywhere(self, version: int) -> bool:
-        return all(book.version >= version for book in self.stand.books.values())
+        return all(rules.version >= version for rules in self.stand.rules.values())
 
     def change(self, content_bytes: int) -> ChangeCost:
         """One edit at the last coordinator, which is no voter, on a book with a content of that size."""
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -17,7 +17,7 @@
 from stands import S
 
 from rackhub.core.request import Query
-from rackhub.fleet.rules.words import Ask, Trial
+from rackhub.fleet.rules.messages import EditRequest, Trial
 from rackhub.ops import statefile
 from rackhub.store import Batch, Options, Store
 from rackhub.store.faulty import MemoryFiles
@@ -64,9 +64,11 @@
     with mock.patch("secrets.randbits", return_value=1):
         stand = rules_torture.Stand(1, gateways=3)
         stand.run(3 * SECOND)
-        for number, one in enumerate((EDIT, EDIT | {"id": "2", "on": 1, "parts": {"shed": {"level": 2}}}, UNDO, TRIAL)):
+        for number, one in enumerate(
+            (EDIT, EDIT | {"id": "2", "base_version": 1, "changes": {"shed": {"level": 2}}}, UNDO, TRIAL)
+        ):
             done: list[object] = []
-            stand.books["g01"].changes.change(Ask(**one), done.append)
+            stand.rules["g01"].changes.propose(EditRequest(**one), done.append)
             assert stand.run(5 * SECOND, lambda done=done: bool(done)), number
             stand.run(2 * SECOND)
         return synced(stand.disks["g01"])
@@ -74,16 +76,21 @@
 
 EDIT = {
     "kind": "edit",
-    "on": 0,
+    "base_version": 0,
     "author": "ann",
     "reason": "less load",
     "id": "1",
-    "told": 1_700_000_000,
+    "created_at": 1_700_000_000,
     "gateway": "g00",
-    "parts": {"shed": {"level": 1}},
+    "changes": {"shed": {"level": 1}},
+}
+UNDO = EDIT | {"kind": "undo", "id": "3", "base_version": 2, "changes": {}, "target_version": 1}
+TRIAL = EDIT | {
+    "id": "4",
+    "base_version": 3,
+    "changes": {"shed": {"level": 4}},
+    "trial": Trial(3_600_000, ("g00", "g01")),
 }
-UNDO = EDIT | {"kind": "undo", "id": "3", "on": 2, "parts": {}, "to": 1}
-TRIAL = EDIT | {"id": "4", "on": 3, "parts": {"shed": {"level": 4}}, "trial": Trial(3_600_000, ("g00", "g01"))}
 
 
 def distribution_records() -> dict[str, Records]:
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -19,8 +19,8 @@
 from rackhub.fleet.overload import records
 from rackhub.fleet.register import voter
 from rackhub.fleet.register import words as register_words
-from rackhub.fleet.rules import holder
-from rackhub.fleet.rules import words as rules_words
+from rackhub.fleet.rules import active_version
+from rackhub.fleet.rules import messages as rules_messages
 from rackhub.state import ledger
 
 RECORDED = Path(__file__).parent / "golden" / "wire.json"
@@ -67,10 +67,10 @@
     ),
     "register message": Codec(register_words.Message, register_words.decode, register_words.encode),
     "register acceptor on disk": _msgpack(voter.Voter),
-    "rules message": Codec(rules_words.Mail, msgspec.msgpack.Decoder(rules_words.Mail).decode, rules_words.encode),
-    "rules record": _msgpack(rules_words.Post),
-    "rules in the register": _msgpack(rules_words.Book),
-    "rules on disk": _msgpack(holder.Kept),
+    "rules message": Codec(rules_messages.Message, rules_messages.decode, rules_messages.encode),
+    "rules record": _msgpack(rules_messages.GossipedStatus),
+    "rules in the register": _msgpack(rules_messages.RuleSet),
+    "rules on disk": _msgpack(active_version.StoredRules),
     "distribution message": Codec(messages.AnyMessage, messages.decode, messages.encode),
     "distribution voter message": _msgpack(voting.VoterMessage),
     "distribution in the register": _msgpack(decisions.Tail),
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -1,4 +1,4 @@
-"""The rule book: edits, undo, trials and their end, on the faulty twin; each checker on mistakes planted for it."""
+"""The versioned rules: edits, undo, trials and their end, on the faulty twin; each checker on planted mistakes."""
 
 import msgspec
 import pytest
@@ -9,14 +9,24 @@
 from rackhub.cli import main
 from rackhub.cli import rules as rules_cli
 from rackhub.fleet.register.words import MOST_NUMBER
-from rackhub.fleet.rules import book as books
-from rackhub.fleet.rules import timings
-from rackhub.fleet.rules.guard import Side, verdict
-from rackhub.fleet.rules.holder import Holder
-from rackhub.fleet.rules.part import KEY
-from rackhub.fleet.rules.spread import Spread
-from rackhub.fleet.rules.timings import TimingsPart
-from rackhub.fleet.rules.words import BOOK, KIND, Ask, Book, Fetch, Refused, Told, Trial, Version, encode
+from rackhub.fleet.rules import timings, versions
+from rackhub.fleet.rules.active_version import VersionTracker
+from rackhub.fleet.rules.dissemination import Dissemination
+from rackhub.fleet.rules.messages import (
+    MAX_RULE_SET_BYTES,
+    MESSAGE_KIND,
+    ChangeRejectedError,
+    EditRequest,
+    FetchVersions,
+    RuleSet,
+    Trial,
+    Version,
+    VersionsSent,
+    encode,
+)
+from rackhub.fleet.rules.timings import TimingsSection
+from rackhub.fleet.rules.trial_guard import GroupCounts, verdict
+from rackhub.fleet.rules.versioned_rules import DISK_KEY
 from rackhub.timings.desk import Desk
 from rackhub.timings.table import Table, read_table
 from rackhub.trials.fleet import rules_torture
@@ -25,41 +35,47 @@
 from rackhub.trials.fleet.twin import MS, SECOND
 
 
-def ask(kind="edit", on=0, id="1", level=None, author="ann", **words):
-    parts = {} if level is None else {"shed": {"level": level}}
-    return Ask(kind, on, author, f"because of {id}", id, 0, "g00", parts=parts, **words)
+def request(kind="edit", base=0, id="1", level=None, author="ann", **words):
+    changes = {} if level is None else {"shed": {"level": level}}
+    return EditRequest(kind, base, author, f"because of {id}", id, 0, "g00", changes=changes, **words)
 
 
-def made(*asks):
-    book = Book()
-    for one in asks:
-        book, _ = books.apply(book, one)
-    return book
+def made(*requests):
+    rule_set = RuleSet()
+    for one in requests:
+        rule_set, _ = versions.apply(rule_set, one)
+    return rule_set
 
 
-def levels(book):
-    return [one.content.get("shed", {}).get("level") for one in book.versions]
+def levels(rule_set):
+    return [one.content.get("shed", {}).get("level") for one in rule_set.versions]
 
 
-# ---- the book
+# ---- the rule set
 
 
 def test_history_only_grows_and_undo_of_undo_is_redo():
-    book = made(
-        ask(level=1), ask(on=1, id="2", level=2), ask("undo", 2, "3"), ask("undo", 3, "4"), ask("undo", 4, "5", to=0)
+    rule_set = made(
+        request(level=1),
+        request(base=1, id="2", level=2),
+        request("undo", 2, "3"),
+        request("undo", 3, "4"),
+        request("undo", 4, "5", target_version=0),
     )
-    assert levels(book) == [1, 2, 1, 2, None] and [one.number for one in book.versions] == [1, 2, 3, 4, 5]
-    assert [one.of for one in book.versions] == [0, 0, 1, 2, 0]
+    assert levels(rule_set) == [1, 2, 1, 2, None] and [one.number for one in rule_set.versions] == [1, 2, 3, 4, 5]
+    assert [one.source_version for one in rule_set.versions] == [0, 0, 1, 2, 0]
 
 
-def test_a_later_one_in_between_refuses_an_edit_with_both_authors_words():
-    book = made(ask(level=1), ask(on=1, id="2", level=2, author="bob"))
-    with pytest.raises(Refused, match=r"ann's edit \(because of 3\) builds on version 1; .*2 by bob \(because of 2\)"):
-        books.apply(book, ask(on=1, id="3", level=3))
-    again, found = books.apply(book, ask(on=1, id="2", level=2, author="bob"))
-    assert again is book and found.number == 2  # said again it does nothing twice
-    with pytest.raises(Refused, match="id '2' was used by bob"):
-        books.apply(book, ask(on=2, id="2", level=5))
+def test_a_newer_version_rejects_an_edit_and_names_both_authors():
+    rule_set = made(request(level=1), request(base=1, id="2", level=2, author="bob"))
+    with pytest.raises(
+        ChangeRejectedError, match=r"ann's edit \(because of 3\) builds on version 1; .*2 by bob \(because of 2\)"
+    ):
+        versions.apply(rule_set, request(base=1, id="3", level=3))
+    again, found = versions.apply(rule_set, request(base=1, id="2", level=2, author="bob"))
+    assert again is rule_set and found.number == 2  # said again it does nothing twice
+    with pytest.raises(ChangeRejectedError, match="id '2' was used by bob"):
+        versions.apply(rule_set, request(base=2, id="2", level=5))
 
 
 @pytest.mark.parametrize(
@@ -68,32 +84,32 @@
         (9, {"level": 2}, "no version 9"),
         (1, {"level": 1}, "changes nothing"),
         (1, {"kind": "confirm"}, "not on trial"),
-        (1, {"kind": "undo", "to": 7}, "version 7 is not kept"),
+        (1, {"kind": "undo", "target_version": 7}, "version 7 is not kept"),
         (1, {"level": 2, "author": ""}, "author: ''"),
         (1, {"level": "x" * 100_000}, "more than"),
     ],
 )
-def test_what_can_t_be_done_is_refused_in_words(on, words, why):
-    with pytest.raises(Refused, match=why):
-        books.apply(made(ask(level=1)), ask(**{"on": on, "id": "2", **words}))
+def test_an_invalid_change_is_rejected_with_the_reason(on, words, why):
+    with pytest.raises(ChangeRejectedError, match=why):
+        versions.apply(made(request(level=1)), request(**{"base": on, "id": "2", **words}))
 
 
 def test_a_trial_is_confirmed_or_lapses_and_an_undo_after_either_brings_back_something_else():
-    book = made(ask(level=1), ask(on=1, id="2", level=2, trial=Trial(1_000, ("g00",))))
-    with pytest.raises(Refused, match="on trial: confirm or undo"):
-        books.apply(book, ask(on=2, id="3", level=3))
-    held, _ = books.apply(book, ask("confirm", 2, "3"))
-    assert levels(books.apply(held, ask("undo", 3, "4"))[0]) == [1, 2, 2, 1]
-    gone, _ = books.apply(book, ask("lapse", 2, "3"))
-    assert levels(books.apply(gone, ask("undo", 3, "4"))[0]) == [1, 2, 1, 2]
+    rule_set = made(request(level=1), request(base=1, id="2", level=2, trial=Trial(1_000, ("g00",))))
+    with pytest.raises(ChangeRejectedError, match="on trial: confirm or undo"):
+        versions.apply(rule_set, request(base=2, id="3", level=3))
+    held, _ = versions.apply(rule_set, request("confirm", 2, "3"))
+    assert levels(versions.apply(held, request("undo", 3, "4"))[0]) == [1, 2, 2, 1]
+    gone, _ = versions.apply(rule_set, request("lapse", 2, "3"))
+    assert levels(versions.apply(gone, request("undo", 3, "4"))[0]) == [1, 2, 1, 2]
 
 
-def test_the_book_keeps_within_its_bounds_and_never_less_than_two():
-    book = Book()
+def test_the_rule_set_stays_within_its_limits_and_retains_at_least_two_versions():
+    rule_set = RuleSet()
     for number in range(100):
-        book, _ = books.apply(book, ask(on=number, id=str(number), level=str(number) * 30_000))
-        assert len(encode(book)) < BOOK + 1_000 and book.newest == number + 1
-    assert 2 <= len(book.versions) < 10
+        rule_set, _ = versions.apply(rule_set, request(base=number, id=str(number), level=str(number) * 30_000))
+        assert len(encode(rule_set)) < MAX_RULE_SET_BYTES + 1_000 and rule_set.newest_number == number + 1
+    assert 2 <= len(rule_set.versions) < 10
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -108,28 +124,33 @@
         max_size=25,
     )
 )
-def test_whatever_is_asked_numbers_only_grow_and_no_version_ever_changes(asked):
-    book, seen = Book(), {}
+def test_any_requests_only_append_versions_and_change_none(asked):
+    rule_set, seen = RuleSet(), {}
     for kind, level, back, id in asked:
-        one = ask(
+        one = request(
             "edit" if kind == "trial" else kind,
-            max(book.newest - back, 0),
+            max(rule_set.newest_number - back, 0),
             str(id),
             level if kind in ("edit", "trial") else None,
             trial=Trial(1, ()) if kind == "trial" else None,
         )
-        before = book
+        before = rule_set
         try:
-            book, found = books.apply(book, one)
-        except Refused as why:
-            assert book is before and str(why)
+            rule_set, found = versions.apply(rule_set, one)
+        except ChangeRejectedError as why:
+            assert rule_set is before and str(why)
             continue
-        assert book.newest in (before.newest, before.newest + 1) and book.find(found.number) == found
-        assert book is before or one.on == before.newest and found.number == book.newest
-        for version in book.versions:
+        assert (
+            rule_set.newest_number in (before.newest_number, before.newest_number + 1)
+            and rule_set.find(found.number) == found
+        )
+        assert rule_set is before or one.base_version == before.newest_number and found.number == rule_set.newest_number
+        for version in rule_set.versions:
             assert seen.setdefault(version.number, version) == version
-        assert books.apply(book, one) == (book, found)
-        assert books.merged(before, book.versions) == (book, []) and books.merged(book, before.versions) == (book, [])
+        assert versions.apply(rule_set, one) == (rule_set, found)
+        assert versions.merge(before, rule_set.versions) == (rule_set, []) and versions.merge(
+            rule_set, before.versions
+        ) == (rule_set, [])
 
 
 # ---- the guard
@@ -138,22 +159,22 @@
 @pytest.mark.parametrize(
     "on, off, found",
     [
-        (Side(500, 50, 0), Side(4_000, 40, 0), "refused"),
-        (Side(500, 5, 60), Side(4_000, 40, 40), "late"),
-        (Side(40, 40, 0), Side(4_000, 0, 0), ""),
-        (Side(500, 12, 0), Side(4_000, 60, 0), ""),
-        (Side(500, 0, 0), Side(4_000, 400, 0), ""),
-        (Side(90_000, 950, 0), Side(90_000, 450, 0), ""),
+        (GroupCounts(500, 50, 0), GroupCounts(4_000, 40, 0), "refused"),
+        (GroupCounts(500, 5, 60), GroupCounts(4_000, 40, 40), "late"),
+        (GroupCounts(40, 40, 0), GroupCounts(4_000, 0, 0), ""),
+        (GroupCounts(500, 12, 0), GroupCounts(4_000, 60, 0), ""),
+        (GroupCounts(500, 0, 0), GroupCounts(4_000, 400, 0), ""),
+        (GroupCounts(90_000, 950, 0), GroupCounts(90_000, 450, 0), ""),
     ],
 )
-def test_the_guard_tells_worse_from_chance_from_too_few_and_from_too_little(on, off, found):
+def test_the_guard_needs_a_significant_and_relevant_difference_and_enough_requests(on, off, found):
     assert verdict(on, off).partition(":")[0] == found
 
 
 # ---- on the twin
 
 
-def test_an_edit_reaches_all_and_an_undo_waits_for_all_or_names_those_that_lack_it():
+def test_an_edit_reaches_all_and_an_undo_waits_for_all_or_names_the_missing_gateways():
     stand = Stand()
     stand.run(SECOND)
     assert stand.edit("g04", 7, 0, "a", wait_ms=2_000)["held"] == stand.names
@@ -163,14 +184,14 @@
     assert told["exit"] == 1 and [one["name"] for one in told["missing"]] == ["g03"] and "g03" in told["error"]
     stand.net.nodes["g03"].wake()
     stand.run(3 * SECOND)
-    assert {held for held in (stand.books[name].version for name in stand.names)} == {2}
+    assert {held for held in (stand.rules[name].version for name in stand.names)} == {2}
     assert stand.ask("g01", "undo", id="b")["version"] == 2  # the same id: found, not done again
     assert stand.ask("g00", "show", version=0)["version"]["content"] == {}
     assert [one["number"] for one in stand.ask("g00", "history")["versions"]] == [2, 1]
     assert stand.ask("g00", "diff", old=1, version=2)["parts"] == {"shed": {"old": {"level": 7}, "new": None}}
 
 
-def test_an_edit_that_one_can_t_take_or_does_not_answer_for_changes_nothing():
+def test_an_edit_that_a_gateway_rejects_or_does_not_answer_changes_nothing():
     stand = Stand()
     stand.run(SECOND)
 
@@ -178,7 +199,7 @@
         if part and part["level"] > 5:
             raise ValueError("shed.level = 9: too high here")
 
-    stand.books["g03"].parts["shed"].check = picky
+    stand.rules["g03"].sections["shed"].check = picky
     refused = stand.edit("g00", 9, 0, "a")
     assert refused["exit"] == 2 and "g03 can't take it: shed.level = 9: too high here" in refused["error"]
     for words, named in (
@@ -195,10 +216,10 @@
     silent = stand.ask("g00", "edit", parts={"shed": {"level": 1}}, on=0, id="c", within=50 * MS)
     assert not silent and not stand.seen  # it is asked first, and the answer awaited
     stand.run(5 * SECOND)  # by now it counts as cut off
-    assert stand.acked == {"c": 1} and stand.books["g02"].version == 0
+    assert stand.acked == {"c": 1} and stand.rules["g02"].version == 0
 
 
-def test_one_that_comes_later_and_can_t_take_it_keeps_what_it_has_and_says_so():
+def test_a_restarted_gateway_that_cannot_apply_a_version_reports_why():
     stand = Stand()
     stand.run(SECOND)
     stand.down("g04")
@@ -216,10 +237,10 @@
     finally:
         rules_torture.Shed.check = check
     stand.run(3 * SECOND)
-    assert stand.books["g04"].version == 2
+    assert stand.rules["g04"].version == 2
 
 
-def test_two_operators_undo_at_once_and_the_bad_version_goes_once():
+def test_two_operators_undo_at_once_and_the_bad_version_is_undone_once():
     stand, got = Stand(), []
     stand.run(SECOND)
     stand.edit("g00", 1, 0, "a")
@@ -232,7 +253,7 @@
     assert {part["level"] for part, _ in stand.held.values()} == {1}
 
 
-def test_a_minority_is_refused_with_why_and_a_sleeper_wakes_to_the_newest_alone():
+def test_a_minority_is_rejected_with_the_reason_and_later_applies_only_the_newest():
     stand = Stand()
     stand.run(SECOND)
     stand.edit("g00", 1, 0, "a", wait_ms=1_000)
@@ -245,11 +266,11 @@
     stand.ask("g02", "undo", id="d")
     stand.net.heal()
     stand.run(3 * SECOND)
-    assert {book.version for book in stand.books.values()} == {3} and stand.judge().violations == 0
+    assert {rules.version for rules in stand.rules.values()} == {3} and stand.judge().violations == 0
     assert stand.held["g04"] == ({"level": 1}, 3)
 
 
-def test_what_was_accepted_when_its_editor_s_gateway_was_killed_is_settled_by_a_keeper():
+def test_an_acceptor_settles_a_change_whose_gateway_was_killed():
     for gap in range(2, 26, 2):
         stand = Stand(seed=gap)
         stand.run(SECOND)
@@ -262,10 +283,10 @@
         again = stand.edit("g01", 1, 0, "a")
         assert again["version"] == 1 and max(stand.seen) == 1
         stand.run(2 * SECOND)
-        assert {stand.books[name].version for name in stand.books} == {1}
+        assert {stand.rules[name].version for name in stand.rules} == {1}
 
 
-def test_a_book_of_a_later_program_is_held_and_not_written_by_an_earlier_one():
+def test_a_rule_set_of_a_later_program_is_applied_and_not_written_by_an_earlier_one():
     stand = Stand()
     stand.run(SECOND)
     later = {
@@ -283,7 +304,7 @@
             }
         ],
     }
-    stand.books["g01"].proposer.change(lambda value: (value or encode(later), None), lambda outcome: None, SECOND)
+    stand.rules["g01"].proposer.change(lambda value: (value or encode(later), None), lambda outcome: None, SECOND)
     stand.run(5 * SECOND)  # nobody tells of it: a keeper looks
     assert [stand.held[name] for name in stand.names] == [({"level": 4}, 1)] * 5
     refused = stand.edit("g00", 5, 1, "b")
@@ -295,10 +316,10 @@
     stand.edit("g00", 1, 0, "a", wait_ms=1_000)
     told = stand.edit("g00", 2, 1, "b", trial_ms=span, first=first, wait_ms=1_000)
     assert told["held"] == stand.names
-    return [name for name in stand.names if stand.books[name].held.on]
+    return [name for name in stand.names if stand.rules[name].active.on_trial]
 
 
-def test_a_trial_is_held_by_its_first_and_undone_by_itself_or_confirmed():
+def test_a_trial_applies_at_its_gateways_and_lapses_or_is_confirmed():
     stand = Stand()
     assert trial(stand) == ["g00", "g01"] and [stand.held[name][0]["level"] for name in stand.names] == [2, 2, 1, 1, 1]
     stand.run(4 * SECOND)
@@ -311,7 +332,7 @@
     assert "not on trial" in stand.ask("g03", "confirm", id="d")["error"]
 
 
-def test_the_guard_undoes_a_trial_that_refuses_more_long_before_its_time():
+def test_the_guard_ends_a_trial_that_rejects_more_requests_early():
     stand = Stand()
     assert trial(stand, 60_000) == ["g00", "g01"]
     began = stand.net.time.now()
@@ -326,71 +347,75 @@
     assert stand.net.time.now() - began < 10 * SECOND
 
 
-def test_a_gateway_that_is_cut_off_drops_a_trial_by_its_own_clock_and_a_restart_brings_none_back():
+def test_a_gateway_that_is_cut_off_ends_a_trial_by_its_local_clock_and_a_restart_resumes_none():
     stand = Stand()
     trial(stand, 3_000)
     stand.net.cut({"g01"}, set(stand.names))
     stand.run(3 * SECOND)
-    assert stand.books["g01"].version == 2 and not stand.books["g01"].held.on and stand.held["g01"][0] == {"level": 1}
+    assert (
+        stand.rules["g01"].version == 2
+        and not stand.rules["g01"].active.on_trial
+        and stand.held["g01"][0] == {"level": 1}
+    )
     stand = Stand(3)
     trial(stand, 30_000)
     stand.down("g01")
     stand.again("g01")
     stand.run(SECOND)
-    assert stand.books["g01"].version == 2 and not stand.books["g01"].held.on
+    assert stand.rules["g01"].version == 2 and not stand.rules["g01"].active.on_trial
 
 
-def test_an_answer_long_under_way_makes_a_trial_no_younger():
+def test_a_delayed_answer_does_not_lower_the_age_of_a_trial():
     stand = Stand()
-    holder, node = stand.books["g03"].holder, stand.net.nodes["g03"]
+    tracker, node = stand.rules["g03"].tracker, stand.net.nodes["g03"]
     learned = []
-    spread = Spread(node.fleet(1), holder, lambda versions, age: learned.append(age))
-    spread.fetch("g00")
-    mark = spread._mark
+    dissemination = Dissemination(node.fleet(1), tracker, lambda versions, age: learned.append(age))
+    dissemination.fetch("g00")
+    mark = dissemination._request_id
     stand.run(20 * SECOND)
-    spread.heard("g00", Told(mark, (), 1 * SECOND))
-    spread.heard("g00", Told(mark, (), 1 * SECOND))  # twice: an answer to nothing
+    dissemination.on_message("g00", VersionsSent(mark, (), 1 * SECOND))
+    dissemination.on_message("g00", VersionsSent(mark, (), 1 * SECOND))  # twice: an answer to nothing
     assert learned == [21 * SECOND] and node.counts["rules_unasked"] == 1
 
 
-def test_nonsense_in_mail_on_the_board_and_on_disk_is_counted_and_named():
+def test_undecodable_messages_gossip_and_disk_records_are_counted_and_named():
     stand = Stand()
     stand.run(SECOND)
     stand.edit("g00", 1, 0, "a", wait_ms=1_000)
-    for body in (b"", b"\xc1", encode({"type": "what"}), encode(Fetch(MOST_NUMBER, -1))):
-        stand.net.nodes["g04"].send("g01", KIND, body)
-    stand.net.nodes["g04"].post(KIND, b"\xc1")
+    for body in (b"", b"\xc1", encode({"type": "what"}), encode(FetchVersions(MOST_NUMBER, -1))):
+        stand.net.nodes["g04"].send("g01", MESSAGE_KIND, body)
+    stand.net.nodes["g04"].post(MESSAGE_KIND, b"\xc1")
     stand.down("g03")
-    stand.disks["g03"]._synced[KEY] = b"\xc1"
+    stand.disks["g03"]._synced[DISK_KEY] = b"\xc1"
     stand.disks["g03"].crash()
     stand.again("g03")
     stand.run(3 * SECOND)
     assert stand.net.nodes["g01"].counts["rules_unread"] >= 3
-    assert KEY in stand.ask("g03", "status")["damage"] and stand.books["g03"].version == 1
+    assert DISK_KEY in stand.ask("g03", "status")["damage"] and stand.rules["g03"].version == 1
 
 
-def test_the_timings_part_checks_like_the_file_and_open_requests_end_under_their_version():
+def test_the_timings_section_checks_like_the_file_and_open_requests_end_under_their_version():
     site = t.Settings(classes=(t.ClassSettings("lookup"),))
     desk = Desk(Table([], site), {}, 1)
-    part = TimingsPart(lambda: site, lambda: None, desk.reload)
+    part = TimingsSection(lambda: site, lambda: None, desk.reload)
     with pytest.raises(ValueError, match=r"timings\.route\[0\]\.class = \"nosuch\""):
         part.check({"route": [{"class": "nosuch"}]})
     life = desk.begin("lookup", "", 0, 0)
-    part.again()
+    part.reload_file()
     part.hold({"route": [{"class": "lookup", "attempts": 1}]}, 4)
     assert life.max_attempts == site.max_attempts and desk.begin("lookup", "", 0, 0).max_attempts == 1
     part.hold(None, 5)
     assert desk.begin("lookup", "", 0, 0).max_attempts == site.max_attempts and part.version == 5
-    part.again()
+    part.reload_file()
     assert desk.open == {1: 1, 3: 1, 4: 1, 5: 0}
 
 
-def test_the_timings_part_reads_an_edit_once_and_anew_under_other_settings(monkeypatch):
+def test_the_timings_section_parses_an_edit_once_and_anew_under_other_settings(monkeypatch):
     sites = [t.Settings(classes=(t.ClassSettings("lookup"),)), t.Settings(classes=(t.ClassSettings("report"),))]
     reads = []
     monkeypatch.setattr(timings, "read_table", lambda part, site: reads.append(part) or read_table(part, site))
     site = sites[0]
-    part = TimingsPart(lambda: site, lambda: None, Desk(Table([], site), {}, 1).reload)
+    part = TimingsSection(lambda: site, lambda: None, Desk(Table([], site), {}, 1).reload)
     edit = {"route": [{"class": "lookup", "attempts": 1}]}
     part.check(edit)
     part.check({"route": [{"class": "lookup", "attempts": 1}]})
@@ -440,7 +465,7 @@
 
 
 @pytest.mark.parametrize("seed, keepers", [(1, 3), (2, 3), (3, 5), (4, 1)])
-def test_a_hundred_edits_with_faults_lose_and_double_nothing_and_leave_no_undone_rule(seed, keepers):
+def test_a_hundred_edits_with_faults_lose_and_repeat_nothing_and_leave_no_undone_rule_active(seed, keepers):
     report = Torture(seed, 100, keepers=keepers, undos=10).run()
     assert report.violations == 0, report
     assert report.acknowledged > 30 and report.trials > 5 and len(report.faults) >= 6 and report.undos_timed == 10
@@ -452,26 +477,30 @@
 
 
 def test_planted_a_trial_that_a_cut_keeps_is_found(monkeypatch):
-    monkeypatch.setattr(Holder, "left", lambda self, now: 1 if self._trial == self.book.newest else 0)
+    monkeypatch.setattr(
+        VersionTracker,
+        "trial_remaining",
+        lambda self, now: 1 if self._timed_version == self.rule_set.newest_number else 0,
+    )
     assert Torture(1, 60, undos=0).run().trials_kept > 0
 
 
 def test_planted_an_undo_by_content_without_a_number_is_found(monkeypatch):
-    apply = books.apply
+    apply = versions.apply
 
-    def by_content(book: Book, one: Ask):
-        if one.kind != "undo" or not book.versions or one.on != book.newest:
-            return apply(book, one)
-        back: Version = book.versions[-2] if len(book.versions) > 1 else book.versions[-1]
-        return Book(book.versions[:-1]), back
+    def by_content(rule_set: RuleSet, one: EditRequest):
+        if one.kind != "undo" or not rule_set.versions or one.base_version != rule_set.newest_number:
+            return apply(rule_set, one)
+        back: Version = rule_set.versions[-2] if len(rule_set.versions) > 1 else rule_set.versions[-1]
+        return RuleSet(rule_set.versions[:-1]), back
 
-    monkeypatch.setattr(books, "apply", by_content)
+    monkeypatch.setattr(versions, "apply", by_content)
     report = Torture(1, 40, undos=0).run()
     assert report.violations > 0 and report.lost + report.still_held + (not report.linearizable) > 0
 
 
-def test_planted_a_version_that_is_not_kept_over_a_restart_is_found(monkeypatch):
-    monkeypatch.setattr(rules_torture.RuleBook, "_load", lambda self: None)
+def test_planted_a_version_that_is_lost_over_a_restart_is_found(monkeypatch):
+    monkeypatch.setattr(rules_torture.VersionedRules, "_load", lambda self: None)
     assert Torture(1, 60, undos=0).run().back > 0
 
 
@@ -533,7 +562,7 @@
         (["confirm"], 1, "not on trial"),
     ],
 )
-def test_what_the_command_line_refuses_is_named_and_changes_nothing(desk, capsys, words, status, why):
+def test_what_the_command_line_rejects_is_named_and_changes_nothing(desk, capsys, words, status, why):
     call, stand, rules, path = desk
     (path / "bad.toml").write_text("speed = 1")
     (path / "wrong.toml").write_text("[shed]\nlevel = 'x'")
@@ -542,7 +571,7 @@
     assert why in capsys.readouterr().err and not stand.seen
 
 
-def test_without_an_answer_the_id_is_told_to_say_it_again(capsys, monkeypatch):
+def test_without_an_answer_the_id_for_the_retry_is_printed(capsys, monkeypatch):
     def silent(at, words, timeout):
         raise TimeoutError("no answer")
 
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -112,16 +112,16 @@
         stand.down(name)
     filled(stand.disks["g01"], GOLDEN["rules"])
     stand.again("g01")
-    book = stand.books["g01"].holder.book
-    assert [(one.number, one.kind, one.author, one.id) for one in book.versions] == [
+    rule_set = stand.rules["g01"].tracker.rule_set
+    assert [(one.number, one.kind, one.author, one.id) for one in rule_set.versions] == [
         (1, "edit", "ann", "1"),
         (2, "edit", "ann", "2"),
         (3, "undo", "ann", "3"),
         (4, "edit", "ann", "4"),
     ]
-    assert book.versions[3].trial.first == ("g00", "g01") and book.versions[2].of == 1
-    assert stand.books["g01"].holder.version == 4
-    assert not stand.books["g01"].damages()
+    assert rule_set.versions[3].trial.gateways == ("g00", "g01") and rule_set.versions[2].source_version == 1
+    assert stand.rules["g01"].tracker.applied_version == 4
+    assert not stand.rules["g01"].damage_report()
 
 
 def test_a_voter_and_a_watcher_go_on_from_recorded_disks():
