--- a/rackhub/fleet/distribution/service.py
+++ b/rackhub/fleet/distribution/service.py
@@ -73,7 +73,7 @@
         return {
             "show": lambda call, answer: answer(show_answer(self._voter, call.version)),
             "history": lambda call, answer: answer(history_answer(self._voter, call.limit)),
-            "diff": lambda call, answer: answer(difference_answer(self._voter, call.old, call.version)),
+            "diff": lambda call, answer: answer(difference_answer(self._voter, call.old_version, call.version)),
             "edit": self._edit,
             "undo": self._undo,
             "confirm": self._confirm,
@@ -83,18 +83,24 @@
         raise UnsupportedCall("confirm: there are no trials in a fleet with relays")
 
     def _edit(self, call: Request, answer: Answer) -> None:
-        if call.trial_ms or call.first:
+        if call.trial_ms or call.trial_gateways:
             raise UnsupportedCall("trial: there are no trials in a fleet with relays: edit, and undo where it must be")
-        if call.on < 0:
+        if call.base_version < 0:
             raise ValueError("on: an edit names the revision that it builds on")
-        self._change("edit", call, call.on, answer)
+        self._change("edit", call, call.base_version, answer)
 
     def _undo(self, call: Request, answer: Answer) -> None:
-        self._change("undo", call, call.on if call.on >= 0 else self._voter.history.newest, answer)
+        self._change("undo", call, call.base_version if call.base_version >= 0 else self._voter.history.newest, answer)
 
     def _change(self, kind: str, call: Request, on: int, answer: Answer) -> None:
         request = EditRequest(
-            kind=kind, author=call.author, reason=call.reason, id=call.id, on=on, parts=call.parts, to=call.to
+            kind=kind,
+            author=call.author,
+            reason=call.reason,
+            id=call.id,
+            on=on,
+            parts=call.changes,
+            to=call.target_version,
         )
         began = self._fleet.clock.now()
 
--- a/rackhub/fleet/rules/queries.py
+++ b/rackhub/fleet/rules/queries.py
@@ -35,7 +35,7 @@
 def diff(rules: RulesView, request: Request) -> Mapping[str, Any]:
     """Return the sections that differ between two versions; the older one defaults to the newer one's parent."""
     new = _version(rules, request.version)
-    old = _version(rules, request.old if request.old >= 0 else max(new.number - 1, 0))
+    old = _version(rules, request.old_version if request.old_version >= 0 else max(new.number - 1, 0))
     names = sorted(set(old.content) | set(new.content))
     sections = {
         name: {"old": old.content.get(name), "new": new.content.get(name)}
--- a/rackhub/fleet/rules/requests.py
+++ b/rackhub/fleet/rules/requests.py
@@ -11,23 +11,23 @@
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """The call's JSON object; each field has its key's name, and unknown keys are ignored.
+    """The call's JSON object; unknown keys are ignored.
 
-    `on`: the version that a change builds on; -1: the newest one that this gateway knows. `parts`: sections by name.
-    `first`: how many gateways a trial has. In a fleet with relays a version is a revision. Times are milliseconds.
+    `base_version`: the version that a change builds on; -1: the newest one that this gateway knows. `changes`: sections
+    by name, None removes one. In a fleet with relays a version is a revision. Times are milliseconds.
     """
 
     version: int = -1
-    old: int = -1
+    old_version: int = msgspec.field(name="old", default=-1)
     limit: int = 20
-    on: int = -1
-    to: int = -1
+    base_version: int = msgspec.field(name="on", default=-1)
+    target_version: int = msgspec.field(name="to", default=-1)
     author: str = ""
     reason: str = ""
     id: str = ""
-    parts: dict[str, Any] = {}
+    changes: dict[str, Any] = msgspec.field(name="parts", default_factory=dict)
     trial_ms: int = 0
-    first: int = 0
+    trial_gateways: int = msgspec.field(name="first", default=0)
     wait_ms: int = 0
 
 
--- a/rackhub/fleet/rules/service.py
+++ b/rackhub/fleet/rules/service.py
@@ -51,10 +51,10 @@
         return lambda request, answer: answer(query(self._rules, request))
 
     def _edit(self, request: Request, answer: Answer) -> None:
-        if request.on < 0:
+        if request.base_version < 0:
             raise ValueError("on: an edit names the version that it builds on")
         rule_set = self._rules.tracker.rule_set
-        edit = self._edit_request("edit", request, changes=request.parts, trial=self._trial(request))
+        edit = self._edit_request("edit", request, changes=request.changes, trial=self._trial(request))
         changed, made = versions.apply(rule_set, edit)  # rejects early what the register would reject, too
         if changed is rule_set:
             self._wait(made, request, answer, {})
@@ -70,7 +70,7 @@
         self._rules.checks.check(made.content, complete)
 
     def _undo(self, request: Request, answer: Answer) -> None:
-        self._propose(self._edit_request("undo", request, target_version=request.to), request, answer, {})
+        self._propose(self._edit_request("undo", request, target_version=request.target_version), request, answer, {})
 
     def _confirm(self, request: Request, answer: Answer) -> None:
         trial = self._rules.tracker.open_trial()
@@ -84,7 +84,9 @@
                 raise ValueError(f"{key}: '' is empty")
         return EditRequest(
             kind=kind,
-            base_version=request.on if request.on >= 0 else self._rules.tracker.rule_set.newest_number,
+            base_version=request.base_version
+            if request.base_version >= 0
+            else self._rules.tracker.rule_set.newest_number,
             author=request.author,
             reason=request.reason,
             id=request.id,
@@ -96,14 +98,14 @@
     def _trial(self, request: Request) -> Trial | None:
         """Return the trial that a call asks for: this gateway and the first others by name that it reaches."""
         if not request.trial_ms:
-            if request.first:
-                raise ValueError(f"first: {request.first} without a trial")
+            if request.trial_gateways:
+                raise ValueError(f"first: {request.trial_gateways} without a trial")
             return None
         if not MIN_TRIAL_MS <= request.trial_ms <= MAX_TRIAL_MS:
             raise ValueError(f"trial: {request.trial_ms} ms is not from {MIN_TRIAL_MS} to {MAX_TRIAL_MS}")
         members = self._rules.fleet.members
         living = len(members.living())
-        count = request.first or max(living // DEFAULT_TRIAL_DIVISOR, 1)
+        count = request.trial_gateways or max(living // DEFAULT_TRIAL_DIVISOR, 1)
         if not 0 < count < max(living, 2):
             raise ValueError(f"first: {count} of {living} gateways: at least one must stay off it, to compare with")
         peers = sorted(members.heard() - {members.me})
--- a/rackhub/fleet/rules/versioned_rules.py
+++ b/rackhub/fleet/rules/versioned_rules.py
@@ -110,7 +110,7 @@
             return msgspec.msgpack.decode(body, type=StoredRules)
         except msgspec.MsgspecError as error:
             self.damage = f"{DISK_KEY} can't be read: {error}"
-            log.error("fleet: %s; it is fetched anew from the others", self.damage)
+            log.error("fleet: %s; it is fetched from other gateways", self.damage)
             self.fleet.tally("rules_damaged", 1)
             return None
 
@@ -196,7 +196,7 @@
 
     def _report_fault(self, target: ActiveVersion) -> None:
         log.error(
-            "fleet: rule version %d can't be taken, version %d goes on: %s",
+            "fleet: rule version %d can't be applied, version %d stays active: %s",
             target.version,
             self._active.version,
             self.apply_fault,
@@ -220,7 +220,7 @@
         trial = self.tracker.open_trial()
         if trial is not None:
             self._baseline = _TrialBaseline(trial.number, target.on_trial, self._counts())
-        log.info("fleet: rule version %d holds%s", target.version, ", on trial" if target.on_trial else "")
+        log.info("fleet: rule version %d applied%s", target.version, ", on trial" if target.on_trial else "")
         self._publish()
 
     def fault(self, content: Mapping[str, Any]) -> str:
