--- a/rackhub/fleet/rules/propagation.py
+++ b/rackhub/fleet/rules/propagation.py
@@ -23,7 +23,7 @@
         self._started_at = rules.fleet.clock.now()
 
     def poll(self) -> None:
-        """Answer if all have applied it or the time is over, else poll once more later."""
+        """Answer if all have applied it or the time is over, else poll later."""
         statuses = gossiped_statuses(self._rules.fleet)
         living = self._rules.fleet.members.living()
         applied = {name for name in living if self._has_applied(name, statuses.get(name))}
--- a/rackhub/fleet/rules/timings.py
+++ b/rackhub/fleet/rules/timings.py
@@ -54,7 +54,7 @@
         self.version = version
 
     def reload_file(self) -> None:
-        """Apply the operator's file, which was read anew, where the rules have no such section.
+        """Apply the operator's file, which was reread, where the rules have no such section.
 
         Raises `ValueError` where the file's section, or that of the rules under the site's new settings, can't be
         used; what applied before stays.
--- a/rackhub/fleet/rules/trials.py
+++ b/rackhub/fleet/rules/trials.py
@@ -10,7 +10,7 @@
 from rackhub.fleet.rules.trial_guard import GroupCounts, verdict
 
 MIN_FALLBACK_DELAY = 300_000  # microseconds after the end, before others than the editor's gateway propose it
-MAX_FALLBACK_DELAY = 2_000_000  # microseconds; also the shortest time until the same gateway proposes it once more
+MAX_FALLBACK_DELAY = 2_000_000  # microseconds; also the minimum until the same gateway retries
 
 
 class TrialMonitor:
--- a/rackhub/fleet/rules/versioned_rules.py
+++ b/rackhub/fleet/rules/versioned_rules.py
@@ -30,8 +30,8 @@
 
 log = logging.getLogger(__name__)
 DISK_KEY = "rules/held"
-TICK_INTERVAL = 500_000  # microseconds between two looks at gossip, trial and acceptor
-REPUBLISH_TICKS = 10  # after which an unchanged status is published once more
+TICK_INTERVAL = 500_000  # microseconds between two runs of the periodic work
+REPUBLISH_TICKS = 10  # after which an unchanged status is republished
 MAX_PUBLISHED_FAULT = 300  # characters
 MAX_PUBLISHED_ACCEPTOR_STATUS = 120  # characters
 
--- a/rackhub/trials/fleet/rules_torture.py
+++ b/rackhub/trials/fleet/rules_torture.py
@@ -124,9 +124,8 @@
                 done(outcome)
 
             at = len(self.ops)
-            self.ops.append(
-                Op(begin, 0, request.id, request.base_version, "unknown")
-            )  # and so it stays where its gateway is killed
+            # it stays unknown where its gateway is killed
+            self.ops.append(Op(begin, 0, request.id, request.base_version, "unknown"))
             change(request, over)
 
         rules.tracker.learn, rules.changes.propose = learned, changed  # type: ignore[method-assign]
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -35,9 +35,9 @@
 from rackhub.trials.fleet.twin import MS, SECOND
 
 
-def request(kind="edit", base=0, id="1", level=None, author="ann", **words):
+def request(kind="edit", base=0, id="1", level=None, author="ann", **fields):
     changes = {} if level is None else {"shed": {"level": level}}
-    return EditRequest(kind, base, author, f"because of {id}", id, 0, "g00", changes=changes, **words)
+    return EditRequest(kind, base, author, f"because of {id}", id, 0, "g00", changes=changes, **fields)
 
 
 def made(*requests):
@@ -72,14 +72,14 @@
         ChangeRejectedError, match=r"ann's edit \(because of 3\) builds on version 1; .*2 by bob \(because of 2\)"
     ):
         versions.apply(rule_set, request(base=1, id="3", level=3))
-    again, found = versions.apply(rule_set, request(base=1, id="2", level=2, author="bob"))
-    assert again is rule_set and found.number == 2  # said again it does nothing twice
+    repeated, found = versions.apply(rule_set, request(base=1, id="2", level=2, author="bob"))
+    assert repeated is rule_set and found.number == 2  # a repeated request is idempotent
     with pytest.raises(ChangeRejectedError, match="id '2' was used by bob"):
         versions.apply(rule_set, request(base=2, id="2", level=5))
 
 
 @pytest.mark.parametrize(
-    "on, words, why",
+    "base, fields, reason",
     [
         (9, {"level": 2}, "no version 9"),
         (1, {"level": 1}, "changes nothing"),
@@ -89,19 +89,19 @@
         (1, {"level": "x" * 100_000}, "more than"),
     ],
 )
-def test_an_invalid_change_is_rejected_with_the_reason(on, words, why):
-    with pytest.raises(ChangeRejectedError, match=why):
-        versions.apply(made(request(level=1)), request(**{"base": on, "id": "2", **words}))
+def test_an_invalid_change_is_rejected_with_the_reason(base, fields, reason):
+    with pytest.raises(ChangeRejectedError, match=reason):
+        versions.apply(made(request(level=1)), request(**{"base": base, "id": "2", **fields}))
 
 
 def test_a_trial_is_confirmed_or_lapses_and_an_undo_after_either_brings_back_something_else():
     rule_set = made(request(level=1), request(base=1, id="2", level=2, trial=Trial(1_000, ("g00",))))
     with pytest.raises(ChangeRejectedError, match="on trial: confirm or undo"):
         versions.apply(rule_set, request(base=2, id="3", level=3))
-    held, _ = versions.apply(rule_set, request("confirm", 2, "3"))
-    assert levels(versions.apply(held, request("undo", 3, "4"))[0]) == [1, 2, 2, 1]
-    gone, _ = versions.apply(rule_set, request("lapse", 2, "3"))
-    assert levels(versions.apply(gone, request("undo", 3, "4"))[0]) == [1, 2, 1, 2]
+    confirmed, _ = versions.apply(rule_set, request("confirm", 2, "3"))
+    assert levels(versions.apply(confirmed, request("undo", 3, "4"))[0]) == [1, 2, 2, 1]
+    lapsed, _ = versions.apply(rule_set, request("lapse", 2, "3"))
+    assert levels(versions.apply(lapsed, request("undo", 3, "4"))[0]) == [1, 2, 1, 2]
 
 
 def test_the_rule_set_stays_within_its_limits_and_retains_at_least_two_versions():
@@ -124,9 +124,9 @@
         max_size=25,
     )
 )
-def test_any_requests_only_append_versions_and_change_none(asked):
+def test_any_requests_only_append_versions_and_change_none(operations):
     rule_set, seen = RuleSet(), {}
-    for kind, level, back, id in asked:
+    for kind, level, back, id in operations:
         one = request(
             "edit" if kind == "trial" else kind,
             max(rule_set.newest_number - back, 0),
@@ -180,12 +180,12 @@
     assert stand.edit("g04", 7, 0, "a", wait_ms=2_000)["held"] == stand.names
     assert {part["level"] for part, _ in stand.held.values()} == {7}
     stand.net.nodes["g03"].pause()
-    told = stand.ask("g04", "undo", id="b", wait_ms=1_000)
-    assert told["exit"] == 1 and [one["name"] for one in told["missing"]] == ["g03"] and "g03" in told["error"]
+    answer = stand.ask("g04", "undo", id="b", wait_ms=1_000)
+    assert answer["exit"] == 1 and [one["name"] for one in answer["missing"]] == ["g03"] and "g03" in answer["error"]
     stand.net.nodes["g03"].wake()
     stand.run(3 * SECOND)
     assert {held for held in (stand.rules[name].version for name in stand.names)} == {2}
-    assert stand.ask("g01", "undo", id="b")["version"] == 2  # the same id: found, not done again
+    assert stand.ask("g01", "undo", id="b")["version"] == 2  # the same id: found, not repeated
     assert stand.ask("g00", "show", version=0)["version"]["content"] == {}
     assert [one["number"] for one in stand.ask("g00", "history")["versions"]] == [2, 1]
     assert stand.ask("g00", "diff", old=1, version=2)["parts"] == {"shed": {"old": {"level": 7}, "new": None}}
@@ -210,11 +210,11 @@
         ({"wait_ms": -1}, "wait_ms: -1"),
         ({"on": "x"}, "on"),
     ):
-        told = stand.ask("g00", "edit", **{"on": 0, "id": "b", **words})
-        assert told["exit"] == 2 and named in told["error"]
+        answer = stand.ask("g00", "edit", **{"on": 0, "id": "b", **words})
+        assert answer["exit"] == 2 and named in answer["error"]
     stand.net.nodes["g02"].pause()
     silent = stand.ask("g00", "edit", parts={"shed": {"level": 1}}, on=0, id="c", within=50 * MS)
-    assert not silent and not stand.seen  # it is asked first, and the answer awaited
+    assert not silent and not stand.seen  # it is checked first, and the answer awaited
     stand.run(5 * SECOND)  # by now it counts as cut off
     assert stand.acked == {"c": 1} and stand.rules["g02"].version == 0
 
@@ -275,7 +275,7 @@
         stand = Stand(seed=gap)
         stand.run(SECOND)
         stand.call(
-            "g04", "edit", lambda told: None, parts={"shed": {"level": 1}}, on=0, id="a", author="ann", reason="a try"
+            "g04", "edit", lambda answer: None, parts={"shed": {"level": 1}}, on=0, id="a", author="ann", reason="a try"
         )
         stand.net.time.run(gap * MS)
         stand.down("g04")
@@ -305,7 +305,7 @@
         ],
     }
     stand.rules["g01"].proposer.change(lambda value: (value or encode(later), None), lambda outcome: None, SECOND)
-    stand.run(5 * SECOND)  # nobody tells of it: a keeper looks
+    stand.run(5 * SECOND)  # nobody announces it: an acceptor reads the register
     assert [stand.held[name] for name in stand.names] == [({"level": 4}, 1)] * 5
     refused = stand.edit("g00", 5, 1, "b")
     assert "written by a later program (format 2, here 1)" in refused["error"]
@@ -314,8 +314,8 @@
 def trial(stand, span=3_000, first=2):
     stand.run(SECOND)
     stand.edit("g00", 1, 0, "a", wait_ms=1_000)
-    told = stand.edit("g00", 2, 1, "b", trial_ms=span, first=first, wait_ms=1_000)
-    assert told["held"] == stand.names
+    answer = stand.edit("g00", 2, 1, "b", trial_ms=span, first=first, wait_ms=1_000)
+    assert answer["held"] == stand.names
     return [name for name in stand.names if stand.rules[name].active.on_trial]
 
 
@@ -397,35 +397,35 @@
 def test_the_timings_section_checks_like_the_file_and_open_requests_end_under_their_version():
     site = t.Settings(classes=(t.ClassSettings("lookup"),))
     desk = Desk(Table([], site), {}, 1)
-    part = TimingsSection(lambda: site, lambda: None, desk.reload)
+    section = TimingsSection(lambda: site, lambda: None, desk.reload)
     with pytest.raises(ValueError, match=r"timings\.route\[0\]\.class = \"nosuch\""):
-        part.check({"route": [{"class": "nosuch"}]})
+        section.check({"route": [{"class": "nosuch"}]})
     life = desk.begin("lookup", "", 0, 0)
-    part.reload_file()
-    part.hold({"route": [{"class": "lookup", "attempts": 1}]}, 4)
+    section.reload_file()
+    section.hold({"route": [{"class": "lookup", "attempts": 1}]}, 4)
     assert life.max_attempts == site.max_attempts and desk.begin("lookup", "", 0, 0).max_attempts == 1
-    part.hold(None, 5)
-    assert desk.begin("lookup", "", 0, 0).max_attempts == site.max_attempts and part.version == 5
-    part.reload_file()
+    section.hold(None, 5)
+    assert desk.begin("lookup", "", 0, 0).max_attempts == site.max_attempts and section.version == 5
+    section.reload_file()
     assert desk.open == {1: 1, 3: 1, 4: 1, 5: 0}
 
 
 def test_the_timings_section_parses_an_edit_once_and_anew_under_other_settings(monkeypatch):
     sites = [t.Settings(classes=(t.ClassSettings("lookup"),)), t.Settings(classes=(t.ClassSettings("report"),))]
     reads = []
-    monkeypatch.setattr(timings, "read_table", lambda part, site: reads.append(part) or read_table(part, site))
+    monkeypatch.setattr(timings, "read_table", lambda section, site: reads.append(section) or read_table(section, site))
     site = sites[0]
-    part = TimingsSection(lambda: site, lambda: None, Desk(Table([], site), {}, 1).reload)
+    section = TimingsSection(lambda: site, lambda: None, Desk(Table([], site), {}, 1).reload)
     edit = {"route": [{"class": "lookup", "attempts": 1}]}
-    part.check(edit)
-    part.check({"route": [{"class": "lookup", "attempts": 1}]})
-    part.hold(edit, 1)
+    section.check(edit)
+    section.check({"route": [{"class": "lookup", "attempts": 1}]})
+    section.hold(edit, 1)
     assert len(reads) == 1
     with pytest.raises(ValueError, match=r"attempts"):
-        part.check({"route": [{"class": "lookup", "attempts": True}]})
+        section.check({"route": [{"class": "lookup", "attempts": True}]})
     site = sites[1]
     with pytest.raises(ValueError, match=r"nosuch|class"):
-        part.check(edit)
+        section.check(edit)
     assert len(reads) == 3
 
 
