--- a/rackhub/fleet/distribution/decisions.py
+++ b/rackhub/fleet/distribution/decisions.py
@@ -12,7 +12,7 @@
 
 from rackhub.fleet.distribution.limits import CHANGE_BYTES, CHANGE_ENTRIES, KEY_BYTES, VALUE_BYTES
 from rackhub.fleet.distribution.messages import Change, Entry, LogId, Revision
-from rackhub.fleet.register.words import VALUE
+from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
 ID_LETTERS = 64  # most letters of an edit's id and author
 REASON_LETTERS = 200
@@ -76,7 +76,7 @@
     def __init__(self, size: int, waiting: int) -> None:
         super().__init__(
             f"{waiting} changes wait for a majority of the voters; with this one the register would hold {size} bytes, "
-            f"more than {VALUE}"
+            f"more than {MAX_VALUE_BYTES}"
         )
         self.size, self.waiting = size, waiting
 
@@ -119,7 +119,7 @@
     shorter = trim(tail, replicated)
     longer = msgspec.structs.replace(shorter, changes=(*shorter.changes, change))
     size = len(_encode(longer))
-    if size > VALUE:
+    if size > MAX_VALUE_BYTES:
         raise TailFull(size, len(shorter.changes))
     return longer
 
--- a/rackhub/fleet/distribution/editor.py
+++ b/rackhub/fleet/distribution/editor.py
@@ -121,7 +121,7 @@
 
     def _decided(self, planned: _Planned, unasked: tuple[str, ...], outcome: Outcome) -> None:
         if outcome.kind != "done":
-            return planned.done(EditFailed(outcome.why, unknown=outcome.kind == "unknown"))
+            return planned.done(EditFailed(outcome.reason, unknown=outcome.kind == "unknown"))
         if outcome.value is not None:
             self._replication.learn(decode_tail(outcome.value))
         if isinstance(outcome.answer, EditRefused):
--- a/rackhub/fleet/distribution/replication.py
+++ b/rackhub/fleet/distribution/replication.py
@@ -16,9 +16,9 @@
 from rackhub.fleet.distribution.messages import Change, Revision
 from rackhub.fleet.distribution.voting import ChosenChanges, NewestRevision, VoterMail, VoterMessage
 from rackhub.fleet.ports import Fleet, Name
-from rackhub.fleet.register.keeper import Keeper
+from rackhub.fleet.register.acceptor_shell import AcceptorShell
+from rackhub.fleet.register.messages import quorum_size
 from rackhub.fleet.register.proposer import Outcome, Proposer
-from rackhub.fleet.register.words import majority
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
         self,
         fleet: Fleet,
         voters: tuple[Name, ...],
-        register_voter: Keeper,
+        register_voter: AcceptorShell,
         proposer: Proposer,
         learner: Learner,
         busy: Callable[[], bool],
@@ -84,7 +84,7 @@
         is not in it: the age is a lower bound."""
         now, own = self._fleet.clock.now(), self._learner.synced
         ages = sorted(now - heard.heard_at for heard in self.heard.values() if heard.revision <= own)
-        needed = majority(self._voters) - 1
+        needed = quorum_size(self._voters) - 1
         if len(ages) < needed:
             return None
         return ages[needed - 1] if needed else 0
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -26,7 +26,7 @@
 from rackhub.fleet.distribution.store import HeldStore
 from rackhub.fleet.distribution.voting import REGISTER
 from rackhub.fleet.ports import Fleet, KeyedDisk, Name, RulePart
-from rackhub.fleet.register.keeper import Keeper
+from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.proposer import Proposer
 
 FROM_WATCHERS = (Watch, Unwatch, Acknowledge, Checked)
@@ -62,7 +62,7 @@
             limits,
             self._caught_up,
         )
-        self.register_voter = Keeper(fleet, voters, disk, identity.boot, REGISTER)
+        self.register_voter = AcceptorShell(fleet, voters, disk, identity.boot, REGISTER)
         self._proposer = Proposer(fleet, voters, identity.boot, self.register_voter, REGISTER)
         self.replication = Replication(
             fleet,
--- a/rackhub/fleet/register/keeper.py
+++ b/rackhub/fleet/register/acceptor_shell.py
@@ -6,8 +6,18 @@
 import msgspec
 
 from rackhub.fleet.ports import Disk, Fleet, Name
-from rackhub.fleet.register.voter import Voter, born, step
-from rackhub.fleet.register.words import Barred, Enter, Life, Message, Noted, Reply, Vote, decode, encode
+from rackhub.fleet.register.acceptor import AcceptorState, new_acceptor, step
+from rackhub.fleet.register.messages import (
+    DiskIncarnation,
+    JoinAccepted,
+    JoinRejected,
+    JoinRequest,
+    Message,
+    Reply,
+    Vote,
+    decode,
+    encode,
+)
 
 log = logging.getLogger(__name__)
 DEFAULT_REGISTER = "register"
@@ -30,10 +40,13 @@
     return f"{register}.told"
 
 
-KEY, TOLD = disk_key(DEFAULT_REGISTER), reply_kind(DEFAULT_REGISTER)  # those of the rule book's register
+RULES_DISK_KEY, RULES_REPLY_KIND = (
+    disk_key(DEFAULT_REGISTER),
+    reply_kind(DEFAULT_REGISTER),
+)  # those of the rule book's register
 
 
-class Keeper:
+class AcceptorShell:
     """This gateway as one of `keepers`. `boot`: its process's, which only grows. `register`: the name of the register,
     in its mail and on its disk; a process may vote in several."""
 
@@ -43,24 +56,26 @@
         self._fleet, self._disk, self.me = fleet, disk, fleet.members.me
         self._key = disk_key(register)
         self._request_kind, self._reply_kind = request_kind(register), reply_kind(register)
-        self._waiting: deque[tuple[int, list[tuple[Name, Reply | Enter]]]] = deque()
+        self._waiting: deque[tuple[int, list[tuple[Name, Reply | JoinRequest]]]] = deque()
         self._puts = self._synced = 0
         self._pause = ENTER_AGAIN
         self._cancel = lambda: None
         self._ended = False
         self.damage = ""
         state = self._load(keepers, boot)
-        self.state = state if state is not None else born(keepers, self.me, Life(boot, disk.identity))
+        self.state = (
+            state if state is not None else new_acceptor(keepers, self.me, DiskIncarnation(boot, disk.identity))
+        )
         if state is None:
             self._save()
 
-    def _load(self, keepers: tuple[Name, ...], boot: int) -> Voter | None:
+    def _load(self, keepers: tuple[Name, ...], boot: int) -> AcceptorState | None:
         """What the disk holds of this keeper. What can't be read is as good as another disk: it begins anew."""
         body = self._disk.get(self._key)
         if body is None:
             return None
         try:
-            state = msgspec.msgpack.decode(body, type=Voter)
+            state = msgspec.msgpack.decode(body, type=AcceptorState)
         except msgspec.MsgspecError as bad:
             self.damage = f"{self._key} can't be read: {bad}"
             log.error("fleet: %s; it is fetched anew from the other keepers", self.damage)
@@ -103,9 +118,9 @@
         """One message, of this gateway's own proposer too."""
         if self._ended or len(self._waiting) >= WAITING:
             return self._fleet.tally("register_dropped", 1)
-        if isinstance(message, Enter | Noted | Barred) and message.keeper != source:
+        if isinstance(message, JoinRequest | JoinAccepted | JoinRejected) and message.keeper != source:
             return self._fleet.tally("register_unread", 1)
-        if isinstance(message, Barred):
+        if isinstance(message, JoinRejected):
             return self._barred(source, message)
         before = self.state
         self.state, replies = step(before, message)
@@ -116,14 +131,14 @@
         if replies:
             self._after([*((source, reply) for reply in replies)])
 
-    def _barred(self, source: Name, message: Barred) -> None:
+    def _barred(self, source: Name, message: JoinRejected) -> None:
         """The disk was put back; or it is new, and this machine's clock was set back when it was begun: then the boot
         number has risen by now, and the life with it."""
         life, boot = self.state.life, self._fleet.members.all()[self.me].boot
         if message.to != life or self.state.voting:
             return
         if boot > life.boot:
-            self.state = born(self.state.keepers, self.me, Life(boot, life.identity))
+            self.state = new_acceptor(self.state.keepers, self.me, DiskIncarnation(boot, life.identity))
             self._save()
         elif not self.damage:
             self.damage = message.why
@@ -144,13 +159,13 @@
 
     def _after(self, replies: list[tuple[Name, Reply | None]]) -> None:
         """Tell what rests on the state as it is now. None: that this life asks to be let in."""
-        said = [(to, reply or Enter(self.me, self.state.life)) for to, reply in replies]
+        said = [(to, reply or JoinRequest(self.me, self.state.life)) for to, reply in replies]
         if self._synced >= self._puts:
             self._tell(said)
         else:
             self._waiting.append((self._puts, said))
 
-    def _tell(self, replies: list[tuple[Name, Reply | Enter]]) -> None:
+    def _tell(self, replies: list[tuple[Name, Reply | JoinRequest]]) -> None:
         for to, reply in replies:
             if self._ended:
                 return
@@ -161,5 +176,5 @@
                     to, self._reply_kind if isinstance(reply, Vote) else self._request_kind, encode(reply)
                 )
 
-    def own(self, reply: Reply | Enter) -> None:
+    def own(self, reply: Reply | JoinRequest) -> None:
         """Where the own proposer gets its replies; it sets this."""
--- a/rackhub/fleet/register/words.py
+++ b/rackhub/fleet/register/messages.py
@@ -7,8 +7,8 @@
 
 from rackhub.fleet.ports import MAIL
 
-VALUE = MAIL - 4_096  # most bytes of the value: with all that goes along it fits in one piece of mail
-MOST_NUMBER = 1 << 48  # a ballot beyond is nonsense: nothing honest gets there
+MAX_VALUE_BYTES = MAIL - 4_096  # most bytes of the value: with all that goes along it fits in one piece of mail
+MAX_BALLOT_NUMBER = 1 << 48  # a ballot beyond is nonsense: nothing honest gets there
 
 
 class Ballot(NamedTuple):
@@ -19,7 +19,7 @@
     boot: int = 0
 
 
-class Life(NamedTuple):
+class DiskIncarnation(NamedTuple):
     """One disk of one keeper: when it was first used, by the boot number, and what was drawn then. A later one of the
     same keeper is greater: it has lost what the earlier one knew."""
 
@@ -27,18 +27,18 @@
     identity: str = ""
 
 
-NONE, UNBORN = Ballot(), Life()
+NONE, NO_INCARNATION = Ballot(), DiskIncarnation()
 
 
-class View(NamedTuple):
+class KnownIncarnation(NamedTuple):
     """The newest life of another keeper that one has noted; `again`: there was an earlier one."""
 
     name: str
-    life: Life
+    life: DiskIncarnation
     again: bool = False
 
 
-Views = tuple[View, ...]  # in order of names
+Views = tuple[KnownIncarnation, ...]  # in order of names
 
 
 class Prepare(msgspec.Struct, frozen=True, tag="prepare"):
@@ -53,7 +53,7 @@
 class Promise(msgspec.Struct, frozen=True, tag="promise"):
     ballot: Ballot
     keeper: str
-    life: Life
+    life: DiskIncarnation
     views: Views
     accepted: Ballot
     value: bytes | None
@@ -68,11 +68,11 @@
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
     ballot: Ballot
     keeper: str
-    life: Life
+    life: DiskIncarnation
     views: Views
 
 
-class Refused(msgspec.Struct, frozen=True, tag="refused"):
+class Rejected(msgspec.Struct, frozen=True, tag="refused"):
     """`promised`: what stands against it; `abstains`: why this keeper answers nothing now."""
 
     ballot: Ballot
@@ -81,58 +81,58 @@
     abstains: str = ""
 
 
-class Enter(msgspec.Struct, frozen=True, tag="enter"):
+class JoinRequest(msgspec.Struct, frozen=True, tag="enter"):
     """A keeper whose disk is new asks the others to note its life and to say what they hold."""
 
     keeper: str
-    life: Life
+    life: DiskIncarnation
 
 
-class Noted(msgspec.Struct, frozen=True, tag="noted"):
+class JoinAccepted(msgspec.Struct, frozen=True, tag="noted"):
     """The answer: synced before it was told. `again`: it has known an earlier disk of that keeper."""
 
     keeper: str
-    to: Life
+    to: DiskIncarnation
     voting: bool
     again: bool
-    life: Life
+    life: DiskIncarnation
     views: Views
     promised: Ballot
     accepted: Ballot
     value: bytes | None
 
 
-class Barred(msgspec.Struct, frozen=True, tag="barred"):
+class JoinRejected(msgspec.Struct, frozen=True, tag="barred"):
     """The other answer: this disk is never let in."""
 
     keeper: str
-    to: Life
+    to: DiskIncarnation
     why: str
 
 
-T = TypeVar("T", Promise, Accepted, Noted)
-Request = Prepare | Accept | Enter  # to a keeper
-Vote = Promise | Accepted | Refused  # to a proposer
-Reply = Vote | Noted | Barred
+T = TypeVar("T", Promise, Accepted, JoinAccepted)
+Request = Prepare | Accept | JoinRequest  # to a keeper
+Vote = Promise | Accepted | Rejected  # to a proposer
+Reply = Vote | JoinAccepted | JoinRejected
 Message = Request | Reply
 
 encode = msgspec.msgpack.Encoder().encode
 decode: Callable[[bytes], Message] = msgspec.msgpack.Decoder(Message).decode
 
 
-def majority(keepers: tuple[str, ...]) -> int:
+def quorum_size(keepers: tuple[str, ...]) -> int:
     return len(keepers) // 2 + 1
 
 
-def view(views: Views, name: str) -> View:
-    return next((one for one in views if one.name == name), View(name, UNBORN))
+def view(views: Views, name: str) -> KnownIncarnation:
+    return next((one for one in views if one.name == name), KnownIncarnation(name, NO_INCARNATION))
 
 
-def noting(views: Views, found: View) -> Views:
+def noting(views: Views, found: KnownIncarnation) -> Views:
     """The newest life of each only grows; that there was an earlier one is never forgotten."""
     known = view(views, found.name)
-    other = known.life not in (UNBORN, found.life) and found.life != UNBORN
-    after = View(found.name, max(known.life, found.life), known.again or found.again or other)
+    other = known.life not in (NO_INCARNATION, found.life) and found.life != NO_INCARNATION
+    after = KnownIncarnation(found.name, max(known.life, found.life), known.again or found.again or other)
     return views if after == known else tuple(sorted([*(one for one in views if one.name != found.name), after]))
 
 
--- a/rackhub/fleet/register/proposer.py
+++ b/rackhub/fleet/register/proposer.py
@@ -10,22 +10,22 @@
 import msgspec
 
 from rackhub.fleet.ports import Fleet, Name
-from rackhub.fleet.register.keeper import DEFAULT_REGISTER, Keeper, reply_kind, request_kind
-from rackhub.fleet.register.round import Beaten, Change, Chosen, Round, begin, heard
-from rackhub.fleet.register.words import (
+from rackhub.fleet.register.acceptor_shell import DEFAULT_REGISTER, AcceptorShell, reply_kind, request_kind
+from rackhub.fleet.register.messages import (
+    MAX_VALUE_BYTES,
     NONE,
-    VALUE,
     Accept,
     Accepted,
     Ballot,
     Message,
     Prepare,
     Promise,
-    Refused,
+    Rejected,
     Vote,
     decode,
     encode,
 )
+from rackhub.fleet.register.round import Beaten, Change, Chosen, Round, begin, heard
 
 log = logging.getLogger(__name__)
 AGAIN = 150_000  # until those who have not answered are asked once more
@@ -41,7 +41,7 @@
     kind: Literal["done", "refused", "unknown"]
     value: bytes | None = None
     answer: Any = None
-    why: str = ""
+    reason: str = ""
 
 
 class _Work(NamedTuple):
@@ -58,7 +58,7 @@
         fleet: Fleet,
         keepers: tuple[Name, ...],
         boot: int,
-        keeper: Keeper | None = None,
+        keeper: AcceptorShell | None = None,
         register: str = DEFAULT_REGISTER,
     ):
         self._fleet, self._keepers, self._keeper = fleet, keepers, keeper
@@ -89,14 +89,14 @@
         if self._work is not None:
             work, offered = self._work, self._offered
             self._work = self._round = None
-            work.done(Outcome("unknown" if offered else "refused", why="this gateway ends"))
+            work.done(Outcome("unknown" if offered else "refused", reason="this gateway ends"))
         for work in left:
-            work.done(Outcome("refused", why="this gateway ends"))
+            work.done(Outcome("refused", reason="this gateway ends"))
 
     def change(self, change: Change, done: Callable[[Outcome], None], within: int) -> None:
         """`change` may be called several times, with other values: it must depend on nothing else. `done` once."""
         if len(self._queue) >= QUEUE:
-            return done(Outcome("refused", why=f"{QUEUE} changes wait already"))
+            return done(Outcome("refused", reason=f"{QUEUE} changes wait already"))
         self._queue.append(_Work(change, done, self._fleet.clock.now() + within))
         if self._work is None:
             self._next()
@@ -118,7 +118,7 @@
         if work is None:
             return
         if self._fleet.clock.now() >= work.until:
-            return self._over(Outcome("unknown" if self._offered else "refused", why=self._lacking()))
+            return self._over(Outcome("unknown" if self._offered else "refused", reason=self._lacking()))
         self._top += 1
         ballot = Ballot(self._top, self._fleet.members.me, self._boot)
         self._round, prepare = begin(self._keepers, ballot, *self._known)
@@ -177,7 +177,7 @@
             message = decode(body)
         except msgspec.MsgspecError:
             return self._fleet.tally("register_unread", 1)
-        if isinstance(message, Promise | Accepted | Refused) and message.keeper == source:
+        if isinstance(message, Promise | Accepted | Rejected) and message.keeper == source:
             self._heard(message)
         else:
             self._fleet.tally("register_unread", 1)
@@ -190,11 +190,13 @@
             self._round, effects = heard(state, reply, work.change)
         except Exception as bad:  # the change's own fault must not end the proposer
             log.exception("fleet: a change of the register failed")
-            return self._over(Outcome("unknown" if self._offered else "refused", why=str(bad)))
+            return self._over(Outcome("unknown" if self._offered else "refused", reason=str(bad)))
         for effect in effects:
             if isinstance(effect, Accept):
-                if len(effect.value) > VALUE:
-                    return self._over(Outcome("refused", why=f"{len(effect.value)} bytes, more than {VALUE}"))
+                if len(effect.value) > MAX_VALUE_BYTES:
+                    return self._over(
+                        Outcome("refused", reason=f"{len(effect.value)} bytes, more than {MAX_VALUE_BYTES}")
+                    )
                 self._cancel()
                 self._offered = True
                 self._say(effect)
--- a/rackhub/fleet/register/round.py
+++ b/rackhub/fleet/register/round.py
@@ -8,17 +8,17 @@
 
 import msgspec
 
-from rackhub.fleet.register.words import (
+from rackhub.fleet.register.messages import (
     NONE,
     Accept,
     Accepted,
     Ballot,
     Prepare,
     Promise,
-    Refused,
+    Rejected,
     Vote,
     agreed,
-    majority,
+    quorum_size,
 )
 
 T = TypeVar("T", Promise, Accepted)
@@ -35,7 +35,7 @@
     promises: tuple[Promise, ...] = ()
     offered: bool = False
     accepts: tuple[Accepted, ...] = ()
-    refusals: tuple[Refused, ...] = ()
+    refusals: tuple[Rejected, ...] = ()
     answer: Any = None
 
 
@@ -67,18 +67,18 @@
     """A keeper's reply to this ballot; any other, and what is known already, changes nothing."""
     if reply.ballot != state.ballot or reply.keeper not in state.keepers:
         return state, []
-    if isinstance(reply, Refused):
+    if isinstance(reply, Rejected):
         return _refused(state, reply)
     if isinstance(reply, Promise) and not state.offered:
         promises = _with(state.promises, reply)
         state = msgspec.structs.replace(state, promises=promises)
-        able = agreed(promises, majority(state.keepers))
+        able = agreed(promises, quorum_size(state.keepers))
         return _offer(state, able, change) if able else (state, [])
     if isinstance(reply, Accepted) and state.offered:
         accepts = _with(state.accepts, reply)
-        done = len(state.accepts) < len(accepts) and not agreed(state.accepts, majority(state.keepers))
+        done = len(state.accepts) < len(accepts) and not agreed(state.accepts, quorum_size(state.keepers))
         state = msgspec.structs.replace(state, accepts=accepts)
-        if done and agreed(accepts, majority(state.keepers)):
+        if done and agreed(accepts, quorum_size(state.keepers)):
             return state, [Chosen(state.value, state.ballot, state.answer)]
     return state, []
 
@@ -102,13 +102,13 @@
     return state, [Accept(state.ballot, state.keepers, becomes)]
 
 
-def _refused(state: Round, reply: Refused) -> tuple[Round, list[Effect]]:
+def _refused(state: Round, reply: Rejected) -> tuple[Round, list[Effect]]:
     before = state.refusals
     refusals = tuple(
         sorted([*(one for one in before if one.keeper != reply.keeper), reply], key=lambda one: one.keeper)
     )
     state = msgspec.structs.replace(state, refusals=refusals)
-    enough = len(state.keepers) - majority(state.keepers)
+    enough = len(state.keepers) - quorum_size(state.keepers)
     if len(before) <= enough < len(refusals):
         above = max(one.promised for one in refusals)
         whys = [f"{one.keeper} abstains: {one.abstains}" for one in refusals if one.abstains]
--- a/rackhub/fleet/rules/changes.py
+++ b/rackhub/fleet/rules/changes.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from rackhub.fleet.ports import Fleet
-from rackhub.fleet.register.keeper import Keeper
+from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.proposer import Outcome, Proposer
 from rackhub.fleet.rules import book as books
 from rackhub.fleet.rules.holder import Holder
@@ -38,7 +38,7 @@
         self._accepted = 0  # the newest version of what the own keeper accepted
 
     def change(self, ask: Ask, done: Callable[[Outcome], None]) -> None:
-        """Have the register take it; `done` gets the version as the answer, or the refusal's words as `why`."""
+        """Have the register take it; `done` gets the version as the answer, or the rejection as `reason`."""
         began, offered = self._fleet.clock.now(), False
 
         def propose(value: bytes | None) -> tuple[bytes | None, Any]:
@@ -71,7 +71,7 @@
                 mine = offered and isinstance(outcome.answer, Version) and outcome.answer.number == newest.newest
                 self._learn(newest.versions, self._fleet.clock.now() - began if mine else -1)
             if outcome.kind == "done" and isinstance(outcome.answer, Refused):
-                outcome = Outcome("refused", why=str(outcome.answer))
+                outcome = Outcome("refused", reason=str(outcome.answer))
             done(outcome)
 
         ahead = max((post.newest for post in posts(self._fleet).values()), default=0)
@@ -90,7 +90,7 @@
             self._lapsing = True
             self.change(msgspec.structs.replace(ask, told=int(time.time())), over)
 
-    def finish(self, keeper: Keeper) -> None:
+    def finish(self, keeper: AcceptorShell) -> None:
         """An editor's gateway may have gone between accept and answer: what the own keeper then holds may be chosen
         without that anybody knows. A read settles it."""
         now = self._fleet.clock.now()
--- a/rackhub/fleet/rules/part.py
+++ b/rackhub/fleet/rules/part.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rackhub.fleet.ports import Control, Disk, Fleet, Name, RulePart
-from rackhub.fleet.register.keeper import Keeper
+from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.proposer import Proposer
 from rackhub.fleet.rules.changes import Changes
 from rackhub.fleet.rules.checks import Checks
@@ -45,7 +45,9 @@
         self.parts: dict[str, RulePart] = {}
         self.damage = ""
         self.holder = Holder(self.me, self._load())
-        self.keeper = Keeper(fleet, self.keepers, disk, boot) if disk is not None and self.me in self.keepers else None
+        self.keeper = (
+            AcceptorShell(fleet, self.keepers, disk, boot) if disk is not None and self.me in self.keepers else None
+        )
         self.proposer = Proposer(fleet, self.keepers, boot, self.keeper)
         self.spread = Spread(fleet, self.holder, self._learn)
         self.checks = Checks(fleet, self.fault)
--- a/rackhub/fleet/rules/service.py
+++ b/rackhub/fleet/rules/service.py
@@ -135,6 +135,6 @@
 
 def _not_done(ask: Ask, outcome: Outcome) -> Mapping[str, Any]:
     if outcome.kind == "refused":
-        return {"error": f"nothing was changed: {outcome.why}", "exit": 1}
-    error = f"it may have been taken or not: {outcome.why}; say it again with id {ask.id}, which does nothing twice"
+        return {"error": f"nothing was changed: {outcome.reason}", "exit": 1}
+    error = f"it may have been taken or not: {outcome.reason}; say it again with id {ask.id}, which does nothing twice"
     return {"error": error, "exit": 1, "id": ask.id, "unknown": True}
--- a/rackhub/fleet/rules/words.py
+++ b/rackhub/fleet/rules/words.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from rackhub.fleet.register.words import VALUE
+from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
 CONTENT = 98_304  # most bytes of one version's content
-BOOK = VALUE - 16_384  # most bytes of all kept versions: two whole contents and more fit
+BOOK = MAX_VALUE_BYTES - 16_384  # most bytes of all kept versions: two whole contents and more fit
 KEPT = 64  # newest versions kept, where their size allows
 WORDS = 500  # most letters of an author, a reason, an id
 FORMAT = 1
--- a/rackhub/trials/fleet/register_explore.py
+++ b/rackhub/trials/fleet/register_explore.py
@@ -19,10 +19,21 @@
 
 import msgspec
 
+from rackhub.fleet.register.acceptor import AcceptorState, new_acceptor, step
+from rackhub.fleet.register.messages import (
+    NONE,
+    Accept,
+    Ballot,
+    DiskIncarnation,
+    JoinAccepted,
+    JoinRequest,
+    Message,
+    Prepare,
+    Promise,
+    Vote,
+)
+from rackhub.fleet.register.messages import KnownIncarnation as Seen
 from rackhub.fleet.register.round import Change, Chosen, Round, begin, heard
-from rackhub.fleet.register.voter import Voter, born, step
-from rackhub.fleet.register.words import NONE, Accept, Ballot, Enter, Life, Message, Noted, Prepare, Promise, Vote
-from rackhub.fleet.register.words import View as Seen
 
 KEEPERS = ("a", "b", "c")
 EDITORS = ("x", "y")
@@ -103,10 +114,10 @@
     def _begin(self) -> World:
         full = []
         for me in KEEPERS:
-            life = Life(1, me)
-            state = born(KEEPERS, me, life)
+            life = DiskIncarnation(1, me)
+            state = new_acceptor(KEEPERS, me, life)
             if not self.bounds.born:
-                views = tuple(Seen(name, Life(1, name)) for name in KEEPERS if name != me)
+                views = tuple(Seen(name, DiskIncarnation(1, name)) for name in KEEPERS if name != me)
                 state = msgspec.structs.replace(state, voting=True, views=views)
             full.append(state)
         ids = tuple(self.voters(state) for state in full)
@@ -117,8 +128,8 @@
         editors = tuple(self.rounds(Editor(left=many)) for many in self.bounds.rounds)
         return World(ids, ids, (0,) * len(ids), editors, sent, self.bounds.crashes, self.bounds.wipes, 0)
 
-    def _enter(self, state: Voter) -> int:
-        return self._post([(name, Enter(state.me, state.life)) for name in KEEPERS if name != state.me])
+    def _enter(self, state: AcceptorState) -> int:
+        return self._post([(name, JoinRequest(state.me, state.life)) for name in KEEPERS if name != state.me])
 
     def _post(self, mail: Sequence[tuple[str, Message]]) -> int:
         bits = 0
@@ -160,7 +171,7 @@
             told = [(to, reply) for reply in replies if not isinstance(reply, Vote) or hasattr(reply, "life")]
             found = self._votes[key] = self.voters(after), self._post(told)
         after_id, told_bits = found
-        if isinstance(self.mail.all[number][1], Enter | Noted):
+        if isinstance(self.mail.all[number][1], JoinRequest | JoinAccepted):
             world = world._replace(sent=world.sent & ~(1 << number))
         if after_id == key[0] and not told_bits & ~(world.sent | world.held[at]):
             return
@@ -252,7 +263,7 @@
             rest ^= low
             to, message = self.mail.all[low.bit_length() - 1]
             now = ballots.get(to)
-            if isinstance(message, Noted):
+            if isinstance(message, JoinAccepted):
                 if self.voters.all[world.memory[KEEPERS.index(to)]].voting:
                     sent ^= low
             elif to in ballots and (
@@ -277,8 +288,8 @@
         """Its disk is replaced. Two of three at once are more than any register bears."""
         if not all(self.voters.all[one].voting for i, one in enumerate(world.memory) if i != at):
             return
-        old: Voter = self.voters.all[world.memory[at]]
-        fresh = born(KEEPERS, old.me, Life(old.life.boot + 1, old.me))
+        old: AcceptorState = self.voters.all[world.memory[at]]
+        fresh = new_acceptor(KEEPERS, old.me, DiskIncarnation(old.life.boot + 1, old.me))
         if self.bounds.empty:
             fresh = msgspec.structs.replace(fresh, voting=True)
         number = self.voters(fresh)
--- a/rackhub/trials/fleet/rules_torture.py
+++ b/rackhub/trials/fleet/rules_torture.py
@@ -135,7 +135,7 @@
             return Op(begin, now, ask.id, ask.on, "done", outcome.answer.number)
         if outcome.kind == "unknown":
             return Op(begin, now, ask.id, ask.on, "unknown")
-        return Op(begin, now, ask.id, ask.on, "conflict" if "since then" in outcome.why else "failed")
+        return Op(begin, now, ask.id, ask.on, "conflict" if "since then" in outcome.reason else "failed")
 
     def _holds(self, name: str, part: Any, version: int) -> None:
         self.report.back += version < self.top[name]
--- a/rackhub/trials/processes/forger.py
+++ b/rackhub/trials/processes/forger.py
@@ -12,8 +12,8 @@
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.overload import records
 from rackhub.fleet.ports import DATAGRAM
-from rackhub.fleet.register.keeper import TOLD
-from rackhub.fleet.register.words import Accepted, decode
+from rackhub.fleet.register.acceptor_shell import RULES_REPLY_KIND
+from rackhub.fleet.register.messages import Accepted, decode
 
 LIES = ("everything", "nothing", "lends_all")
 WAYS = ("disordered", *LIES)
@@ -109,7 +109,7 @@
             page = f.frame(raw)
             if (
                 isinstance(page, f.Page)
-                and page.kind == TOLD
+                and page.kind == RULES_REPLY_KIND
                 and page.count == 1
                 and isinstance(decode(page.body), Accepted)
             ):
--- a/rackhub/trials/scale/voter_process.py
+++ b/rackhub/trials/scale/voter_process.py
@@ -71,7 +71,7 @@
         tail = outcome.answer
         revision = revision_of(tail, edit.id) if isinstance(tail, Tail) else None
         if outcome.kind != "done" or revision is None:
-            done(Edited(why=f"{outcome.kind}: {outcome.why or tail}"))
+            done(Edited(why=f"{outcome.kind}: {outcome.reason or tail}"))
             return
         self._voter.replication.learn(tail)
         self._voter.replication.announce(tail)
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -17,8 +17,8 @@
 from rackhub.fleet.link import frames
 from rackhub.fleet.members import reach
 from rackhub.fleet.overload import records
-from rackhub.fleet.register import voter
-from rackhub.fleet.register import words as register_words
+from rackhub.fleet.register import acceptor
+from rackhub.fleet.register import messages as register_messages
 from rackhub.fleet.rules import holder
 from rackhub.fleet.rules import words as rules_words
 from rackhub.state import ledger
@@ -65,8 +65,8 @@
         frames.datagram,
         lambda packet: msgspec.structs.replace(packet, version=frames.VERSION),
     ),
-    "register message": Codec(register_words.Message, register_words.decode, register_words.encode),
-    "register acceptor on disk": _msgpack(voter.Voter),
+    "register message": Codec(register_messages.Message, register_messages.decode, register_messages.encode),
+    "register acceptor on disk": _msgpack(acceptor.AcceptorState),
     "rules message": Codec(rules_words.Mail, msgspec.msgpack.Decoder(rules_words.Mail).decode, rules_words.encode),
     "rules record": _msgpack(rules_words.Post),
     "rules in the register": _msgpack(rules_words.Book),
--- a/tests/test_distribution_decisions.py
+++ b/tests/test_distribution_decisions.py
@@ -18,7 +18,7 @@
     trim,
 )
 from rackhub.fleet.distribution.limits import CHANGE_BYTES, CHANGE_ENTRIES, KEY_BYTES, VALUE_BYTES
-from rackhub.fleet.register.words import VALUE
+from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
 
 def edited(tail, *numbers, replicated=0):
@@ -103,8 +103,8 @@
     with pytest.raises(TailFull) as refused:
         for number in range(100):
             tail = append(tail, Edit(f"{number}", {"k": value}), 0)
-    assert refused.value.waiting == len(tail.changes) == VALUE // VALUE_BYTES
-    assert len(encode_tail(tail)) <= VALUE
+    assert refused.value.waiting == len(tail.changes) == MAX_VALUE_BYTES // VALUE_BYTES
+    assert len(encode_tail(tail)) <= MAX_VALUE_BYTES
     assert append(tail, Edit("next", {"k": value}), tail.newest).newest == tail.newest + 1
 
 
--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -15,8 +15,8 @@
 from rackhub.fleet.distribution.rules import RuleKeyError, assemble, encode_value
 from rackhub.fleet.distribution.voter import Voter
 from rackhub.fleet.distribution.voting import KIND as VOTERS_KIND
+from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.disk import MemoryDisk
-from rackhub.fleet.register.keeper import Keeper
 from rackhub.fleet.register.proposer import Proposer
 from rackhub.trials.fleet.twin import MS, SECOND, Net
 
@@ -391,7 +391,7 @@
     disk, fleet = MemoryDisk(net.nodes["a"].later, "d"), net.nodes["a"].fleet()
     proposers, values = [], []
     for register in ("register", "second"):
-        keeper = Keeper(fleet, ("a",), disk, 1, register)
+        keeper = AcceptorShell(fleet, ("a",), disk, 1, register)
         proposers.append(Proposer(fleet, ("a",), 1, keeper, register))
         proposers[-1].start()
         keeper.start()
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -6,13 +6,23 @@
 import pytest
 from twisted.internet import reactor
 
+from rackhub.fleet.register import acceptor
 from rackhub.fleet.register import round as rounds
-from rackhub.fleet.register import voter as voters
+from rackhub.fleet.register.acceptor import new_acceptor, step
+from rackhub.fleet.register.acceptor_shell import RULES_DISK_KEY, AcceptorShell
 from rackhub.fleet.register.disk import MemoryDisk, StoreDisk
-from rackhub.fleet.register.keeper import KEY, Keeper
+from rackhub.fleet.register.messages import (
+    Ballot,
+    DiskIncarnation,
+    JoinRejected,
+    JoinRequest,
+    KnownIncarnation,
+    Prepare,
+    Promise,
+    Rejected,
+    view,
+)
 from rackhub.fleet.register.proposer import Proposer
-from rackhub.fleet.register.voter import born, step
-from rackhub.fleet.register.words import Ballot, Barred, Enter, Life, Prepare, Promise, Refused, View, view
 from rackhub.trials.fleet.register_explore import SMALL, Bounds, Explorer
 from rackhub.trials.fleet.twin import MS, SECOND, Net
 
@@ -40,50 +50,50 @@
     def many(replies, most):
         return replies[:most] if len(replies) >= most else ()
 
-    for module in (rounds, voters):
+    for module in (rounds, acceptor):
         monkeypatch.setattr(module, "agreed", many)
     assert Explorer(Bounds((2, 1), wipes=1)).walk(2, 2_000).violations
 
 
 def test_a_disk_that_was_put_back_is_barred_and_a_new_one_abstains():
-    fresh = born(KEEPERS, "b", Life(5, "new"))
+    fresh = new_acceptor(KEEPERS, "b", DiskIncarnation(5, "new"))
     _, [said] = step(fresh, Prepare(Ballot(1, "x", 1), KEEPERS))
-    assert isinstance(said, Refused) and "disk is new" in said.abstains
-    keeper, _ = step(born(KEEPERS, "a", Life(1, "a")), Enter("b", Life(5, "new")))
-    same, [said] = step(keeper, Enter("b", Life(4, "old")))
-    assert same == keeper and isinstance(said, Barred)
+    assert isinstance(said, Rejected) and "disk is new" in said.abstains
+    keeper, _ = step(new_acceptor(KEEPERS, "a", DiskIncarnation(1, "a")), JoinRequest("b", DiskIncarnation(5, "new")))
+    same, [said] = step(keeper, JoinRequest("b", DiskIncarnation(4, "old")))
+    assert same == keeper and isinstance(said, JoinRejected)
 
 
 def test_of_five_what_one_said_before_it_lost_its_disk_too_lets_nobody_in():
     """Else: a's old life and b's new one accept one value with e, and a's new life, c and d choose another."""
     names = ("a", "b", "c", "d", "e")
-    lives = {name: Life(1, name) for name in names}
+    lives = {name: DiskIncarnation(1, name) for name in names}
     old = {
         me: msgspec.structs.replace(
-            born(names, me, lives[me]),
+            new_acceptor(names, me, lives[me]),
             voting=True,
-            views=tuple(View(name, lives[name]) for name in names if name != me),
+            views=tuple(KnownIncarnation(name, lives[name]) for name in names if name != me),
         )
         for me in names
     }
-    new_a, new_b = born(names, "a", Life(2, "a")), born(names, "b", Life(2, "b"))
-    early = step(old["b"], Enter("a", Life(2, "a")))[1][0]  # and then b loses its disk, too
+    new_a, new_b = new_acceptor(names, "a", DiskIncarnation(2, "a")), new_acceptor(names, "b", DiskIncarnation(2, "b"))
+    early = step(old["b"], JoinRequest("a", DiskIncarnation(2, "a")))[1][0]  # and then b loses its disk, too
     for name in ("c", "d", "e"):
-        old[name], [said] = step(old[name], Enter("b", Life(2, "b")))
+        old[name], [said] = step(old[name], JoinRequest("b", DiskIncarnation(2, "b")))
         new_b, _ = step(new_b, said)
-    assert new_b.voting and view(new_b.views, "a").life == Life(1, "a")
+    assert new_b.voting and view(new_b.views, "a").life == DiskIncarnation(1, "a")
     new_a, _ = step(new_a, early)
     for name in ("c", "d"):
-        old[name], [said] = step(old[name], Enter("a", Life(2, "a")))
+        old[name], [said] = step(old[name], JoinRequest("a", DiskIncarnation(2, "a")))
         new_a, _ = step(new_a, said)
     assert not new_a.voting  # three have answered, but c and d know that the first of them has lost what it was
-    _, [said] = step(new_b, Enter("a", Life(2, "a")))
+    _, [said] = step(new_b, JoinRequest("a", DiskIncarnation(2, "a")))
     after, _ = step(new_a, said)
     assert after.voting and step(after, early)[0] == after
 
 
 def test_a_proposer_that_counts_other_keepers_gets_no_vote():
-    keeper = born(("a",), "a", Life(1, "a"))
+    keeper = new_acceptor(("a",), "a", DiskIncarnation(1, "a"))
     same, [said] = step(keeper, Prepare(Ballot(1, "x", 1), KEEPERS))
     assert same == keeper and said.abstains == "its keepers are a"
 
@@ -100,7 +110,7 @@
 
     def up(self, name):
         node = self.net.nodes[name]
-        keeper = Keeper(node.fleet(1), KEEPERS, self.disks[name], node.boot) if name in KEEPERS else None
+        keeper = AcceptorShell(node.fleet(1), KEEPERS, self.disks[name], node.boot) if name in KEEPERS else None
         self.proposers[name] = Proposer(node.fleet(1), KEEPERS, node.boot, keeper)
         self.proposers[name].start()
         if keeper is not None:
@@ -136,7 +146,7 @@
     assert stand.now("d", b"one").value == b"one "
     stand.net.cut({"a"}, {"b", "c", "d"})
     refused = stand.now("a", b"two")
-    assert refused.kind == "refused" and "no answer from b, c" in refused.why
+    assert refused.kind == "refused" and "no answer from b, c" in refused.reason
     assert stand.now("d", b"three").value == b"one three "
     stand.net.heal()
     assert stand.now("a", b"four").value == b"one three four "
@@ -150,7 +160,7 @@
     stand.down("b")
     stand.again("a")
     refused = stand.now("d", b"two", within=SECOND)
-    assert refused.kind == "refused" and "a abstains: its disk is new" in refused.why
+    assert refused.kind == "refused" and "a abstains: its disk is new" in refused.reason
     stand.again("b")
     assert stand.now("d", b"two").value == b"one two "
     stand.net.time.run(3 * SECOND)
@@ -182,10 +192,10 @@
     stand = Stand()
     stand.now("d", b"one")
     stand.down("a")
-    stand.disks["a"]._synced[KEY] = b"\xc1nonsense"
+    stand.disks["a"]._synced[RULES_DISK_KEY] = b"\xc1nonsense"
     stand.disks["a"].crash()
     stand.again("a")
-    assert KEY in stand.keepers["a"].damage and not stand.keepers["a"].state.voting
+    assert RULES_DISK_KEY in stand.keepers["a"].damage and not stand.keepers["a"].state.voting
     stand.net.time.run(SECOND)
     assert stand.keepers["a"].state.value == b"one " and stand.net.nodes["a"].counts["register_damaged"] == 1
 
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -8,7 +8,7 @@
 from rackhub import interface as t
 from rackhub.cli import main
 from rackhub.cli import rules as rules_cli
-from rackhub.fleet.register.words import MOST_NUMBER
+from rackhub.fleet.register.messages import MAX_BALLOT_NUMBER
 from rackhub.fleet.rules import book as books
 from rackhub.fleet.rules import timings
 from rackhub.fleet.rules.guard import Side, verdict
@@ -357,7 +357,7 @@
     stand = Stand()
     stand.run(SECOND)
     stand.edit("g00", 1, 0, "a", wait_ms=1_000)
-    for body in (b"", b"\xc1", encode({"type": "what"}), encode(Fetch(MOST_NUMBER, -1))):
+    for body in (b"", b"\xc1", encode({"type": "what"}), encode(Fetch(MAX_BALLOT_NUMBER, -1))):
         stand.net.nodes["g04"].send("g01", KIND, body)
     stand.net.nodes["g04"].post(KIND, b"\xc1")
     stand.down("g03")
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -18,7 +18,7 @@
 
 from rackhub.fleet.link import frames
 from rackhub.fleet.overload import records
-from rackhub.fleet.register import words
+from rackhub.fleet.register import messages as register_messages
 from rackhub.net.resolver import listing_of, question
 from rackhub.trials.processes import bound, forger, probes, rows, schedule, torture
 from rackhub.trials.processes.arrivals import Arrival, Load
@@ -507,12 +507,12 @@
 
 
 def test_a_keeper_is_killed_at_its_answer_and_the_answer_is_gone():
-    killed, ballot = [], words.Ballot(1, "g1", 1)
+    killed, ballot = [], register_messages.Ballot(1, "g1", 1)
     said = {
-        kind: packet(frames.Page(1, 1, 0, 1, "register.told", words.encode(reply)))
+        kind: packet(frames.Page(1, 1, 0, 1, "register.told", register_messages.encode(reply)))
         for kind, reply in (
-            ("accepted", words.Accepted(ballot, "g0", words.UNBORN, ())),
-            ("refused", words.Refused(ballot, "g0", ballot)),
+            ("accepted", register_messages.Accepted(ballot, "g0", register_messages.NO_INCARNATION, ())),
+            ("refused", register_messages.Rejected(ballot, "g0", ballot)),
         )
     }
     tap = forger.AtAnswer("g0", lambda: killed.append(1), 1)
