--- a/rackhub/fleet/register/__init__.py
+++ b/rackhub/fleet/register/__init__.py
@@ -1,5 +1,5 @@
-"""A replicated register: one value at three or five keepers, changed by compare-and-set of a majority, without a log.
+"""A replicated register (CASPaxos): one value at three or five acceptors, changed by compare-and-set, without a log.
 
-`words` are the messages; `voter` and `entry` decide what a keeper answers, `round` what a proposer does; `keeper` and
-`proposer` put them on mail, timers and the disk. Design and proof: docs/design/rules.md.
+`messages` are the types on the network; `acceptor` and `round` are the protocol without I/O; `acceptor_shell` and
+`proposer` connect them to messages, timers and the disk. Design and proof: docs/design/rules.md.
 """
--- a/rackhub/fleet/register/acceptor.py
+++ b/rackhub/fleet/register/acceptor.py
@@ -1,5 +1,6 @@
-"""What a keeper answers. Pure: `step(state, message)` gives the state after it and the replies, which may be told only
-once that state is on disk. All that a keeper must not forget is in `AcceptorState`.
+"""The acceptor's decisions, without I/O: `handle(state, message)` returns the next state and the replies.
+
+The replies may be sent only once that state is durable. All that an acceptor must not lose is in `AcceptorState`.
 """
 
 import msgspec
@@ -7,7 +8,7 @@
 from rackhub.fleet.register.messages import (
     MAX_BALLOT_NUMBER,
     MAX_VALUE_BYTES,
-    NONE,
+    NO_BALLOT,
     Accept,
     Accepted,
     Ballot,
@@ -16,119 +17,164 @@
     JoinRejected,
     JoinRequest,
     KnownIncarnation,
+    KnownIncarnations,
     Message,
     Prepare,
     Promise,
     Rejected,
     Reply,
-    Views,
-    agreed,
-    noting,
+    consistent_quorum,
+    find_known,
+    merge_known,
     quorum_size,
-    view,
 )
 
-
-class AcceptorState(msgspec.Struct, frozen=True):
-    """One keeper's memory. `voting`: it was let in with this disk; until then it abstains. `answers`: to its asking."""
-
-    keepers: tuple[str, ...]
-    me: str
-    life: DiskIncarnation
+NOT_JOINED_REASON = "its disk is new, and the other keepers have not let it in yet"
+OLDER_DISK_REASON = "a later disk of this keeper was noted: this one was put back, and does not know what that one knew"
+
+
+class AcceptorState(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "acceptors": "keepers",
+        "local_name": "me",
+        "incarnation": "life",
+        "known_incarnations": "views",
+        "join_replies": "answers",
+    },
+):
+    """The durable state of one acceptor.
+
+    `voting`: it has joined with this disk; until then it abstains. `join_replies` are those received so far.
+    """
+
+    acceptors: tuple[str, ...]
+    local_name: str
+    incarnation: DiskIncarnation
     voting: bool = False
-    views: Views = ()
-    promised: Ballot = NONE
-    accepted: Ballot = NONE
+    known_incarnations: KnownIncarnations = ()
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
     value: bytes | None = None
-    answers: tuple[JoinAccepted, ...] = ()
+    join_replies: tuple[JoinAccepted, ...] = ()
 
 
-def new_acceptor(keepers: tuple[str, ...], me: str, life: DiskIncarnation) -> AcceptorState:
-    """With a disk that holds nothing. A keeper alone has nobody who could know of an earlier one."""
-    return AcceptorState(keepers, me, life, voting=len(keepers) == 1)
+def new_acceptor(acceptors: tuple[str, ...], local_name: str, incarnation: DiskIncarnation) -> AcceptorState:
+    """The state on an empty disk. A single acceptor votes at once: no other one could know an earlier disk of it."""
+    return AcceptorState(acceptors, local_name, incarnation, voting=len(acceptors) == 1)
 
 
-ABSTAINS = "its disk is new, and the other keepers have not let it in yet"
-OLDER = "a later disk of this keeper was noted: this one was put back, and does not know what that one knew"
+def handle(state: AcceptorState, message: Message) -> tuple[AcceptorState, list[Reply]]:
+    """The state after one message, and the replies to its sender.
 
-
-def step(state: AcceptorState, message: Message) -> tuple[AcceptorState, list[Reply]]:
-    """What comes from nobody's ballot or from no keeper is left without an answer."""
+    A message with an invalid ballot, or from a process that is no other acceptor, gets no reply.
+    """
     if isinstance(message, Prepare | Accept):
         if not 0 < message.ballot.number <= MAX_BALLOT_NUMBER:
             return state, []
         return _vote(state, message)
-    if isinstance(message, JoinRequest) and message.keeper in state.keepers and message.keeper != state.me:
-        return _note(state, message)
-    if isinstance(message, JoinAccepted) and message.keeper in state.keepers and message.keeper != state.me:
-        return _answer(state, message), []
+    if isinstance(message, JoinRequest) and _is_peer(state, message.acceptor):
+        return _handle_join_request(state, message)
+    if isinstance(message, JoinAccepted) and _is_peer(state, message.acceptor):
+        return _handle_join_accepted(state, message), []
     return state, []
 
 
+def _is_peer(state: AcceptorState, name: str) -> bool:
+    return name in state.acceptors and name != state.local_name
+
+
 def _vote(state: AcceptorState, message: Prepare | Accept) -> tuple[AcceptorState, list[Reply]]:
-    ballot, me = message.ballot, state.me
+    ballot = message.ballot
     if not state.voting:
-        return state, [Rejected(ballot, me, state.promised, ABSTAINS)]
-    if set(message.keepers) != set(state.keepers):  # majorities of two sets need have nobody in common
-        return state, [Rejected(ballot, me, state.promised, f"its keepers are {', '.join(state.keepers)}")]
+        return state, [_rejection(state, ballot, NOT_JOINED_REASON)]
+    if set(message.acceptors) != set(state.acceptors):  # quorums of two sets need not intersect
+        return state, [_rejection(state, ballot, f"its keepers are {', '.join(state.acceptors)}")]
     if ballot < state.promised:
-        return state, [Rejected(ballot, me, state.promised)]
+        return state, [_rejection(state, ballot)]
     if isinstance(message, Prepare):
-        state = msgspec.structs.replace(state, promised=ballot)
-        value = state.value if state.accepted != message.known else None
-        return state, [Promise(ballot, me, state.life, state.views, state.accepted, value)]
+        return _promise(state, message)
     if len(message.value) > MAX_VALUE_BYTES:
         return state, []
     state = msgspec.structs.replace(state, promised=ballot, accepted=ballot, value=message.value)
-    return state, [Accepted(ballot, me, state.life, state.views)]
-
-
-def _note(state: AcceptorState, message: JoinRequest) -> tuple[AcceptorState, list[Reply]]:
-    """From here on no majority counts in which this keeper stands beside an earlier life of that one."""
-    if message.life < view(state.views, message.keeper).life:
-        return state, [JoinRejected(state.me, message.life, OLDER)]
-    views = noting(state.views, KnownIncarnation(message.keeper, message.life))
-    state = msgspec.structs.replace(state, views=views)
-    return state, [
-        JoinAccepted(
-            state.me,
-            message.life,
-            state.voting,
-            view(views, message.keeper).again,
-            state.life,
-            views,
-            state.promised,
-            state.accepted,
-            state.value,
-        )
-    ]
-
-
-def _answer(state: AcceptorState, message: JoinAccepted) -> AcceptorState:
-    """One more of the others has noted this life; whether that is enough."""
-    if state.voting or message.to != state.life:
-        return state
-    if any(one.keeper == message.keeper and one.life > message.life for one in state.answers):
+    return state, [Accepted(ballot, state.local_name, state.incarnation, state.known_incarnations)]
+
+
+def _rejection(state: AcceptorState, ballot: Ballot, abstain_reason: str = "") -> Rejected:
+    return Rejected(ballot, state.local_name, state.promised, abstain_reason)
+
+
+def _promise(state: AcceptorState, message: Prepare) -> tuple[AcceptorState, list[Reply]]:
+    state = msgspec.structs.replace(state, promised=message.ballot)
+    value = state.value if state.accepted != message.known_ballot else None
+    promise = Promise(
+        message.ballot, state.local_name, state.incarnation, state.known_incarnations, state.accepted, value
+    )
+    return state, [promise]
+
+
+def _handle_join_request(state: AcceptorState, message: JoinRequest) -> tuple[AcceptorState, list[Reply]]:
+    """Record the incarnation: from here on no quorum counts this acceptor beside an earlier disk of that one."""
+    if message.incarnation < find_known(state.known_incarnations, message.acceptor).incarnation:
+        return state, [JoinRejected(state.local_name, message.incarnation, OLDER_DISK_REASON)]
+    known = merge_known(state.known_incarnations, KnownIncarnation(message.acceptor, message.incarnation))
+    state = msgspec.structs.replace(state, known_incarnations=known)
+    reply = JoinAccepted(
+        acceptor=state.local_name,
+        requested=message.incarnation,
+        voting=state.voting,
+        knows_predecessor=find_known(known, message.acceptor).replaced,
+        incarnation=state.incarnation,
+        known_incarnations=known,
+        promised=state.promised,
+        accepted=state.accepted,
+        value=state.value,
+    )
+    return state, [reply]
+
+
+def _handle_join_accepted(state: AcceptorState, message: JoinAccepted) -> AcceptorState:
+    if state.voting or message.requested != state.incarnation:
         return state
-    answers = (*(one for one in state.answers if one.keeper != message.keeper), message)
-    state = msgspec.structs.replace(state, answers=tuple(sorted(answers, key=lambda one: one.keeper)))
-    if not _let_in(state):
+    if any(
+        reply.acceptor == message.acceptor and reply.incarnation > message.incarnation for reply in state.join_replies
+    ):
         return state
-    views, promised = state.views, state.promised
-    newest = max(state.answers, key=lambda one: one.accepted)
-    for one in state.answers:
-        promised = max(promised, one.promised)
-        for seen in (KnownIncarnation(one.keeper, one.life), *one.views):
-            views = noting(views, seen) if seen.name != state.me else views
-    return msgspec.structs.replace(
-        state, voting=True, views=views, promised=promised, accepted=newest.accepted, value=newest.value, answers=()
-    )
+    others = [reply for reply in state.join_replies if reply.acceptor != message.acceptor]
+    replies = tuple(sorted([*others, message], key=lambda reply: reply.acceptor))
+    state = msgspec.structs.replace(state, join_replies=replies)
+    return _join(state) if _may_join(state) else state
+
 
+def _may_join(state: AcceptorState) -> bool:
+    """Whether the replies suffice: a quorum of voting acceptors or, for the very first disk, all other acceptors.
 
-def _let_in(state: AcceptorState) -> bool:
-    """Again: by as many others as make a majority, that vote themselves. The first time: by all of the others, none of
-    which has ever noted another life of this keeper. None of those that count has noted a later life of another."""
-    if agreed(tuple(one for one in state.answers if one.voting), quorum_size(state.keepers)):
+    A disk counts as the first where none of the others has known an earlier one.
+    """
+    voting = tuple(reply for reply in state.join_replies if reply.voting)
+    if consistent_quorum(voting, quorum_size(state.acceptors)):
         return True
-    all_others = agreed(state.answers, len(state.keepers) - 1)
-    return bool(all_others) and not any(one.again for one in all_others)
+    all_others = consistent_quorum(state.join_replies, len(state.acceptors) - 1)
+    return bool(all_others) and not any(reply.knows_predecessor for reply in all_others)
+
+
+def _join(state: AcceptorState) -> AcceptorState:
+    """Take over the highest promise, the newest accepted value and all known incarnations, and begin to vote."""
+    known = state.known_incarnations
+    promised = state.promised
+    for reply in state.join_replies:
+        promised = max(promised, reply.promised)
+        for found in (KnownIncarnation(reply.acceptor, reply.incarnation), *reply.known_incarnations):
+            if found.acceptor != state.local_name:
+                known = merge_known(known, found)
+    newest = max(state.join_replies, key=lambda reply: reply.accepted)
+    return msgspec.structs.replace(
+        state,
+        voting=True,
+        known_incarnations=known,
+        promised=promised,
+        accepted=newest.accepted,
+        value=newest.value,
+        join_replies=(),
+    )
--- a/rackhub/fleet/register/acceptor_shell.py
+++ b/rackhub/fleet/register/acceptor_shell.py
@@ -1,12 +1,14 @@
-"""A keeper on mail, timer and disk: what `voter` answers is told when the state behind it is on disk, not before."""
+"""An acceptor on messages, timers and a disk: a reply is sent only when the state behind it is durable."""
 
 import logging
 from collections import deque
+from collections.abc import Callable
+from typing import NamedTuple
 
 import msgspec
 
 from rackhub.fleet.ports import Disk, Fleet, Name
-from rackhub.fleet.register.acceptor import AcceptorState, new_acceptor, step
+from rackhub.fleet.register.acceptor import AcceptorState, handle, new_acceptor
 from rackhub.fleet.register.messages import (
     DiskIncarnation,
     JoinAccepted,
@@ -20,161 +22,200 @@
 )
 
 log = logging.getLogger(__name__)
+
 DEFAULT_REGISTER = "register"
-ENTER_AGAIN, ENTER_MOST = 200_000, 2_000_000  # between two askings to be let in, longer each time
-WAITING = 256  # answers that wait for the disk; beyond, what comes is dropped as if it was lost
+INITIAL_JOIN_BACKOFF_US = 200_000
+MAX_JOIN_BACKOFF_US = 2_000_000
+MAX_PENDING_WRITES = 256  # beyond, messages are dropped, which the sender handles like a loss
 
 
 def disk_key(register: str) -> str:
-    """Where a voter's state is on its disk."""
+    """The disk key of an acceptor's state."""
     return f"{register}/voter"
 
 
 def request_kind(register: str) -> str:
-    """The kind of mail to a voter."""
+    """The message kind of requests to an acceptor."""
     return register
 
 
 def reply_kind(register: str) -> str:
-    """The kind of mail to a proposer."""
+    """The message kind of replies to a proposer."""
     return f"{register}.told"
 
 
-RULES_DISK_KEY, RULES_REPLY_KIND = (
-    disk_key(DEFAULT_REGISTER),
-    reply_kind(DEFAULT_REGISTER),
-)  # those of the rule book's register
+RULES_DISK_KEY = disk_key(DEFAULT_REGISTER)
+RULES_REPLY_KIND = reply_kind(DEFAULT_REGISTER)
+
+
+class _Envelope(NamedTuple):
+    recipient: Name
+    message: Reply | JoinRequest
+
+
+class _PendingEnvelopes(NamedTuple):
+    """Messages that wait until the write of that number is durable."""
+
+    write_number: int
+    envelopes: list[_Envelope]
+
+
+def _ignore(message: Message) -> None:
+    """The receiver of local replies where there is no local proposer."""
 
 
 class AcceptorShell:
-    """This gateway as one of `keepers`. `boot`: its process's, which only grows. `register`: the name of the register,
-    in its mail and on its disk; a process may vote in several."""
+    """This gateway as one of `acceptors`.
+
+    `boot_number` is this process's. `register` names the register in message kinds and disk keys, so one process can
+    vote in several. Raises `ValueError` where the disk holds the state of another acceptor, or of another set of them.
+    `damage`, unless empty, describes a fault that operators must know of.
+    """
 
     def __init__(
-        self, fleet: Fleet, keepers: tuple[Name, ...], disk: Disk, boot: int, register: str = DEFAULT_REGISTER
+        self,
+        fleet: Fleet,
+        acceptors: tuple[Name, ...],
+        disk: Disk,
+        boot_number: int,
+        register: str = DEFAULT_REGISTER,
     ):
-        self._fleet, self._disk, self.me = fleet, disk, fleet.members.me
+        self._fleet = fleet
+        self._disk = disk
+        self.local_name = fleet.members.me
         self._key = disk_key(register)
-        self._request_kind, self._reply_kind = request_kind(register), reply_kind(register)
-        self._waiting: deque[tuple[int, list[tuple[Name, Reply | JoinRequest]]]] = deque()
-        self._puts = self._synced = 0
-        self._pause = ENTER_AGAIN
-        self._cancel = lambda: None
-        self._ended = False
+        self._request_kind = request_kind(register)
+        self._reply_kind = reply_kind(register)
+        self._pending: deque[_PendingEnvelopes] = deque()
+        self._writes_started = 0
+        self._writes_durable = 0
+        self._join_backoff = INITIAL_JOIN_BACKOFF_US
+        self._cancel_join: Callable[[], None] = lambda: None
+        self._stopped = False
+        self._receive_locally: Callable[[Message], None] = _ignore
         self.damage = ""
-        state = self._load(keepers, boot)
-        self.state = (
-            state if state is not None else new_acceptor(keepers, self.me, DiskIncarnation(boot, disk.identity))
-        )
-        if state is None:
+        stored = self._load(acceptors)
+        if stored is not None:
+            self.state = stored
+        else:
+            self.state = new_acceptor(acceptors, self.local_name, DiskIncarnation(boot_number, disk.identity))
             self._save()
 
-    def _load(self, keepers: tuple[Name, ...], boot: int) -> AcceptorState | None:
-        """What the disk holds of this keeper. What can't be read is as good as another disk: it begins anew."""
-        body = self._disk.get(self._key)
-        if body is None:
-            return None
-        try:
-            state = msgspec.msgpack.decode(body, type=AcceptorState)
-        except msgspec.MsgspecError as bad:
-            self.damage = f"{self._key} can't be read: {bad}"
-            log.error("fleet: %s; it is fetched anew from the other keepers", self.damage)
-            self._fleet.tally("register_damaged", 1)
-            return None
-        if state.me != self.me or set(state.keepers) != set(keepers):
-            raise ValueError(
-                f"keepers: {list(keepers)!r}: the state directory is of {state.me!r} of "
-                f"{list(state.keepers)!r}; a set of keepers can't be changed in place"
-            )
-        return state
+    def connect_local_proposer(self, receive: Callable[[Message], None]) -> None:
+        """Replies to this gateway's own proposer go to `receive` instead of the network."""
+        self._receive_locally = receive
 
     def start(self) -> None:
-        self._fleet.mail.take(self._request_kind, self._mailed)
-        self._enter()
+        """Receive messages, and ask to join until this disk votes."""
+        self._fleet.mail.take(self._request_kind, self._receive_encoded)
+        self._request_join()
 
     def stop(self) -> None:
-        self._ended = True
-        self._cancel()
-
-    def _enter(self) -> None:
-        """Ask to be let in, until enough have answered."""
-        if self.state.voting or self._ended:
+        """Send and receive nothing any more."""
+        self._stopped = True
+        self._cancel_join()
+
+    def receive(self, sender: Name, message: Message) -> None:
+        """Handle one message, also of this gateway's own proposer."""
+        if self._stopped or len(self._pending) >= MAX_PENDING_WRITES:
+            self._fleet.tally("register_dropped", 1)
             return
-        self._after([(name, None) for name in self.state.keepers if name != self.me])
-        self._cancel = self._fleet.later(self._pause, self._enter)
-        self._pause = min(self._pause * 2, ENTER_MOST)
-
-    # ---- what comes
-
-    def _mailed(self, source: Name, body: bytes) -> None:
-        try:
-            message = decode(body)
-        except msgspec.MsgspecError:
+        if isinstance(message, JoinRequest | JoinAccepted | JoinRejected) and message.acceptor != sender:
             self._fleet.tally("register_unread", 1)
             return
-        self.heard(source, message)
-
-    def heard(self, source: Name, message: Message) -> None:
-        """One message, of this gateway's own proposer too."""
-        if self._ended or len(self._waiting) >= WAITING:
-            return self._fleet.tally("register_dropped", 1)
-        if isinstance(message, JoinRequest | JoinAccepted | JoinRejected) and message.keeper != source:
-            return self._fleet.tally("register_unread", 1)
         if isinstance(message, JoinRejected):
-            return self._barred(source, message)
+            self._handle_join_rejected(sender, message)
+            return
         before = self.state
-        self.state, replies = step(before, message)
+        self.state, replies = handle(before, message)
         if self.state != before:
             self._save()
             if self.state.voting and not before.voting:
-                log.warning("fleet: the other keepers have let this one in, whose disk is new")
+                log.warning("fleet: the other acceptors have admitted this one, whose disk is new")
         if replies:
-            self._after([*((source, reply) for reply in replies)])
+            self._send_when_durable([_Envelope(sender, reply) for reply in replies])
 
-    def _barred(self, source: Name, message: JoinRejected) -> None:
-        """The disk was put back; or it is new, and this machine's clock was set back when it was begun: then the boot
-        number has risen by now, and the life with it."""
-        life, boot = self.state.life, self._fleet.members.all()[self.me].boot
-        if message.to != life or self.state.voting:
+    def _receive_encoded(self, sender: Name, body: bytes) -> None:
+        try:
+            message = decode(body)
+        except msgspec.MsgspecError:
+            self._fleet.tally("register_unread", 1)
             return
-        if boot > life.boot:
-            self.state = new_acceptor(self.state.keepers, self.me, DiskIncarnation(boot, life.identity))
-            self._save()
-        elif not self.damage:
-            self.damage = message.why
-            log.error("fleet: %s bars this keeper: %s; give it an empty state directory", source, message.why)
+        self.receive(sender, message)
 
-    # ---- the disk, then the answer
+    # ---- joining
 
-    def _save(self) -> None:
-        self._puts += 1
-        number = self._puts
+    def _request_join(self) -> None:
+        if self.state.voting or self._stopped:
+            return
+        request = JoinRequest(self.local_name, self.state.incarnation)
+        peers = [name for name in self.state.acceptors if name != self.local_name]
+        self._send_when_durable([_Envelope(name, request) for name in peers])
+        self._cancel_join = self._fleet.later(self._join_backoff, self._request_join)
+        self._join_backoff = min(self._join_backoff * 2, MAX_JOIN_BACKOFF_US)
+
+    def _handle_join_rejected(self, sender: Name, message: JoinRejected) -> None:
+        """Begin a new incarnation if the boot number has grown, else report the damage.
+
+        An old disk was restored; or the disk is new but was begun while this machine's clock was set back, and the
+        boot number with it.
+        """
+        incarnation = self.state.incarnation
+        boot_number = self._fleet.members.all()[self.local_name].boot
+        if message.requested != incarnation or self.state.voting:
+            return
+        if boot_number > incarnation.boot_number:
+            incarnation = DiskIncarnation(boot_number, incarnation.identity)
+            self.state = new_acceptor(self.state.acceptors, self.local_name, incarnation)
+            self._save()
+        elif not self.damage:
+            self.damage = message.reason
+            log.error("fleet: %s rejects this acceptor: %s; give it an empty state directory", sender, message.reason)
 
-        def synced() -> None:
-            self._synced = max(self._synced, number)
-            while self._waiting and self._waiting[0][0] <= self._synced:
-                self._tell(self._waiting.popleft()[1])
+    # ---- the disk, and what waits for it
 
-        self._disk.put(self._key, msgspec.msgpack.encode(self.state), synced)
+    def _load(self, acceptors: tuple[Name, ...]) -> AcceptorState | None:
+        """The stored state; None where there is none, or it can't be decoded: then this is a new disk."""
+        body = self._disk.get(self._key)
+        if body is None:
+            return None
+        try:
+            state = msgspec.msgpack.decode(body, type=AcceptorState)
+        except msgspec.MsgspecError as error:
+            self.damage = f"{self._key} can't be read: {error}"
+            log.error("fleet: %s; it is fetched anew from the other acceptors", self.damage)
+            self._fleet.tally("register_damaged", 1)
+            return None
+        if state.local_name != self.local_name or set(state.acceptors) != set(acceptors):
+            raise ValueError(
+                f"keepers: {list(acceptors)!r}: the state directory is of {state.local_name!r} of "
+                f"{list(state.acceptors)!r}; a set of keepers can't be changed in place"
+            )
+        return state
 
-    def _after(self, replies: list[tuple[Name, Reply | None]]) -> None:
-        """Tell what rests on the state as it is now. None: that this life asks to be let in."""
-        said = [(to, reply or JoinRequest(self.me, self.state.life)) for to, reply in replies]
-        if self._synced >= self._puts:
-            self._tell(said)
+    def _save(self) -> None:
+        self._writes_started += 1
+        number = self._writes_started
+        self._disk.put(self._key, msgspec.msgpack.encode(self.state), lambda: self._on_durable(number))
+
+    def _on_durable(self, write_number: int) -> None:
+        self._writes_durable = max(self._writes_durable, write_number)
+        while self._pending and self._pending[0].write_number <= self._writes_durable:
+            self._send(self._pending.popleft().envelopes)
+
+    def _send_when_durable(self, envelopes: list[_Envelope]) -> None:
+        """Send what rests on the present state."""
+        if self._writes_durable >= self._writes_started:
+            self._send(envelopes)
         else:
-            self._waiting.append((self._puts, said))
+            self._pending.append(_PendingEnvelopes(self._writes_started, envelopes))
 
-    def _tell(self, replies: list[tuple[Name, Reply | JoinRequest]]) -> None:
-        for to, reply in replies:
-            if self._ended:
+    def _send(self, envelopes: list[_Envelope]) -> None:
+        for recipient, message in envelopes:
+            if self._stopped:
                 return
-            if to == self.me:
-                self.own(reply)
-            else:
-                self._fleet.mail.send(
-                    to, self._reply_kind if isinstance(reply, Vote) else self._request_kind, encode(reply)
-                )
-
-    def own(self, reply: Reply | JoinRequest) -> None:
-        """Where the own proposer gets its replies; it sets this."""
+            if recipient == self.local_name:
+                self._receive_locally(message)
+                continue
+            kind = self._reply_kind if isinstance(message, Vote) else self._request_kind
+            self._fleet.mail.send(recipient, kind, encode(message))
--- a/rackhub/fleet/register/disk.py
+++ b/rackhub/fleet/register/disk.py
@@ -1,7 +1,8 @@
-"""Where a keeper and a gateway keep what must outlive a restart: on the embedded store, or in memory for trials.
+"""Durable storage of acceptors and gateways: on the embedded store, or in memory for tests and simulations.
 
-A store that can't be read is named, put aside under another name, and begun anew with another identity: what a register
-kept there is gone, and the other keepers let it in again (`entry` in docs/design/rules.md).
+A store that can't be read is reported, renamed, and replaced by an empty one with another identity. What a register
+kept there is lost, and the other acceptors admit this one again (see "A keeper that lost its disk" in
+docs/design/rules.md).
 """
 
 import logging
@@ -12,67 +13,96 @@
 from typing import Any
 
 log = logging.getLogger(__name__)
-IDENTITY, PREFIX, RETAIN = b"disk/identity", b"disk/", 16
+
+KEY_PREFIX = b"disk/"
+IDENTITY_KEY = b"disk/identity"
+IDENTITY_BYTES = 8
+RETAINED_REVISIONS = 16
+MEMORY_SYNC_DELAY_US = 500
 
 
 class StoreDisk:
-    """`ports.Disk` on a store of its own. Opens it; `OSError` and `Locked` where that can't be done."""
+    """`ports.KeyedDisk` on an embedded store of its own.
+
+    `damage`, unless empty, says why the store found at `path` was replaced. The constructor raises `OSError` and
+    `store.Locked` where the store can't be opened and, with `files`, `store.Corrupt`.
+    """
 
     def __init__(self, reactor: Any, path: str | Path, files: Any = None):
-        from rackhub.store import Corrupt, Options, Store
         from rackhub.store.driver import Driver
 
-        self._reactor, self._path, self.damage = reactor, Path(path), ""
+        self._path = Path(path)
+        self._files = files
         self._driver = Driver(reactor)
-        options = Options(retain_revisions=RETAIN)
-
-        def opened() -> Any:
-            store = Store.open(self._path, options, files=files, wake=self._driver.wake)
-            try:
-                for _ in store.scan(PREFIX, PREFIX + b"\xff"):  # damage is found now: what is lost later is lost unseen
-                    pass
-            except Corrupt:
-                store.close()
-                raise
-            return store
-
-        try:
-            self._store = opened()
-        except Corrupt as bad:
-            self.damage = str(bad)
-            aside = self._path.with_name(f"{self._path.name}.damaged-{time.time_ns()}")
-            log.error(
-                "fleet: %s: %s; it is put aside as %s, and what it held is fetched from the others",
-                path,
-                bad,
-                aside.name,
-            )
-            if files is not None:
-                raise
-            self._path.rename(aside)
-            self._store = opened()
+        self.damage = ""
+        self._store = self._open_or_replace()
         self._driver.drive(self._store)
-        found = self._store.get(IDENTITY)
-        self.identity = found.value.decode() if found is not None else os.urandom(8).hex()
-        if found is None:
-            self._commit({IDENTITY: self.identity.encode()}, lambda: None)
+        found = self._store.get(IDENTITY_KEY)
+        if found is not None:
+            self.identity = found.value.decode()
+        else:
+            self.identity = os.urandom(IDENTITY_BYTES).hex()
+            self._commit({IDENTITY_KEY: self.identity.encode()}, lambda: None)
 
     def get(self, key: str) -> bytes | None:
-        found = self._store.get(PREFIX + key.encode())
+        """The value written last, durable or not."""
+        found = self._store.get(KEY_PREFIX + key.encode())
         return None if found is None else bytes(found.value)
 
     def put(self, key: str, body: bytes, done: Callable[[], None]) -> None:
-        """`done` is called when it is on disk, in the order of the calls; never where the disk fails for good."""
-        self._commit({PREFIX + key.encode(): body}, done)
+        """Write one key; `done` is called once it is durable, in the order of the writes, and never if that fails."""
+        self._commit({KEY_PREFIX + key.encode(): body}, done)
 
     def write(self, changes: Mapping[str, bytes | None], done: Callable[[], None]) -> None:
-        """As `put`, of many keys together; None deletes one."""
-        self._commit({PREFIX + key.encode(): body for key, body in changes.items()}, done)
+        """As `put`, for several keys atomically; None deletes a key."""
+        self._commit({KEY_PREFIX + key.encode(): body for key, body in changes.items()}, done)
 
     def scan(self, prefix: str) -> Iterator[tuple[str, bytes]]:
-        start = PREFIX + prefix.encode()
+        """The keys with that prefix and their values, in order of key."""
+        start = KEY_PREFIX + prefix.encode()
         for found in self._store.scan(start, start + b"\xff"):
-            yield found.key[len(PREFIX) :].decode(), bytes(found.value)
+            yield found.key[len(KEY_PREFIX) :].decode(), bytes(found.value)
+
+    def end(self) -> None:
+        """Close the store; a failure is logged."""
+        from rackhub.store import StoreError
+
+        try:
+            self._driver.end()
+        except StoreError as error:
+            self._log_failure(error)
+
+    def _open_or_replace(self) -> Any:
+        from rackhub.store import Corrupt
+
+        try:
+            return self._open()
+        except Corrupt as error:
+            self.damage = str(error)
+            aside = self._path.with_name(f"{self._path.name}.damaged-{time.time_ns()}")
+            log.error(
+                "fleet: %s: %s; it is put aside as %s, and what it held is fetched from the others",
+                self._path,
+                error,
+                aside.name,
+            )
+            if self._files is not None:
+                raise
+            self._path.rename(aside)
+            return self._open()
+
+    def _open(self) -> Any:
+        from rackhub.store import Corrupt, Options, Store
+
+        options = Options(retain_revisions=RETAINED_REVISIONS)
+        store = Store.open(self._path, options, files=self._files, wake=self._driver.wake)
+        try:
+            for _ in store.scan(KEY_PREFIX, KEY_PREFIX + b"\xff"):  # read all, so that damage is found at the start
+                pass
+        except Corrupt:
+            store.close()
+            raise
+        return store
 
     def _commit(self, changes: Mapping[bytes, bytes | None], done: Callable[[], None]) -> None:
         from rackhub.store import BadBatch, Batch, ReadOnly
@@ -84,67 +114,77 @@
             else:
                 batch.put(key, body)
 
-        def told(error: Exception | None) -> None:
+        def acknowledged(error: Exception | None) -> None:
             if error is None:
                 done()
-            else:  # in doubt: what waits for it stays untold, as if this keeper were not there
-                log.error("fleet: %s: %s", self._path, error)
+            else:  # it may be durable or not, so what waits for it is never sent
+                self._log_failure(error)
 
         try:
-            self._store.commit(batch, acknowledged=told)
-        except (ReadOnly, BadBatch) as bad:
-            log.error("fleet: %s: %s", self._path, bad)
-
-    def end(self) -> None:
-        from rackhub.store import StoreError
+            self._store.commit(batch, acknowledged=acknowledged)
+        except (ReadOnly, BadBatch) as error:
+            self._log_failure(error)
 
-        try:
-            self._driver.end()
-        except StoreError as bad:
-            log.error("fleet: %s: %s", self._path, bad)
+    def _log_failure(self, error: Exception) -> None:
+        log.error("fleet: %s: %s", self._path, error)
 
 
 class MemoryDisk:
-    """A disk that syncs after a while, and loses at a power cut what was not synced by then. For trials."""
+    """`ports.KeyedDisk` in memory, for tests and simulations: a crash loses what is not durable yet.
 
-    def __init__(self, later: Callable[[int, Callable[[], None]], Any], identity: str, delay: int = 500):
-        self.identity, self._later, self._delay = identity, later, delay
-        self._synced: dict[str, bytes] = {}
-        self._held: dict[str, bytes] = {}
-        self._boot = 0
+    `later` calls back after so many microseconds; a write is durable after `delay` microseconds. `puts` counts writes.
+    """
+
+    def __init__(
+        self, later: Callable[[int, Callable[[], None]], Any], identity: str, delay: int = MEMORY_SYNC_DELAY_US
+    ):
+        self.identity = identity
         self.puts = 0
+        self._later = later
+        self._delay = delay
+        self._synced: dict[str, bytes] = {}
+        self._written: dict[str, bytes] = {}
+        self._crashes = 0
 
     def get(self, key: str) -> bytes | None:
-        return self._held.get(key)
+        """The value written last, durable or not."""
+        return self._written.get(key)
 
     def put(self, key: str, body: bytes, done: Callable[[], None]) -> None:
+        """Write one key; `done` is called once it is durable, never if there is a crash before."""
         self.write({key: body}, done)
 
     def scan(self, prefix: str) -> Iterator[tuple[str, bytes]]:
-        yield from [(key, self._held[key]) for key in sorted(self._held) if key.startswith(prefix)]
+        """The keys with that prefix and their values, in order of key."""
+        yield from [(key, self._written[key]) for key in sorted(self._written) if key.startswith(prefix)]
 
     def write(self, changes: Mapping[str, bytes | None], done: Callable[[], None]) -> None:
-        boot = self._boot
-        _put_all(self._held, changes)
+        """As `put`, for several keys atomically; None deletes a key."""
+        crashes_before = self._crashes
+        _apply(self._written, changes)
         self.puts += 1
 
         def synced() -> None:
-            if boot == self._boot:
-                _put_all(self._synced, changes)
+            if self._crashes == crashes_before:
+                _apply(self._synced, changes)
                 done()
 
         self._later(self._delay, synced)
 
     def crash(self) -> None:
-        """The machine's power is gone: what was not synced is lost."""
-        self._held, self._boot = dict(self._synced), self._boot + 1
+        """Lose what is not durable, as by a power cut."""
+        self._written = dict(self._synced)
+        self._crashes += 1
 
     def wipe(self, identity: str) -> None:
-        """Another disk, with nothing on it."""
-        self._synced, self._held, self._boot, self.identity = {}, {}, self._boot + 1, identity
+        """Become another, empty disk."""
+        self._synced = {}
+        self._written = {}
+        self._crashes += 1
+        self.identity = identity
 
 
-def _put_all(values: dict[str, bytes], changes: Mapping[str, bytes | None]) -> None:
+def _apply(values: dict[str, bytes], changes: Mapping[str, bytes | None]) -> None:
     for key, body in changes.items():
         if body is None:
             values.pop(key, None)
--- a/rackhub/fleet/register/messages.py
+++ b/rackhub/fleet/register/messages.py
@@ -1,117 +1,170 @@
-"""What keepers and proposers say to one another: plain data, the same in the exploration and on the wire."""
+"""The messages between acceptors and proposers, and the rules for counting a quorum of replies.
+
+Plain data: the explorer of message orders and the network use the same types. Encoded names differ from the attribute
+names where `rename` says so: they are a stable format, shared with processes of other versions.
+"""
 
 from collections.abc import Callable
-from typing import Any, NamedTuple, TypeVar
+from typing import NamedTuple, TypeVar
 
 import msgspec
 
 from rackhub.fleet.ports import MAIL
 
-MAX_VALUE_BYTES = MAIL - 4_096  # most bytes of the value: with all that goes along it fits in one piece of mail
-MAX_BALLOT_NUMBER = 1 << 48  # a ballot beyond is nonsense: nothing honest gets there
+MESSAGE_OVERHEAD_BYTES = 4_096  # reserved for the other fields of a message that carries the value
+MAX_VALUE_BYTES = MAIL - MESSAGE_OVERHEAD_BYTES
+MAX_BALLOT_NUMBER = 1 << 48  # limits what a malformed message can do: no proposer gets there
 
 
 class Ballot(NamedTuple):
-    """Who proposes, for the how manieth time. No two rounds have the same: a boot number never comes again."""
+    """The identifier of one round, ordered. Unique, because a proposer's boot number is never used twice."""
 
     number: int = 0
-    name: str = ""
-    boot: int = 0
+    proposer: str = ""
+    boot_number: int = 0
 
 
 class DiskIncarnation(NamedTuple):
-    """One disk of one keeper: when it was first used, by the boot number, and what was drawn then. A later one of the
-    same keeper is greater: it has lost what the earlier one knew."""
+    """One disk of one acceptor: the boot number at its first use, and the identity drawn then.
+
+    A greater incarnation of the same acceptor is a newer disk, which lost what the earlier one stored.
+    """
 
-    boot: int = 0
+    boot_number: int = 0
     identity: str = ""
 
 
-NONE, NO_INCARNATION = Ballot(), DiskIncarnation()
+NO_BALLOT = Ballot()
+NO_INCARNATION = DiskIncarnation()
 
 
 class KnownIncarnation(NamedTuple):
-    """The newest life of another keeper that one has noted; `again`: there was an earlier one."""
+    """The newest disk incarnation of another acceptor that one knows of.
+
+    `replaced`: an earlier incarnation was known before.
+    """
 
-    name: str
-    life: DiskIncarnation
-    again: bool = False
+    acceptor: str
+    incarnation: DiskIncarnation
+    replaced: bool = False
 
 
-Views = tuple[KnownIncarnation, ...]  # in order of names
+KnownIncarnations = tuple[KnownIncarnation, ...]  # ordered by the acceptors' names
 
 
-class Prepare(msgspec.Struct, frozen=True, tag="prepare"):
-    """Promise to take nothing below `ballot`. `known`: the value accepted under it need not be sent along. `keepers`:
-    those that the proposer counts a majority of."""
+class Prepare(msgspec.Struct, frozen=True, tag="prepare", rename={"acceptors": "keepers", "known_ballot": "known"}):
+    """Phase 1 request: promise to accept nothing below `ballot`.
+
+    `acceptors` is the set of which the proposer counts a quorum. The value accepted under `known_ballot` need not be
+    returned: the proposer has it.
+    """
 
     ballot: Ballot
-    keepers: tuple[str, ...]
-    known: Ballot = NONE
+    acceptors: tuple[str, ...]
+    known_ballot: Ballot = NO_BALLOT
+
 
+class Promise(
+    msgspec.Struct,
+    frozen=True,
+    tag="promise",
+    rename={"acceptor": "keeper", "incarnation": "life", "known_incarnations": "views"},
+):
+    """Phase 1 reply: the ballot accepted last and its value, None where the proposer has it or there is none."""
 
-class Promise(msgspec.Struct, frozen=True, tag="promise"):
     ballot: Ballot
-    keeper: str
-    life: DiskIncarnation
-    views: Views
+    acceptor: str
+    incarnation: DiskIncarnation
+    known_incarnations: KnownIncarnations
     accepted: Ballot
     value: bytes | None
 
 
-class Accept(msgspec.Struct, frozen=True, tag="accept"):
+class Accept(msgspec.Struct, frozen=True, tag="accept", rename={"acceptors": "keepers"}):
+    """Phase 2 request: accept `value` under `ballot`."""
+
     ballot: Ballot
-    keepers: tuple[str, ...]
+    acceptors: tuple[str, ...]
     value: bytes
 
 
-class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
+class Accepted(
+    msgspec.Struct,
+    frozen=True,
+    tag="accepted",
+    rename={"acceptor": "keeper", "incarnation": "life", "known_incarnations": "views"},
+):
+    """Phase 2 reply: the value is accepted under `ballot`, and durable."""
+
     ballot: Ballot
-    keeper: str
-    life: DiskIncarnation
-    views: Views
+    acceptor: str
+    incarnation: DiskIncarnation
+    known_incarnations: KnownIncarnations
+
 
+class Rejected(msgspec.Struct, frozen=True, tag="refused", rename={"acceptor": "keeper", "abstain_reason": "abstains"}):
+    """The negative reply to either phase.
 
-class Rejected(msgspec.Struct, frozen=True, tag="refused"):
-    """`promised`: what stands against it; `abstains`: why this keeper answers nothing now."""
+    `promised` is the ballot that takes precedence; `abstain_reason`, unless empty, says why this acceptor votes on no
+    ballot of the request's kind now.
+    """
 
     ballot: Ballot
-    keeper: str
+    acceptor: str
     promised: Ballot
-    abstains: str = ""
+    abstain_reason: str = ""
+
 
+class JoinRequest(msgspec.Struct, frozen=True, tag="enter", rename={"acceptor": "keeper", "incarnation": "life"}):
+    """From an acceptor whose disk is new: record this incarnation, and reply with your state."""
 
-class JoinRequest(msgspec.Struct, frozen=True, tag="enter"):
-    """A keeper whose disk is new asks the others to note its life and to say what they hold."""
+    acceptor: str
+    incarnation: DiskIncarnation
 
-    keeper: str
-    life: DiskIncarnation
 
+class JoinAccepted(
+    msgspec.Struct,
+    frozen=True,
+    tag="noted",
+    rename={
+        "acceptor": "keeper",
+        "requested": "to",
+        "knows_predecessor": "again",
+        "incarnation": "life",
+        "known_incarnations": "views",
+    },
+):
+    """The requested incarnation is recorded durably; the rest is the replying acceptor's own state.
 
-class JoinAccepted(msgspec.Struct, frozen=True, tag="noted"):
-    """The answer: synced before it was told. `again`: it has known an earlier disk of that keeper."""
+    `knows_predecessor`: the replying acceptor has known an earlier disk of the requester.
+    """
 
-    keeper: str
-    to: DiskIncarnation
+    acceptor: str
+    requested: DiskIncarnation
     voting: bool
-    again: bool
-    life: DiskIncarnation
-    views: Views
+    knows_predecessor: bool
+    incarnation: DiskIncarnation
+    known_incarnations: KnownIncarnations
     promised: Ballot
     accepted: Ballot
     value: bytes | None
 
 
-class JoinRejected(msgspec.Struct, frozen=True, tag="barred"):
-    """The other answer: this disk is never let in."""
+class JoinRejected(
+    msgspec.Struct,
+    frozen=True,
+    tag="barred",
+    rename={"acceptor": "keeper", "requested": "to", "reason": "why"},
+):
+    """The requested incarnation is older than a known one, and can never join."""
 
-    keeper: str
-    to: DiskIncarnation
-    why: str
+    acceptor: str
+    requested: DiskIncarnation
+    reason: str
 
 
-T = TypeVar("T", Promise, Accepted, JoinAccepted)
-Request = Prepare | Accept | JoinRequest  # to a keeper
+ReplyT = TypeVar("ReplyT", bound=Promise | Accepted | JoinAccepted)
+Request = Prepare | Accept | JoinRequest  # to an acceptor
 Vote = Promise | Accepted | Rejected  # to a proposer
 Reply = Vote | JoinAccepted | JoinRejected
 Message = Request | Reply
@@ -120,37 +173,56 @@
 decode: Callable[[bytes], Message] = msgspec.msgpack.Decoder(Message).decode
 
 
-def quorum_size(keepers: tuple[str, ...]) -> int:
-    return len(keepers) // 2 + 1
+def quorum_size(acceptors: tuple[str, ...]) -> int:
+    """How many of the acceptors are a majority."""
+    return len(acceptors) // 2 + 1
+
+
+def find_known(known: KnownIncarnations, acceptor: str) -> KnownIncarnation:
+    """What is known of that acceptor's disk; `NO_INCARNATION` where nothing is."""
+    for one in known:
+        if one.acceptor == acceptor:
+            return one
+    return KnownIncarnation(acceptor, NO_INCARNATION)
+
 
+def merge_known(known: KnownIncarnations, found: KnownIncarnation) -> KnownIncarnations:
+    """Add one: an acceptor's newest incarnation only grows, and `replaced` is never reset."""
+    before = find_known(known, found.acceptor)
+    differs = before.incarnation not in (NO_INCARNATION, found.incarnation) and found.incarnation != NO_INCARNATION
+    after = KnownIncarnation(
+        found.acceptor,
+        max(before.incarnation, found.incarnation),
+        before.replaced or found.replaced or differs,
+    )
+    if after == before:
+        return known
+    others = [one for one in known if one.acceptor != found.acceptor]
+    return tuple(sorted([*others, after]))
 
-def view(views: Views, name: str) -> KnownIncarnation:
-    return next((one for one in views if one.name == name), KnownIncarnation(name, NO_INCARNATION))
 
+def consistent_quorum(replies: tuple[ReplyT, ...], size: int) -> tuple[ReplyT, ...]:
+    """The first `size` replies that are pairwise consistent; empty where there are not so many.
 
-def noting(views: Views, found: KnownIncarnation) -> Views:
-    """The newest life of each only grows; that there was an earlier one is never forgotten."""
-    known = view(views, found.name)
-    other = known.life not in (NO_INCARNATION, found.life) and found.life != NO_INCARNATION
-    after = KnownIncarnation(found.name, max(known.life, found.life), known.again or found.again or other)
-    return views if after == known else tuple(sorted([*(one for one in views if one.name != found.name), after]))
+    A quorum of inconsistent replies could count what an acceptor said before it lost its disk.
+    """
+    return _extend_quorum((), replies, size)
 
 
-def agreed(replies: tuple[T, ...], many: int) -> tuple[T, ...]:
-    """So many of the replies of which none has noted a later life of another; none where there are not so many. Only
-    such make a majority: else one may count what a keeper said before it forgot it."""
+def _extend_quorum(chosen: tuple[ReplyT, ...], candidates: tuple[ReplyT, ...], size: int) -> tuple[ReplyT, ...]:
+    if len(chosen) == size:
+        return chosen
+    for index, candidate in enumerate(candidates):
+        if all(_consistent(candidate, other) for other in chosen):
+            found = _extend_quorum((*chosen, candidate), candidates[index + 1 :], size)
+            if found:
+                return found
+    return ()
 
-    def grow(chosen: tuple[Any, ...], rest: tuple[Any, ...]) -> tuple[Any, ...]:
-        if len(chosen) == many:
-            return chosen
-        for i, one in enumerate(rest):
-            if all(
-                view(one.views, other.keeper).life <= other.life and view(other.views, one.keeper).life <= one.life
-                for other in chosen
-            ):
-                found = grow((*chosen, one), rest[i + 1 :])
-                if found:
-                    return found
-        return ()
 
-    return grow((), replies)
+def _consistent(one: ReplyT, other: ReplyT) -> bool:
+    """Whether neither sender knows of a newer disk of the other one than the disk that replied."""
+    return (
+        find_known(one.known_incarnations, other.acceptor).incarnation <= other.incarnation
+        and find_known(other.known_incarnations, one.acceptor).incarnation <= one.incarnation
+    )
--- a/rackhub/fleet/register/proposer.py
+++ b/rackhub/fleet/register/proposer.py
@@ -1,10 +1,10 @@
-"""A proposer on mail and timers, at any gateway: one change at a time, rounds with a limit, back-off by chance."""
+"""A proposer on messages and timers, at any gateway: one change at a time, limited attempts, randomized backoff."""
 
 import logging
 import random
 import secrets
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any, Literal, NamedTuple
 
 import msgspec
@@ -13,7 +13,7 @@
 from rackhub.fleet.register.acceptor_shell import DEFAULT_REGISTER, AcceptorShell, reply_kind, request_kind
 from rackhub.fleet.register.messages import (
     MAX_VALUE_BYTES,
-    NONE,
+    NO_BALLOT,
     Accept,
     Accepted,
     Ballot,
@@ -25,18 +25,34 @@
     decode,
     encode,
 )
-from rackhub.fleet.register.round import Beaten, Change, Chosen, Round, begin, heard
+from rackhub.fleet.register.round import (
+    Change,
+    Chosen,
+    Effect,
+    Round,
+    describe_abstentions,
+    handle_reply,
+    start_round,
+)
 
 log = logging.getLogger(__name__)
-AGAIN = 150_000  # until those who have not answered are asked once more
-TRIES = 3  # askings of one round, before another round
-BACKOFF, BACKOFF_MOST = 20_000, 1_000_000
-DRAWN = 12  # bits
-QUEUE = 64  # changes that wait; beyond, they are refused at once
+
+RESEND_INTERVAL_US = 150_000
+MAX_ATTEMPTS = 3  # sends of one request before another round
+INITIAL_BACKOFF_US = 20_000
+MAX_BACKOFF_US = 1_000_000
+MAX_BACKOFF_DOUBLINGS = 8
+RANDOM_BOOT_BITS = 12
+MAX_QUEUED_CHANGES = 64  # beyond, changes are rejected at once
+STOPPED_REASON = "this gateway ends"
 
 
 class Outcome(NamedTuple):
-    """`done`: chosen, `answer` is the change's. `refused`: certainly not done, `why` says it. `unknown`: perhaps."""
+    """The result of a change.
+
+    `done`: `value` is chosen, `answer` is the change's. `refused`: certainly not done, for `reason`. `unknown`: it may
+    have been done or may still be.
+    """
 
     kind: Literal["done", "refused", "unknown"]
     value: bytes | None = None
@@ -44,173 +60,213 @@
     reason: str = ""
 
 
-class _Work(NamedTuple):
+class _QueuedChange(NamedTuple):
     change: Change
     done: Callable[[Outcome], None]
-    until: int
+    deadline: int  # microseconds of the fleet's clock
 
 
 class Proposer:
-    """Changes the register of that name. `boot`: this process's; with a name and a number no ballot comes twice."""
+    """Changes the register of that name.
+
+    `boot_number` is this process's: with the name and a number it makes ballots unique. `local_acceptor` is the one in
+    this process, if any.
+    """
 
     def __init__(
         self,
         fleet: Fleet,
-        keepers: tuple[Name, ...],
-        boot: int,
-        keeper: AcceptorShell | None = None,
+        acceptors: tuple[Name, ...],
+        boot_number: int,
+        local_acceptor: AcceptorShell | None = None,
         register: str = DEFAULT_REGISTER,
     ):
-        self._fleet, self._keepers, self._keeper = fleet, keepers, keeper
-        self._request_kind, self._reply_kind = request_kind(register), reply_kind(register)
+        self._fleet = fleet
+        self._local_name = fleet.members.me
+        self._acceptors = acceptors
+        self._local_acceptor = local_acceptor
+        self._request_kind = request_kind(register)
+        self._reply_kind = reply_kind(register)
         # a gateway without a state directory has its boot number from the wall clock, which may be set back
-        self._boot = boot << DRAWN | secrets.randbits(DRAWN)
-        self._random = random.Random(f"{fleet.seed} proposer {fleet.members.me} {boot}")
-        self._queue: deque[_Work] = deque()
-        self._work: _Work | None = None
+        self._unique_boot = boot_number << RANDOM_BOOT_BITS | secrets.randbits(RANDOM_BOOT_BITS)
+        self._random = random.Random(f"{fleet.seed} proposer {self._local_name} {boot_number}")
+        self._queue: deque[_QueuedChange] = deque()
+        self._current: _QueuedChange | None = None
         self._round: Round | None = None
-        self._said: Prepare | Accept | None = None
-        self._tries = self._rounds = 0
-        self._offered = False  # in any round of this change
-        self._why = ""
-        self._known: tuple[Ballot, bytes | None] = (NONE, None)
-        self._top = 0
-        self._cancel: Callable[[], None] = lambda: None
-        if keeper is not None:
-            keeper.own = self._heard  # type: ignore[method-assign]
+        self._request: Prepare | Accept | None = None
+        self._attempts = 0  # sends of the present request
+        self._rounds = 0  # of the present change
+        self._accept_sent = False  # in any round of the present change
+        self._failure_reason = ""
+        self._known_ballot = NO_BALLOT
+        self._known_value: bytes | None = None
+        self._highest_number = 0
+        self._cancel_timer: Callable[[], None] = lambda: None
+        if local_acceptor is not None:
+            local_acceptor.connect_local_proposer(self._receive)
 
     def start(self) -> None:
-        self._fleet.mail.take(self._reply_kind, self._mailed)
+        """Receive replies."""
+        self._fleet.mail.take(self._reply_kind, self._receive_encoded)
 
     def stop(self) -> None:
-        """What is under way has no known outcome here."""
-        self._cancel()
-        left, self._queue = list(self._queue), deque()
-        if self._work is not None:
-            work, offered = self._work, self._offered
-            self._work = self._round = None
-            work.done(Outcome("unknown" if offered else "refused", reason="this gateway ends"))
-        for work in left:
-            work.done(Outcome("refused", reason="this gateway ends"))
+        """End all changes: the outcome of one that acceptors may have accepted is unknown."""
+        self._cancel_timer()
+        queued = list(self._queue)
+        self._queue = deque()
+        if self._current is not None:
+            current = self._current
+            outcome = self._failure(STOPPED_REASON)
+            self._current = None
+            self._round = None
+            current.done(outcome)
+        for one in queued:
+            one.done(Outcome("refused", reason=STOPPED_REASON))
 
     def change(self, change: Change, done: Callable[[Outcome], None], within: int) -> None:
-        """`change` may be called several times, with other values: it must depend on nothing else. `done` once."""
-        if len(self._queue) >= QUEUE:
-            return done(Outcome("refused", reason=f"{QUEUE} changes wait already"))
-        self._queue.append(_Work(change, done, self._fleet.clock.now() + within))
-        if self._work is None:
-            self._next()
+        """Apply `change` to the value, and call `done` once, after some more than `within` microseconds at the latest.
+
+        `change` may be called several times, with other values, so it must be a pure function.
+        """
+        if len(self._queue) >= MAX_QUEUED_CHANGES:
+            done(Outcome("refused", reason=f"{MAX_QUEUED_CHANGES} changes wait already"))
+            return
+        self._queue.append(_QueuedChange(change, done, self._fleet.clock.now() + within))
+        if self._current is None:
+            self._start_next_change()
 
     def read(self, done: Callable[[Outcome], None], within: int) -> None:
-        """The value as it is at a moment between now and the answer."""
+        """The value at some moment between the call and the answer (a linearizable read)."""
         self.change(lambda value: (value, None), done, within)
 
     # ---- one change
 
-    def _next(self) -> None:
-        self._work = self._queue.popleft() if self._queue else None
-        self._offered, self._rounds, self._why = False, 0, ""
-        if self._work is not None:
-            self._begin()
+    def _start_next_change(self) -> None:
+        self._current = self._queue.popleft() if self._queue else None
+        self._accept_sent = False
+        self._rounds = 0
+        self._failure_reason = ""
+        if self._current is not None:
+            self._start_round()
 
-    def _begin(self) -> None:
-        work = self._work
-        if work is None:
+    def _start_round(self) -> None:
+        if self._current is None:
             return
-        if self._fleet.clock.now() >= work.until:
-            return self._over(Outcome("unknown" if self._offered else "refused", reason=self._lacking()))
-        self._top += 1
-        ballot = Ballot(self._top, self._fleet.members.me, self._boot)
-        self._round, prepare = begin(self._keepers, ballot, *self._known)
+        if self._fleet.clock.now() >= self._current.deadline:
+            self._finish(self._failure(self._describe_missing_quorum()))
+            return
+        self._highest_number += 1
+        ballot = Ballot(self._highest_number, self._local_name, self._unique_boot)
+        self._round, prepare = start_round(self._acceptors, ballot, self._known_ballot, self._known_value)
         self._rounds += 1
-        self._say(prepare)
+        self._send_request(prepare)
 
-    def _say(self, message: Prepare | Accept) -> None:
-        self._said, self._tries = message, 0
-        self._send()
+    def _failure(self, reason: str) -> Outcome:
+        return Outcome("unknown" if self._accept_sent else "refused", reason=reason)
 
-    def _send(self) -> None:
-        state, message = self._round, self._said
-        if state is None or message is None:
-            return
-        self._tries += 1
-        if self._tries > TRIES:
-            self._why = self._lacking()
-            return self._back_off()
-        replied = state.accepts if state.offered else state.promises
-        for name in self._keepers:
-            if any(one.keeper == name for one in replied):
-                continue
-            if name != self._fleet.members.me:
-                self._fleet.mail.send(name, self._request_kind, encode(message))
-            elif self._keeper is not None:
-                self._local(message)
-        self._cancel = self._fleet.later(AGAIN, self._send)
-
-    def _local(self, message: Message) -> None:
-        keeper = self._keeper
-        if keeper is not None:
-            self._fleet.later(0, lambda: keeper.heard(keeper.me, message))
+    def _finish(self, outcome: Outcome) -> None:
+        self._cancel_timer()
+        finished = self._current
+        self._current = None
+        self._round = None
+        if finished is not None:
+            finished.done(outcome)
+        if self._current is None:  # `done` may have started another change
+            self._start_next_change()
 
     def _back_off(self) -> None:
-        self._cancel()
+        self._cancel_timer()
         self._round = None
-        most = min(BACKOFF << min(self._rounds, 8), BACKOFF_MOST)
-        self._cancel = self._fleet.later(self._random.randint(most // 4, most), self._begin)
+        longest = min(INITIAL_BACKOFF_US << min(self._rounds, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_US)
+        delay = self._random.randint(longest // 4, longest)
+        self._cancel_timer = self._fleet.later(delay, self._start_round)
 
-    def _lacking(self) -> str:
-        """Why there is no majority, as far as it is known."""
+    def _describe_missing_quorum(self) -> str:
+        """Why there is no quorum, as far as it is known."""
         state = self._round
         if state is None:
-            return self._why or "no majority of the keepers answered"
-        replied = {one.keeper for one in state.refusals} | {one.keeper for one in state.promises}
-        replied |= {one.keeper for one in state.accepts}
-        silent = [name for name in self._keepers if name not in replied]
-        abstain = [f"{one.keeper} abstains: {one.abstains}" for one in state.refusals if one.abstains]
-        words = [f"no answer from {', '.join(silent)}"] if silent else []
-        return f"no majority of the keepers {', '.join(self._keepers)}: " + "; ".join([*words, *abstain])
+            return self._failure_reason or "no majority of the keepers answered"
+        replies: list[Vote] = [*state.rejections, *state.promises, *state.accepts]
+        replied = {reply.acceptor for reply in replies}
+        silent = [name for name in self._acceptors if name not in replied]
+        reasons = [f"no answer from {', '.join(silent)}"] if silent else []
+        reasons += describe_abstentions(state.rejections)
+        return f"no majority of the keepers {', '.join(self._acceptors)}: " + "; ".join(reasons)
 
-    # ---- what comes
+    # ---- requests
 
-    def _mailed(self, source: Name, body: bytes) -> None:
+    def _send_request(self, request: Prepare | Accept) -> None:
+        self._request = request
+        self._attempts = 0
+        self._send_attempt()
+
+    def _send_attempt(self) -> None:
+        """Send the request to all acceptors that have not replied positively, and again after a while."""
+        request = self._request
+        if self._round is None or request is None:
+            return
+        self._attempts += 1
+        if self._attempts > MAX_ATTEMPTS:
+            self._failure_reason = self._describe_missing_quorum()
+            self._back_off()
+            return
+        replies: Sequence[Promise | Accepted] = self._round.accepts if self._round.accept_sent else self._round.promises
+        replied = {reply.acceptor for reply in replies}
+        for name in self._acceptors:
+            if name not in replied:
+                self._send(name, request)
+        self._cancel_timer = self._fleet.later(RESEND_INTERVAL_US, self._send_attempt)
+
+    def _send(self, acceptor: Name, request: Prepare | Accept) -> None:
+        if acceptor != self._local_name:
+            self._fleet.mail.send(acceptor, self._request_kind, encode(request))
+            return
+        local = self._local_acceptor
+        if local is not None:
+            self._fleet.later(0, lambda: local.receive(local.local_name, request))
+
+    # ---- replies
+
+    def _receive_encoded(self, sender: Name, body: bytes) -> None:
         try:
             message = decode(body)
         except msgspec.MsgspecError:
-            return self._fleet.tally("register_unread", 1)
-        if isinstance(message, Promise | Accepted | Rejected) and message.keeper == source:
-            self._heard(message)
+            self._fleet.tally("register_unread", 1)
+            return
+        if isinstance(message, Promise | Accepted | Rejected) and message.acceptor == sender:
+            self._receive(message)
         else:
             self._fleet.tally("register_unread", 1)
 
-    def _heard(self, reply: Message) -> None:
-        work, state = self._work, self._round
-        if work is None or state is None or not isinstance(reply, Vote):
+    def _receive(self, reply: Message) -> None:
+        if self._current is None or self._round is None or not isinstance(reply, Vote):
             return
         try:
-            self._round, effects = heard(state, reply, work.change)
-        except Exception as bad:  # the change's own fault must not end the proposer
+            self._round, effects = handle_reply(self._round, reply, self._current.change)
+        except Exception as error:  # the caller's change must not end the proposer
             log.exception("fleet: a change of the register failed")
-            return self._over(Outcome("unknown" if self._offered else "refused", reason=str(bad)))
+            self._finish(self._failure(str(error)))
+            return
         for effect in effects:
-            if isinstance(effect, Accept):
-                if len(effect.value) > MAX_VALUE_BYTES:
-                    return self._over(
-                        Outcome("refused", reason=f"{len(effect.value)} bytes, more than {MAX_VALUE_BYTES}")
-                    )
-                self._cancel()
-                self._offered = True
-                self._say(effect)
-            elif isinstance(effect, Chosen):
-                self._known = (effect.ballot, effect.value)
-                self._over(Outcome("done", effect.value, effect.answer))
-            elif isinstance(effect, Beaten):
-                self._top, self._why = max(self._top, effect.above.number), effect.why
-                self._back_off()
-
-    def _over(self, outcome: Outcome) -> None:
-        self._cancel()
-        work, self._work, self._round = self._work, None, None
-        if work is not None:
-            work.done(outcome)
-        if self._work is None:
-            self._next()
+            self._perform(effect)
+
+    def _perform(self, effect: Effect) -> None:
+        if isinstance(effect, Accept):
+            self._propose(effect)
+        elif isinstance(effect, Chosen):
+            self._known_ballot = effect.ballot
+            self._known_value = effect.value
+            self._finish(Outcome("done", effect.value, effect.answer))
+        else:
+            self._highest_number = max(self._highest_number, effect.highest_ballot.number)
+            self._failure_reason = effect.reason
+            self._back_off()
+
+    def _propose(self, accept: Accept) -> None:
+        size = len(accept.value)
+        if size > MAX_VALUE_BYTES:
+            self._finish(Outcome("refused", reason=f"{size} bytes, more than {MAX_VALUE_BYTES}"))
+            return
+        self._cancel_timer()
+        self._accept_sent = True
+        self._send_request(accept)
--- a/rackhub/trials/fleet/register_explore.py
+++ b/rackhub/trials/fleet/register_explore.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
-from rackhub.fleet.register.acceptor import AcceptorState, new_acceptor, step
+from rackhub.fleet.register.acceptor import AcceptorState, handle, new_acceptor
 from rackhub.fleet.register.messages import (
-    NONE,
+    NO_BALLOT,
     Accept,
     Ballot,
     DiskIncarnation,
@@ -33,7 +33,7 @@
     Vote,
 )
 from rackhub.fleet.register.messages import KnownIncarnation as Seen
-from rackhub.fleet.register.round import Change, Chosen, Round, begin, heard
+from rackhub.fleet.register.round import Change, Chosen, Round, handle_reply, start_round
 
 KEEPERS = ("a", "b", "c")
 EDITORS = ("x", "y")
@@ -68,7 +68,7 @@
     left: int = 0
     floor: bytes = b""
     done: bool = False
-    known: Ballot = NONE
+    known: Ballot = NO_BALLOT
     value: bytes | None = None
 
 
@@ -114,11 +114,11 @@
     def _begin(self) -> World:
         full = []
         for me in KEEPERS:
-            life = DiskIncarnation(1, me)
-            state = new_acceptor(KEEPERS, me, life)
+            incarnation = DiskIncarnation(1, me)
+            state = new_acceptor(KEEPERS, me, incarnation)
             if not self.bounds.born:
-                views = tuple(Seen(name, DiskIncarnation(1, name)) for name in KEEPERS if name != me)
-                state = msgspec.structs.replace(state, voting=True, views=views)
+                known = tuple(Seen(name, DiskIncarnation(1, name)) for name in KEEPERS if name != me)
+                state = msgspec.structs.replace(state, voting=True, known_incarnations=known)
             full.append(state)
         ids = tuple(self.voters(state) for state in full)
         sent = 0
@@ -129,7 +129,9 @@
         return World(ids, ids, (0,) * len(ids), editors, sent, self.bounds.crashes, self.bounds.wipes, 0)
 
     def _enter(self, state: AcceptorState) -> int:
-        return self._post([(name, JoinRequest(state.me, state.life)) for name in KEEPERS if name != state.me])
+        return self._post(
+            [(name, JoinRequest(state.local_name, state.incarnation)) for name in KEEPERS if name != state.local_name]
+        )
 
     def _post(self, mail: Sequence[tuple[str, Message]]) -> int:
         bits = 0
@@ -166,9 +168,9 @@
         found = self._votes.get(key)
         if found is None:
             message = self.mail.all[number][1]
-            after, replies = step(self.voters.all[key[0]], message)
-            to = message.ballot.name if isinstance(message, Prepare | Accept) else message.keeper
-            told = [(to, reply) for reply in replies if not isinstance(reply, Vote) or hasattr(reply, "life")]
+            after, replies = handle(self.voters.all[key[0]], message)
+            to = message.ballot.proposer if isinstance(message, Prepare | Accept) else message.acceptor
+            told = [(to, reply) for reply in replies if not isinstance(reply, Vote) or hasattr(reply, "incarnation")]
             found = self._votes[key] = self.voters(after), self._post(told)
         after_id, told_bits = found
         if isinstance(self.mail.all[number][1], JoinRequest | JoinAccepted):
@@ -190,11 +192,11 @@
         editor: Editor = self.rounds.all[world.editors[at]]
         if editor.round is None:
             return
-        after, effects = heard(editor.round, message, self._change(at, editor.done))
+        after, effects = handle_reply(editor.round, message, self._change(at, editor.done))
         if after == editor.round:
             return
-        if after.offered:  # what led there can do nothing any more
-            after = msgspec.structs.replace(after, promises=(), known=NONE)
+        if after.accept_sent:  # what led there can do nothing any more
+            after = msgspec.structs.replace(after, promises=(), known_ballot=NO_BALLOT)
         editor, wrong = editor._replace(round=after), ""
         for effect in effects:
             if isinstance(effect, Accept):
@@ -245,7 +247,7 @@
         )
         for number in {top + 1, max(top, 1)}:
             ballot = Ballot(number, EDITORS[at], 10 - editor.left)
-            began, prepare = begin(KEEPERS, ballot, editor.known, editor.value)
+            began, prepare = start_round(KEEPERS, ballot, editor.known, editor.value)
             after = editor._replace(round=began, left=editor.left - 1, floor=self.values.all[world.longest])
             sent = world.sent | self._post([(name, prepare) for name in KEEPERS])
             yield (
@@ -267,7 +269,7 @@
                 if self.voters.all[world.memory[KEEPERS.index(to)]].voting:
                     sent ^= low
             elif to in ballots and (
-                now is None or now.ballot != message.ballot or now.offered and isinstance(message, Promise)
+                now is None or now.ballot != message.ballot or now.accept_sent and isinstance(message, Promise)
             ):
                 sent ^= low
         return world._replace(sent=sent)
@@ -289,12 +291,12 @@
         if not all(self.voters.all[one].voting for i, one in enumerate(world.memory) if i != at):
             return
         old: AcceptorState = self.voters.all[world.memory[at]]
-        fresh = new_acceptor(KEEPERS, old.me, DiskIncarnation(old.life.boot + 1, old.me))
+        fresh = new_acceptor(KEEPERS, old.local_name, DiskIncarnation(old.incarnation.boot_number + 1, old.local_name))
         if self.bounds.empty:
             fresh = msgspec.structs.replace(fresh, voting=True)
         number = self.voters(fresh)
         yield (
-            f"{old.me} loses its disk",
+            f"{old.local_name} loses its disk",
             world._replace(
                 memory=_put(world.memory, at, number),
                 disks=_put(world.disks, at, number),
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -8,7 +8,7 @@
 
 from rackhub.fleet.register import acceptor
 from rackhub.fleet.register import round as rounds
-from rackhub.fleet.register.acceptor import new_acceptor, step
+from rackhub.fleet.register.acceptor import handle, new_acceptor
 from rackhub.fleet.register.acceptor_shell import RULES_DISK_KEY, AcceptorShell
 from rackhub.fleet.register.disk import MemoryDisk, StoreDisk
 from rackhub.fleet.register.messages import (
@@ -20,7 +20,7 @@
     Prepare,
     Promise,
     Rejected,
-    view,
+    find_known,
 )
 from rackhub.fleet.register.proposer import Proposer
 from rackhub.trials.fleet.register_explore import SMALL, Bounds, Explorer
@@ -51,16 +51,16 @@
         return replies[:most] if len(replies) >= most else ()
 
     for module in (rounds, acceptor):
-        monkeypatch.setattr(module, "agreed", many)
+        monkeypatch.setattr(module, "consistent_quorum", many)
     assert Explorer(Bounds((2, 1), wipes=1)).walk(2, 2_000).violations
 
 
 def test_a_disk_that_was_put_back_is_barred_and_a_new_one_abstains():
     fresh = new_acceptor(KEEPERS, "b", DiskIncarnation(5, "new"))
-    _, [said] = step(fresh, Prepare(Ballot(1, "x", 1), KEEPERS))
-    assert isinstance(said, Rejected) and "disk is new" in said.abstains
-    keeper, _ = step(new_acceptor(KEEPERS, "a", DiskIncarnation(1, "a")), JoinRequest("b", DiskIncarnation(5, "new")))
-    same, [said] = step(keeper, JoinRequest("b", DiskIncarnation(4, "old")))
+    _, [said] = handle(fresh, Prepare(Ballot(1, "x", 1), KEEPERS))
+    assert isinstance(said, Rejected) and "disk is new" in said.abstain_reason
+    keeper, _ = handle(new_acceptor(KEEPERS, "a", DiskIncarnation(1, "a")), JoinRequest("b", DiskIncarnation(5, "new")))
+    same, [said] = handle(keeper, JoinRequest("b", DiskIncarnation(4, "old")))
     assert same == keeper and isinstance(said, JoinRejected)
 
 
@@ -72,30 +72,30 @@
         me: msgspec.structs.replace(
             new_acceptor(names, me, lives[me]),
             voting=True,
-            views=tuple(KnownIncarnation(name, lives[name]) for name in names if name != me),
+            known_incarnations=tuple(KnownIncarnation(name, lives[name]) for name in names if name != me),
         )
         for me in names
     }
     new_a, new_b = new_acceptor(names, "a", DiskIncarnation(2, "a")), new_acceptor(names, "b", DiskIncarnation(2, "b"))
-    early = step(old["b"], JoinRequest("a", DiskIncarnation(2, "a")))[1][0]  # and then b loses its disk, too
+    early = handle(old["b"], JoinRequest("a", DiskIncarnation(2, "a")))[1][0]  # and then b loses its disk, too
     for name in ("c", "d", "e"):
-        old[name], [said] = step(old[name], JoinRequest("b", DiskIncarnation(2, "b")))
-        new_b, _ = step(new_b, said)
-    assert new_b.voting and view(new_b.views, "a").life == DiskIncarnation(1, "a")
-    new_a, _ = step(new_a, early)
+        old[name], [said] = handle(old[name], JoinRequest("b", DiskIncarnation(2, "b")))
+        new_b, _ = handle(new_b, said)
+    assert new_b.voting and find_known(new_b.known_incarnations, "a").incarnation == DiskIncarnation(1, "a")
+    new_a, _ = handle(new_a, early)
     for name in ("c", "d"):
-        old[name], [said] = step(old[name], JoinRequest("a", DiskIncarnation(2, "a")))
-        new_a, _ = step(new_a, said)
+        old[name], [said] = handle(old[name], JoinRequest("a", DiskIncarnation(2, "a")))
+        new_a, _ = handle(new_a, said)
     assert not new_a.voting  # three have answered, but c and d know that the first of them has lost what it was
-    _, [said] = step(new_b, JoinRequest("a", DiskIncarnation(2, "a")))
-    after, _ = step(new_a, said)
-    assert after.voting and step(after, early)[0] == after
+    _, [said] = handle(new_b, JoinRequest("a", DiskIncarnation(2, "a")))
+    after, _ = handle(new_a, said)
+    assert after.voting and handle(after, early)[0] == after
 
 
 def test_a_proposer_that_counts_other_keepers_gets_no_vote():
     keeper = new_acceptor(("a",), "a", DiskIncarnation(1, "a"))
-    same, [said] = step(keeper, Prepare(Ballot(1, "x", 1), KEEPERS))
-    assert same == keeper and said.abstains == "its keepers are a"
+    same, [said] = handle(keeper, Prepare(Ballot(1, "x", 1), KEEPERS))
+    assert same == keeper and said.abstain_reason == "its keepers are a"
 
 
 class Stand:
@@ -185,7 +185,7 @@
         name: one if name != "a" else msgspec.structs.replace(one, boot=boot) for name, one in all_of().items()
     }
     stand.net.time.run(9 * SECOND)
-    assert stand.keepers["a"].state.voting and stand.keepers["a"].state.life.boot == 9
+    assert stand.keepers["a"].state.voting and stand.keepers["a"].state.incarnation.boot_number == 9
 
 
 def test_what_a_keeper_s_disk_holds_and_can_t_be_read_is_named_and_fetched_anew():
@@ -207,7 +207,7 @@
             stand.net.nodes["d"].send("a", kind, body)
     stand.net.time.run(SECOND)
     assert stand.net.nodes["a"].counts["register_unread"] == 6
-    state, replies = step(stand.keepers["a"].state, Prepare(Ballot(1 << 60, "d", 1), KEEPERS))
+    state, replies = handle(stand.keepers["a"].state, Prepare(Ballot(1 << 60, "d", 1), KEEPERS))
     assert state == stand.keepers["a"].state and not replies
 
 
@@ -275,8 +275,10 @@
     stand.disks["a"]._delay = 50 * MS
     began = stand.net.time.now()
     keeper = stand.keepers["a"]
-    keeper.heard("d", Prepare(Ballot(1, "d", 9), KEEPERS))
-    keeper.heard("d", Prepare(Ballot(1, "d", 9), KEEPERS))  # the second finds nothing to write, and waits all the same
+    keeper.receive("d", Prepare(Ballot(1, "d", 9), KEEPERS))
+    keeper.receive(
+        "d", Prepare(Ballot(1, "d", 9), KEEPERS)
+    )  # the second finds nothing to write, and waits all the same
     stand.net.time.run(SECOND)
     assert len(seen) == 2 and all(at >= began + 50 * MS for at, _ in seen)
-    assert isinstance(step(keeper.state, Prepare(Ballot(1, "d", 9), KEEPERS))[1][0], Promise)
+    assert isinstance(handle(keeper.state, Prepare(Ballot(1, "d", 9), KEEPERS))[1][0], Promise)
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -29,7 +29,7 @@
 def filled(disk: MemoryDisk, records: golden_disk.Records) -> MemoryDisk:
     """The simulated disk with what a real one holds."""
     disk._synced = {key.decode().removeprefix("disk/"): body for key, body in records.items()}
-    disk._held = dict(disk._synced)
+    disk._written = dict(disk._synced)
     return disk
 
 
@@ -100,7 +100,7 @@
     filled(stand.disks["a"], GOLDEN["acceptor"])
     stand.again("a")
     state = stand.keepers["a"].state
-    assert (state.me, state.voting, state.value) == ("a", True, b"one two ")
+    assert (state.local_name, state.voting, state.value) == ("a", True, b"one two ")
     assert not stand.keepers["a"].damage
     assert stand.now("d", b"three").value == b"one two three "
 
