--- a/rackhub/fleet/register/disk.py
+++ b/rackhub/fleet/register/disk.py
@@ -1,7 +1,7 @@
 """Durable storage of acceptors and gateways: on the embedded store, or in memory for tests and simulations.
 
 A store that can't be read is reported, renamed, and replaced by an empty one with another identity. What a register
-kept there is lost, and the other acceptors admit this one again (see "A keeper that lost its disk" in
+kept there is lost, and the other acceptors admit this one again (see "An acceptor that lost its disk" in
 docs/design/rules.md).
 """
 
--- a/rackhub/trials/fleet/register_explore.py
+++ b/rackhub/trials/fleet/register_explore.py
@@ -1,9 +1,9 @@
 """Explore the register's core through all orders of message, loss, repetition, crash, restart and lost disk.
 
-The real `voter` and `round` are stepped. A message that was sent stays there: it may arrive at any time, twice, or
-never. A reply is told when its keeper's state is synced; a crash takes what was not. A proposer may give a round up
+The real `acceptor` and `round` are run. A message that was sent stays there: it may arrive at any time, twice, or
+never. A reply is sent when its acceptor's state is durable; a crash takes what was not. A proposer may give a round up
 at any moment and begin the next one, as after a time-out or a restart: a restarted editor says its edit again under
-its id. What asks for entry, and its answers, come once at most to each.
+its id. Join requests and their replies come once at most to each.
 
 Bounds are those of `Bounds`. What is checked in every state that a choice leads to: all values chosen are prefixes of
 one another, none comes twice into one, and each round's value holds all that was known chosen when the round began.
@@ -27,21 +27,22 @@
     DiskIncarnation,
     JoinAccepted,
     JoinRequest,
+    KnownIncarnation,
     Message,
     Prepare,
     Promise,
     Vote,
 )
-from rackhub.fleet.register.messages import KnownIncarnation as Seen
 from rackhub.fleet.register.round import Change, Chosen, Round, handle_reply, start_round
 
-KEEPERS = ("a", "b", "c")
+ACCEPTORS = ("a", "b", "c")
 EDITORS = ("x", "y")
 
 
 class Bounds(NamedTuple):
-    """`rounds`: of each editor; those after its edit has ended are reads. `born`: the keepers begin with new disks.
-    `unsynced`, `empty` plant the mistakes: told before synced; a keeper with an empty disk answers as if let in."""
+    """`rounds`: of each editor; those after its edit has ended are reads. `born`: the acceptors begin with new disks.
+    `unsynced`, `empty` plant the mistakes: replies sent before the state is durable; an acceptor with an empty disk
+    that votes."""
 
     rounds: tuple[int, int] = (1, 1)
     crashes: int = 0
@@ -105,32 +106,32 @@
 
     def __init__(self, bounds: Bounds, most: int = 5_000_000):
         self.bounds, self.most = bounds, most
-        self.voters, self.rounds, self.mail, self.values = _Ids(), _Ids(), _Ids(), _Ids()
+        self.acceptors, self.rounds, self.mail, self.values = _Ids(), _Ids(), _Ids(), _Ids()
         self.values(b"")
-        self._votes: dict[tuple[int, int], tuple[int, int]] = {}
+        self._handled: dict[tuple[int, int], tuple[int, int]] = {}
 
     # ---- the beginning
 
     def _begin(self) -> World:
         full = []
-        for me in KEEPERS:
+        for me in ACCEPTORS:
             incarnation = DiskIncarnation(1, me)
-            state = new_acceptor(KEEPERS, me, incarnation)
+            state = new_acceptor(ACCEPTORS, me, incarnation)
             if not self.bounds.born:
-                known = tuple(Seen(name, DiskIncarnation(1, name)) for name in KEEPERS if name != me)
+                known = tuple(KnownIncarnation(name, DiskIncarnation(1, name)) for name in ACCEPTORS if name != me)
                 state = msgspec.structs.replace(state, voting=True, known_incarnations=known)
             full.append(state)
-        ids = tuple(self.voters(state) for state in full)
+        ids = tuple(self.acceptors(state) for state in full)
         sent = 0
         if self.bounds.born:
             for state in full:
-                sent |= self._enter(state)
+                sent |= self._request_join(state)
         editors = tuple(self.rounds(Editor(left=many)) for many in self.bounds.rounds)
         return World(ids, ids, (0,) * len(ids), editors, sent, self.bounds.crashes, self.bounds.wipes, 0)
 
-    def _enter(self, state: AcceptorState) -> int:
+    def _request_join(self, state: AcceptorState) -> int:
         return self._post(
-            [(name, JoinRequest(state.local_name, state.incarnation)) for name in KEEPERS if name != state.local_name]
+            [(name, JoinRequest(state.local_name, state.incarnation)) for name in ACCEPTORS if name != state.local_name]
         )
 
     def _post(self, mail: Sequence[tuple[str, Message]]) -> int:
@@ -149,29 +150,29 @@
             rest ^= low
             number = low.bit_length() - 1
             to, message = self.mail.all[number]
-            if to in KEEPERS:
-                yield from self._to_keeper(world, KEEPERS.index(to), number)
+            if to in ACCEPTORS:
+                yield from self._to_acceptor(world, ACCEPTORS.index(to), number)
             else:
                 yield from self._to_editor(world, EDITORS.index(to), message)
         for at in range(len(EDITORS)):
             yield from self._next_round(world, at)
-        for at in range(len(KEEPERS)):
+        for at in range(len(ACCEPTORS)):
             if world.held[at] or world.disks[at] != world.memory[at]:
-                yield f"{KEEPERS[at]} syncs", self._synced(world, at), ""
+                yield f"{ACCEPTORS[at]} syncs", self._synced(world, at), ""
                 if world.crashes:
-                    yield f"{KEEPERS[at]} crashes", self._crashed(world, at), ""
+                    yield f"{ACCEPTORS[at]} crashes", self._crashed(world, at), ""
             if world.wipes:
                 yield from self._wiped(world, at)
 
-    def _to_keeper(self, world: World, at: int, number: int) -> Iterator[tuple[str, World, str]]:
+    def _to_acceptor(self, world: World, at: int, number: int) -> Iterator[tuple[str, World, str]]:
         key = world.memory[at], number
-        found = self._votes.get(key)
+        found = self._handled.get(key)
         if found is None:
             message = self.mail.all[number][1]
-            after, replies = handle(self.voters.all[key[0]], message)
+            after, replies = handle(self.acceptors.all[key[0]], message)
             to = message.ballot.proposer if isinstance(message, Prepare | Accept) else message.acceptor
             told = [(to, reply) for reply in replies if not isinstance(reply, Vote) or hasattr(reply, "incarnation")]
-            found = self._votes[key] = self.voters(after), self._post(told)
+            found = self._handled[key] = self.acceptors(after), self._post(told)
         after_id, told_bits = found
         if isinstance(self.mail.all[number][1], JoinRequest | JoinAccepted):
             world = world._replace(sent=world.sent & ~(1 << number))
@@ -186,7 +187,7 @@
             world = world._replace(memory=memory, sent=world.sent | told_bits)
         else:
             world = world._replace(memory=memory, held=_put(world.held, at, world.held[at] | told_bits))
-        yield f"{KEEPERS[at]} gets {number}", world, ""
+        yield f"{ACCEPTORS[at]} gets {number}", world, ""
 
     def _to_editor(self, world: World, at: int, message: Any) -> Iterator[tuple[str, World, str]]:
         editor: Editor = self.rounds.all[world.editors[at]]
@@ -200,7 +201,7 @@
         editor, wrong = editor._replace(round=after), ""
         for effect in effects:
             if isinstance(effect, Accept):
-                world = world._replace(sent=world.sent | self._post([(name, effect) for name in KEEPERS]))
+                world = world._replace(sent=world.sent | self._post([(name, effect) for name in ACCEPTORS]))
             elif isinstance(effect, Chosen):
                 world, wrong = self._chosen(world, editor, effect)
                 editor = Editor(None, editor.left, b"", True, effect.ballot, effect.value)
@@ -242,14 +243,14 @@
                     for one in world.editors
                     if self.rounds.all[one].round is not None
                 ),
-                *(max(self.voters.all[one].promised.number for one in world.memory),),
+                *(max(self.acceptors.all[one].promised.number for one in world.memory),),
             ]
         )
         for number in {top + 1, max(top, 1)}:
             ballot = Ballot(number, EDITORS[at], 10 - editor.left)
-            began, prepare = start_round(KEEPERS, ballot, editor.known, editor.value)
+            began, prepare = start_round(ACCEPTORS, ballot, editor.known, editor.value)
             after = editor._replace(round=began, left=editor.left - 1, floor=self.values.all[world.longest])
-            sent = world.sent | self._post([(name, prepare) for name in KEEPERS])
+            sent = world.sent | self._post([(name, prepare) for name in ACCEPTORS])
             yield (
                 f"{EDITORS[at]} begins {ballot}",
                 self._without_dead(world._replace(sent=sent, editors=_put(world.editors, at, self.rounds(after)))),
@@ -266,7 +267,7 @@
             to, message = self.mail.all[low.bit_length() - 1]
             now = ballots.get(to)
             if isinstance(message, JoinAccepted):
-                if self.voters.all[world.memory[KEEPERS.index(to)]].voting:
+                if self.acceptors.all[world.memory[ACCEPTORS.index(to)]].voting:
                     sent ^= low
             elif to in ballots and (
                 now is None or now.ballot != message.ballot or now.accept_sent and isinstance(message, Promise)
@@ -288,13 +289,15 @@
 
     def _wiped(self, world: World, at: int) -> Iterator[tuple[str, World, str]]:
         """Its disk is replaced. Two of three at once are more than any register bears."""
-        if not all(self.voters.all[one].voting for i, one in enumerate(world.memory) if i != at):
+        if not all(self.acceptors.all[one].voting for i, one in enumerate(world.memory) if i != at):
             return
-        old: AcceptorState = self.voters.all[world.memory[at]]
-        fresh = new_acceptor(KEEPERS, old.local_name, DiskIncarnation(old.incarnation.boot_number + 1, old.local_name))
+        old: AcceptorState = self.acceptors.all[world.memory[at]]
+        fresh = new_acceptor(
+            ACCEPTORS, old.local_name, DiskIncarnation(old.incarnation.boot_number + 1, old.local_name)
+        )
         if self.bounds.empty:
             fresh = msgspec.structs.replace(fresh, voting=True)
-        number = self.voters(fresh)
+        number = self.acceptors(fresh)
         yield (
             f"{old.local_name} loses its disk",
             world._replace(
@@ -302,7 +305,7 @@
                 disks=_put(world.disks, at, number),
                 held=_put(world.held, at, 0),
                 wipes=world.wipes - 1,
-                sent=world.sent | (0 if self.bounds.empty else self._enter(fresh)),
+                sent=world.sent | (0 if self.bounds.empty else self._request_join(fresh)),
             ),
             "",
         )
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -51,12 +51,12 @@
 def register_records() -> Records:
     """An acceptor's disk after two changes, the second with one of the three away."""
     with mock.patch("secrets.randbits", return_value=1):
-        stand = test_fleet_register.Stand()
-        assert stand.now("d", b"one").kind == "done"
-        stand.down("c")
-        assert stand.now("d", b"two").kind == "done"
-        stand.net.time.run(3 * SECOND)
-    return synced(stand.disks["a"])
+        cluster = test_fleet_register.RegisterCluster()
+        assert cluster.submit_and_wait("d", b"one").kind == "done"
+        cluster.crash("c")
+        assert cluster.submit_and_wait("d", b"two").kind == "done"
+        cluster.net.time.run(3 * SECOND)
+    return synced(cluster.disks["a"])
 
 
 def rules_records() -> Records:
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -95,14 +95,14 @@
 
 
 def test_an_acceptor_goes_on_from_a_recorded_disk():
-    stand = test_fleet_register.Stand()
-    stand.down("a")
-    filled(stand.disks["a"], GOLDEN["acceptor"])
-    stand.again("a")
-    state = stand.keepers["a"].state
+    cluster = test_fleet_register.RegisterCluster()
+    cluster.crash("a")
+    filled(cluster.disks["a"], GOLDEN["acceptor"])
+    cluster.restart("a")
+    state = cluster.acceptors["a"].state
     assert (state.local_name, state.voting, state.value) == ("a", True, b"one two ")
-    assert not stand.keepers["a"].damage
-    assert stand.now("d", b"three").value == b"one two three "
+    assert not cluster.acceptors["a"].damage
+    assert cluster.submit_and_wait("d", b"three").value == b"one two three "
 
 
 def test_a_gateway_goes_on_from_a_recorded_rule_set():
