--- a/rackhub/fleet/rules/changes.py
+++ b/rackhub/fleet/rules/changes.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rackhub.fleet.ports import Fleet
-from rackhub.fleet.register.keeper import Keeper
+from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.proposer import Outcome, Proposer
 from rackhub.fleet.rules import versions
 from rackhub.fleet.rules.active_version import VersionTracker
@@ -83,7 +83,7 @@
             age = self._fleet.clock.now() - self._started_at if made_here else UNKNOWN_AGE
             self._learn(chosen.versions, age)
         if outcome.kind == "done" and isinstance(outcome.answer, ChangeRejectedError):
-            outcome = Outcome("refused", why=str(outcome.answer))
+            outcome = Outcome("refused", reason=str(outcome.answer))
         self._done(outcome)
 
 
@@ -112,7 +112,7 @@
         self._accepted_number = 0  # the newest version of the local acceptor's value
 
     def propose(self, request: EditRequest, done: Callable[[Outcome], None]) -> None:
-        """Propose a change; `done` gets the version as the answer, or the text of the rejection as `why`."""
+        """Propose a change; `done` gets the version as the answer, or the text of the rejection as `reason`."""
         change = _Change(self._fleet, self._tracker, self._learn, request, done)
         published = max((status.newest for status in gossiped_statuses(self._fleet).values()), default=0)
         if published > self._tracker.rule_set.newest_number:
@@ -132,7 +132,7 @@
             self._ending_trial = True
             self.propose(msgspec.structs.replace(request, created_at=int(time.time())), complete)
 
-    def settle(self, acceptor: Keeper) -> None:
+    def settle(self, acceptor: AcceptorShell) -> None:
         """Read the register where the local acceptor's value has not become known as chosen for `UNSETTLED_DELAY`.
 
         The proposer may have stopped between accept and answer, with the value chosen and nobody aware of it.
--- a/rackhub/fleet/rules/messages.py
+++ b/rackhub/fleet/rules/messages.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from rackhub.fleet.register.words import VALUE
+from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
 MAX_CONTENT_BYTES = 98_304  # of one version
-MAX_RULE_SET_BYTES = VALUE - 16_384  # of all retained versions: two contents of the maximum size fit
+MAX_RULE_SET_BYTES = MAX_VALUE_BYTES - 16_384  # of all retained versions: two contents of the maximum size fit
 MAX_RETAINED_VERSIONS = 64
 MAX_TEXT_LENGTH = 500  # characters of an author, a reason, an id
 FORMAT_VERSION = 1  # of the encoded rule set
--- a/rackhub/fleet/rules/service.py
+++ b/rackhub/fleet/rules/service.py
@@ -152,6 +152,6 @@
 
 def _change_error(edit: EditRequest, outcome: Outcome) -> Mapping[str, Any]:
     if outcome.kind == "refused":
-        return {"error": f"nothing was changed: {outcome.why}", "exit": EXIT_REJECTED}
-    error = f"it may have been taken or not: {outcome.why}; say it again with id {edit.id}, which does nothing twice"
+        return {"error": f"nothing was changed: {outcome.reason}", "exit": EXIT_REJECTED}
+    error = f"it may have been taken or not: {outcome.reason}; say it again with id {edit.id}, which does nothing twice"
     return {"error": error, "exit": EXIT_REJECTED, "id": edit.id, "unknown": True}
--- a/rackhub/fleet/rules/versioned_rules.py
+++ b/rackhub/fleet/rules/versioned_rules.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rackhub.fleet.ports import Control, Disk, Fleet, Name, RulePart
-from rackhub.fleet.register.keeper import Keeper
+from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.proposer import Proposer
 from rackhub.fleet.rules.active_version import ActiveVersion, StoredRules, VersionTracker
 from rackhub.fleet.rules.changes import ChangeCoordinator
@@ -69,9 +69,9 @@
         self.sections: dict[str, RulePart] = {}
         self.damage = ""  # why the record on disk could not be read
         self.tracker = VersionTracker(self.gateway, self._load())
-        self.acceptor: Keeper | None = None
+        self.acceptor: AcceptorShell | None = None
         if disk is not None and self.gateway in self.acceptors:
-            self.acceptor = Keeper(fleet, self.acceptors, disk, boot)
+            self.acceptor = AcceptorShell(fleet, self.acceptors, disk, boot)
         self.proposer = Proposer(fleet, self.acceptors, boot, self.acceptor)
         self.dissemination = Dissemination(fleet, self.tracker, self._learn)
         self.checks = FleetChecks(fleet, self.fault)
--- a/rackhub/trials/fleet/register_explore.py
+++ b/rackhub/trials/fleet/register_explore.py
@@ -1,9 +1,9 @@
 """Explore the register's core through all orders of message, loss, repetition, crash, restart and lost disk.
 
-The real `voter` and `round` are stepped. A message that was sent stays there: it may arrive at any time, twice, or
-never. A reply is told when its keeper's state is synced; a crash takes what was not. A proposer may give a round up
+The real `acceptor` and `round` are run. A message that was sent stays there: it may arrive at any time, twice, or
+never. A reply is sent when its acceptor's state is durable; a crash takes what was not. A proposer may give a round up
 at any moment and begin the next one, as after a time-out or a restart: a restarted editor says its edit again under
-its id. What asks for entry, and its answers, come once at most to each.
+its id. Join requests and their replies come once at most to each.
 
 Bounds are those of `Bounds`. What is checked in every state that a choice leads to: all values chosen are prefixes of
 one another, none comes twice into one, and each round's value holds all that was known chosen when the round began.
@@ -19,18 +19,30 @@
 
 import msgspec
 
-from rackhub.fleet.register.round import Change, Chosen, Round, begin, heard
-from rackhub.fleet.register.voter import Voter, born, step
-from rackhub.fleet.register.words import NONE, Accept, Ballot, Enter, Life, Message, Noted, Prepare, Promise, Vote
-from rackhub.fleet.register.words import View as Seen
+from rackhub.fleet.register.acceptor import AcceptorState, handle, new_acceptor
+from rackhub.fleet.register.messages import (
+    NO_BALLOT,
+    Accept,
+    Ballot,
+    DiskIncarnation,
+    JoinAccepted,
+    JoinRequest,
+    KnownIncarnation,
+    Message,
+    Prepare,
+    Promise,
+    Vote,
+)
+from rackhub.fleet.register.round import Change, Chosen, Round, handle_reply, start_round
 
-KEEPERS = ("a", "b", "c")
+ACCEPTORS = ("a", "b", "c")
 EDITORS = ("x", "y")
 
 
 class Bounds(NamedTuple):
-    """`rounds`: of each editor; those after its edit has ended are reads. `born`: the keepers begin with new disks.
-    `unsynced`, `empty` plant the mistakes: told before synced; a keeper with an empty disk answers as if let in."""
+    """`rounds`: of each editor; those after its edit has ended are reads. `born`: the acceptors begin with new disks.
+    `unsynced`, `empty` plant the mistakes: replies sent before the state is durable; an acceptor with an empty disk
+    that votes."""
 
     rounds: tuple[int, int] = (1, 1)
     crashes: int = 0
@@ -57,7 +69,7 @@
     left: int = 0
     floor: bytes = b""
     done: bool = False
-    known: Ballot = NONE
+    known: Ballot = NO_BALLOT
     value: bytes | None = None
 
 
@@ -94,31 +106,33 @@
 
     def __init__(self, bounds: Bounds, most: int = 5_000_000):
         self.bounds, self.most = bounds, most
-        self.voters, self.rounds, self.mail, self.values = _Ids(), _Ids(), _Ids(), _Ids()
+        self.acceptors, self.rounds, self.mail, self.values = _Ids(), _Ids(), _Ids(), _Ids()
         self.values(b"")
-        self._votes: dict[tuple[int, int], tuple[int, int]] = {}
+        self._handled: dict[tuple[int, int], tuple[int, int]] = {}
 
     # ---- the beginning
 
     def _begin(self) -> World:
         full = []
-        for me in KEEPERS:
-            life = Life(1, me)
-            state = born(KEEPERS, me, life)
+        for me in ACCEPTORS:
+            incarnation = DiskIncarnation(1, me)
+            state = new_acceptor(ACCEPTORS, me, incarnation)
             if not self.bounds.born:
-                views = tuple(Seen(name, Life(1, name)) for name in KEEPERS if name != me)
-                state = msgspec.structs.replace(state, voting=True, views=views)
+                known = tuple(KnownIncarnation(name, DiskIncarnation(1, name)) for name in ACCEPTORS if name != me)
+                state = msgspec.structs.replace(state, voting=True, known_incarnations=known)
             full.append(state)
-        ids = tuple(self.voters(state) for state in full)
+        ids = tuple(self.acceptors(state) for state in full)
         sent = 0
         if self.bounds.born:
             for state in full:
-                sent |= self._enter(state)
+                sent |= self._request_join(state)
         editors = tuple(self.rounds(Editor(left=many)) for many in self.bounds.rounds)
         return World(ids, ids, (0,) * len(ids), editors, sent, self.bounds.crashes, self.bounds.wipes, 0)
 
-    def _enter(self, state: Voter) -> int:
-        return self._post([(name, Enter(state.me, state.life)) for name in KEEPERS if name != state.me])
+    def _request_join(self, state: AcceptorState) -> int:
+        return self._post(
+            [(name, JoinRequest(state.local_name, state.incarnation)) for name in ACCEPTORS if name != state.local_name]
+        )
 
     def _post(self, mail: Sequence[tuple[str, Message]]) -> int:
         bits = 0
@@ -136,31 +150,31 @@
             rest ^= low
             number = low.bit_length() - 1
             to, message = self.mail.all[number]
-            if to in KEEPERS:
-                yield from self._to_keeper(world, KEEPERS.index(to), number)
+            if to in ACCEPTORS:
+                yield from self._to_acceptor(world, ACCEPTORS.index(to), number)
             else:
                 yield from self._to_editor(world, EDITORS.index(to), message)
         for at in range(len(EDITORS)):
             yield from self._next_round(world, at)
-        for at in range(len(KEEPERS)):
+        for at in range(len(ACCEPTORS)):
             if world.held[at] or world.disks[at] != world.memory[at]:
-                yield f"{KEEPERS[at]} syncs", self._synced(world, at), ""
+                yield f"{ACCEPTORS[at]} syncs", self._synced(world, at), ""
                 if world.crashes:
-                    yield f"{KEEPERS[at]} crashes", self._crashed(world, at), ""
+                    yield f"{ACCEPTORS[at]} crashes", self._crashed(world, at), ""
             if world.wipes:
                 yield from self._wiped(world, at)
 
-    def _to_keeper(self, world: World, at: int, number: int) -> Iterator[tuple[str, World, str]]:
+    def _to_acceptor(self, world: World, at: int, number: int) -> Iterator[tuple[str, World, str]]:
         key = world.memory[at], number
-        found = self._votes.get(key)
+        found = self._handled.get(key)
         if found is None:
             message = self.mail.all[number][1]
-            after, replies = step(self.voters.all[key[0]], message)
-            to = message.ballot.name if isinstance(message, Prepare | Accept) else message.keeper
-            told = [(to, reply) for reply in replies if not isinstance(reply, Vote) or hasattr(reply, "life")]
-            found = self._votes[key] = self.voters(after), self._post(told)
+            after, replies = handle(self.acceptors.all[key[0]], message)
+            to = message.ballot.proposer if isinstance(message, Prepare | Accept) else message.acceptor
+            told = [(to, reply) for reply in replies if not isinstance(reply, Vote) or hasattr(reply, "incarnation")]
+            found = self._handled[key] = self.acceptors(after), self._post(told)
         after_id, told_bits = found
-        if isinstance(self.mail.all[number][1], Enter | Noted):
+        if isinstance(self.mail.all[number][1], JoinRequest | JoinAccepted):
             world = world._replace(sent=world.sent & ~(1 << number))
         if after_id == key[0] and not told_bits & ~(world.sent | world.held[at]):
             return
@@ -173,21 +187,21 @@
             world = world._replace(memory=memory, sent=world.sent | told_bits)
         else:
             world = world._replace(memory=memory, held=_put(world.held, at, world.held[at] | told_bits))
-        yield f"{KEEPERS[at]} gets {number}", world, ""
+        yield f"{ACCEPTORS[at]} gets {number}", world, ""
 
     def _to_editor(self, world: World, at: int, message: Any) -> Iterator[tuple[str, World, str]]:
         editor: Editor = self.rounds.all[world.editors[at]]
         if editor.round is None:
             return
-        after, effects = heard(editor.round, message, self._change(at, editor.done))
+        after, effects = handle_reply(editor.round, message, self._change(at, editor.done))
         if after == editor.round:
             return
-        if after.offered:  # what led there can do nothing any more
-            after = msgspec.structs.replace(after, promises=(), known=NONE)
+        if after.accept_sent:  # what led there can do nothing any more
+            after = msgspec.structs.replace(after, promises=(), known_ballot=NO_BALLOT)
         editor, wrong = editor._replace(round=after), ""
         for effect in effects:
             if isinstance(effect, Accept):
-                world = world._replace(sent=world.sent | self._post([(name, effect) for name in KEEPERS]))
+                world = world._replace(sent=world.sent | self._post([(name, effect) for name in ACCEPTORS]))
             elif isinstance(effect, Chosen):
                 world, wrong = self._chosen(world, editor, effect)
                 editor = Editor(None, editor.left, b"", True, effect.ballot, effect.value)
@@ -229,14 +243,14 @@
                     for one in world.editors
                     if self.rounds.all[one].round is not None
                 ),
-                *(max(self.voters.all[one].promised.number for one in world.memory),),
+                *(max(self.acceptors.all[one].promised.number for one in world.memory),),
             ]
         )
         for number in {top + 1, max(top, 1)}:
             ballot = Ballot(number, EDITORS[at], 10 - editor.left)
-            began, prepare = begin(KEEPERS, ballot, editor.known, editor.value)
+            began, prepare = start_round(ACCEPTORS, ballot, editor.known, editor.value)
             after = editor._replace(round=began, left=editor.left - 1, floor=self.values.all[world.longest])
-            sent = world.sent | self._post([(name, prepare) for name in KEEPERS])
+            sent = world.sent | self._post([(name, prepare) for name in ACCEPTORS])
             yield (
                 f"{EDITORS[at]} begins {ballot}",
                 self._without_dead(world._replace(sent=sent, editors=_put(world.editors, at, self.rounds(after)))),
@@ -252,11 +266,11 @@
             rest ^= low
             to, message = self.mail.all[low.bit_length() - 1]
             now = ballots.get(to)
-            if isinstance(message, Noted):
-                if self.voters.all[world.memory[KEEPERS.index(to)]].voting:
+            if isinstance(message, JoinAccepted):
+                if self.acceptors.all[world.memory[ACCEPTORS.index(to)]].voting:
                     sent ^= low
             elif to in ballots and (
-                now is None or now.ballot != message.ballot or now.offered and isinstance(message, Promise)
+                now is None or now.ballot != message.ballot or now.accept_sent and isinstance(message, Promise)
             ):
                 sent ^= low
         return world._replace(sent=sent)
@@ -275,21 +289,23 @@
 
     def _wiped(self, world: World, at: int) -> Iterator[tuple[str, World, str]]:
         """Its disk is replaced. Two of three at once are more than any register bears."""
-        if not all(self.voters.all[one].voting for i, one in enumerate(world.memory) if i != at):
+        if not all(self.acceptors.all[one].voting for i, one in enumerate(world.memory) if i != at):
             return
-        old: Voter = self.voters.all[world.memory[at]]
-        fresh = born(KEEPERS, old.me, Life(old.life.boot + 1, old.me))
+        old: AcceptorState = self.acceptors.all[world.memory[at]]
+        fresh = new_acceptor(
+            ACCEPTORS, old.local_name, DiskIncarnation(old.incarnation.boot_number + 1, old.local_name)
+        )
         if self.bounds.empty:
             fresh = msgspec.structs.replace(fresh, voting=True)
-        number = self.voters(fresh)
+        number = self.acceptors(fresh)
         yield (
-            f"{old.me} loses its disk",
+            f"{old.local_name} loses its disk",
             world._replace(
                 memory=_put(world.memory, at, number),
                 disks=_put(world.disks, at, number),
                 held=_put(world.held, at, 0),
                 wipes=world.wipes - 1,
-                sent=world.sent | (0 if self.bounds.empty else self._enter(fresh)),
+                sent=world.sent | (0 if self.bounds.empty else self._request_join(fresh)),
             ),
             "",
         )
--- a/rackhub/trials/fleet/rules_torture.py
+++ b/rackhub/trials/fleet/rules_torture.py
@@ -139,7 +139,9 @@
             return Op(begin, now, request.id, request.base_version, "done", outcome.answer.number)
         if outcome.kind == "unknown":
             return Op(begin, now, request.id, request.base_version, "unknown")
-        return Op(begin, now, request.id, request.base_version, "conflict" if "since then" in outcome.why else "failed")
+        return Op(
+            begin, now, request.id, request.base_version, "conflict" if "since then" in outcome.reason else "failed"
+        )
 
     def _holds(self, name: str, part: Any, version: int) -> None:
         self.report.back += version < self.top[name]
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -8,7 +8,7 @@
 from rackhub import interface as t
 from rackhub.cli import main
 from rackhub.cli import rules as rules_cli
-from rackhub.fleet.register.words import MOST_NUMBER
+from rackhub.fleet.register.messages import MAX_BALLOT_NUMBER
 from rackhub.fleet.rules import timings, versions
 from rackhub.fleet.rules.active_version import VersionTracker
 from rackhub.fleet.rules.dissemination import Dissemination
@@ -382,7 +382,7 @@
     stand = Stand()
     stand.run(SECOND)
     stand.edit("g00", 1, 0, "a", wait_ms=1_000)
-    for body in (b"", b"\xc1", encode({"type": "what"}), encode(FetchVersions(MOST_NUMBER, -1))):
+    for body in (b"", b"\xc1", encode({"type": "what"}), encode(FetchVersions(MAX_BALLOT_NUMBER, -1))):
         stand.net.nodes["g04"].send("g01", MESSAGE_KIND, body)
     stand.net.nodes["g04"].post(MESSAGE_KIND, b"\xc1")
     stand.down("g03")
