--- a/rackhub/cli/store.py
+++ b/rackhub/cli/store.py
@@ -236,15 +236,24 @@
 
 
 def keyed(options: dict[str, Any]) -> int:
-    from rackhub.state.ledger import KEYED, read_keyed
+    from rackhub.state.records import REQUEST_KEY_PREFIX, decode_request
 
     with _open(options) as store:
-        found = [read_keyed(item.key, item.value) for item in store.range(KEYED, KEYED + b"\xff")]
+        items = store.range(REQUEST_KEY_PREFIX, REQUEST_KEY_PREFIX + b"\xff")
+        found = [decode_request(item.value) for item in items]
     if options["--json"]:
         as_json(found)
     else:
         for one in found:
-            print(f"{one.token}\t{one.cls}\t{one.tenant}\t{one.state}\t{one.engine or '-'}\t{one.attempts} attempts")
+            columns = (
+                one.idempotency_key,
+                one.cls,
+                one.tenant,
+                one.state,
+                one.engine or "-",
+                f"{one.attempts} attempts",
+            )
+            print("\t".join(columns))
     return 0
 
 
--- a/rackhub/components.py
+++ b/rackhub/components.py
@@ -1,4 +1,4 @@
-"""The parts that an operator may turn on, in order. One that is off is not imported."""
+"""The optional components of the daemon, in the order of their start. One that is off is not imported."""
 
 from importlib import import_module
 from typing import Any
@@ -7,33 +7,34 @@
 from rackhub.core.component import Component, ComponentContext
 from rackhub.operatorfile import Operator
 
-# what turns each on -> where its `Part` is; a part begins after those above it and ends before them
-ORDER = {
-    "store": "rackhub.state.part",
-    "timings": "rackhub.timings.part",
-    "ops": "rackhub.ops.part",
-    "fleet": "rackhub.fleet.part",
-    "gather": "rackhub.gather.part",
+# component -> the entry point `module:function` that creates it; each starts after those above it and stops before them
+ENTRY_POINTS = {
+    "store": "rackhub.state.component:create_component",
+    "timings": "rackhub.timings.part:part",
+    "ops": "rackhub.ops.part:part",
+    "fleet": "rackhub.fleet.part:part",
+    "gather": "rackhub.gather.part:part",
 }
-LATE = ("timings",)  # may be turned on by a reload; the others take a restart
+RELOADABLE = ("timings",)  # may be turned on by a reload; the others take a restart
 
 
-def wanted(config: Config, operator: Operator) -> list[str]:
-    """The names of the parts that are on."""
-    on = {
+def enabled(config: Config, operator: Operator) -> list[str]:
+    """The names of the components that are on, in the order of their start."""
+    conditions = {
         "ops": config.operator is not None,
-        # the rule book may bring gathers at any time; the check of the file has them refused where peers are
-        "gather": operator.gather is not None or _brings_gathers(operator.fleet or {}),
+        # the rule set may enable gathers at any time; the check of the operator's file rejects them with `peers`
+        "gather": operator.gather is not None or _rules_may_enable_gathers(operator.fleet or {}),
     }
-    return [name for name in ORDER if on.get(name, getattr(operator, name, None) is not None)]
+    return [name for name in ENTRY_POINTS if conditions.get(name, getattr(operator, name, None) is not None)]
 
 
-def _brings_gathers(fleet: dict[str, Any]) -> bool:
+def _rules_may_enable_gathers(fleet: dict[str, Any]) -> bool:
     return bool(fleet.get("keepers")) or fleet.get("role") == "coordinator"
 
 
-def load(name: str, host: ComponentContext) -> Component:
-    """Import a part and make it. Raises `ComponentStartError`."""
-    made = import_module(ORDER[name]).part(host)
-    assert isinstance(made, Component)
-    return made
+def load(name: str, context: ComponentContext) -> Component:
+    """Import and create a component. Raises `ComponentStartError`."""
+    module_name, function_name = ENTRY_POINTS[name].split(":")
+    component = getattr(import_module(module_name), function_name)(context)
+    assert isinstance(component, Component)
+    return component
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -84,7 +84,7 @@
             reread,
         )
         self.parts = self._host.components
-        for name in components.wanted(config, operator):
+        for name in components.enabled(config, operator):
             self.parts[name] = components.load(name, self._host)
 
     def _relist(self) -> None:
@@ -115,8 +115,8 @@
             self._host.operator = operator = self._reread_operator()
             late = {
                 name: components.load(name, self._host)
-                for name in components.wanted(self.config, operator)
-                if name not in self.parts and name in components.LATE
+                for name in components.enabled(self.config, operator)
+                if name not in self.parts and name in components.RELOADABLE
             }  # requests that are open go on without
         except ValueError as bad:
             self.counters.add("operator_reloads_bad")
--- a/rackhub/state/__init__.py
+++ b/rackhub/state/__init__.py
@@ -1,4 +1,5 @@
-"""What one coordinator keeps over its restarts: `ledger` decides, `keeper` writes to a store, `settings` turns it on.
+"""State that one coordinator retains over restarts.
 
-Loaded only where the operator's file has a `[store]` part.
+`records` defines what is stored, `writer` commits it to the embedded store and `settings` checks the `[store]` table
+of the operator's file. The package is imported only where that table is present.
 """
--- /dev/null
+++ b/rackhub/state/component.py
@@ -0,0 +1,56 @@
+"""The daemon's store component: opens the store and attaches it to the coordinator as its request journal."""
+
+from collections.abc import Sequence
+
+from rackhub.config import store_settings
+from rackhub.core.component import Component, ComponentContext, ComponentStartError
+from rackhub.core.source import EndpointSnapshot
+
+
+class StateComponent(Component):
+    """Runs a `StateWriter` for the coordinator of this process."""
+
+    def __init__(self, context: ComponentContext):
+        """Opens the store. Raises `ComponentStartError` where that fails or a required package is missing."""
+        super().__init__(context)
+        try:
+            from rackhub.state.writer import StateWriter
+            from rackhub.store import StoreError
+        except ImportError as missing:
+            raise ComponentStartError(
+                f"[store]: {missing}: install the extra 'store' (requirements-store.txt)"
+            ) from None
+        try:
+            self.writer = StateWriter(
+                context.reactor,
+                store_settings(context.operator.store or {}),
+                context.source.settings.classes,
+                context.clock,
+                context.counters,
+            )
+        except (StoreError, OSError) as fault:
+            raise ComponentStartError(f"[store]: {fault}") from None
+        context.core.ledger = self.writer
+
+    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
+        """Start writing; returns the stored endpoint list where `listing` is empty."""
+        return self.writer.start(listing)
+
+    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
+        """Store the new endpoint list."""
+        self.writer.store_endpoints(listing)
+
+    def stop(self) -> None:
+        """Write what is pending and close the store."""
+        self.writer.close()
+
+    def summary_lines(self) -> Sequence[str]:
+        """The counters over all starts, as one line."""
+        totals = self.writer.totals()
+        counted = " ".join(f"{name}={count}" for name, count in totals.counts.items())
+        return [f"counters of {totals.starts} starts: {counted or 'nothing'}"]
+
+
+def create_component(context: ComponentContext) -> StateComponent:
+    """Create the component; `rackhub.components` calls it."""
+    return StateComponent(context)
--- /dev/null
+++ b/rackhub/state/records.py
@@ -0,0 +1,309 @@
+"""The records that a coordinator stores, and how long it retains them. Pure: events and times in, keys and values out.
+
+Keys in the store:
+
+- `engines`: the endpoint list as last received;
+- `counters`: totals over all starts;
+- `keyed/CLASS/KEY`: one request with an idempotency key, from its receipt until the idempotency window of its class
+  has passed. Within that window an engine recognises a repeated request by its key.
+
+Times are Unix microseconds, durations are microseconds.
+"""
+
+from collections import deque
+from collections.abc import Iterable, Mapping
+from enum import StrEnum
+from typing import NamedTuple
+
+import msgspec
+
+from rackhub import interface
+from rackhub.core.source import EndpointSnapshot
+
+ENDPOINT_LIST_KEY = b"engines"
+COUNTERS_KEY = b"counters"
+REQUEST_KEY_PREFIX = b"keyed/"
+SECOND = 1_000_000  # microseconds
+DEFAULT_IDEMPOTENCY_WINDOW = 25 * SECOND
+OPEN_REQUEST_RETENTION_WINDOWS = 4  # how many of the longest windows an unfinished request is retained
+
+
+class RequestState(StrEnum):
+    """The progress of a recorded request. The values are stored."""
+
+    RECEIVED = "taken"
+    IN_FLIGHT = "out"
+    SERVED = "served"
+    REJECTED = "refused"
+    FAILED = "failed"
+    ABANDONED = "left"
+
+    @property
+    def is_open(self) -> bool:
+        """Whether the request has neither a response nor a client that disconnected."""
+        return self in (RequestState.RECEIVED, RequestState.IN_FLIGHT)
+
+
+class KeyedRequestRecord(msgspec.Struct, kw_only=True):
+    """One request with an idempotency key. The stored names stay when those of the code change."""
+
+    idempotency_key: str = msgspec.field(name="token")
+    cls: str
+    tenant: str
+    state: RequestState
+    received_at: int = msgspec.field(name="taken")
+    changed_at: int = msgspec.field(name="changed")
+    window_ends_at: int = msgspec.field(name="until")  # counted from the first attempt that possibly executed
+    engine: str = ""  # of the last attempt
+    sent_at: int = msgspec.field(default=0, name="sent")  # of the last attempt
+    attempts: int = 0
+    client_requests: int = msgspec.field(default=1, name="tries")  # with this key: the first and the client's retries
+    earlier_engines: list[str] = msgspec.field(default_factory=list, name="earlier")  # that possibly executed it
+
+
+class StoredEngine(msgspec.Struct):
+    """An engine of the endpoint list as it is stored. The stored names stay when those of the code change."""
+
+    engine: str
+    zone: str = ""
+    kind: str = ""
+    cell: int = 0
+    state: str = "Ready"
+    size: float = 1.0
+    started_at: int = msgspec.field(default=0, name="came_up")
+
+    @classmethod
+    def of(cls, entry: interface.EngineEntry) -> "StoredEngine":
+        """The stored form of an entry."""
+        return cls(entry.engine, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_at)
+
+    def entry(self) -> interface.EngineEntry:
+        """The entry that is stored here."""
+        return interface.EngineEntry(*msgspec.structs.astuple(self))
+
+
+class StoredEndpointList(msgspec.Struct):
+    """The endpoint list as it was received at `received_at`."""
+
+    revision: int = msgspec.field(name="rev")
+    received_at: int = msgspec.field(name="at")
+    entries: list[StoredEngine]
+    addresses: dict[str, tuple[str, int]]
+
+
+class StoredCounters(msgspec.Struct):
+    """Totals over all starts, this one included so far."""
+
+    starts: int
+    first_started_at: int = msgspec.field(name="first")
+    counts: dict[str, int]
+
+
+class RecordChanges(NamedTuple):
+    """What has to be written to the store: records by their keys, and the keys of those that have expired."""
+
+    updated: dict[bytes, bytes]
+    expired: list[bytes]
+
+
+class InitialEndpoints(NamedTuple):
+    """The endpoint list to start with; `stored_age` in microseconds where it comes from the store, otherwise None."""
+
+    listing: EndpointSnapshot
+    stored_age: int | None
+
+
+def request_key(cls: str, idempotency_key: str) -> bytes:
+    """The key in the store of a request of class `cls`."""
+    return REQUEST_KEY_PREFIX + cls.encode() + b"/" + idempotency_key.encode("utf-8", "backslashreplace")
+
+
+def decode_request(value: bytes) -> KeyedRequestRecord:
+    """Decode a stored request. Raises `msgspec.MsgspecError` where `value` is none."""
+    return msgspec.json.decode(value, type=KeyedRequestRecord)
+
+
+class KeyedRequestRecords:
+    """The records of requests within their idempotency windows, and which of them are to be written."""
+
+    def __init__(self, windows: Mapping[str, int], default_window: int = DEFAULT_IDEMPOTENCY_WINDOW):
+        """`windows`: the idempotency window by class, in microseconds; `default_window` for classes that set none."""
+        self._windows = windows
+        self._default_window = default_window
+        self._records: dict[bytes, KeyedRequestRecord] = {}
+        self._changed: dict[bytes, None] = {}
+        # (end, key), roughly ordered: windows differ between classes
+        self._expiry_queue: deque[tuple[int, bytes]] = deque()
+
+    def __len__(self) -> int:
+        return len(self._records)
+
+    def restore(self, stored: Iterable[KeyedRequestRecord], now: int) -> list[KeyedRequestRecord]:
+        """Take over the records of an earlier run.
+
+        Returns those within their windows that it left open: they were possibly executed. Expired ones are reported
+        by the next `take_changes`.
+        """
+        left_open = []
+        for record in sorted(stored, key=lambda record: record.window_ends_at):
+            key = request_key(record.cls, record.idempotency_key)
+            self._records[key] = record
+            self._expiry_queue.append((record.window_ends_at, key))
+            if record.state.is_open and record.window_ends_at > now:
+                left_open.append(record)
+        return left_open
+
+    def find(self, cls: str, idempotency_key: str) -> KeyedRequestRecord | None:
+        """The record of a request, None where there is none."""
+        return self._records.get(request_key(cls, idempotency_key))
+
+    def received(self, idempotency_key: str, cls: str, tenant: str, now: int) -> None:
+        """Record a request. One with a known key is the client's retry of the same work."""
+        key = request_key(cls, idempotency_key)
+        window_ends_at = self._window_end(cls, now)
+        record = self._records.get(key)
+        if record is None:
+            self._records[key] = KeyedRequestRecord(
+                idempotency_key=idempotency_key,
+                cls=cls,
+                tenant=tenant,
+                state=RequestState.RECEIVED,
+                received_at=now,
+                changed_at=now,
+                window_ends_at=window_ends_at,
+            )
+            self._expiry_queue.append((window_ends_at, key))
+        else:  # its earlier attempts stay on record, as they possibly executed
+            record.state = RequestState.RECEIVED
+            record.changed_at = now
+            record.client_requests += 1
+            if not record.attempts:
+                record.window_ends_at = window_ends_at
+        self._changed[key] = None
+
+    def sent(self, idempotency_key: str, cls: str, engine: str, now: int) -> None:
+        """Record an attempt that is sent to `engine`."""
+        key = request_key(cls, idempotency_key)
+        record = self._records.get(key)
+        if record is None:
+            return
+        if record.engine and record.engine not in record.earlier_engines:
+            record.earlier_engines = [*record.earlier_engines, record.engine]
+        if not record.attempts:  # the window starts with the first attempt that possibly executed
+            record.window_ends_at = self._window_end(cls, now)
+        record.state = RequestState.IN_FLIGHT
+        record.engine = engine
+        record.sent_at = now
+        record.changed_at = now
+        record.attempts += 1
+        self._changed[key] = None
+
+    def finished(self, idempotency_key: str, cls: str, state: RequestState, now: int) -> None:
+        """Record how a request ended: by its response, or by its client's disconnecting."""
+        key = request_key(cls, idempotency_key)
+        record = self._records.get(key)
+        if record is None:
+            return
+        record.state = state
+        record.changed_at = now
+        self._changed[key] = None
+
+    def take_changes(self, now: int) -> RecordChanges:
+        """Return what is to be written since the last call, and forget the records whose windows have passed.
+
+        An open record is retained until it is finished, within bounds.
+        """
+        expired = self._expire(now)
+        updated = {key: msgspec.json.encode(self._records[key]) for key in self._changed}
+        self._changed.clear()
+        return RecordChanges(updated, expired)
+
+    def _expire(self, now: int) -> list[bytes]:
+        expired: list[bytes] = []
+        for _ in range(len(self._expiry_queue)):
+            ends_at, key = self._expiry_queue[0]
+            record = self._records.get(key)
+            if record is not None and ends_at > now:
+                break
+            self._expiry_queue.popleft()
+            if record is None:
+                continue
+            if self._is_retained(record, now):
+                self._expiry_queue.append((max(record.window_ends_at, now + SECOND), key))
+                continue
+            del self._records[key]
+            self._changed.pop(key, None)
+            expired.append(key)
+        return expired
+
+    def _is_retained(self, record: KeyedRequestRecord, now: int) -> bool:
+        if record.window_ends_at > now:
+            return True
+        return record.state.is_open and record.changed_at + self._open_retention() > now
+
+    def _window_end(self, cls: str, now: int) -> int:
+        return now + self._windows.get(cls, self._default_window)
+
+    def _open_retention(self) -> int:
+        """How long an open record is retained after its last change, in microseconds."""
+        longest_window = max(self._windows.values(), default=self._default_window)
+        return OPEN_REQUEST_RETENTION_WINDOWS * longest_window
+
+
+def encode_endpoint_list(listing: EndpointSnapshot, now: int) -> bytes:
+    """The stored form of an endpoint list received at `now`."""
+    entries = [StoredEngine.of(entry) for entry in listing.entries]
+    return msgspec.json.encode(StoredEndpointList(listing.revision, now, entries, listing.addresses))
+
+
+def initial_endpoints(
+    configured: EndpointSnapshot, stored_value: bytes | None, now: int, maximum_age: int
+) -> InitialEndpoints:
+    """Choose the endpoint list to start with.
+
+    A configured list takes precedence over the stored one, which is used up to `maximum_age` microseconds. A stored
+    list gets the configured revision, 0 where none is configured: revisions start anew with each process, and any list
+    received later must replace this one. Engines that were draining stay so.
+    """
+    stored = None if configured.entries else _decode_endpoint_list(stored_value)
+    if stored is None or not stored.entries:
+        return InitialEndpoints(configured, None)
+    age = max(now - stored.received_at, 0)
+    if age > maximum_age:
+        return InitialEndpoints(configured, None)
+    entries = tuple(engine.entry() for engine in stored.entries)
+    return InitialEndpoints(EndpointSnapshot(configured.revision, entries, dict(stored.addresses)), age)
+
+
+def _decode_endpoint_list(value: bytes | None) -> StoredEndpointList | None:
+    if value is None:
+        return None
+    try:
+        return msgspec.json.decode(value, type=StoredEndpointList)
+    except msgspec.MsgspecError:
+        return None
+
+
+def initial_counters(stored_value: bytes | None, now: int) -> StoredCounters:
+    """The totals of all earlier starts, with this start added to `starts`. An unreadable value counts as none."""
+    counters = _decode_counters(stored_value) or StoredCounters(0, now, {})
+    counters.starts += 1
+    return counters
+
+
+def _decode_counters(value: bytes | None) -> StoredCounters | None:
+    if value is None:
+        return None
+    try:
+        return msgspec.json.decode(value, type=StoredCounters)
+    except msgspec.MsgspecError:
+        return None
+
+
+def add_counters(earlier: StoredCounters, current: Mapping[str, int]) -> StoredCounters:
+    """The totals of `earlier` starts with the `current` counts of this one added."""
+    counts = dict(earlier.counts)
+    for name, count in current.items():
+        if count:
+            counts[name] = counts.get(name, 0) + count
+    return StoredCounters(earlier.starts, earlier.first_started_at, counts)
--- a/rackhub/state/settings.py
+++ b/rackhub/state/settings.py
@@ -1,4 +1,4 @@
-"""The `[store]` part of the operator's file: where the coordinator's store is, and the store's own options."""
+"""The `[store]` table of the operator's file: the directory of the coordinator's store, and the store's own options."""
 
 from typing import Any
 
@@ -6,10 +6,17 @@
 
 from rackhub.store.options import Options
 
+MAXIMUM_ENDPOINT_LIST_AGE_S = 31_536_000  # a year
+MAXIMUM_COUNTERS_INTERVAL_S = 86_400  # a day
+
 
 class StoreSettings(Options, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Besides the options of the store itself: `path` its directory; `engines_for_s` how old a kept list of engines
-    may be to be served from; `counters_every_s` how often the counters are written."""
+    """The options of the store and those of the coordinator's state.
+
+    `path`: the directory; `engines_for_s`: how old, in seconds, a stored endpoint list may be to start with it;
+    `counters_every_s`: the interval in seconds at which counters are written. A value out of range raises
+    `ValueError`, which `msgspec` turns into a `ValidationError`.
+    """
 
     path: str
     retain_revisions: int = 10_000
@@ -20,11 +27,13 @@
         super().__post_init__()
         if not self.path:
             raise ValueError("path is empty")
-        for name, most in (("engines_for_s", 31_536_000), ("counters_every_s", 86_400)):
-            if not 1 <= getattr(self, name) <= most:
-                raise ValueError(f"{name} is {getattr(self, name)}: from 1 to {most} is needed")
+        maxima = {"engines_for_s": MAXIMUM_ENDPOINT_LIST_AGE_S, "counters_every_s": MAXIMUM_COUNTERS_INTERVAL_S}
+        for name, maximum in maxima.items():
+            value = getattr(self, name)
+            if not 1 <= value <= maximum:
+                raise ValueError(f"{name} is {value}: from 1 to {maximum} is needed")
 
 
-def store_settings(part: dict[str, Any]) -> StoreSettings:
-    """The checked part; `msgspec.ValidationError` names the key at fault."""
-    return msgspec.convert(part, StoreSettings)
+def store_settings(table: dict[str, Any]) -> StoreSettings:
+    """Check the table. Raises `msgspec.ValidationError`, which names the key at fault."""
+    return msgspec.convert(table, StoreSettings)
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -31,20 +31,20 @@
 
 def state_records() -> Records:
     """A coordinator's own store: keyed requests in each state, the list of engines, counters of a run."""
-    here = test_state.Kept()
-    here.turn()
+    here = test_state.StoredCoordinator()
+    here.run_iterations()
     for number in range(1, 5):
         here.ask(number, token=f"{number:032x}")
-        here.turn()
+        here.run_iterations()
     here.core.ended(here.port.sent[0], "GOOD", {}, (b"a\tb\tc\n",))
     here.core.ended(here.port.sent[1], "BAD")
     here.core.leave(here.core.queries[f"{3:016x}"])
     here.core.submit(Query("f" * 16, "lookup", b"x", here.clock.now() + 3 * S, here.port, tenant="acme"))
-    here.turn()
-    here.keeper.end()
-    again = test_state.Kept(here.files)
-    found = {item.key: item.value for item in again.keeper.store.scan(b"", b"\xff")}
-    again.keeper.end()
+    here.run_iterations()
+    here.writer.close()
+    again = test_state.StoredCoordinator(here.files)
+    found = {item.key: item.value for item in again.writer.store.scan(b"", b"\xff")}
+    again.writer.close()
     return found
 
 
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -21,7 +21,7 @@
 from rackhub.fleet.register import words as register_words
 from rackhub.fleet.rules import holder
 from rackhub.fleet.rules import words as rules_words
-from rackhub.state import ledger
+from rackhub.state import records as state_records
 
 RECORDED = Path(__file__).parent / "golden" / "wire.json"
 
@@ -82,9 +82,9 @@
         records.Seen, lambda body: records.unpack_seen(body)[0], lambda one: records.pack_seen([one])
     ),
     "reachability record": _msgpack(reach.Reach),
-    "keyed request on disk": _json(ledger.Keyed),
-    "engines on disk": _json(ledger.KeptEngines),
-    "counters on disk": _json(ledger.KeptCounters),
+    "keyed request on disk": _json(state_records.KeyedRequestRecord),
+    "engines on disk": _json(state_records.StoredEndpointList),
+    "counters on disk": _json(state_records.StoredCounters),
     "gathered answer": _json(core_gather.GatherStatus),
 }
 
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -15,7 +15,7 @@
 from rackhub.fleet.members import boots
 from rackhub.fleet.register.disk import MemoryDisk, StoreDisk
 from rackhub.ops import statefile
-from rackhub.state import ledger
+from rackhub.state import records
 from rackhub.store.faulty import MemoryFiles
 from rackhub.trials.fleet import rules_torture
 from rackhub.trials.fleet.twin import SECOND
@@ -69,26 +69,28 @@
 def test_a_coordinator_goes_on_from_a_recorded_store():
     files = MemoryFiles()
     golden_disk.write_records(files, GOLDEN["state"])
-    here = test_state.Kept(files, listing=test_state.EndpointSnapshot(0, (), {}))
-    left_open = here.keeper.left_open
-    assert [(one.token, one.state, one.attempts, one.engine) for one in left_open] == [(f"{4:032x}", "out", 1, "e0")]
+    here = test_state.StoredCoordinator(files, listing=test_state.EndpointSnapshot(0, (), {}))
+    left_open = here.writer.left_open
+    assert [(one.idempotency_key, one.state, one.attempts, one.engine) for one in left_open] == [
+        (f"{4:032x}", "out", 1, "e0")
+    ]
     assert [entry.engine for entry in here.listing.entries] == ["e0", "e1"]
     assert here.listing.addresses == test_state.LIST.addresses
     assert here.listing.entries == test_state.LIST.entries
-    totals = here.keeper.totals()
+    totals = here.writer.totals()
     assert (totals.starts, totals.counts["served"], totals.counts["refused"]) == (2, 1, 1)
     here.ask(9, token=f"{2:032x}")
-    here.turn()
-    again = next(one for one in here.keyed() if one.token == f"{2:032x}")
-    assert (again.state, again.tries, again.attempts) == ("out", 2, 2)
+    here.run_iterations()
+    again = next(one for one in here.request_records() if one.idempotency_key == f"{2:032x}")
+    assert (again.state, again.client_requests, again.attempts) == ("out", 2, 2)
 
 
 def test_every_recorded_request_is_read_to_its_fields():
     found = {
-        one.token: one
+        one.idempotency_key: one
         for key, body in GOLDEN["state"].items()
-        if key.startswith(ledger.KEYED)
-        for one in [ledger.read_keyed(key, body)]
+        if key.startswith(records.REQUEST_KEY_PREFIX)
+        for one in [records.decode_request(body)]
     }
     assert [found[f"{n:032x}"].state for n in range(1, 5)] == ["served", "refused", "left", "out"]
     assert all(one.cls == "depot-load" and one.tenant == "acme" and one.attempts == 1 for one in found.values())
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""What a coordinator keeps over its restarts: the words of the ledger, the keeper on a store, the driver, the tools."""
+"""State that a coordinator retains over restarts: its records, their writer, the store driver and the commands."""
 
 import json
 import os
@@ -23,9 +23,9 @@
 from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
-from rackhub.state import ledger
-from rackhub.state.keeper import Keeper
+from rackhub.state import records
 from rackhub.state.settings import store_settings
+from rackhub.state.writer import StateWriter
 from rackhub.store import Batch, Options, Store, kill
 from rackhub.store.driver import Driver
 from rackhub.store.faulty import MemoryFiles
@@ -64,149 +64,157 @@
         self.answers.append("failed")
 
 
-class Kept:
-    """A core with a keeper on files in memory; the reactor's time is the test's, so is the core's."""
+class StoredCoordinator:
+    """A coordinator with a state writer on files in memory, on simulated time."""
 
     def __init__(self, files=None, listing=LIST, **more):
         self.files, self.reactor, self.clock = files or MemoryFiles(), Clock(), FakeClock()
         self.counters, self.port = Counters(), Engines()
         settings = store_settings({"path": "memory"} | more)
-        self.keeper = Keeper(self.reactor, settings, CLASSES, self.clock, self.counters, self.files)
+        self.writer = StateWriter(self.reactor, settings, CLASSES, self.clock, self.counters, self.files)
         self.core = Coordinator(SETTINGS, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
-        self.core.ledger = self.keeper
-        self.listing = self.keeper.start(listing)
+        self.core.ledger = self.writer
+        self.listing = self.writer.start(listing)
         self.core.start(self.port, self.listing.entries, 1)
 
     def ask(self, id, cls="depot-load", token=TOKEN):
         until = self.clock.now() + 20 * S
         self.core.submit(Query(f"{id:016x}", cls, b"x", until, self.port, tenant="acme", idempotency_key=token))
 
-    def turn(self, seconds=0.0):
-        """Some turns of the loop, and time."""
+    def run_iterations(self, seconds=0.0):
+        """Let `seconds` pass and run some event-loop iterations."""
         self.reactor.pump([seconds] + [0.0] * 8)
 
-    def keyed(self):
-        return [ledger.read_keyed(item.key, item.value) for item in self.keeper.store.range(ledger.KEYED, b"keyed0")]
+    def request_records(self):
+        return [
+            records.decode_request(item.value)
+            for item in self.writer.store.range(records.REQUEST_KEY_PREFIX, b"keyed0")
+        ]
 
 
-def test_a_keyed_request_is_on_record_from_being_taken_to_its_end():
-    here = Kept()
-    here.turn()
+def test_a_keyed_request_is_recorded_from_receipt_to_completion():
+    here = StoredCoordinator()
+    here.run_iterations()
     here.ask(1)
-    here.turn()
-    (one,) = here.keyed()
-    assert (one.token, one.cls, one.state, one.attempts) == (TOKEN, "depot-load", "out", 1)
-    assert one.engine == here.port.sent[0].engine and one.until == here.clock.now() + 25 * S
+    here.run_iterations()
+    (one,) = here.request_records()
+    assert (one.idempotency_key, one.cls, one.state, one.attempts) == (TOKEN, "depot-load", "out", 1)
+    assert one.engine == here.port.sent[0].engine and one.window_ends_at == here.clock.now() + 25 * S
     here.core.ended(here.port.sent[0], "GOOD", {}, (b"a\tb\tc\n",))
-    here.turn()
-    assert here.keyed()[0].state == "served" and here.port.answers == ["served"]
+    here.run_iterations()
+    assert here.request_records()[0].state == "served" and here.port.answers == ["served"]
 
 
-def test_a_request_without_a_key_never_gets_to_the_store():
-    here = Kept()
-    here.turn()
-    before = here.keeper.store.revision
+def test_a_request_without_an_idempotency_key_is_never_stored():
+    here = StoredCoordinator()
+    here.run_iterations()
+    before = here.writer.store.revision
     for i in range(20):
         here.ask(i + 1, "lookup", "")
-    here.turn()
-    assert len(here.port.sent) == 20 and here.keeper.store.revision == before and here.counters["state_commits"] == 1
+    here.run_iterations()
+    assert len(here.port.sent) == 20 and here.writer.store.revision == before and here.counters["state_commits"] == 1
 
 
-def test_many_changes_of_one_turn_are_one_commit_and_one_sync():
-    here = Kept()
-    here.turn()
-    revision, steps = here.keeper.store.revision, here.files.steps
+def test_changes_of_one_iteration_are_one_commit_and_one_sync():
+    here = StoredCoordinator()
+    here.run_iterations()
+    revision, steps = here.writer.store.revision, here.files.steps
     for i in range(30):
         here.ask(i + 1, token=f"{i:032x}")
-    here.turn()
-    assert here.keeper.store.revision == revision + 1 and here.files.steps == steps + 2
-    assert len(here.keyed()) == 30
+    here.run_iterations()
+    assert here.writer.store.revision == revision + 1 and here.files.steps == steps + 2
+    assert len(here.request_records()) == 30
 
 
-def test_after_a_power_cut_what_was_open_is_known_and_what_is_past_its_window_is_dropped():
-    here = Kept()
-    here.turn()
+def test_after_a_power_cut_open_requests_are_known_and_expired_ones_dropped():
+    here = StoredCoordinator()
+    here.run_iterations()
     here.ask(1)
-    here.turn()
-    again = Kept(here.files.after_power_cut(3))
-    (left,) = again.keeper.left_open
+    here.run_iterations()
+    again = StoredCoordinator(here.files.after_power_cut(3))
+    (left,) = again.writer.left_open
     assert (left.state, left.engine, left.attempts) == ("out", here.port.sent[0].engine, 1)
     again.ask(2)  # the client comes again with its key
-    again.turn()
-    (one,) = again.keyed()
-    assert one.tries == 2 and one.attempts == 2 and one.until == left.until  # the window runs from the first attempt
+    again.run_iterations()
+    (one,) = again.request_records()
+    # the window runs from the first attempt
+    assert one.client_requests == 2 and one.attempts == 2 and one.window_ends_at == left.window_ends_at
     again.core.ended(again.port.sent[0], "GOOD", {}, (b"",))
     again.clock.advance(30 * S)
     again.ask(3, token="f" * 32)
-    again.turn()
-    assert [one.token for one in again.keyed()] == ["f" * 32]
+    again.run_iterations()
+    assert [one.idempotency_key for one in again.request_records()] == ["f" * 32]
 
 
-def test_the_list_of_engines_serves_a_start_that_is_told_none_and_any_told_one_takes_its_place():
-    here = Kept()
-    here.turn()
+def test_the_stored_endpoint_list_serves_a_start_without_one_and_a_configured_one_replaces_it():
+    here = StoredCoordinator()
+    here.run_iterations()
     later = LIST._replace(revision=42, entries=LIST.entries[:1])
-    here.keeper.listed(later)
-    here.turn()
-    again = Kept(here.files.copy(), listing=EndpointSnapshot(0, (), {}))
+    here.writer.store_endpoints(later)
+    here.run_iterations()
+    again = StoredCoordinator(here.files.copy(), listing=EndpointSnapshot(0, (), {}))
     assert again.listing == EndpointSnapshot(
         0, later.entries, LIST.addresses
     )  # numbered so that the resolver's first counts
-    assert Kept(here.files.copy(), listing=LIST).listing == LIST
-    start = ledger.start_list(EndpointSnapshot(0, (), {}), ledger.keep_engines(LIST, 0), 90_000 * S, 86_400 * S)
+    assert StoredCoordinator(here.files.copy(), listing=LIST).listing == LIST
+    start = records.initial_endpoints(
+        EndpointSnapshot(0, (), {}), records.encode_endpoint_list(LIST, 0), 90_000 * S, 86_400 * S
+    )
     assert start == (EndpointSnapshot(0, (), {}), None)  # too old to go by
-    assert ledger.start_list(EndpointSnapshot(0, (), {}), b"no list", 0, S)[1] is None
-    drained, _ = ledger.start_list(EndpointSnapshot(0, (), {}), ledger.keep_engines(LIST, 0), S, 86_400 * S)
+    assert records.initial_endpoints(EndpointSnapshot(0, (), {}), b"no list", 0, S)[1] is None
+    drained, _ = records.initial_endpoints(
+        EndpointSnapshot(0, (), {}), records.encode_endpoint_list(LIST, 0), S, 86_400 * S
+    )
     assert drained.entries[1].state == "Terminating"
 
 
-def test_counters_run_on_over_starts():
-    here = Kept()
+def test_counters_accumulate_over_starts():
+    here = StoredCoordinator()
     here.ask(1)
-    here.turn()
-    here.keeper.end()
-    again = Kept(here.files.copy())
+    here.run_iterations()
+    here.writer.close()
+    again = StoredCoordinator(here.files.copy())
     again.ask(2)
-    totals = again.keeper.totals()
+    totals = again.writer.totals()
     assert totals.starts == 2 and totals.counts["requests_in"] == 2
 
 
-def test_a_disk_that_fails_holds_nothing_up_and_what_waited_is_written_when_it_is_back():
-    here = Kept()
-    here.turn()
+def test_a_failing_disk_blocks_nothing_and_pending_writes_follow_its_recovery():
+    here = StoredCoordinator()
+    here.run_iterations()
     here.files.fault, here.files.fail_at, here.files.lasting = OSError(28, "No space left"), here.files.steps + 1, True
     for i in range(3):
         here.ask(i + 1, token=f"{i:032x}")
-        here.turn()
+        here.run_iterations()
     assert len(here.port.sent) == 3 and here.counters["state_failures"] >= 2  # served all the same
-    here.turn(1.5)  # the first retry fails too
+    here.run_iterations(1.5)  # the first retry fails too
     here.files.fail_at = 0
-    here.turn(5)
+    here.run_iterations(5)
     here.ask(9, token="9" * 32)
-    here.turn()
-    assert len(here.keyed()) == 4
-    assert len(Kept(here.files.after_power_cut(1)).keyed()) == 4
+    here.run_iterations()
+    assert len(here.request_records()) == 4
+    assert len(StoredCoordinator(here.files.after_power_cut(1)).request_records()) == 4
 
 
-def test_what_waits_for_a_disk_that_stays_away_is_bounded():
-    here = Kept()
-    here.turn()
+def test_pending_writes_for_a_failed_disk_are_bounded():
+    here = StoredCoordinator()
+    here.run_iterations()
     here.files.fault, here.files.fail_at, here.files.lasting = OSError(5, "I/O error"), here.files.steps + 1, True
     here.ask(1)
-    here.turn()
+    here.run_iterations()
     for i in range(11_000):
-        here.keeper._waiting[b"keyed/%d" % i] = b"x"
+        here.writer._pending[b"keyed/%d" % i] = b"x"
     here.ask(2, token="2" * 32)
-    here.turn()
-    assert len(here.keeper._waiting) == 10_000 and here.counters["state_dropped"] > 900
+    here.run_iterations()
+    assert len(here.writer._pending) == 10_000 and here.counters["state_dropped"] > 900
 
 
-def test_a_value_that_can_not_be_read_is_counted_and_left():
+def test_an_undecodable_value_is_counted_and_left():
     files = MemoryFiles()
     with Store.open("memory", files=files) as store:
         store.commit(Batch().put(b"keyed/depot-load/x", b"{"))
-    here = Kept(files)
-    assert here.counters["state_unread"] == 1 and here.keeper.store.get(b"keyed/depot-load/x").value == b"{"
+    here = StoredCoordinator(files)
+    assert here.counters["state_unread"] == 1 and here.writer.store.get(b"keyed/depot-load/x").value == b"{"
 
 
 # ---- the pace and the driver
@@ -390,7 +398,7 @@
         ({"path": "x", "runs": "many"}, "runs"),
     ],
 )
-def test_a_bad_store_part_is_refused_by_its_key(part, key, tmp_path, capsys):
+def test_an_invalid_store_table_is_rejected_by_its_key(part, key, tmp_path, capsys):
     (tmp_path / "c.json").write_text(json.dumps(told()))
     lines = "".join(f"{name} = {json.dumps(value)}\n" for name, value in part.items())
     (tmp_path / "o.toml").write_text(f"[store]\n{lines}")
@@ -398,7 +406,7 @@
     assert main(["check-config", *words]) == 2 and key in capsys.readouterr().err
 
 
-def test_a_store_that_is_off_loads_nothing_of_it():
+def test_a_disabled_store_is_not_imported():
     code = (
         "import sys, rackhub.cli.serve, rackhub.daemon; bad = [m for m in sys.modules if m.startswith("
         "('rackhub.store', 'rackhub.state.', 'crc32c', 'rbloom', 'xxhash', 'sortedcontainers'))]; print(bad)"
@@ -407,7 +415,7 @@
     assert done.stdout == "[]\n"
 
 
-def test_a_daemon_keeps_its_state_over_a_kill_and_starts_from_it(tmp_path):
+def test_a_daemon_restores_its_state_after_a_kill(tmp_path):
     with socket.socket() as one, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as two:
         one.bind(("127.0.0.1", 0))
         two.bind(("127.0.0.1", 0))  # a resolver that never answers
@@ -460,7 +468,7 @@
         first.send_signal(signal.SIGTERM)
         assert first.wait(30) == 0
         second = start(known={"rev": 0, "notices": []})
-        assert "list of 1 kept" in until(second, "no engines are told")
+        assert "list of 1 stored" in until(second, "no engines are configured")
         assert "1 engines known" in until(second, "serves on")
         for _ in range(5):  # each answer is one more turn of its loop: written in one, committed and synced in the next
             second.send_signal(signal.SIGUSR1)
@@ -475,10 +483,10 @@
         for process in (first, second, third):
             process.stderr.close()
         with Store.open(tmp_path / "state") as store:
-            assert msgspec.json.decode(store.get(ledger.COUNTERS).value)["starts"] == 3
+            assert msgspec.json.decode(store.get(records.COUNTERS_KEY).value)["starts"] == 3
 
 
-def test_a_store_that_can_not_be_opened_ends_the_start_with_one_line(tmp_path):
+def test_a_store_that_cannot_be_opened_fails_the_start_with_one_line(tmp_path):
     state = tmp_path / "state"
     Store.open(state).close()
     (state / "MANIFEST").write_bytes(b"")
