--- a/rackhub/__main__.py
+++ b/rackhub/__main__.py
@@ -11,12 +11,12 @@
         # once, and in no other way if it is told twice.
         signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGUSR1))
         signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
-    # before anything heavy is imported: see rackhub/ops/gentle.py, which is not loaded where nothing was left behind
+    # Before anything heavy is imported: see rackhub/ops/replacement_ramp.py, imported only where a lock file is.
     if os.path.exists(os.path.join(os.environ.get("TMPDIR") or "/tmp", "rackhub-ops.lock")):
-        from rackhub.ops import gentle
+        from rackhub.ops import replacement_ramp
 
-        if sys.argv[1:2] == ["serve"] and gentle.alive(os.environ):
-            gentle.spread()
+        if sys.argv[1:2] == ["serve"] and replacement_ramp.predecessor_is_running(os.environ):
+            replacement_ramp.throttle_imports()
     from rackhub.cli import main
 
     sys.exit(main())
--- a/rackhub/components.py
+++ b/rackhub/components.py
@@ -11,7 +11,7 @@
 ENTRY_POINTS = {
     "store": "rackhub.state.component:create_component",
     "timings": "rackhub.timings.part:part",
-    "ops": "rackhub.ops.part:part",
+    "ops": "rackhub.ops.component:create_component",
     "fleet": "rackhub.fleet.part:part",
     "gather": "rackhub.gather.part:part",
 }
--- a/rackhub/ops/__init__.py
+++ b/rackhub/ops/__init__.py
@@ -1,2 +1,4 @@
-"""What the operators' staff use: the second address, its figures, engines taken out by hand, and what passes to the
-process that replaces this one. Nothing of it is loaded where no second address is set."""
+"""The operators' interface: a second address with commands and metrics, manual ejections, and process replacement.
+
+The package is imported only where a second address is configured, or where a predecessor left its lock file.
+"""
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -18,14 +18,14 @@
 
 from rackhub.core.request import Query
 from rackhub.fleet.rules.words import Ask, Trial
-from rackhub.ops import statefile
+from rackhub.ops import handover_file
 from rackhub.store import Batch, Options, Store
 from rackhub.store.faulty import MemoryFiles
 from rackhub.trials.fleet import rules_torture
 from rackhub.trials.fleet.twin import SECOND
 
 RECORDED = Path(__file__).parent / "golden" / "disk"
-HANDED_OVER = {"e1"}, {"e0", "e1", "e2"}, {"e2": 1_700_000_000_000_000}  # out by hand, listed, put back
+HANDED_OVER = {"e1"}, {"e0", "e1", "e2"}, {"e2": 1_700_000_000_000_000}  # ejected, known, restored
 Records = dict[bytes, bytes]
 
 
@@ -159,7 +159,7 @@
         json.dumps({name: as_text(records) for name, records in found.items()}, indent=1) + "\n"
     )
     (folder / "boot").write_text("4102444800000\n")
-    (folder / statefile.NAME).write_bytes(statefile.encode(*HANDED_OVER))
+    (folder / handover_file.FILE_NAME).write_bytes(handover_file.encode(*HANDED_OVER))
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -14,7 +14,7 @@
 
 from rackhub.fleet.members import boots
 from rackhub.fleet.register.disk import MemoryDisk, StoreDisk
-from rackhub.ops import statefile
+from rackhub.ops import handover_file
 from rackhub.state import records
 from rackhub.store.faulty import MemoryFiles
 from rackhub.trials.fleet import rules_torture
@@ -150,8 +150,8 @@
     assert (tmp_path / boots.FILE).read_bytes() == (RECORDED / "boot").read_bytes()
 
 
-def test_a_recorded_file_of_the_process_before_is_read_and_written_alike():
-    body = (RECORDED / statefile.NAME).read_bytes()
-    found = statefile.decode(body)
-    assert (set(found.out), set(found.listed), found.back) == golden_disk.HANDED_OVER
-    assert statefile.encode(*golden_disk.HANDED_OVER) == body
+def test_a_recorded_handover_file_is_read_and_written_alike():
+    body = (RECORDED / handover_file.FILE_NAME).read_bytes()
+    found = handover_file.decode(body)
+    assert (set(found.ejected), set(found.known), found.restored_at) == golden_disk.HANDED_OVER
+    assert handover_file.encode(*golden_disk.HANDED_OVER) == body
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -6,11 +6,11 @@
 import pytest
 from replacing import Engine, Process, Traffic, free_ports, resolver_of, spin_for, until
 
-from rackhub.ops import statefile
+from rackhub.ops import handover_file
 
 NO_SHARING = "import socket; socket.SO_REUSEPORT = socket.SO_REUSEADDR; "
 NO_DRAIN = "import rackhub.daemon as d; d.Daemon._term = lambda _: d.reactor.stop(); "
-NO_STATE = "import rackhub.ops.statefile as s; s.keep_bans = lambda *_: None; "
+NO_HANDOVER = "import rackhub.ops.handover_file as s; s.save_ejections = lambda *_: None; "
 MAIN = "import sys; from rackhub.cli import main; sys.exit(main())"
 
 
@@ -42,7 +42,7 @@
 
 
 def replaced(engines, start, traffic, meanwhile=lambda: None):
-    """The old process is replaced under traffic while e0 is out by hand: both, and how much e0 had got by then."""
+    """The old process is replaced under traffic while e0 is ejected by hand: both, and how much e0 had got by then."""
     old = start("old").until_serving()
     traffic.begin()
     until(lambda: sum(len(engine.taken) for engine in engines) > 30 and engines[0].taken)
@@ -69,14 +69,14 @@
 def whole(place, planted=""):
     with rig(place, planted) as (engines, start, traffic):
         old, new, before = replaced(engines, start, traffic)
-        assert len(engines[0].taken) == before, "sent to an engine that is out"
+        assert len(engines[0].taken) == before, "sent to an ejected engine"
         assert new.say("ONLINE e0").startswith("YES")
         until(lambda: len(engines[0].taken) > before)
         judged(traffic)
         assert "gets all newcomers" in old.said()
 
 
-def test_a_process_is_replaced_under_traffic_and_nothing_is_lost_and_the_ban_holds(tmp_path):
+def test_a_process_is_replaced_under_traffic_and_nothing_is_lost_and_the_ejection_holds(tmp_path):
     whole(tmp_path)
 
 
@@ -85,19 +85,19 @@
     [
         (NO_SHARING, "Couldn't listen"),
         (NO_DRAIN, "taken up and never answered"),
-        (NO_STATE, "sent to an engine that is out"),
+        (NO_HANDOVER, "sent to an ejected engine"),
     ],
-    ids=["no sharing", "no drain", "no state file"],
+    ids=["no sharing", "no drain", "no handover file"],
 )
 def test_what_a_replacement_rests_on_is_missed_when_it_is_taken_out(tmp_path, planted, missed):
     with pytest.raises(AssertionError, match=missed):
         whole(tmp_path, planted)
 
 
-def test_a_damaged_state_file_is_no_reason_not_to_take_over(tmp_path):
+def test_a_damaged_handover_file_does_not_prevent_the_replacement(tmp_path):
     with rig(tmp_path) as (engines, start, traffic):
-        damaged = tmp_path / statefile.NAME
+        damaged = tmp_path / handover_file.FILE_NAME
         _, new, before = replaced(engines, start, traffic, lambda: damaged.write_bytes(b'{"format": "rackh'))
-        until(lambda: len(engines[0].taken) > before)  # the ban is not known any more
-        assert "the state left by the process before is ignored: not a state file" in new.said()
+        until(lambda: len(engines[0].taken) > before)  # the ejection is not known any more
+        assert "the state left by the previous process is ignored: not a state file" in new.said()
         judged(traffic)
