--- a/rackhub/config.py
+++ b/rackhub/config.py
@@ -17,7 +17,7 @@
 from rackhub.limits import SECOND, Limits
 from rackhub.net.resolver import whole_list
 from rackhub.operatorfile import Operator
-from rackhub.settings import BadLine, flatten, settings_of
+from rackhub.settings import flatten, parse_settings
 
 if TYPE_CHECKING:
     from rackhub.fleet.settings import FleetSettings
@@ -127,8 +127,8 @@
     except ValueError:
         raise BadConfig(f"seed: {file.seed!r} is not hex digits") from None
     try:
-        settings = settings_of(flatten(file.settings), "settings")
-    except (BadLine, ValueError) as bad:
+        settings = parse_settings(flatten(file.settings), "settings")
+    except ValueError as bad:
         raise BadConfig(str(bad)) from None
     if not settings.classes:
         raise BadConfig("settings.Services: no class of requests is told")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 from rackhub import config
 from rackhub.cli import main
 from rackhub.operatorfile import hashed
-from rackhub.settings import flatten, settings_of
+from rackhub.settings import flatten, parse_settings
 
 SETTINGS = {
     "Services": [{"Name": "lookup", "Deadline": 3_000_000, "Effect": "retryable", "Worth": 1.0}],
@@ -60,7 +60,7 @@
 def test_the_nested_form_reads_like_the_pairs_of_start():
     pairs = flatten(SETTINGS)
     assert pairs["Services.count"] == "1" and pairs["FamilyInfo.Dop"] == "2" and pairs["Permissions.Cancel"] == "true"
-    settings = settings_of(pairs)
+    settings = parse_settings(pairs)
     assert settings.classes[0].threads == 2 and settings.classes[0].locks_tables and settings.gateways == 3
     assert settings.kind_cores == {"std-8": 8.0, "std-16": 16.0} and settings.slow_start_budget_window == 3_000_000
 
