--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -12,7 +12,7 @@
 
 from rackhub import components, logs
 from rackhub.clock import UnixClock
-from rackhub.config import Config, address
+from rackhub.config import Config, parse_address
 from rackhub.core.component import ComponentContext
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.engine_start_times import EngineStartTimes
@@ -63,7 +63,7 @@
         if operator.tds_front:
             self.fronts.append(
                 (
-                    address(operator.tds_front.listen, "tds_front.listen"),
+                    parse_address(operator.tds_front.listen, "tds_front.listen"),
                     tds_front(operator.tds_front, self.core, config.limits, self.counters),
                 )
             )
@@ -84,7 +84,7 @@
             reread,
         )
         self.parts = self._host.components
-        for name in components.wanted(config, operator):
+        for name in components.enabled(config, operator):
             self.parts[name] = components.load(name, self._host)
 
     def _relist(self) -> None:
@@ -115,8 +115,8 @@
             self._host.operator = operator = self._reread_operator()
             late = {
                 name: components.load(name, self._host)
-                for name in components.wanted(self.config, operator)
-                if name not in self.parts and name in components.LATE
+                for name in components.enabled(self.config, operator)
+                if name not in self.parts and name in components.RELOADABLE
             }  # requests that are open go on without
         except ValueError as bad:
             self.counters.add("operator_reloads_bad")
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -18,33 +18,33 @@
 
 from rackhub.core.request import Query
 from rackhub.fleet.rules.messages import EditRequest, Trial
-from rackhub.ops import statefile
+from rackhub.ops import handover_file
 from rackhub.store import Batch, Options, Store
 from rackhub.store.faulty import MemoryFiles
 from rackhub.trials.fleet import rules_torture
 from rackhub.trials.fleet.twin import SECOND
 
 RECORDED = Path(__file__).parent / "golden" / "disk"
-HANDED_OVER = {"e1"}, {"e0", "e1", "e2"}, {"e2": 1_700_000_000_000_000}  # out by hand, listed, put back
+HANDED_OVER = {"e1"}, {"e0", "e1", "e2"}, {"e2": 1_700_000_000_000_000}  # ejected, known, restored
 Records = dict[bytes, bytes]
 
 
 def state_records() -> Records:
     """A coordinator's own store: keyed requests in each state, the list of engines, counters of a run."""
-    here = test_state.Kept()
-    here.turn()
+    here = test_state.StoredCoordinator()
+    here.run_iterations()
     for number in range(1, 5):
         here.ask(number, token=f"{number:032x}")
-        here.turn()
+        here.run_iterations()
     here.core.complete_attempt(here.port.sent[0], "GOOD", {}, (b"a\tb\tc\n",))
     here.core.complete_attempt(here.port.sent[1], "BAD")
     here.core.disconnect_client(here.core.queries[f"{3:016x}"])
     here.core.submit(Query("f" * 16, "lookup", b"x", here.clock.now() + 3 * S, here.port, tenant="acme"))
-    here.turn()
-    here.keeper.end()
-    again = test_state.Kept(here.files)
-    found = {item.key: item.value for item in again.keeper.store.scan(b"", b"\xff")}
-    again.keeper.end()
+    here.run_iterations()
+    here.writer.close()
+    again = test_state.StoredCoordinator(here.files)
+    found = {item.key: item.value for item in again.writer.store.scan(b"", b"\xff")}
+    again.writer.close()
     return found
 
 
@@ -166,7 +166,7 @@
         json.dumps({name: as_text(records) for name, records in found.items()}, indent=1) + "\n"
     )
     (folder / "boot").write_text("4102444800000\n")
-    (folder / statefile.NAME).write_bytes(statefile.encode(*HANDED_OVER))
+    (folder / handover_file.FILE_NAME).write_bytes(handover_file.encode(*HANDED_OVER))
 
 
 if __name__ == "__main__":
