--- a/rackhub/__init__.py
+++ b/rackhub/__init__.py
@@ -1,5 +1,5 @@
 """rackhub: the decisions of a query gateway in front of query engines with limited memory."""
 
-from rackhub.policy.control import Control
+from rackhub.policy.router import Router
 
-__all__ = ["Control"]
+__all__ = ["Router"]
--- a/rackhub/adapter.py
+++ b/rackhub/adapter.py
@@ -1,4 +1,4 @@
-"""Wire to interface and back: reads event lines, drives one `Control` an instance, writes action lines.
+"""Wire to interface and back: reads event lines, drives one `Router` an instance, writes action lines.
 
 Nothing is decided here. Unknown messages, fields and settings are ignored.
 """
@@ -7,7 +7,7 @@
 import traceback
 
 from rackhub import interface
-from rackhub.policy.control import Control
+from rackhub.policy.router import Router
 from rackhub.settings import BadLine, number, read, settings_of, truth, whole, word
 
 
@@ -173,7 +173,7 @@
                 return
             if message == "START":
                 seed = gather(message, pairs, (("RngSeed", "seed", whole, True),))["seed"]
-                self.controls[instance] = Control(settings_of(pairs), seed)
+                self.controls[instance] = Router(settings_of(pairs), seed)
                 happening = interface.Started()
             elif message == "MEMBERS":
                 values = gather(message, pairs, MEMBERS)
--- a/rackhub/core/coordinator.py
+++ b/rackhub/core/coordinator.py
@@ -1,4 +1,4 @@
-"""Drives `Control`: turns requests and news into its events, and its actions into attempts and answers.
+"""Drives `Router`: turns requests and news into its events, and its actions into attempts and answers.
 
 Whatever the module decides, this part keeps what must hold: one final answer for each request and in
 time, never two attempts of one at once, no more of them than the site allows. It knows no wire: fronts
@@ -16,8 +16,8 @@
 from rackhub.core.timers import Clock, Timers
 from rackhub.counters import Counters
 from rackhub.limits import SECOND, Limits
-from rackhub.policy.control import Control
-from rackhub.policy.further import PROVEN
+from rackhub.policy.retries import NOT_EXECUTED_OUTCOMES
+from rackhub.policy.router import Router
 
 if TYPE_CHECKING:  # ports of parts that may be off: nothing of them is loaded here
     from rackhub.core.fleet import FleetCoordinator
@@ -58,7 +58,7 @@
         )
         self._kinds: dict[str, str] = {}  # of engines, as the list has them
         self.on_idle: Callable[[], None] | None = None  # called when the last request has its answer
-        self._control = Control(settings, seed)
+        self._control = Router(settings, seed)
         self._events: deque[object] = deque()
         self._does = {
             interface.Timer: self._timer,
@@ -207,7 +207,7 @@
         query.in_flight.pop(attempt.number, None)
         if sent := self.out.get((query.id, attempt.number)) is attempt:
             del self.out[query.id, attempt.number]
-        if reason in PROVEN:
+        if reason in NOT_EXECUTED_OUTCOMES:
             query.possibly_executed.pop(attempt.number, None)
         if self.lease is not None and reason == "FULL":
             self.lease.turned_away(attempt.engine, now)
--- a/rackhub/interface.py
+++ b/rackhub/interface.py
@@ -4,6 +4,52 @@
 """
 
 from dataclasses import dataclass, field
+from enum import IntEnum, StrEnum
+
+
+class Outcome(StrEnum):
+    """How an attempt or a health check ended."""
+
+    SUCCESS = "GOOD"
+    ERROR = "BAD"
+    OVERLOADED = "FULL"
+    CONNECT_FAILED = "NOCONN"
+    NOT_EXECUTED = "NOP"
+    TIMED_OUT = "LATE"
+    RESET = "RST"
+    CANCELLED = "CXL"
+    LOST = "LOST"
+
+
+class Idempotency(StrEnum):
+    """What a class of query promises about being executed more than once."""
+
+    IDEMPOTENT = "retryable"
+    IDEMPOTENCY_KEY = "dedup"
+    NOT_IDEMPOTENT = "fragile"
+
+
+class ProgressTopic(IntEnum):
+    """What a `ProgressReport` is about; its value is a fraction, MB, or a `WaitReason`."""
+
+    FRACTION_DONE = 1
+    MEMORY_SPILLED = 2
+    WAITING = 3
+
+
+class WaitReason(IntEnum):
+    """What a waiting attempt waits for."""
+
+    MEMORY = 1
+    TABLE_LOCK = 2
+
+
+class Admission(IntEnum):
+    """Where a query stands against the fleet's shedding threshold."""
+
+    SHED = -1
+    UNDECIDED = 0
+    ADMITTED = 1
 
 
 @dataclass(slots=True, frozen=True)
@@ -252,23 +298,6 @@
     minimum_backoff: int = 0
 
 
-# which method of the module takes each event
-HANDLERS = {
-    Started: "on_started",
-    QueryReceived: "on_query",
-    AttemptCompleted: "on_ended",
-    ProgressReport: "on_note",
-    ResultStreamStarted: "on_stream",
-    ClientDisconnected: "on_left",
-    TimerFired: "on_timer",
-    EndpointList: "on_list",
-    HealthCheckCompleted: "on_probe",
-    GossipReceived: "on_peer",
-    HedgeDue: "on_copy",
-    FleetAllocation: "on_fleet",
-}
-
-
 # ---- actions ----------------------------------------------------------------------------------------
 
 
--- /dev/null
+++ b/rackhub/policy/health.py
@@ -0,0 +1,104 @@
+"""Health checks of engines, own ones and those that other gateways report by gossip. Times: microseconds."""
+
+import math
+import zlib
+
+from rackhub import interface as t
+from rackhub.interface import Outcome
+from rackhub.policy.context import RouterContext
+from rackhub.policy.load import OVERLOAD_LATENCY_RATIO, Evidence, LoadEstimator
+from rackhub.policy.outliers import OutlierDetector
+
+CHECKS_PER_QUERY = 0.4
+QUEUED_CHECK_RATIO = 2  # a check so many times slower than the best shows that checks wait in the engine's queue
+NO_RESPONSE_EXCESS = 4  # excess from which a check counts as without response
+NO_RESPONSE_LOAD = 1.0  # what a check without response counts for as evidence of load
+MIN_GOSSIP_EXCESS = -1
+
+# A gossip message is the checksum of the engine's name and one byte for the excess: 50 an excess of 0, 100 of 1.
+CHECKSUM_BYTES = 4
+EXCESS_SCALE = 50
+EXCESS_OFFSET = 50
+MESSAGE_BYTES = CHECKSUM_BYTES + 1
+
+
+class HealthMonitor:
+    """Sends health checks and counts their results as evidence of load and failure."""
+
+    def __init__(self, context: RouterContext, load: LoadEstimator, outliers: OutlierDetector) -> None:
+        self.context = context
+        self.load = load
+        self.outliers = outliers
+        self.check_credit = 0.0
+        self.checks_queue = False  # whether checks wait behind queries, so that their time shows load
+        self.names_by_checksum: dict[int, str] = {}
+
+    def update_names(self) -> None:
+        """Recompute the checksums by which gossip names engines."""
+        self.names_by_checksum = {zlib.crc32(name.encode()): name for name in self.context.engines}
+
+    def record_query(self) -> None:
+        """Checks go by this gateway's own traffic: each of many gateways checking all engines would drown them."""
+        self.check_credit += CHECKS_PER_QUERY
+
+    def send_checks(self) -> None:
+        """Check the engines that the fleet names, or a random sample."""
+        context = self.context
+        if context.settings.health_checks:
+            ready = [engine.id for engine in context.engines.values() if engine.ready]
+            sample = context.random.sample(ready, min(int(self.check_credit), len(ready)))
+            targets = context.allocation.health_check_targets
+            context.actions += [t.CheckHealth(name) for name in (sample if targets is None else targets)]
+        self.check_credit %= 1
+
+    def on_health_check(self, event: t.HealthCheckCompleted) -> None:
+        """A check that waits in the engine's queue like a query shows the load without a query's variance."""
+        engine = self.context.engines.get(event.engine)
+        self.load.record_report(engine, event.report)
+        if engine is None:
+            return
+        # Against the engine's own best: the way to another zone is longer.
+        engine.best_health_check_time = min(engine.best_health_check_time, event.elapsed)
+        best = engine.best_health_check_time
+        self.checks_queue = self.checks_queue or event.elapsed > QUEUED_CHECK_RATIO * best
+        succeeded = event.outcome == Outcome.SUCCESS
+        if succeeded:
+            engine.last_response_at = self.context.now
+            engine.relative_response_time = event.elapsed / max(best, 1)
+        if succeeded and self.checks_queue and best:
+            excess = math.log(event.elapsed / best / OVERLOAD_LATENCY_RATIO)
+        elif event.outcome in (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED) and not self.context.stalled:
+            excess = math.inf
+        else:
+            return
+        self._record(event.engine, excess, counts_for_engine=not event.report)
+        self._send_gossip(event.engine, excess)
+
+    def on_gossip(self, event: t.GossipReceived) -> None:
+        """Where no engine reports its load, what other gateways saw of it stands in."""
+        contents = event.contents
+        name = self.names_by_checksum.get(int.from_bytes(contents[:CHECKSUM_BYTES], "big"))
+        if name and len(contents) == MESSAGE_BYTES:
+            excess = (contents[CHECKSUM_BYTES] - EXCESS_OFFSET) / EXCESS_SCALE
+            self._record(name, excess, counts_for_engine=True)
+
+    def _record(self, name: str, excess: float, counts_for_engine: bool) -> None:
+        """Count a check as evidence, and an engine without response as failing before any query is overdue."""
+        engine = self.context.engines.get(name)
+        no_response = excess >= NO_RESPONSE_EXCESS
+        self.load.add_evidence(Evidence.HEALTH_CHECK, NO_RESPONSE_LOAD if no_response else excess)
+        if engine and no_response:
+            self.outliers.record_failure(engine)
+        if engine and counts_for_engine and not no_response:
+            engine.load_excess.add(self.context.now, excess)
+
+    def _send_gossip(self, name: str, excess: float) -> None:
+        """Tell as many gateways as there are engines: each hears of every engine as often as it checks one."""
+        settings = self.context.settings
+        if not settings.gossip or settings.load_report_source != "silent":
+            return
+        level = int(min(max(excess, MIN_GOSSIP_EXCESS), NO_RESPONSE_EXCESS) * EXCESS_SCALE) + EXCESS_OFFSET
+        message = zlib.crc32(name.encode()).to_bytes(CHECKSUM_BYTES, "big") + bytes([level])
+        count = min(len(self.context.engines), settings.gateways)
+        peers = self.context.random.sample(range(settings.gateways), count)
+        self.context.actions += [t.SendGossip(peer, message) for peer in peers if peer != settings.instance_index]
--- /dev/null
+++ b/rackhub/policy/outcomes.py
@@ -0,0 +1,116 @@
+"""What the outcome of an attempt tells of its engine and its class. All times are microseconds."""
+
+from rackhub.interface import AttemptCompleted, Outcome
+from rackhub.policy.context import RouterContext
+from rackhub.policy.hints import HintPlanner
+from rackhub.policy.load import LoadEstimator
+from rackhub.policy.outliers import OutlierDetector
+from rackhub.policy.retries import RetryPolicy
+from rackhub.policy.state import AttemptState, QueryState
+from rackhub.policy.statistics import DecayingMean, EngineState
+
+OVERDUE_LATENCIES = 4  # expected latencies after which an attempt is overdue
+LOST_WEIGHT = 0.4  # what an attempt without a response counts for in the rate of lost responses
+LOST_RATE = 0.04  # part of the attempts without a response from which responses are taken for lost
+LOST_MAX_WEIGHT = 30  # attempts
+
+# A reported cost holds the work in ms above the low bits, which hold the memory in units of 4 MB.
+COST_MEMORY_BITS = 12
+COST_MEMORY_MASK = 4095
+COST_MEMORY_UNIT = 4  # MB
+COST_WORK_UNIT = 1000  # microseconds
+
+
+class OutcomeRecorder:
+    """Feeds outcomes to the statistics, the load estimate and the outlier detection."""
+
+    def __init__(
+        self,
+        context: RouterContext,
+        load: LoadEstimator,
+        outliers: OutlierDetector,
+        hints: HintPlanner,
+        retries: RetryPolicy,
+    ) -> None:
+        self.context = context
+        self.load = load
+        self.outliers = outliers
+        self.hints = hints
+        self.retries = retries
+        self.lost_rate = DecayingMean()
+
+    @property
+    def losing_responses(self) -> bool:
+        """Whether so many attempts get no response that responses must be getting lost."""
+        return self.lost_rate.value > LOST_RATE
+
+    def presume_lost(self, attempt: AttemptState) -> None:
+        """Count an attempt whose response seems lost."""
+        self.lost_rate.add(self.context.now, LOST_WEIGHT, max_weight=LOST_MAX_WEIGHT)
+        attempt.presumed_lost = True
+
+    def record(self, attempt: AttemptState, event: AttemptCompleted) -> None:
+        """Learn from one outcome."""
+        outcome = event.outcome
+        engine = attempt.engine
+        query = attempt.query
+        self.load.record_report(self.context.engines.get(event.engine), event.report)
+        self._record_response(attempt, outcome)
+        if outcome == Outcome.SUCCESS:
+            self._record_success(attempt, event)
+        elif outcome == Outcome.OVERLOADED:
+            self.load.record_rejection(engine)
+        elif outcome == Outcome.CONNECT_FAILED:
+            self.outliers.record_refused_connection(engine)
+        elif outcome == Outcome.RESET:
+            self.outliers.record_reset(engine)
+        elif outcome == Outcome.ERROR:
+            self._record_error(engine, query)
+        elif outcome == Outcome.TIMED_OUT and event.elapsed > OVERDUE_LATENCIES * query.expected_latency:
+            self.outliers.record_failure(engine)
+
+    def _record_response(self, attempt: AttemptState, outcome: str) -> None:
+        """Count whether a response came; one that was presumed lost and came takes its count back twice."""
+        lost: float
+        if attempt.presumed_lost:
+            lost = -2 * LOST_WEIGHT if outcome == Outcome.SUCCESS else 0
+        else:
+            lost = 1 if outcome == Outcome.TIMED_OUT else 0
+        self.lost_rate.add(self.context.now, lost, max_weight=LOST_MAX_WEIGHT)
+
+    def _record_success(self, attempt: AttemptState, event: AttemptCompleted) -> None:
+        engine = attempt.engine
+        query = attempt.query
+        engine.last_response_at = self.context.now
+        engine.consecutive_failures = 0
+        if query.failed_on:  # the query is sound, so the error was the other engine's
+            self.outliers.record_failure(query.failed_on)
+        if not self.context.stalled:
+            self._learn(query, event)
+        self.load.record_pace(engine, query, self.context.now - attempt.executing_since)
+        self.load.record_latency(query)
+        settings = self.context.settings
+        if settings.grants and settings.progress_report_interval and not attempt.spilled:
+            self.hints.record_unspilled(query)
+        self.outliers.record_success(engine)
+
+    def _learn(self, query: QueryState, event: AttemptCompleted) -> None:
+        """Update the class's statistics from the reported cost and the latency."""
+        statistics = query.statistics
+        statistics.cost_reported = statistics.cost_reported or event.cost > 0
+        work = event.elapsed
+        if statistics.cost_reported:
+            work = (event.cost >> COST_MEMORY_BITS) * COST_WORK_UNIT
+        statistics.cost_fit.add(query.event.estimate, work)
+        statistics.memory_fit.add(query.event.memory_mb, (event.cost & COST_MEMORY_MASK) * COST_MEMORY_UNIT)
+        statistics.record_latency(event.elapsed, query.relative_size)
+
+    def _record_error(self, engine: EngineState, query: QueryState) -> None:
+        """An error may be the query's fault: the engine is blamed if another one answers the query."""
+        if query.failed_on:  # two engines agree, and a third would say the same
+            query.attempts = self.context.settings.max_attempts
+            query.failed_on = None
+        elif not self.retries.allows(query):
+            self.outliers.record_failure(engine)
+        else:
+            query.failed_on = engine
--- /dev/null
+++ b/rackhub/policy/selection.py
@@ -0,0 +1,160 @@
+"""Which engine gets a query: filters, then smooth weighted round robin. All times are microseconds."""
+
+import math
+import zlib
+from collections.abc import Callable, Sequence
+
+from rackhub.interface import Idempotency
+from rackhub.policy.context import RouterContext
+from rackhub.policy.load import LoadEstimator
+from rackhub.policy.slow_start import SlowStart
+from rackhub.policy.state import QueryState
+from rackhub.policy.statistics import SECOND, TICK_INTERVAL, EngineState
+
+FAILURE_WEIGHT = 3  # log units of weight that a failure rate of 1 costs
+MAX_CALM_BONUS = 0.3  # log units of weight that a load below the fleet's mean gives at most
+FAILURE_MEMORY = 16 * SECOND  # decay time of the failure rate in an engine's weight
+LOAD_MEMORY = 8 * SECOND  # decay time of the load in an engine's weight
+GATEWAYS_PER_ENGINE = 60  # in a large fleet each gateway keeps to a subset of the engines
+LOCKING_FRACTION = 2 / 3  # of the engines that table-locking queries may use
+THREADS_TOLERANCE = 0.25  # threads per core over the mean
+HASH_MULTIPLIER = 0x9E3779B1  # spreads the checksums of similar names over 32 bits
+SCOPE_DEPTHS = {"all": 0, "zone": 1}  # how much of (zone, cell) must agree; any other scope: both
+
+
+class EngineSelector:
+    """Chooses engines. Each filter but the mandatory ones applies only if it leaves any engine."""
+
+    def __init__(self, context: RouterContext, load: LoadEstimator, slow_start: SlowStart) -> None:
+        self.context = context
+        self.load = load
+        self.slow_start = slow_start
+        self.subset: set[str] = set()  # the engines that this gateway keeps to
+
+    def update_subset(self) -> None:
+        """Recompute the subset: the first engines in this gateway's own hash order."""
+        settings = self.context.settings
+        ready = sorted(
+            (name for name, engine in self.context.engines.items() if engine.ready),
+            key=lambda name: hash_name(f"{settings.instance_index} {name}"),
+        )
+        size = max(round(len(ready) * min(GATEWAYS_PER_ENGINE / settings.gateways, 1)), 1)
+        self.subset = set(ready[:size])
+        self.slow_start.subset_fraction = len(self.subset) / max(len(ready), 1)
+
+    def choose(self, query: QueryState, excluded: Sequence[EngineState] = ()) -> EngineState | None:
+        """The engine for the query's next attempt, or None if no engine may run it."""
+        engines = self._candidates(query, excluded)
+        engines = self._without_table_conflicts(query, engines)
+        mean_threads = sum([engine.threads for engine in engines]) / max(sum([engine.cores for engine in engines]), 1)
+        limit = mean_threads + THREADS_TOLERANCE
+        engines = [engine for engine in engines if engine.threads <= limit * engine.cores] or engines
+        chosen = rotate(engines, self.weight)
+        now = self.context.now
+        warm_up = self.context.settings.slow_start_duration
+        if not chosen or now - chosen.started_at >= warm_up:
+            return chosen
+        warming = [engine for engine in engines if now - engine.started_at < warm_up]
+        drawn = self.slow_start.draw(query, [engine for engine in warming if engine.id in self.subset])
+        return drawn or self.choose(query, (*excluded, *warming))
+
+    def weight(self, engine: EngineState) -> float:
+        """The engine's weight, recomputed after each news of the engine and from time to time."""
+        weighed_at = engine.weighed_at
+        if (
+            weighed_at <= self.context.now - TICK_INTERVAL
+            or weighed_at <= engine.failure_rate.updated_at
+            or weighed_at <= engine.load_excess.updated_at
+        ):
+            engine.weight = self._compute_weight(engine)
+            engine.weighed_at = self.context.now
+        return engine.weight
+
+    def _compute_weight(self, engine: EngineState) -> float:
+        """Cores that are warmed up, less for failures and for load over the fleet's mean."""
+        now = self.context.now
+        penalty = FAILURE_WEIGHT * engine.failure_rate.value
+        penalty *= math.exp((engine.failure_rate.updated_at - now) / FAILURE_MEMORY)
+        excess = max(engine.load_excess.value - self.load.mean_excess, -MAX_CALM_BONUS)
+        penalty += excess * math.exp((engine.load_excess.updated_at - now) / LOAD_MEMORY)
+        return engine.cores * self.slow_start.capacity(engine) * math.exp(-penalty)
+
+    def _candidates(self, query: QueryState, excluded: Sequence[EngineState]) -> list[EngineState]:
+        """The engines that may run the query, without ejected and already attempted ones where others are left."""
+        now = self.context.now
+        settings = query.statistics.settings
+        reserved = self.context.allocation.reserved_engines
+        engines = list(self.context.engines.values())
+        if settings.allowed_zones or settings.allowed_engine_kinds or query.possibly_executed or query.event.zones:
+            engines = [engine for engine in engines if self._is_allowed(query, engine)]
+        else:  # the usual case, without a call for each engine
+            engines = [engine for engine in engines if engine.ready]
+        if excluded or reserved:
+            engines = [engine for engine in engines if engine not in excluded and engine.id not in reserved]
+        engines = [engine for engine in engines if now >= engine.ejected_until] or engines
+        if query.engines_attempted:
+            engines = [engine for engine in engines if engine.id not in query.engines_attempted] or engines
+        return [engine for engine in engines if engine.id in self.subset] or engines
+
+    def _is_allowed(self, query: QueryState, engine: EngineState) -> bool:
+        """The mandatory filters: readiness, placement, and the scope of idempotency keys."""
+        settings = query.statistics.settings
+        if not engine.ready:
+            return False
+        if settings.allowed_zones and engine.zone not in settings.allowed_zones:
+            return False
+        if query.event.zones and engine.zone not in query.event.zones:
+            return False
+        if settings.allowed_engine_kinds and engine.kind not in settings.allowed_engine_kinds:
+            return False
+        if settings.idempotency != Idempotency.IDEMPOTENCY_KEY or not query.possibly_executed:
+            return True
+        first = query.possibly_executed[0].placement
+        depth = SCOPE_DEPTHS.get(settings.idempotency_scope, 2)
+        if depth > 0 and first.zone != engine.placement.zone:
+            return False
+        return depth <= 1 or first.cell == engine.placement.cell
+
+    def _without_table_conflicts(self, query: QueryState, engines: list[EngineState]) -> list[EngineState]:
+        """Keep queries that lock tables, and those that wait for such locks, apart.
+
+        All gateways keep the locking queries of a table to the same engines, by one hash, so that the queries which
+        they hold up have other engines.
+        """
+        settings = query.statistics.settings
+        tables = query.event.tables
+        now = self.context.now
+        if settings.locks_tables:
+            names = sorted(self.context.engines, key=lambda name: hash_name(f"{tables} {name}"))
+            names = names[: max(round(len(names) * LOCKING_FRACTION), 1)]
+            engines = [engine for engine in engines if engine.id in names] or engines
+        if not settings.blocked_by_table_locks and not settings.locks_tables:
+            return engines
+        unlocked = [
+            engine
+            for engine in engines
+            if not engine.running_loads.get(tables) and engine.locked_until.get(tables, now) <= now
+        ]
+        if unlocked:
+            return unlocked
+        queue_time = 0.0  # of each load: a local one stands for one of every gateway
+        if settings.locks_tables and query.statistics.responses:
+            queue_time = query.statistics.mean_latency * self.context.settings.gateways
+        maximum = settings.latency_objective or settings.deadline
+        return [engine for engine in engines if engine.running_loads.get(tables, 0) * queue_time <= maximum]
+
+
+def hash_name(text: str) -> int:
+    """A 32-bit hash that is the same in all processes."""
+    return zlib.crc32(text.encode()) * HASH_MULTIPLIER % 2**32
+
+
+def rotate(engines: list[EngineState], weight: Callable[[EngineState], float]) -> EngineState | None:
+    """Smooth weighted round robin: the engine whose turn it is, or None if there is no engine."""
+    gains = [weight(engine) for engine in engines]
+    for engine, gain in zip(engines, gains, strict=True):
+        engine.rotation_credit += gain
+    best = max(engines, key=lambda engine: engine.rotation_credit, default=None)
+    if best:
+        best.rotation_credit -= sum(gains)
+    return best
--- /dev/null
+++ b/rackhub/policy/usage.py
@@ -0,0 +1,40 @@
+"""Threads and memory that this gateway's attempts use, in total, by engine and by tenant."""
+
+from rackhub.policy.state import AttemptState
+
+
+class ResourceUsage:
+    """Counts of what is in flight. Memory is in MB."""
+
+    def __init__(self) -> None:
+        self.threads = 0
+        self.running_attempts = 0
+        self.peak_threads = 0  # since the last periodic update
+        self.granted_memory_mb = 0.0
+
+    def add(self, attempt: AttemptState) -> None:
+        """Count an attempt that is being sent."""
+        self._count(attempt, 1)
+
+    def remove(self, attempt: AttemptState) -> None:
+        """Stop counting an attempt that has ended."""
+        self._count(attempt, -1)
+
+    def release(self, attempt: AttemptState) -> None:
+        """Stop counting an attempt that uses nothing any more though it has not ended."""
+        self._count(attempt, -1)
+        attempt.threads = 0
+        attempt.memory_mb = 0
+
+    def _count(self, attempt: AttemptState, sign: int) -> None:
+        query = attempt.query
+        engine = attempt.engine
+        threads = sign * attempt.threads
+        engine.threads += threads
+        self.threads += threads
+        self.running_attempts += sign * (attempt.threads > 0)
+        self.peak_threads = max(self.peak_threads, self.threads)
+        self.granted_memory_mb += sign * attempt.memory_mb
+        query.tenant.threads += threads
+        if query.statistics.settings.locks_tables and attempt.threads:
+            engine.running_loads[query.event.tables] += sign
--- a/rackhub/trials/virtual/cold.py
+++ b/rackhub/trials/virtual/cold.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from rackhub import interface as t
-from rackhub.policy.control import Control
+from rackhub.policy.router import Router
 
 MS, SECOND = 1_000, 1_000_000
 TAUGHT, DOWN, SEEN = SECOND, 2 * SECOND, 5 * SECOND  # until engines are gone; are back; after that
@@ -148,16 +148,16 @@
             slow_start_budget_multiple=site.fall_multiple,
             load_report_source="piggyback",
         )
-        self.controls = [Control(replace(told, instance_index=i), seed * 1_009 + i) for i in range(gateways)]
+        self.controls = [Router(replace(told, instance_index=i), seed * 1_009 + i) for i in range(gateways)]
         self.weights = [self.draw.lognormvariate(0, 0.8) for _ in range(gateways)]  # some get several times the mean
         self.request = sum(self.mean[w[0]] * s for w, s in zip(site.works, self.shares, strict=True)) / sum(self.shares)
         for control in self.controls:  # what it reckons of the works is right: it stakes in full
             for cls in CLASSES:
                 for _ in range(60):
                     took = self.mean[cls.name] / cls.threads * self.draw.lognormvariate(-0.125, 0.5)
-                    control.classes[cls.name].learn(took, 1.0)
+                    control.context.classes[cls.name].record_latency(took, 1.0)
                     told = took * cls.threads * self.draw.lognormvariate(0, 0.3)
-                    control.classes[cls.name].cost.add(told if estimates else 0, took)
+                    control.context.classes[cls.name].cost_fit.add(told if estimates else 0, took)
         self.apart = self.request / (load * sum(e.cores for e in self.engines.values()))
         self.estimates, self.fails, self.asked = estimates, fails, 0
         self.queries: dict[str, tuple[str, float, int, int]] = {}  # class, work, drop dead, attempts
@@ -248,7 +248,7 @@
         del self.out[engine][attempt]
         gateway, query, number = attempt
         report = {"busy_reqs": float(len(self.out[engine])), "pending": 0.0} if reason == "GOOD" else {}
-        sent = self.controls[gateway].attempts.get((query, number))
+        sent = self.controls[gateway].context.attempts.get((query, number))
         self.do(
             gateway,
             t.AttemptCompleted(
@@ -258,7 +258,7 @@
                 settled=reason == "GOOD",
                 engine=engine,
                 report=report,
-                elapsed=self.now - sent.sent if sent else 0,
+                elapsed=self.now - sent.sent_at if sent else 0,
             ),
         )
 
--- a/tests/golden_decisions.py
+++ b/tests/golden_decisions.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from rackhub import Control, interface
+from rackhub import Router, interface
 
 RECORDED = Path(__file__).parent / "golden" / "decisions"
 MS, S = 1_000, 1_000_000
@@ -164,7 +164,7 @@
     def __init__(self, scenario: Scenario):
         self.scenario, self.random = scenario, random.Random(f"world {scenario.seed}")
         self.now, self.rows, self.count = 100 * S, [], 0
-        self.control = Control(settings(**scenario.settings), seed=scenario.seed)
+        self.control = Router(settings(**scenario.settings), seed=scenario.seed)
         self.heap: list[tuple[int, int, list[Any]]] = []
         self.engines: dict[str, list[Any]] = {}  # by name: the row of its entry
         self.open: dict[str, dict[str, Any]] = {}
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -11,8 +11,9 @@
 import pytest
 
 from rackhub import interface as t
-from rackhub.policy import cold as policy
-from rackhub.policy.control import Control
+from rackhub.policy import slow_start
+from rackhub.policy.context import RouterContext
+from rackhub.policy.router import Router
 from rackhub.trials.virtual import cold
 
 S = 1_000_000
@@ -36,28 +37,28 @@
 
 def undivided(patch):
     """Each gateway takes the whole budget for its own."""
-    plain = Control.on_fleet
+    plain = RouterContext.set_allocation
 
     def alone(self, event):
         plain(self, event)
-        self.cold = 1
+        self.slow_start_divisor = 1
 
-    patch.setattr(Control, "on_fleet", alone)
+    patch.setattr(RouterContext, "set_allocation", alone)
 
 
 def kept_long(patch):
     """Credit of many windows is kept, and goes out in one."""
-    patch.setattr(policy, "COLD_KEPT", 5)
+    patch.setattr(slow_start, "MAX_CREDIT_WINDOWS", 5)
 
 
 def unasked(patch):
     """A further attempt goes to a cold engine like to any other."""
-    plain = Control.drawn
+    plain = slow_start.SlowStart.draw
 
     def drawn(self, query, cold):
-        return self.random.choice(cold) if query.tries and cold else plain(self, query, cold)
+        return self.context.random.choice(cold) if query.attempts and cold else plain(self, query, cold)
 
-    patch.setattr(Control, "drawn", drawn)
+    patch.setattr(slow_start.SlowStart, "draw", drawn)
 
 
 @pytest.mark.parametrize("plant, fails", [(undivided, 0.04), (unasked, 0.5)])
@@ -83,9 +84,9 @@
         slow_start_budget_multiple=2.0,
     )
     for me in range(gateways):
-        control = Control(replace(told, instance_index=me), me)
+        control = Router(replace(told, instance_index=me), me)
         for _ in range(60):
-            control.classes["lookup"].learn(work, 1.0)
+            control.context.classes["lookup"].record_latency(work, 1.0)
         for at, came_up in ((90 * S, 0), (100 * S + me % 15 * 100_000, 100 * S)):
             control.handle(
                 at,
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rackhub import Control
+from rackhub import Router
 from rackhub import interface as t
 
 MS, S = 1_000, 1_000_000
@@ -10,7 +10,7 @@
 
 
 class Gateway:
-    """One `Control` with a clock, its actions collected."""
+    """One `Router` with a clock, its actions collected."""
 
     def __init__(self, classes=(LOOKUP,), engines=2, listed=None, **told):
         told = {
@@ -21,7 +21,7 @@
             "tenants": (t.TenantSettings("firm"), t.TenantSettings("other")),
             **told,
         }
-        self.control = Control(t.Settings(classes=classes, **told), seed=5)
+        self.control = Router(t.Settings(classes=classes, **told), seed=5)
         self.now, self.timers, self.asked = 100 * S, [], 0
         self.do(t.Started())
         self.list(listed or [self.entry(f"e{i}") for i in range(engines)])
@@ -179,7 +179,7 @@
     send = only(gateway.ask(within=900 * MS), t.Send)
     gateway.wait(S)
     assert gateway.end(send, "CXL") == [] and gateway.end(send, "CXL") == []
-    assert gateway.control.threads == 0
+    assert gateway.control.usage.threads == 0
 
 
 def test_nothing_is_sent_for_a_client_that_left():
@@ -193,8 +193,8 @@
     gateway = Gateway()
     gateway.teach(50)
     gateway.wait(30 * S)
-    assert not gateway.control.queries and not gateway.control.attempts
-    assert len(gateway.control.timers) == 1  # the tick
+    assert not gateway.control.context.queries and not gateway.control.context.attempts
+    assert len(gateway.control.context.timers) == 1  # the tick
 
 
 # ---- rule 2: effects
@@ -623,7 +623,7 @@
 
 
 def test_bare_settings_decide_sensibly():
-    control = Control(t.Settings(), seed=0)
+    control = Router(t.Settings(), seed=0)
     control.handle(1, t.Started())
     assert of(control.handle(2, t.QueryReceived("a", "unknown", 3 * S)), t.Reject)
     control.handle(3, t.EndpointList("Complete", (t.EngineEntry("e"),)))
@@ -679,7 +679,7 @@
         send = only(gateway.ask(), t.Send)
         while send.engine == "e0":
             send = only(gateway.end(send, "BAD"), t.Send)
-        gateway.end(send, number=1 if gateway.control.queries[send.query].tries > 1 else 0)
+        gateway.end(send, number=1 if gateway.control.context.queries[send.query].attempts > 1 else 0)
         gateway.wait(30 * MS)
     assert [only(gateway.ask(), t.Send).engine for _ in range(12)].count("e0") <= 1
 
@@ -730,7 +730,7 @@
     send = only(gateway.ask(within=S), t.Send)
     assert gateway.do(t.ResultStreamStarted(send.query, 0, send.engine)) == []
     assert gateway.wait(5 * S) == [] == note(gateway, send, 1, 0.01)
-    assert gateway.end(send) == [] and not gateway.control.queries
+    assert gateway.end(send) == [] and not gateway.control.context.queries
 
 
 def test_a_stream_whose_attempt_ends_unsettled_still_gets_its_answer():
@@ -756,7 +756,7 @@
 def test_gateways_that_start_together_begin_at_different_engines():
     firsts = set()
     for seed in range(30):
-        control = Control(t.Settings(classes=(LOOKUP,), gateways=30, kind_cores={"std": 16}), seed=seed)
+        control = Router(t.Settings(classes=(LOOKUP,), gateways=30, kind_cores={"std": 16}), seed=seed)
         control.handle(S, t.EndpointList("Complete", tuple(Gateway.entry(f"e{i}") for i in range(10))))
         firsts |= {a.engine for a in control.handle(S, t.QueryReceived("q", "lookup", 3 * S)) if isinstance(a, t.Send)}
     assert len(firsts) >= 6
@@ -772,7 +772,7 @@
     }
     budget, work, sent = 4 * 0.3 * 16 * 3, 2.0, 0
     for seed in range(200):
-        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, instance_index=seed, **told), seed)
+        control = Router(t.Settings(classes=(cls(),), kind_cores={"std": 16}, instance_index=seed, **told), seed)
         entries = Gateway.entry("warm"), Gateway.entry("cold", started_at=100 * S)
         control.handle(100 * S, t.EndpointList("Complete", entries))
         for turn in range(6):  # one query each half second: a part of the budget is far less than one query's work
@@ -861,7 +861,7 @@
     for send in late:
         gateway.end(send, elapsed=S)
         gateway.do(t.HealthCheckCompleted(send.engine, "GOOD", 700, {"pending": 0.0, "x1": 0.3}))
-    assert gateway.control.pressed
+    assert gateway.control.load.overloaded
 
 
 # ---- a gateway's own stall
@@ -1081,7 +1081,7 @@
     }
     sent = 0
     for seed in range(gateways):
-        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, instance_index=seed, **told), seed)
+        control = Router(t.Settings(classes=(cls(),), kind_cores={"std": 16}, instance_index=seed, **told), seed)
         entries = Gateway.entry("warm"), Gateway.entry("cold", started_at=100 * S - age)
         control.handle(100 * S, t.EndpointList("Complete", entries))
         for turn in range(turns):
@@ -1137,7 +1137,7 @@
     entries = tuple(Gateway.entry(f"e{i}", started_at=int(86.7 * S) * (i % 2)) for i in range(40))
     cold = 0
     for seed in range(100):
-        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, instance_index=seed, **told), seed)
+        control = Router(t.Settings(classes=(cls(),), kind_cores={"std": 16}, instance_index=seed, **told), seed)
         control.handle(96 * S, t.EndpointList("Complete", entries))
         for turn in range(4):
             now = 100 * S + turn * 100 * MS
@@ -1333,9 +1333,9 @@
     gateway.teach()
     first, *others = crowd(gateway, 20)
     for send in others:
-        gateway.control.free(gateway.control.attempts[send.query, 0])
+        gateway.control.usage.release(gateway.control.context.attempts[send.query, 0])
     gateway.end(first, report={"busy_reqs": 300.0})
-    assert gateway.control.pressed
+    assert gateway.control.load.overloaded
 
 
 def test_under_pressure_a_slow_attempt_is_not_moved_and_a_hopeless_one_is_refused_at_once():
@@ -1381,8 +1381,11 @@
             gateway.end(only(gateway.end(send, "FULL"), t.Send), number=1)
             gateway.wait(S)
     control = gateway.control
-    assert len(control.codes) == len(control.engines) == 3 and len(control.further) < 60
-    assert not control.attempts and not control.queries and len(control.timers) < 60
+    assert (
+        len(control.health.names_by_checksum) == len(control.context.engines) == 3
+        and len(control.retries.retried_at) < 60
+    )
+    assert not control.context.attempts and not control.context.queries and len(control.context.timers) < 60
 
 
 # ---- a fleet of gateways, each of which sees little of any engine
@@ -1430,7 +1433,7 @@
     entries = tuple(Gateway.entry(f"e{i}", started_at=90 * S * (i % 2)) for i in range(20))
     sends = []
     for seed in range(40):
-        control = Control(t.Settings(classes=(LOOKUP, REPORT), kind_cores={"std": 16}, **told), seed)
+        control = Router(t.Settings(classes=(LOOKUP, REPORT), kind_cores={"std": 16}, **told), seed)
         control.handle(90 * S, t.EndpointList("Complete", entries))
         for turn in range(160):
             now = 90 * S + turn * 50 * MS
@@ -1530,11 +1533,13 @@
 
 def test_without_the_fleet_s_word_it_gets_along_as_before_and_a_word_holds_until_the_next():
     gateway = Gateway(engines=2, gateways=4)
-    assert gateway.control.parts == gateway.control.cold == 4
+    assert gateway.control.context.gateway_count == gateway.control.context.slow_start_divisor == 4
     gateway.do(t.FleetAllocation(thread_share=0.5, slow_start_share=0.1))
-    assert gateway.control.parts == 2 and gateway.control.cold == pytest.approx(10)
+    assert gateway.control.context.gateway_count == 2 and gateway.control.context.slow_start_divisor == pytest.approx(
+        10
+    )
     gateway.do(t.FleetAllocation())
-    assert gateway.control.parts == gateway.control.cold == 4
+    assert gateway.control.context.gateway_count == gateway.control.context.slow_start_divisor == 4
 
 
 def test_what_stands_below_the_level_is_refused_and_stays_away_as_told():
@@ -1576,20 +1581,22 @@
 
 def test_a_gateway_of_a_large_fleet_keeps_to_its_part_of_the_engines_and_leaves_it_where_that_cannot_serve():
     small, large = Gateway(engines=30, gateways=60), Gateway(engines=30, gateways=200)
-    assert len(small.control.own) == 30 and len(large.control.own) == 9
+    assert len(small.control.selector.subset) == 30 and len(large.control.selector.subset) == 9
     sent = {only(large.ask(), t.Send).engine for _ in range(60)}
-    assert sent == large.control.own
+    assert sent == large.control.selector.subset
     large.list([Gateway.entry(f"e{i}", state="Ready" if f"e{i}" not in sent else "Terminating") for i in range(30)])
-    assert len(large.control.own) == 6 and not large.control.own & sent  # others take their places
-    assert only(large.ask(), t.Send).engine in large.control.own
+    assert (
+        len(large.control.selector.subset) == 6 and not large.control.selector.subset & sent
+    )  # others take their places
+    assert only(large.ask(), t.Send).engine in large.control.selector.subset
 
 
 def test_the_parts_of_two_hundred_gateways_cover_the_engines_evenly():
     entries = tuple(Gateway.entry(f"e{i}") for i in range(36))
     counts = dict.fromkeys((entry.engine for entry in entries), 0)
     for me in range(200):
-        control = Control(t.Settings(classes=(cls(),), kind_cores={"std": 16}, gateways=200, instance_index=me), 1)
+        control = Router(t.Settings(classes=(cls(),), kind_cores={"std": 16}, gateways=200, instance_index=me), 1)
         control.handle(100 * S, t.EndpointList("Complete", entries))
-        for name in control.own:
+        for name in control.selector.subset:
             counts[name] += 1
     assert 45 <= min(counts.values()) and max(counts.values()) <= 79, counts
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -31,7 +31,7 @@
 from rackhub.net.pool import Pool, Pools
 from rackhub.net.resp import EngineConnection
 from rackhub.net.resp_words import command
-from rackhub.policy import further
+from rackhub.policy import lifecycle, retries
 
 WINDOW = 300 * MS
 CLASSES = (
@@ -155,7 +155,7 @@
             self.open.pop(event.query, None)
             return []
         known = self.open[event.query]
-        known[2] += event.outcome not in further.PROVEN
+        known[2] += event.outcome not in retries.NOT_EXECUTED_OUTCOMES
         effect = next(told.idempotency for told in CLASSES if told.name == known[0].cls)
         if event.outcome == "NOP" or known[1] >= SETTINGS.max_attempts or effect == "fragile" and known[2]:
             return self.final(event.query)
@@ -597,7 +597,9 @@
 
 
 def late_is_proof(patch):
-    patch.setattr(further, "PROVEN", (*further.PROVEN, "LATE", "RST", "BAD"))
+    outcomes = (*retries.NOT_EXECUTED_OUTCOMES, "LATE", "RST", "BAD")
+    patch.setattr(retries, "NOT_EXECUTED_OUTCOMES", outcomes)
+    patch.setattr(lifecycle, "NOT_EXECUTED_OUTCOMES", outcomes)  # the decisions' own use of it
 
 
 def a_lost_client_stays(patch):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,10 @@
 
 from rackhub import interface as t
 from rackhub.net.asking import Asking
-from rackhub.policy.control import Control
+from rackhub.policy.endpoints import EndpointTracker
+from rackhub.policy.outliers import OutlierDetector
+from rackhub.policy.router import Router
+from rackhub.policy.slow_start import SlowStart
 from rackhub.trials.virtual.cost import SIZES, Answers
 from rackhub.trials.virtual.rig import Scene, World
 
@@ -55,14 +58,14 @@
         slow_start_budget_window=3 * S,
         slow_start_budget_multiple=2,
     )
-    control = Control(settings, 1)
+    control = Router(settings, 1)
     control.handle(
         100 * S, t.EndpointList("Complete", (t.EngineEntry("a", kind="std"), t.EngineEntry("b", kind="std")))
     )
     control.handle(100 * S, t.QueryReceived("q", "lookup", 103 * S))
-    before = control.engines["a"].weight
+    before = control.context.engines["a"].weight
     control.handle(100 * S + MS, t.EndpointList("Partial", (t.EngineEntry("a", kind="std", started_at=100 * S),)))
-    assert control.warmth(control.engines["a"]) < 0.5 * before
+    assert control.selector.weight(control.context.engines["a"]) < 0.5 * before
 
 
 # ---- forty coordinators on one clock: a zone lost and back cold, the resolver silent for 3 s
@@ -91,12 +94,18 @@
 
 GUARDS = {
     "list calls in a second": lambda p: p.setattr(Asking, "asked", lambda asking: 60 * MS),
-    "dials that dead engines refuse": lambda p: p.setattr(Control, "ail", lambda control, engine, sure=False: None),
-    "further attempts at the loss": lambda p: p.setattr(Control, "ail", lambda control, engine, sure=False: None),
+    "dials that dead engines refuse": lambda p: p.setattr(
+        OutlierDetector, "record_failure", lambda outliers, engine, certain=False: None
+    ),
+    "further attempts at the loss": lambda p: p.setattr(
+        OutlierDetector, "record_failure", lambda outliers, engine, certain=False: None
+    ),
     "work sent to a cold engine": lambda p: p.setattr(
-        Control, "drawn", lambda control, query, cold: control.random.choice(cold)
+        SlowStart, "draw", lambda slow_start, query, warming: slow_start.context.random.choice(warming)
+    ),
+    "new work to engines that are told gone": lambda p: p.setattr(
+        EndpointTracker, "on_endpoint_list", keep_all(EndpointTracker.on_endpoint_list)
     ),
-    "new work to engines that are told gone": lambda p: p.setattr(Control, "on_list", keep_all(Control.on_list)),
 }
 
 
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -5,13 +5,13 @@
 import golden_decisions
 import pytest
 
-from rackhub import Control
+from rackhub import Router
 
 
 @pytest.mark.parametrize("name", golden_decisions.SCENARIOS)
 def test_the_recorded_events_lead_to_the_recorded_actions(name):
     scenario = golden_decisions.SCENARIOS[name]
-    control = Control(golden_decisions.settings(**scenario.settings), seed=scenario.seed)
+    control = Router(golden_decisions.settings(**scenario.settings), seed=scenario.seed)
     taken = set()
     for step, (now, row, recorded) in enumerate(golden_decisions.read(name)):
         actions = [golden_decisions.row_of(action) for action in control.handle(now, golden_decisions.event_of(row))]
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -13,5 +13,5 @@
 
 
 def test_the_interface_is_named_at_the_top():
-    control = next(file for file in MODULE if file.name == "control.py")
-    assert "rackhub/interface.py" in control.read_text().splitlines()[0]
+    router = next(file for file in MODULE if file.name == "router.py")
+    assert "rackhub/interface.py" in router.read_text().splitlines()[0]
