--- a/rackhub/adapter.py
+++ b/rackhub/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: reads event lines, drives one `Control` an instance and writes action lines.
+"""The simulator's wire: reads event lines, drives one `Router` an instance and writes action lines.
 
 A line is a message name and `field=value` pairs, separated by tabs. Events come in batches that end with END; each
 batch is answered by its action lines and END. Nothing is decided here. Unknown messages, fields and settings are
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple, TextIO
 
 from rackhub import interface
-from rackhub.policy.control import Control
+from rackhub.policy.router import Router
 from rackhub.settings import (
     FieldParser,
     InvalidFieldError,
@@ -216,7 +216,7 @@
         """Write batches of action lines to `out`, and errors to `err`."""
         self._out = out
         self._err = err
-        self._controls: dict[str, Control] = {}
+        self._controls: dict[str, Router] = {}
         self._endpoint_pages: dict[int, tuple[interface.EngineEntry, ...]] = {}
         self._now = 0  # microseconds
         self._reply: list[str] = []
@@ -276,7 +276,7 @@
         event: Any
         if line.message == "START":
             seed = parse_fields(line.message, line.pairs, START_FIELDS)["seed"]
-            self._controls[instance] = Control(parse_settings(line.pairs), seed)
+            self._controls[instance] = Router(parse_settings(line.pairs), seed)
             event = interface.Started()
         elif line.message == "MEMBERS":
             event = self._endpoint_list(line)
