--- a/rackhub/cli/rules.py
+++ b/rackhub/cli/rules.py
@@ -64,9 +64,9 @@
 
 def ask(at: tuple[str, int], words: dict[str, Any], timeout: float) -> dict[str, Any]:
     """One call at a gateway's control port."""
-    from rackhub.fleet.control.client import ask as call  # loaded where it is used
+    from rackhub.fleet.control.client import send_request  # loaded where it is used
 
-    return dict(call(at, words, timeout))
+    return dict(send_request(at, words, timeout))
 
 
 def run(words: Sequence[str]) -> int:
--- a/rackhub/fleet/control/client.py
+++ b/rackhub/fleet/control/client.py
@@ -1,4 +1,4 @@
-"""The command line's side: one call, one answer, no reactor."""
+"""The command line's side of the control port: one request, one response, blocking, without a reactor."""
 
 import socket
 import time
@@ -7,33 +7,37 @@
 
 import msgspec
 
+from rackhub.core.source import Address
 from rackhub.fleet.control.limits import Limits
-from rackhub.fleet.ports import Address
 
-MOST = Limits().answer + 1
+MAX_RESPONSE_LINE_BYTES = Limits().max_response_bytes + 1  # with the line feed
+RECEIVE_BYTES = 65_536
 
 
-def ask(address: Address, words: Mapping[str, Any], timeout: float) -> dict[str, Any]:
-    """One call, `words["call"]` its name. Raises `OSError` (`TimeoutError` after so many seconds in all) where no
-    answer comes, and `ValueError` for one that is no JSON object."""
-    end = time.monotonic() + timeout
-    with socket.create_connection(address, timeout=timeout) as link:
-        link.sendall(msgspec.json.encode(words) + b"\n")
-        parts: list[bytes] = []
+def send_request(address: Address, request: Mapping[str, Any], timeout: float) -> dict[str, Any]:
+    """Send one request, `request["call"]` its command, and return the response.
+
+    Raises `OSError` (`TimeoutError` after `timeout` seconds in all) where no response comes, and `ValueError` for one
+    that is no JSON object.
+    """
+    deadline = time.monotonic() + timeout
+    with socket.create_connection(address, timeout=timeout) as connection:
+        connection.sendall(msgspec.json.encode(request) + b"\n")
+        chunks: list[bytes] = []
         size = 0
-        while not parts or not parts[-1].endswith(b"\n"):
-            left = end - time.monotonic()
-            if left <= 0:
+        while not chunks or not chunks[-1].endswith(b"\n"):
+            remaining = deadline - time.monotonic()
+            if remaining <= 0:
                 raise TimeoutError(f"{address[0]}:{address[1]} gave no answer in {timeout:g} s")
-            link.settimeout(left)
-            part = link.recv(65_536)
-            if not part:
+            connection.settimeout(remaining)
+            chunk = connection.recv(RECEIVE_BYTES)
+            if not chunk:
                 raise ConnectionError(f"{address[0]}:{address[1]} ended the connection without an answer")
-            parts.append(part)
-            size += len(part)
-            if size > MOST:
-                raise ValueError(f"{address[0]}:{address[1]} answered with more than {MOST} bytes")
+            chunks.append(chunk)
+            size += len(chunk)
+            if size > MAX_RESPONSE_LINE_BYTES:
+                raise ValueError(f"{address[0]}:{address[1]} answered with more than {MAX_RESPONSE_LINE_BYTES} bytes")
     try:
-        return msgspec.json.decode(b"".join(parts), type=dict[str, Any])
-    except msgspec.DecodeError as bad:
-        raise ValueError(f"{address[0]}:{address[1]} gave no JSON object: {bad}") from None
+        return msgspec.json.decode(b"".join(chunks), type=dict[str, Any])
+    except msgspec.DecodeError as error:
+        raise ValueError(f"{address[0]}:{address[1]} gave no JSON object: {error}") from None
--- a/rackhub/fleet/control/limits.py
+++ b/rackhub/fleet/control/limits.py
@@ -4,11 +4,11 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """Times are seconds."""
-
-    line: int = 1 << 20  # bytes of a call
-    answer: int = 4 << 20  # bytes of an answer; a longer one is an error in its place
-    connections: int = 16
-    open: int = 4  # calls of one connection without an answer yet; further ones are refused
-    idle: float = 60.0  # without a word on a connection that has no call open
-    words: int = 64  # names of calls
+    """The control port's limits. Sizes are bytes, times are seconds."""
+
+    max_request_bytes: int = 1 << 20
+    max_response_bytes: int = 4 << 20  # a longer response is replaced by an error
+    max_connections: int = 16
+    max_open_requests: int = 4  # of one connection; further ones are rejected
+    idle_timeout: float = 60.0  # of a connection without an open request
+    max_commands: int = 64
--- a/rackhub/fleet/control/port.py
+++ b/rackhub/fleet/control/port.py
@@ -1,4 +1,4 @@
-"""The socket of the control port: lines in, lines out, in whatever order answers come; bounded."""
+"""The control port's socket: requests and responses as lines, in any order of responses, with limits on all of it."""
 
 import errno
 import logging
@@ -9,111 +9,141 @@
 from twisted.internet.protocol import Factory
 from twisted.protocols.basic import LineOnlyReceiver
 
-from rackhub.fleet.control.desk import Call, Desk
+from rackhub.core.source import Address
+from rackhub.fleet.control.commands import CommandDispatcher, CommandHandler
 from rackhub.fleet.control.limits import Limits
-from rackhub.fleet.ports import Address
 
 log = logging.getLogger(__name__)
-AGAIN = 0.25  # seconds until a taken address is tried again
+LISTEN_RETRY_INTERVAL = 0.25  # seconds
 
 
-class Caller(LineOnlyReceiver):
+class ClientConnection(LineOnlyReceiver):
+    """One connection of a client."""
+
     delimiter = b"\n"
     transport: Any
 
     def __init__(self, control: "ControlPort"):
-        self._control, self._open, self._on = control, 0, False
-        self.MAX_LENGTH = control.limits.line
-        self._idle: Any = None
-
-    def connectionMade(self) -> None:
-        self._on = self._control.enter(self)
-        if not self._on:
-            self.sendLine(b'{"error":"too many connections"}')
+        self._control = control
+        self._limits = control.limits
+        self._open_requests = 0
+        self._admitted = False
+        self._idle_timer: Any = None
+        self.MAX_LENGTH = control.limits.max_request_bytes
+
+    def connectionMade(self) -> None:  # noqa: N802
+        """Admit the connection, or reject it where there are too many (Twisted calls this)."""
+        self._admitted = self._control.admit(self)
+        if not self._admitted:
+            self._send_line(b'{"error":"too many connections"}')
             self.transport.loseConnection()
             return
-        self._idle = self._control.reactor.callLater(self._control.limits.idle, self._silent)
+        self._start_idle_timer()
 
-    def lineReceived(self, line: bytes) -> None:
-        if not self._on:
+    def lineReceived(self, line: bytes) -> None:  # noqa: N802
+        """Handle one request (Twisted calls this)."""
+        if not self._admitted:
             return
-        self._idle.reset(self._control.limits.idle)
-        if self._open >= self._control.limits.open:
+        self._idle_timer.reset(self._limits.idle_timeout)
+        if self._open_requests >= self._limits.max_open_requests:
             self._control.count("control_over")
-            self.sendLine(b'{"error":"too many calls without an answer"}')
+            self._send_line(b'{"error":"too many calls without an answer"}')
             return
-        self._open += 1
-        self._control.desk.answer(line.rstrip(b"\r"), self._write)
-
-    def _write(self, body: bytes) -> None:
-        self._open -= 1
-        if self._on:
-            self._idle.reset(self._control.limits.idle)
-            self.sendLine(body)
+        self._open_requests += 1
+        self._control.dispatcher.dispatch(line.rstrip(b"\r"), self._write)
 
-    def lineLengthExceeded(self, line: bytes) -> None:
+    def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
+        """Reject a request that is too long, and close the connection (Twisted calls this)."""
         self._control.count("control_bad")
-        self.sendLine(f'{{"error":"a call of more than {self.MAX_LENGTH} bytes"}}'.encode())
+        self._send_line(f'{{"error":"a call of more than {self.MAX_LENGTH} bytes"}}'.encode())
         self.transport.loseConnection()
 
-    def _silent(self) -> None:
-        if self._open:
-            self._idle = self._control.reactor.callLater(self._control.limits.idle, self._silent)
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
+        """Clean up (Twisted calls this)."""
+        if self._admitted:
+            self._admitted = False
+            self._control.release(self)
+        if self._idle_timer is not None and self._idle_timer.active():
+            self._idle_timer.cancel()
+
+    def _write(self, body: bytes) -> None:
+        self._open_requests -= 1
+        if self._admitted:
+            self._idle_timer.reset(self._limits.idle_timeout)
+            self._send_line(body)
+
+    def _send_line(self, line: bytes) -> None:
+        self.transport.writeSequence((line, self.delimiter))
+
+    def _start_idle_timer(self) -> None:
+        self._idle_timer = self._control.reactor.callLater(self._limits.idle_timeout, self._on_idle)
+
+    def _on_idle(self) -> None:
+        if self._open_requests:
+            self._start_idle_timer()
         else:
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Any = None) -> None:
-        if self._on:
-            self._on = False
-            self._control.exit(self)
-        if self._idle is not None and self._idle.active():
-            self._idle.cancel()
-
 
 class ControlPort(Factory):
-    """`on` before or after `start`; `start` raises `OSError` where the address can't be had. One that is taken is tried
-    again: it may be that of the process that this one replaces."""
+    """The server. Implements `ports.Control`; commands may be registered before or after `start`.
+
+    `bind` is the address to listen on, `count` adds one to the counter of that name.
+    """
 
     noisy = False
 
     def __init__(self, reactor: Any, bind: Address, count: Callable[[str], None], limits: Limits | None = None):
-        self.reactor, self._bind, self.count, self.limits = reactor, bind, count, limits or Limits()
-        self.desk = Desk(self.limits, count)
-        self._callers: set[Caller] = set()
-        self._port: Any = None
-        self._waits: Any = None
-
-    def on(self, word: str, call: Call) -> None:
-        self.desk.on(word, call)
+        self.reactor = reactor
+        self.count = count
+        self.limits = limits or Limits()
+        self.dispatcher = CommandDispatcher(self.limits, count)
+        self._bind = bind
+        self._connections: set[ClientConnection] = set()
+        self._listener: Any = None
+        self._retry_timer: Any = None
+
+    def on(self, command: str, handler: CommandHandler) -> None:
+        """Register a command. Raises `ValueError` where it has a handler already, or there are too many commands."""
+        self.dispatcher.on(command, handler)
 
     def start(self) -> None:
+        """Listen. Raises `OSError` where that is impossible.
+
+        An address in use is retried: it may be that of the process that this one replaces.
+        """
         try:
-            self._port = self.reactor.listenTCP(self._bind[1], self, interface=self._bind[0])
-        except error.CannotListenError as bad:
-            text = f"control: {self._bind[0]}:{self._bind[1]}: {bad.socketError}"
-            if getattr(bad.socketError, "errno", None) != errno.EADDRINUSE:
-                raise OSError(text) from bad
-            if not self._waits:
+            self._listener = self.reactor.listenTCP(self._bind[1], self, interface=self._bind[0])
+        except error.CannotListenError as failure:
+            text = f"control: {self._bind[0]}:{self._bind[1]}: {failure.socketError}"
+            if getattr(failure.socketError, "errno", None) != errno.EADDRINUSE:
+                raise OSError(text) from failure
+            if not self._retry_timer:
                 log.warning("%s: tried again until it is free", text)
-            self._waits = self.reactor.callLater(AGAIN, self.start)
+            self._retry_timer = self.reactor.callLater(LISTEN_RETRY_INTERVAL, self.start)
 
     def stop(self) -> Any:
-        if self._waits and self._waits.active():
-            self._waits.cancel()
-        for caller in list(self._callers):
-            caller.transport.abortConnection()
-        port, self._port = self._port, None
-        return port.stopListening() if port is not None else None
-
-    def buildProtocol(self, addr: Any) -> Caller:
-        return Caller(self)
-
-    def enter(self, caller: Caller) -> bool:
-        if len(self._callers) >= self.limits.connections:
+        """Close all connections and stop listening; returns Twisted's Deferred of that, None if not listening."""
+        if self._retry_timer and self._retry_timer.active():
+            self._retry_timer.cancel()
+        for connection in list(self._connections):
+            connection.transport.abortConnection()
+        listener = self._listener
+        self._listener = None
+        return listener.stopListening() if listener is not None else None
+
+    def buildProtocol(self, addr: Any) -> ClientConnection:  # noqa: N802
+        """Return the protocol of a new connection (Twisted calls this)."""
+        return ClientConnection(self)
+
+    def admit(self, connection: ClientConnection) -> bool:
+        """Whether there is capacity for one more connection, which then counts until `release`."""
+        if len(self._connections) >= self.limits.max_connections:
             self.count("control_refused")
             return False
-        self._callers.add(caller)
+        self._connections.add(connection)
         return True
 
-    def exit(self, caller: Caller) -> None:
-        self._callers.discard(caller)
+    def release(self, connection: ClientConnection) -> None:
+        """The connection has ended."""
+        self._connections.discard(connection)
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -13,7 +13,7 @@
 from rackhub.config import fleet_settings
 from rackhub.core.component import Component, ComponentContext, ComponentStartError
 from rackhub.core.source import EndpointSnapshot
-from rackhub.fleet.control import fleet as fleet_call
+from rackhub.fleet.control import fleet_status
 from rackhub.fleet.control.port import ControlPort
 from rackhub.fleet.disk import open_disk
 from rackhub.fleet.members.part import Membership
@@ -134,7 +134,7 @@
         try:
             self.membership.start()
             if self.control is not None:
-                fleet_call.offer(self.control, self.membership)
+                fleet_status.register_command(self.control, self.membership)
                 self.control.on(
                     "figures",
                     lambda words, answer: answer(
--- a/rackhub/fleet/register/disk.py
+++ b/rackhub/fleet/register/disk.py
@@ -115,6 +115,7 @@
                 batch.put(key, body)
 
         def acknowledged(error: Exception | None) -> None:
+            """Called once by the store, when the batch is durable or has failed."""
             if error is None:
                 done()
             else:  # it may be durable or not, so what waits for it is never sent
@@ -165,6 +166,7 @@
         self.puts += 1
 
         def synced() -> None:
+            """Make the write durable, unless a crash has lost it."""
             if self._crashes == crashes_before:
                 _apply(self._synced, changes)
                 done()
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -2,7 +2,7 @@
 
 from twisted.internet import reactor
 
-from rackhub.fleet.control.client import ask
+from rackhub.fleet.control.client import send_request
 from rackhub.trials.processes.cases.case import ask_all, comes_about
 from rackhub.trials.processes.rig import Rig
 from rackhub.trials.processes.site import Plan
@@ -55,7 +55,7 @@
 
 def test_the_command_line_s_client_names_an_address_where_nobody_answers():
     try:
-        ask(("127.0.0.1", 1), {"call": "fleet"}, 1.0)
+        send_request(("127.0.0.1", 1), {"call": "fleet"}, 1.0)
         raise AssertionError("somebody answered")
     except OSError:
         pass
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rackhub.fleet.control.client import ask
-from rackhub.fleet.control.desk import Desk
+from rackhub.fleet.control.client import send_request
+from rackhub.fleet.control.commands import CommandDispatcher
 from rackhub.fleet.control.limits import Limits as ControlLimits
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.link.limits import Limits
@@ -312,20 +312,20 @@
     assert boots.first(state) >= first
 
 
-def test_each_call_gets_one_answer_whatever_it_does():
+def test_each_request_gets_one_response_whatever_its_handler_does():
     counts, said = Counter(), []
-    desk = Desk(ControlLimits(answer=1_000), lambda name: counts.update([name]))
+    dispatcher = CommandDispatcher(ControlLimits(max_response_bytes=1_000), lambda name: counts.update([name]))
 
     def twice(words, answer):
         answer({"n": words["n"]})
         answer({"n": 2})
 
-    desk.on("twice", twice)
-    desk.on("fails", lambda words, answer: 1 / 0)
-    desk.on("long", lambda words, answer: answer({"x": "y" * 2_000}))
-    desk.on("odd", lambda words, answer: answer({"x": object()}))
+    dispatcher.on("twice", twice)
+    dispatcher.on("fails", lambda words, answer: 1 / 0)
+    dispatcher.on("long", lambda words, answer: answer({"x": "y" * 2_000}))
+    dispatcher.on("odd", lambda words, answer: answer({"x": object()}))
     with pytest.raises(ValueError, match="taken"):
-        desk.on("twice", twice)
+        dispatcher.on("twice", twice)
     for line in (
         b'{"call":"twice","n":1}',
         b'{"call":"fails"}',
@@ -337,7 +337,7 @@
         b'{"call":[]}',
         b"\xff",
     ):
-        desk.answer(line, said.append)
+        dispatcher.dispatch(line, said.append)
     told = [json.loads(line) for line in said]
     assert told[0] == {"n": 1} and all("error" in words for words in told[1:]) and len(told) == 9
     assert "ZeroDivisionError" in told[1]["error"] and "fails, long, odd, twice" in told[6]["error"]
@@ -354,14 +354,14 @@
 FLEET = """
 import sys
 from twisted.internet import reactor
-from rackhub.fleet.control import fleet
+from rackhub.fleet.control import fleet_status
 from rackhub.fleet.control.port import ControlPort
 from rackhub.fleet.members.part import Membership
 from rackhub.fleet.settings import FleetSettings
 parts = [Membership(reactor, FleetSettings(cluster="t", listen=f"127.0.9.{i}:17947", name=f"g{i}",
                                            join=("127.0.9.1:17947",)), ("127.0.0.1", i)) for i in (1, 2, 3)]
 control = ControlPort(reactor, ("127.0.9.1", 17948), lambda name: None)
-fleet.offer(control, parts[0])
+fleet_status.register_command(control, parts[0])
 def mailed(sender, body):
     parts[0].board.post("mailed", b"%s %d" % (sender.encode(), len(body)))
     parts[2].leave().addCallback(lambda _: parts[2].stop())
@@ -392,19 +392,21 @@
         until = time.monotonic() + 60
         while time.monotonic() < until:
             time.sleep(0.02)
-            told = ask(("127.0.9.1", 17948), {"call": "fleet"}, 10)
+            told = send_request(("127.0.9.1", 17948), {"call": "fleet"}, 10)
             if told["members"].get("g3", {}).get("state") == "left" and "mailed" in told["board"]:
                 break
         assert told["members"]["g2"]["state"] == "alive" and told["members"]["g3"]["state"] == "left"
         assert told["board"]["mailed"]["g1"]["bytes"] == len(b"g2 262144") and told["figures"]["fleet_mail_in"] == 1
-        assert "none of fleet" in ask(("127.0.9.1", 17948), {"call": "what"}, 10)["error"]
+        assert "none of fleet" in send_request(("127.0.9.1", 17948), {"call": "what"}, 10)["error"]
         try:
-            assert "more than" in ask(("127.0.9.1", 17948), {"call": "fleet", "x": "x" * (2 << 20)}, 10)["error"]
+            assert (
+                "more than" in send_request(("127.0.9.1", 17948), {"call": "fleet", "x": "x" * (2 << 20)}, 10)["error"]
+            )
         except OSError:
             pass  # the connection ended before the answer could be read
-        assert "takes no x" in ask(("127.0.9.1", 17948), {"call": "fleet", "x": 1}, 10)["error"]
+        assert "takes no x" in send_request(("127.0.9.1", 17948), {"call": "fleet", "x": 1}, 10)["error"]
     finally:
         child.kill()
         child.wait()
     with pytest.raises(OSError):
-        ask(("127.0.9.1", 17948), {"call": "fleet"}, 1)
+        send_request(("127.0.9.1", 17948), {"call": "fleet"}, 1)
