--- a/rackhub/policy/selection.py
+++ b/rackhub/policy/selection.py
@@ -1,8 +1,9 @@
 """Which engine gets a query: filters, then smooth weighted round robin. All times are microseconds."""
 
 import math
+import operator
 import zlib
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
 from rackhub.interface import Idempotency
 from rackhub.policy.context import RouterContext
@@ -20,6 +21,7 @@
 THREADS_TOLERANCE = 0.25  # threads per core over the mean
 HASH_MULTIPLIER = 0x9E3779B1  # spreads the checksums of similar names over 32 bits
 SCOPE_DEPTHS = {"all": 0, "zone": 1}  # how much of (zone, cell) must agree; any other scope: both
+ROTATION_CREDIT = operator.attrgetter("rotation_credit")
 
 
 class EngineSelector:
@@ -49,7 +51,7 @@
         mean_threads = sum([engine.threads for engine in engines]) / max(sum([engine.cores for engine in engines]), 1)
         limit = mean_threads + THREADS_TOLERANCE
         engines = [engine for engine in engines if engine.threads <= limit * engine.cores] or engines
-        chosen = rotate(engines, self.weight)
+        chosen = rotate(engines, self._weights(engines))
         now = self.context.now
         warm_up = self.context.settings.slow_start_duration
         if not chosen or now - chosen.started_at >= warm_up:
@@ -59,16 +61,23 @@
         return drawn or self.choose(query, (*excluded, *warming))
 
     def weight(self, engine: EngineState) -> float:
-        """The engine's weight, recomputed after each news of the engine and from time to time."""
-        weighed_at = engine.weighed_at
-        if (
-            weighed_at <= self.context.now - TICK_INTERVAL
-            or weighed_at <= engine.failure_rate.updated_at
-            or weighed_at <= engine.load_excess.updated_at
-        ):
-            engine.weight = self._compute_weight(engine)
-            engine.weighed_at = self.context.now
-        return engine.weight
+        """The weight of one engine, recomputed after each news of it and from time to time."""
+        return self._weights([engine])[0]
+
+    def _weights(self, engines: list[EngineState]) -> list[float]:
+        """The weights of all engines, in one loop: this runs over the whole fleet for each attempt."""
+        now = self.context.now
+        expired = now - TICK_INTERVAL
+        for engine in engines:
+            weighed_at = engine.weighed_at
+            if (
+                weighed_at <= expired
+                or weighed_at <= engine.failure_rate.updated_at
+                or weighed_at <= engine.load_excess.updated_at
+            ):
+                engine.weight = self._compute_weight(engine)
+                engine.weighed_at = now
+        return [engine.weight for engine in engines]
 
     def _compute_weight(self, engine: EngineState) -> float:
         """Cores that are warmed up, less for failures and for load over the fleet's mean."""
@@ -149,12 +158,11 @@
     return zlib.crc32(text.encode()) * HASH_MULTIPLIER % 2**32
 
 
-def rotate(engines: list[EngineState], weight: Callable[[EngineState], float]) -> EngineState | None:
+def rotate(engines: list[EngineState], weights: list[float]) -> EngineState | None:
     """Smooth weighted round robin: the engine whose turn it is, or None if there is no engine."""
-    gains = [weight(engine) for engine in engines]
-    for engine, gain in zip(engines, gains, strict=True):
-        engine.rotation_credit += gain
-    best = max(engines, key=lambda engine: engine.rotation_credit, default=None)
+    for engine, weight in zip(engines, weights, strict=True):
+        engine.rotation_credit += weight
+    best = max(engines, key=ROTATION_CREDIT, default=None)
     if best:
-        best.rotation_credit -= sum(gains)
+        best.rotation_credit -= sum(weights)
     return best
