--- a/rackhub/policy/context.py
+++ b/rackhub/policy/context.py
@@ -53,7 +53,7 @@
         self.slow_start_divisor = gateways if slow_start_share is None else 1 / max(slow_start_share, MIN_SHARE)
 
     def schedule(self, delay: float, callback: Callable[..., Any], *arguments: Any) -> int:
-        """Call back after `delay` microseconds; gives the timer's id."""
+        """Call back after `delay` microseconds; returns the timer's id."""
         self._last_timer_id += 1
         self.timers[self._last_timer_id] = (callback, arguments)
         self.actions.append(t.Timer(max(int(delay), 1), self._last_timer_id))
--- a/rackhub/policy/endpoints.py
+++ b/rackhub/policy/endpoints.py
@@ -6,7 +6,7 @@
 from rackhub.policy.context import RouterContext
 from rackhub.policy.health import HealthMonitor
 from rackhub.policy.hints import HintPlanner
-from rackhub.policy.lifecycle import QueryLifecycle
+from rackhub.policy.lifecycle import MAX_IN_FLIGHT, QueryLifecycle
 from rackhub.policy.selection import EngineSelector
 from rackhub.policy.statistics import SECOND, EngineState
 from rackhub.policy.usage import ResourceUsage
@@ -94,5 +94,5 @@
             self.usage.release(attempt)
             if context.settings.cancel:
                 context.actions.append(t.Cancel(query.id, attempt.number))
-            elif context.settings.hedging and not query.closed and len(query.in_flight) < 2:
+            elif context.settings.hedging and not query.closed and len(query.in_flight) < MAX_IN_FLIGHT:
                 self.lifecycle.retry(query, Outcome.TIMED_OUT)
--- a/rackhub/policy/health.py
+++ b/rackhub/policy/health.py
@@ -75,7 +75,7 @@
         self._send_gossip(event.engine, excess)
 
     def on_gossip(self, event: t.GossipReceived) -> None:
-        """Where no engine reports its load, what other gateways saw of it stands in."""
+        """Where no engine reports its load, the results of other gateways stand in."""
         contents = event.contents
         name = self.names_by_checksum.get(int.from_bytes(contents[:CHECKSUM_BYTES], "big"))
         if name and len(contents) == MESSAGE_BYTES:
@@ -93,7 +93,10 @@
             engine.load_excess.add(self.context.now, excess)
 
     def _send_gossip(self, name: str, excess: float) -> None:
-        """Tell as many gateways as there are engines: each hears of every engine as often as it checks one."""
+        """Send a result to as many gateways as there are engines.
+
+        Each gateway thus receives one result of every engine as often as it checks an engine itself.
+        """
         settings = self.context.settings
         if not settings.gossip or settings.load_report_source != "silent":
             return
--- a/rackhub/policy/hints.py
+++ b/rackhub/policy/hints.py
@@ -1,4 +1,4 @@
-"""What an engine is told of an attempt: its memory grant, in MB, and its priority."""
+"""Execution hints sent with an attempt: its memory grant, in MB, and its priority."""
 
 from rackhub import interface as t
 from rackhub.policy.context import RouterContext
--- a/rackhub/policy/lifecycle.py
+++ b/rackhub/policy/lifecycle.py
@@ -19,6 +19,9 @@
 MIN_BACKOFF = SECOND // 10
 BACKOFF_JITTER = (1.0, 1.5)
 NO_ENGINE_BACKOFF = SECOND
+BACKOFF_LATENCIES = 0.5  # mean latencies that a client waits after a failed attempt
+MIN_RETRY_LATENCIES = 0.5  # expected latencies that must be left for a retry
+MAX_IN_FLIGHT = 2  # attempts of one query at a time
 
 
 class QueryLifecycle:
@@ -104,8 +107,8 @@
         self.key_queues.advance(query.event.key)
 
     def retry(self, query: QueryState, outcome: str) -> None:
-        """Attempt a query again after an outcome, or finish it if that is not allowed or cannot pay."""
-        if self._retry_pays(query, outcome) and self.retries.allows(query):
+        """Attempt a query again after an outcome, or finish it if that is not allowed or not worthwhile."""
+        if self._is_retry_worthwhile(query, outcome) and self.retries.allows(query):
             repeats_no_work = outcome in NOT_EXECUTED_OUTCOMES or (
                 outcome == Outcome.LOST and not self.hints.is_light(query.statistics)
             )
@@ -115,7 +118,11 @@
                 self.send(query, engine)
                 return
         if not query.in_flight:
-            self.finish(query, query.statistics.mean_latency / 2, f"no further attempt after {outcome}")
+            self.finish(query, self.failure_backoff(query), f"no further attempt after {outcome}")
+
+    def failure_backoff(self, query: QueryState) -> float:
+        """How long a client should wait after a failed attempt."""
+        return query.statistics.mean_latency * BACKOFF_LATENCIES
 
     def retry_if_waiting(self, query: QueryState, outcome: str) -> None:
         """Retry after a delay, unless the query was closed or sent meanwhile."""
@@ -138,7 +145,7 @@
             self.send(query, engine)
 
     def cancel_to_retry(self, attempt: AttemptState) -> None:
-        """Cancel an attempt, so that its outcome makes the query go elsewhere, if that can pay."""
+        """Cancel an attempt, so that its outcome leads to a retry, if that is worthwhile."""
         query = attempt.query
         if not self.context.settings.cancel or not self.retries.allows(query) or query.closed:
             return
@@ -146,11 +153,11 @@
         if time_left > query.expected_latency and self.retries.within_budget(SPECULATIVE_FRACTION):
             self.context.actions.append(t.Cancel(query.id, attempt.number))
 
-    def _retry_pays(self, query: QueryState, outcome: str) -> bool:
+    def _is_retry_worthwhile(self, query: QueryState, outcome: str) -> bool:
         """Whether a retry has time enough, and room: many attempts lost at once must not flood the other engines."""
         unlimited = outcome in NOT_EXECUTED_OUTCOMES or outcome == Outcome.LOST or not self.load.overloaded
         limit = math.inf if unlimited else self.admission.limit
         if outcome == Outcome.NOT_EXECUTED:
             return False
         time_left = query.event.deadline - self.context.now
-        return time_left > query.expected_latency / 2 and self.admission.fits(query, limit)
+        return time_left > query.expected_latency * MIN_RETRY_LATENCIES and self.admission.fits(query, limit)
--- a/rackhub/policy/load.py
+++ b/rackhub/policy/load.py
@@ -125,7 +125,7 @@
         self.latency_excess.add(self.context.now, excess, EVIDENCE_DECAY_TIME, EVIDENCE_MAX_WEIGHT)
 
     def record_pace(self, engine: EngineState, query: QueryState, duration: float) -> None:
-        """Count how much longer than expected work of known size takes, which tells load where reports are late."""
+        """Count how much longer than expected work of known size takes, which shows load where reports are late."""
         if query.statistics.cost_fit.count >= MIN_FIT_SAMPLES and not self.context.stalled:
             least, most = PACE_EXCESS_RANGE
             excess = math.log(max(duration, 1) / query.expected_latency)
--- a/rackhub/policy/outcomes.py
+++ b/rackhub/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt tells of its engine and its class. All times are microseconds."""
+"""What the outcome of an attempt shows of its engine and its class. All times are microseconds."""
 
 from rackhub.interface import AttemptCompleted, Outcome
 from rackhub.policy.context import RouterContext
@@ -61,7 +61,7 @@
         elif outcome == Outcome.OVERLOADED:
             self.load.record_rejection(engine)
         elif outcome == Outcome.CONNECT_FAILED:
-            self.outliers.record_refused_connection(engine)
+            self.outliers.record_connect_failure(engine)
         elif outcome == Outcome.RESET:
             self.outliers.record_reset(engine)
         elif outcome == Outcome.ERROR:
--- a/rackhub/policy/outliers.py
+++ b/rackhub/policy/outliers.py
@@ -38,7 +38,7 @@
         if engine.failure_rate.value < RECOVERED_FAILURE_RATE:
             engine.ejection_time = 0
 
-    def record_refused_connection(self, engine: EngineState) -> None:
+    def record_connect_failure(self, engine: EngineState) -> None:
         """Count a refused connection: the second with no response between is certain."""
         engine.consecutive_failures += 1
         self.record_failure(engine, certain=engine.consecutive_failures > 1)
--- a/rackhub/policy/progress.py
+++ b/rackhub/policy/progress.py
@@ -6,7 +6,7 @@
 from rackhub.interface import Outcome, ProgressTopic, WaitReason
 from rackhub.policy.context import RouterContext
 from rackhub.policy.hints import HintPlanner
-from rackhub.policy.lifecycle import QueryLifecycle
+from rackhub.policy.lifecycle import MAX_IN_FLIGHT, QueryLifecycle
 from rackhub.policy.load import LoadEstimator
 from rackhub.policy.outcomes import OVERDUE_LATENCIES, OutcomeRecorder
 from rackhub.policy.outliers import OutlierDetector
@@ -123,7 +123,7 @@
         if not settings.cancel and self.load.overloaded:
             return
         self.usage.release(attempt)  # lost responses must not fill the quota until their deadline
-        if settings.hedging and len(query.in_flight) < 2:
+        if settings.hedging and len(query.in_flight) < MAX_IN_FLIGHT:
             if settings.cancel:
                 self.lifecycle.retry(query, Outcome.LOST)
             elif self.hints.is_light(query.statistics):
--- a/rackhub/policy/router.py
+++ b/rackhub/policy/router.py
@@ -69,7 +69,7 @@
             t.EndpointList: self.endpoints.on_endpoint_list,
             t.HealthCheckCompleted: self.health.on_health_check,
             t.GossipReceived: self.health.on_gossip,
-            t.HedgeDue: self._on_hedge_due,
+            t.HedgeDue: self._on_hedge,
             t.FleetAllocation: self._on_allocation,
         }
 
@@ -114,10 +114,10 @@
         backoff: float | None
         if time_left > self._minimum_time(query):
             backoff = self.admission.backoff(query)
-            reason = "over its share"
+            reason = "over quota"
         else:  # this process was stalled
             backoff = STALL_BACKOFF
-            reason = "no time left"
+            reason = "too little time left"
         self.admission.record_admission(query, backoff is None)
         if backoff is not None:
             self.lifecycle.finish(query, backoff, reason)
@@ -179,7 +179,9 @@
         elif query.in_flight:
             return
         elif not event.may_retry:
-            self.lifecycle.finish(query, event.backoff or statistics.mean_latency / 2, f"terms after {outcome}")
+            self.lifecycle.finish(
+                query, event.backoff or self.lifecycle.failure_backoff(query), f"policy allows no retry after {outcome}"
+            )
         elif event.retry_delay:  # the engine is chosen after the delay: the list may change
             context.schedule(event.retry_delay, self.lifecycle.retry_if_waiting, query, outcome)
         else:
@@ -196,6 +198,6 @@
         if query := self.context.queries.get(event.query):
             self.lifecycle.close(query)
 
-    def _on_hedge_due(self, event: t.HedgeDue) -> None:
+    def _on_hedge(self, event: t.HedgeDue) -> None:
         if query := self.context.queries.get(event.query):
             self.lifecycle.hedge(query)
--- a/rackhub/policy/selection.py
+++ b/rackhub/policy/selection.py
@@ -59,7 +59,7 @@
         return drawn or self.choose(query, (*excluded, *warming))
 
     def weight(self, engine: EngineState) -> float:
-        """The engine's weight, recomputed after each news of the engine and from time to time."""
+        """The engine's weight, recomputed after each observation of the engine and from time to time."""
         weighed_at = engine.weighed_at
         if (
             weighed_at <= self.context.now - TICK_INTERVAL
