--- a/rackhub/policy/selection.py
+++ b/rackhub/policy/selection.py
@@ -61,7 +61,7 @@
         return drawn or self.choose(query, (*excluded, *warming))
 
     def weight(self, engine: EngineState) -> float:
-        """The weight of one engine, recomputed after each news of it and from time to time."""
+        """The weight of one engine, recomputed after each observation of it and from time to time."""
         return self._weights([engine])[0]
 
     def _weights(self, engines: list[EngineState]) -> list[float]:
