--- a/rackhub/cli/config.py
+++ b/rackhub/cli/config.py
@@ -49,8 +49,8 @@
 
 def _settings(options: dict[str, Any]) -> t.Settings:
     try:
-        return configuration.load(configuration.path_of(os.environ, options["--config"])).settings
-    except configuration.BadConfig as bad:
+        return configuration.load(configuration.config_path(os.environ, options["--config"])).settings
+    except configuration.ConfigError as bad:
         raise refuse(f"bad configuration: {bad}") from None
 
 
@@ -59,7 +59,7 @@
     try:
         operator = configuration.load_operator(Path(path))
         configuration.check_operator(msgspec.structs.replace(operator, timings=None), settings)
-    except configuration.BadConfig as bad:
+    except configuration.ConfigError as bad:
         raise refuse(f"{path}: {bad}") from None
     routes, faults = read_routes(operator.timings if operator.timings is not None else {})
     checked = checks.check(routes, settings)
--- a/rackhub/cli/serve.py
+++ b/rackhub/cli/serve.py
@@ -38,14 +38,14 @@
 def configured(options: dict[str, Any]) -> Configured:
     """The configuration that the options name, checked; ends with 2 where it can't be used."""
     try:
-        path = configuration.path_of(os.environ, options["--config"])
+        path = configuration.config_path(os.environ, options["--config"])
         told = configuration.load(path)
         operator_path = Path(options["--operator"]) if options["--operator"] else None
         operator = configuration.load_operator(operator_path)
         configuration.check_operator(operator, told.settings, told.name)
-    except configuration.BadConfig as bad:
+    except configuration.ConfigError as bad:
         raise refuse(f"bad configuration: {bad}") from None
-    config = msgspec.structs.replace(told, limits=configuration.shared(told.limits, operator))
+    config = msgspec.structs.replace(told, limits=configuration.share_descriptors(told.limits, operator))
     return Configured(config, told, operator, path, operator_path)
 
 
--- a/rackhub/config.py
+++ b/rackhub/config.py
@@ -1,7 +1,7 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads the configuration and the operator's file, checks them and fills in defaults.
 
-Every fault ends as a `BadConfig` of one line that names the key. The settings proper are read by
-`rackhub.settings`, which the simulator's adapter uses too.
+Every error is a `ConfigError` of one line that names the key. The site's settings are parsed by `rackhub.settings`,
+which the simulator's adapter uses too.
 """
 
 import os
@@ -11,12 +11,11 @@
 
 import msgspec
 
-from rackhub import interface as t
-from rackhub.address import address as read_address
+from rackhub import address, interface
 from rackhub.core.source import EndpointSnapshot
 from rackhub.limits import SECOND, Limits
 from rackhub.net.resolver import whole_list
-from rackhub.operatorfile import Operator
+from rackhub.operatorfile import Operator, TdsLogin
 from rackhub.settings import flatten, parse_settings
 
 if TYPE_CHECKING:
@@ -25,287 +24,356 @@
     from rackhub.state.settings import StoreSettings
     from rackhub.timings.table import Table
 
-STATES = {"ready": "Ready", "draining": "Terminating", "gone": "Gone"}
-OWN = 48  # descriptors kept aside: the program's own, listening sockets, the resolver, newcomers to be turned away
-STORE_FILES = 24  # tables, segments, directory and lock of a store
-LEAST_MB, BASE_MB = 32, 24  # the least memory it runs in; what it takes when idle (22 MB measured)
-
-
-class BadConfig(ValueError):
+ENGINE_STATES = {"ready": "Ready", "draining": "Terminating", "gone": "Gone"}  # by the status in the file
+RESERVED_DESCRIPTORS = 48  # the program's own, listening sockets, the resolver, new connections to be rejected
+STORE_DESCRIPTORS = 24  # tables, segments, directory and lock of a store
+MINIMUM_MEMORY_MB = 32
+IDLE_MEMORY_MB = 24  # of a process without requests
+BYTES_PER_MB = 1_048_576
+MEMORY_PER_HELD_REQUEST = 65_536  # bytes of spare memory for each request that may be held
+MINIMUM_HELD_REQUESTS = 64
+MINIMUM_REQUEST_LINE = 16_384  # bytes
+MAXIMUM_REQUEST_LINE = 65_536  # bytes
+GOSSIP_KEY = "settings.Permissions.Peers"
+SITE_LIMITS = (  # key of the site's permissions, attribute of `Limits`, minimum
+    ("DialTimeout", "dial_timeout", 1),
+    ("ConnIdle", "engine_idle", 1),
+    ("Multiplex", "engine_open", 1),
+)
+
+
+class ConfigError(ValueError):
     """A configuration that can't be used; the text names the key."""
 
 
 class Endpoint(msgspec.Struct):
+    """An engine as the file lists it; `since_ms`: when it started, Unix milliseconds."""
+
     name: str
     address: str
     zone: str = ""
-    type: str = ""
-    group: int = 0
+    kind: str = msgspec.field(default="", name="type")
+    cell: int = msgspec.field(default=0, name="group")
     status: str = "ready"
-    weight: float = 1.0
+    size: float = msgspec.field(default=1.0, name="weight")
     since_ms: int = 0
 
 
 class EnginePool(msgspec.Struct):
+    """Changed engines, or all of them where it is a snapshot."""
+
     endpoints: list[Endpoint]
     snapshot: bool = False
 
 
-class Notice(msgspec.Struct):
-    rev: int
+class WatchNotice(msgspec.Struct):
+    """One recorded watch event of the endpoint list."""
+
+    revision: int = msgspec.field(name="rev")
     pool: EnginePool
 
 
-class Known(msgspec.Struct):
-    rev: int
-    notices: list[Notice]
+class KnownEndpoints(msgspec.Struct):
+    """The watch events that make up the endpoint list at the start, and its revision."""
+
+    revision: int = msgspec.field(name="rev")
+    notices: list[WatchNotice]
 
 
-class Quotas(msgspec.Struct):
+class ResourceLimits(msgspec.Struct):
+    """What the platform gives the process; `sockets` are file descriptors."""
+
     cores: float = 1.0
     memory_mb: int = 192
     sockets: int = 1_024
 
 
-class File(msgspec.Struct):
-    """The file as the platform words it."""
+class ConfigFile(msgspec.Struct):
+    """The configuration as the platform writes it; `operator` is the second address."""
 
     listen: str
     nameserver: str
-    known: Known
+    known: KnownEndpoints
     settings: dict[str, Any]
     name: str = "rackhub"
     seed: str = ""
-    operator: str = ""  # the second address, for the operators' staff
-    limits: Quotas = msgspec.field(default_factory=Quotas)
+    operator: str = ""
+    limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
 
 
 class Config(msgspec.Struct, frozen=True):
-    """All that the program is told, checked."""
+    """The checked configuration; `operator` is the second address, None where there is none."""
 
     name: str
     listen: tuple[str, int]
     nameserver: tuple[str, int]
     seed: int
     engines: EndpointSnapshot
-    settings: t.Settings
+    settings: interface.Settings
     limits: Limits
     operator: tuple[str, int] | None = None
 
 
-def address(text: str, key: str) -> tuple[str, int]:
+def parse_address(text: str, key: str) -> tuple[str, int]:
+    """Parse an address and port. Raises `ConfigError`, which names `key`."""
     try:
-        return read_address(text, key)
-    except ValueError as bad:
-        raise BadConfig(str(bad)) from None
+        return address.address(text, key)
+    except ValueError as error:
+        raise ConfigError(str(error)) from None
 
 
-def path_of(environment: Mapping[str, str], option: str | None = None) -> Path:
+def config_path(environment: Mapping[str, str], option: str | None = None) -> Path:
+    """The path of the configuration: `option`, or BALANCER_CONFIG. Raises `ConfigError` where neither is set."""
     text = option or environment.get("BALANCER_CONFIG", "")
     if not text:
-        raise BadConfig("BALANCER_CONFIG: not set, and no --config given")
+        raise ConfigError("BALANCER_CONFIG: not set, and no --config given")
     return Path(text)
 
 
 def load(path: Path) -> Config:
+    """Read and check a configuration. Raises `ConfigError`."""
     try:
-        return read(path.read_bytes())
-    except OSError as fault:
-        raise BadConfig(f"BALANCER_CONFIG: {path}: {os.strerror(fault.errno or 0)}") from None
+        return parse(path.read_bytes())
+    except OSError as error:
+        raise ConfigError(f"BALANCER_CONFIG: {path}: {os.strerror(error.errno or 0)}") from None
+
+
+def parse(text: bytes) -> Config:
+    """Check the content of a configuration. Raises `ConfigError`."""
+    file = _decode(text)
+    seed = _parse_seed(file.seed)
+    settings = _parse_site_settings(file.settings)
+    operator = _operator_address(file)
+    return Config(
+        file.name,
+        parse_address(file.listen, "listen"),
+        parse_address(file.nameserver, "nameserver"),
+        seed,
+        _initial_endpoints(file.known),
+        settings,
+        _derive_limits(file),
+        operator,
+    )
 
 
-def read(text: bytes) -> Config:
-    """The checked configuration in a file's bytes."""
+def _decode(text: bytes) -> ConfigFile:
     try:
-        file = msgspec.json.decode(text, type=File)
-    except msgspec.ValidationError as bad:  # it ends in the path of what is at fault
-        raise BadConfig(str(bad)) from None
-    except (msgspec.DecodeError, UnicodeDecodeError) as bad:
-        raise BadConfig(f"the file: not JSON: {bad}") from None
+        return msgspec.json.decode(text, type=ConfigFile)
+    except msgspec.ValidationError as error:  # its text ends in the path of the key
+        raise ConfigError(str(error)) from None
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ConfigError(f"the file: not JSON: {error}") from None
+
+
+def _parse_seed(digits: str) -> int:
     try:
-        seed = int(file.seed, 16) if file.seed else 0
+        return int(digits, 16) if digits else 0
     except ValueError:
-        raise BadConfig(f"seed: {file.seed!r} is not hex digits") from None
+        raise ConfigError(f"seed: {digits!r} is not hex digits") from None
+
+
+def _parse_site_settings(tree: Mapping[str, Any]) -> interface.Settings:
     try:
-        settings = parse_settings(flatten(file.settings), "settings")
-    except ValueError as bad:
-        raise BadConfig(str(bad)) from None
+        settings = parse_settings(flatten(tree), "settings")
+    except ValueError as error:
+        raise ConfigError(str(error)) from None
     if not settings.classes:
-        raise BadConfig("settings.Services: no class of requests is told")
-    operator = None
-    for key, told in (
+        raise ConfigError("settings.Services: no class of requests is told")
+    return settings
+
+
+def _operator_address(file: ConfigFile) -> tuple[str, int] | None:
+    """The second address, from the first source that sets it."""
+    sources = (
         ("operator", file.operator),
         ("settings.operator", file.settings.get("operator", "")),
         ("BALANCER_OPERATOR", os.environ.get("BALANCER_OPERATOR", "")),
-    ):
-        if told:
-            if not isinstance(told, str):
-                raise BadConfig(f"{key}: {told!r} is not an address and port")
-            operator = address(told, key)
-            break
-    return Config(
-        file.name,
-        address(file.listen, "listen"),
-        address(file.nameserver, "nameserver"),
-        seed,
-        engines(file.known),
-        settings,
-        limits(file),
-        operator,
     )
+    for key, text in sources:
+        if text:
+            if not isinstance(text, str):
+                raise ConfigError(f"{key}: {text!r} is not an address and port")
+            return parse_address(text, key)
+    return None
 
 
 def load_operator(path: Path | None) -> Operator:
-    """The operator's file; without one all that it sets up is off."""
+    """Read and check the operator's file; without one all that it turns on is off. Raises `ConfigError`."""
     if path is None:
         return Operator()
     try:
         operator = msgspec.toml.decode(path.read_bytes(), type=Operator)
-    except OSError as fault:
-        raise BadConfig(f"--operator: {path}: {os.strerror(fault.errno or 0)}") from None
-    except msgspec.MsgspecError as bad:
-        raise BadConfig(f"operator file: {bad}") from None
+    except OSError as error:
+        raise ConfigError(f"--operator: {path}: {os.strerror(error.errno or 0)}") from None
+    except msgspec.MsgspecError as error:
+        raise ConfigError(f"operator file: {error}") from None
     if operator.tds_front is not None:
-        address(operator.tds_front.listen, "tds_front.listen")
+        parse_address(operator.tds_front.listen, "tds_front.listen")
         if not operator.tds_front.login:
-            raise BadConfig("tds_front.login: no login is set up")
+            raise ConfigError("tds_front.login: no login is set up")
     if operator.store is not None:
         store_settings(operator.store)
     return operator
 
 
-def store_settings(part: dict[str, Any]) -> "StoreSettings":
-    """The `[store]` part, checked. What it needs is loaded here: the platform has none of it."""
+def store_settings(table: dict[str, Any]) -> "StoreSettings":
+    """Check the `[store]` table. Raises `ConfigError`. Its packages are imported here: the platform has none."""
     from rackhub.state.settings import store_settings
 
     try:
-        return store_settings(part)
-    except msgspec.ValidationError as bad:
-        raise BadConfig(f"operator file: store: {bad}") from None
+        return store_settings(table)
+    except msgspec.ValidationError as error:
+        raise ConfigError(f"operator file: store: {error}") from None
 
 
-def timings_table(part: dict[str, Any], settings: t.Settings) -> "Table":
-    """The `[timings]` part as a table of routes, checked against the site's settings; all its faults in one go."""
+def timings_table(table: dict[str, Any], settings: interface.Settings) -> "Table":
+    """Check the `[timings]` table against the site's settings. Raises one `ConfigError` of all its errors."""
     from rackhub.timings.table import read_table
 
     try:
-        return read_table(part, settings)
-    except ValueError as bad:
-        raise BadConfig(f"operator file: {bad}") from None
-
-
-PEERS_KEY = "settings.Permissions.Peers"
+        return read_table(table, settings)
+    except ValueError as error:
+        raise ConfigError(f"operator file: {error}") from None
 
 
-def fleet_settings(part: dict[str, Any], settings: t.Settings, name: str) -> "FleetSettings":
-    """The `[fleet]` part, checked; `name` is this gateway's. Nothing of it is loaded where the site forbids peers."""
+def fleet_settings(table: dict[str, Any], settings: interface.Settings, name: str) -> "FleetSettings":
+    """Check the `[fleet]` table of the gateway `name`. Raises `ConfigError`, also where the site forbids gossip."""
     if not settings.gossip:
-        raise BadConfig(f"operator file: fleet: gateways must not speak to one another here: {PEERS_KEY} is false")
+        raise ConfigError(f"operator file: fleet: gateways must not speak to one another here: {GOSSIP_KEY} is false")
     from rackhub.fleet.settings import fleet_settings
 
     try:
-        return fleet_settings(part, settings, name)
-    except (msgspec.ValidationError, ValueError) as bad:
-        raise BadConfig(f"operator file: fleet: {bad}") from None
+        return fleet_settings(table, settings, name)
+    except (msgspec.ValidationError, ValueError) as error:
+        raise ConfigError(f"operator file: fleet: {error}") from None
 
 
-def gather_rules(part: dict[str, Any], settings: t.Settings) -> "GatherRules":
-    """The `[gather]` part, checked against the site's settings; all its faults in one go."""
+def gather_rules(table: dict[str, Any], settings: interface.Settings) -> "GatherRules":
+    """Check the `[gather]` table against the site's settings. Raises one `ConfigError` of all its errors."""
     if not settings.gossip:
-        raise BadConfig(f"operator file: gather: the platform's clients know no partial answers: {PEERS_KEY} is false")
+        raise ConfigError(
+            f"operator file: gather: the platform's clients know no partial answers: {GOSSIP_KEY} is false"
+        )
     from rackhub.gather.rules import gather_rules
 
     try:
-        return gather_rules(part, settings)
-    except (msgspec.ValidationError, ValueError) as bad:
-        raise BadConfig(f"operator file: gather: {bad}") from None
+        return gather_rules(table, settings)
+    except (msgspec.ValidationError, ValueError) as error:
+        raise ConfigError(f"operator file: gather: {error}") from None
 
 
-def check_operator(operator: Operator, settings: t.Settings, name: str = "rackhub") -> None:
-    """What the operator's file names must be there in the site's settings."""
+def check_operator(operator: Operator, settings: interface.Settings, name: str = "rackhub") -> None:
+    """Check the operator's file against the site's settings. Raises `ConfigError`."""
     if operator.fleet is not None:
         fleet_settings(operator.fleet, settings, name)
     if operator.gather is not None:
         gather_rules(operator.gather, settings)
     if operator.timings is not None:
         timings_table(operator.timings, settings)
-    classes, tenants = {told.name for told in settings.classes}, {told.name for told in settings.tenants}
-    for i, login in enumerate(operator.tds_front.login if operator.tds_front else ()):
-        if login.cls not in classes:
-            raise BadConfig(f"tds_front.login[{i}].class: the site has no class {login.cls!r}")
-        if tenants and not login.tenants:
-            raise BadConfig(f"tds_front.login[{i}].tenants: none is named")
-        for tenant in login.tenants:
-            if tenant not in tenants:
-                raise BadConfig(f"tds_front.login[{i}].tenants: the site has no tenant {tenant!r}")
-
-
-def shared(limits: Limits, operator: Operator) -> Limits:
-    """The limits with a share of the clients' descriptors for the TDS front where there is one, and for the store's
-    files. Without it both fronts together took more than the platform gives, out of what engines need."""
+    classes = {cls.name for cls in settings.classes}
+    tenants = {tenant.name for tenant in settings.tenants}
+    for index, login in enumerate(operator.tds_front.login if operator.tds_front else ()):
+        _check_login(f"tds_front.login[{index}]", login, classes, tenants)
+
+
+def _check_login(key: str, login: TdsLogin, classes: set[str], tenants: set[str]) -> None:
+    if login.cls not in classes:
+        raise ConfigError(f"{key}.class: the site has no class {login.cls!r}")
+    if tenants and not login.tenants:
+        raise ConfigError(f"{key}.tenants: none is named")
+    for tenant in login.tenants:
+        if tenant not in tenants:
+            raise ConfigError(f"{key}.tenants: the site has no tenant {tenant!r}")
+
+
+def share_descriptors(limits: Limits, operator: Operator) -> Limits:
+    """The limits with the clients' descriptors divided between the listeners and the store's files.
+
+    Engines keep theirs: a TDS listener and a store take from what clients would get.
+    """
     if operator.store is not None:
-        limits = msgspec.structs.replace(limits, client_connections=max(limits.client_connections - STORE_FILES, 1))
+        client_connections = max(limits.client_connections - STORE_DESCRIPTORS, 1)
+        limits = msgspec.structs.replace(limits, client_connections=client_connections)
     if operator.tds_front is None:
         return limits
     tds = min(limits.tds_connections, limits.client_connections // 2)
     return msgspec.structs.replace(limits, tds_connections=tds, client_connections=limits.client_connections - tds)
 
 
-def engines(known: Known) -> EndpointSnapshot:
-    events = []
-    for i, notice in enumerate(known.notices):
-        entries, addresses = [], {}
-        for j, endpoint in enumerate(notice.pool.endpoints):
-            key = f"known.notices[{i}].pool.endpoints[{j}]"
-            if endpoint.status not in STATES:
-                raise BadConfig(f"{key}.status: {endpoint.status!r} is not known")
-            entries.append(
-                t.EngineEntry(
-                    endpoint.name,
-                    endpoint.zone,
-                    endpoint.type,
-                    endpoint.group,
-                    STATES[endpoint.status],
-                    endpoint.weight,
-                    endpoint.since_ms * 1_000,
-                )
-            )
-            addresses[endpoint.name] = address(endpoint.address, f"{key}.address")
+def _initial_endpoints(known: KnownEndpoints) -> EndpointSnapshot:
+    """The endpoint list that the recorded watch events make up."""
+    events: list[EndpointSnapshot] = []
+    for index, notice in enumerate(known.notices):
         if notice.pool.snapshot:
             events.clear()
-        events.append(EndpointSnapshot(notice.rev, tuple(entries), addresses))
-    return whole_list(events)._replace(revision=known.rev)
-
-
-def limits(file: File) -> Limits:
-    """The limits: what the site allows where it says so, the descriptors shared out, the rest by default."""
-    permissions = file.settings.get("Permissions", {})
-    told: dict[str, int] = {}
-    for key, name, least in (
-        ("DialTimeout", "dial_timeout", 1),
-        ("ConnIdle", "engine_idle", 1),
-        ("Multiplex", "engine_open", 1),
-    ):
-        if key in permissions:
-            value = permissions[key]
-            if isinstance(value, bool) or not isinstance(value, int | float) or value < least:
-                raise BadConfig(f"settings.Permissions.{key}: {value!r} is not a number of at least {least}")
-            told[name] = int(value)
-    least, most = Limits().poll, Limits().poll_again_most
-    gateways = file.settings.get("Instances", 1)  # checked with the settings
-    told["poll"] = min(max(int(gateways * SECOND / Limits().fleet_polls), least), most)
-    if file.limits.sockets < 2 * OWN:
-        raise BadConfig(f"limits.sockets: {file.limits.sockets} is under {2 * OWN}, which the program needs")
-    if file.limits.memory_mb < LEAST_MB:
-        raise BadConfig(f"limits.memory_mb: {file.limits.memory_mb} is under {LEAST_MB}, which the program needs")
-    spare, clients = (file.limits.memory_mb - BASE_MB) * 1_048_576, (file.limits.sockets - OWN) // 2
+        events.append(_watch_event(notice, f"known.notices[{index}].pool"))
+    return whole_list(events)._replace(revision=known.revision)
+
+
+def _watch_event(notice: WatchNotice, key: str) -> EndpointSnapshot:
+    entries: list[interface.EngineEntry] = []
+    addresses: dict[str, tuple[str, int]] = {}
+    for index, endpoint in enumerate(notice.pool.endpoints):
+        endpoint_key = f"{key}.endpoints[{index}]"
+        if endpoint.status not in ENGINE_STATES:
+            raise ConfigError(f"{endpoint_key}.status: {endpoint.status!r} is not known")
+        entries.append(_engine_entry(endpoint))
+        addresses[endpoint.name] = parse_address(endpoint.address, f"{endpoint_key}.address")
+    return EndpointSnapshot(notice.revision, tuple(entries), addresses)
+
+
+def _engine_entry(endpoint: Endpoint) -> interface.EngineEntry:
+    return interface.EngineEntry(
+        endpoint.name,
+        endpoint.zone,
+        endpoint.kind,
+        endpoint.cell,
+        ENGINE_STATES[endpoint.status],
+        endpoint.size,
+        endpoint.since_ms * 1_000,
+    )
+
+
+def _derive_limits(file: ConfigFile) -> Limits:
+    """The limits: those that the site sets, those derived from the process's resources, defaults for the others."""
+    site_limits = _site_limits(file.settings.get("Permissions", {}))
+    site_limits["poll"] = _poll_interval(file.settings.get("Instances", 1))  # checked with the settings
+    resources = file.limits
+    needed_descriptors = 2 * RESERVED_DESCRIPTORS
+    if resources.sockets < needed_descriptors:
+        raise ConfigError(f"limits.sockets: {resources.sockets} is under {needed_descriptors}, which the program needs")
+    if resources.memory_mb < MINIMUM_MEMORY_MB:
+        raise ConfigError(
+            f"limits.memory_mb: {resources.memory_mb} is under {MINIMUM_MEMORY_MB}, which the program needs"
+        )
+    spare_bytes = (resources.memory_mb - IDLE_MEMORY_MB) * BYTES_PER_MB
+    clients = (resources.sockets - RESERVED_DESCRIPTORS) // 2
     return Limits(
-        sockets=file.limits.sockets,
-        memory_mb=file.limits.memory_mb,
+        sockets=resources.sockets,
+        memory_mb=resources.memory_mb,
         client_connections=clients,
-        engine_links=file.limits.sockets - OWN - clients,
-        held_requests=max(spare // 65_536, 64),
-        held_bytes=spare // 4,
-        request_line=min(max(spare // 4 // clients, 16_384), 65_536),
-        **told,
+        engine_links=resources.sockets - RESERVED_DESCRIPTORS - clients,
+        held_requests=max(spare_bytes // MEMORY_PER_HELD_REQUEST, MINIMUM_HELD_REQUESTS),
+        held_bytes=spare_bytes // 4,
+        request_line=min(max(spare_bytes // 4 // clients, MINIMUM_REQUEST_LINE), MAXIMUM_REQUEST_LINE),
+        **site_limits,
     )
+
+
+def _site_limits(permissions: Mapping[str, Any]) -> dict[str, int]:
+    """The limits that the site's permissions set."""
+    site_limits: dict[str, int] = {}
+    for key, attribute, minimum in SITE_LIMITS:
+        if key in permissions:
+            value = permissions[key]
+            if isinstance(value, bool) or not isinstance(value, int | float) or value < minimum:
+                raise ConfigError(f"settings.Permissions.{key}: {value!r} is not a number of at least {minimum}")
+            site_limits[attribute] = int(value)
+    return site_limits
+
+
+def _poll_interval(gateways: float) -> int:
+    """How often each gateway polls the endpoint list, in microseconds: all together keep to `Limits.fleet_polls`."""
+    defaults = Limits()
+    interval = int(gateways * SECOND / defaults.fleet_polls)
+    return min(max(interval, defaults.poll), defaults.poll_again_most)
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -12,7 +12,7 @@
 
 from rackhub import components, logs
 from rackhub.clock import UnixClock
-from rackhub.config import Config, address
+from rackhub.config import Config, parse_address
 from rackhub.core.component import ComponentContext
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.lease import ListLease
@@ -63,7 +63,7 @@
         if operator.tds_front:
             self.fronts.append(
                 (
-                    address(operator.tds_front.listen, "tds_front.listen"),
+                    parse_address(operator.tds_front.listen, "tds_front.listen"),
                     tds_front(operator.tds_front, self.core, config.limits, self.counters),
                 )
             )
--- a/rackhub/trials/scale/page_data.py
+++ b/rackhub/trials/scale/page_data.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from rackhub.config import OWN as OWN_DESCRIPTORS
+from rackhub.config import RESERVED_DESCRIPTORS
 from rackhub.limits import SECOND, Limits
 from rackhub.trials.scale import run_files, slopes, target
 from rackhub.trials.scale.measurement import Measurement, SlopesFile
@@ -28,7 +28,7 @@
 def client_connections() -> int:
     """Client connections that one process takes with the default number of descriptors: as `rackhub.config` shares
     them out, half of those that the program does not need itself."""
-    return (Limits().sockets - OWN_DESCRIPTORS) // 2
+    return (Limits().sockets - RESERVED_DESCRIPTORS) // 2
 
 
 class PageData(msgspec.Struct, frozen=True):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -66,7 +66,7 @@
 
 
 def test_a_whole_file_is_read():
-    here = config.read(json.dumps(told()).encode())
+    here = config.parse(json.dumps(told()).encode())
     assert here.seed == 0x8C1F30D27A5BE964 and here.listen == ("127.0.0.1", 5050)
     assert here.engines.addresses == {"a": ("127.0.0.1", 5050)} and here.engines.entries[0].kind == "std-8"
     assert here.limits.dial_timeout == 250_000 and here.limits.sockets == 1024
@@ -75,14 +75,16 @@
 @pytest.mark.parametrize("memory_mb, sockets", [(32, 256), (64, 256), (80, 384), (192, 1024)])
 def test_the_shares_of_the_limits_hold_together(memory_mb, sockets):
     """The least that the platform gives: 32 MB and 256 descriptors. Both were refused or shared out beyond it."""
-    here = config.read(json.dumps(told(limits={"memory_mb": memory_mb, "sockets": sockets})).encode()).limits
-    assert here.client_connections + here.engine_links + config.OWN <= sockets
+    here = config.parse(json.dumps(told(limits={"memory_mb": memory_mb, "sockets": sockets})).encode()).limits
+    assert here.client_connections + here.engine_links + config.RESERVED_DESCRIPTORS <= sockets
     assert here.client_connections >= sockets // 3  # clients are promised as many
-    assert here.held_bytes + here.client_connections * here.request_line <= (memory_mb - config.BASE_MB) << 20
+    assert here.held_bytes + here.client_connections * here.request_line <= (memory_mb - config.IDLE_MEMORY_MB) << 20
     assert here.held_requests >= 64 and here.request_line >= 16_384
-    both = config.shared(here, config.load_operator(Path(__file__).parent.parent / "deploy" / "operator.toml"))
+    both = config.share_descriptors(
+        here, config.load_operator(Path(__file__).parent.parent / "deploy" / "operator.toml")
+    )
     assert both.client_connections + both.tds_connections == here.client_connections and both.tds_connections > 0
-    assert config.shared(here, config.load_operator(None)) == here
+    assert config.share_descriptors(here, config.load_operator(None)) == here
 
 
 def test_the_events_of_the_start_come_to_one_list():
@@ -94,7 +96,7 @@
             notice(5, endpoint("b", status="draining"), endpoint("d", since_ms=12)),
         ],
     }
-    engines = config.read(json.dumps(told(known=known)).encode()).engines
+    engines = config.parse(json.dumps(told(known=known)).encode()).engines
     assert [(e.engine, e.state, e.started_at) for e in engines.entries] == [
         ("b", "Terminating", 0),
         ("c", "Ready", 0),
--- a/tests/test_distribution_settings.py
+++ b/tests/test_distribution_settings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rackhub import interface
-from rackhub.config import BadConfig, fleet_settings
+from rackhub.config import ConfigError, fleet_settings
 from rackhub.fleet.roles import shares_overload
 
 SITE = interface.Settings(classes=(interface.ClassSettings("lookup"),), gossip=True)
@@ -81,7 +81,7 @@
     ],
 )
 def test_a_fault_names_its_key_and_value(part, name, fault):
-    with pytest.raises(BadConfig, match="operator file: fleet: .*" + fault):
+    with pytest.raises(ConfigError, match="operator file: fleet: .*" + fault):
         fleet_settings(part, SITE, name)
 
 
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rackhub import interface as t
-from rackhub.config import BadConfig, check_operator, fleet_settings
+from rackhub.config import ConfigError, check_operator, fleet_settings
 from rackhub.fleet.ports import State
 from rackhub.operatorfile import Operator
 from rackhub.trials.fleet.twin import MS, SECOND, Net
@@ -15,7 +15,7 @@
 def test_where_the_site_forbids_peers_the_part_is_refused_with_both_keys():
     alone = t.Settings(classes=(t.ClassSettings("lookup"),))
     for operator in (Operator(fleet=PART), Operator(gather={})):
-        with pytest.raises(BadConfig, match=r"operator file: (fleet|gather): .*settings\.Permissions\.Peers"):
+        with pytest.raises(ConfigError, match=r"operator file: (fleet|gather): .*settings\.Permissions\.Peers"):
             check_operator(operator, alone)
 
 
@@ -38,7 +38,7 @@
     ],
 )
 def test_a_bad_key_is_named_with_its_value(change, named):
-    with pytest.raises(BadConfig, match="operator file: fleet: .*" + named):
+    with pytest.raises(ConfigError, match="operator file: fleet: .*" + named):
         fleet_settings(PART | change, PEERS, "n1")
 
 
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -25,7 +25,7 @@
 
 from rackhub import interface as t
 from rackhub.cli import main
-from rackhub.config import BadConfig, timings_table
+from rackhub.config import ConfigError, timings_table
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Query
 from rackhub.core.timers import Timers
@@ -101,7 +101,7 @@
 def test_a_fault_names_the_key_of_the_other_file_too():
     found = faults('[[timings.route]]\nclass = "lookup"\nsecond_copy = { after_ms = 250 }', SITE)
     assert "settings.Permissions.SecondCopies" in str(found[0])
-    with pytest.raises(BadConfig) as refused:
+    with pytest.raises(ConfigError) as refused:
         timings_table({"route": [{"attempts": 4}], "x": 1}, SITE)
     assert (
         str(refused.value) == "operator file: timings.x = 1: is not known here; there is route; "
