--- a/rackhub/state/settings.py
+++ b/rackhub/state/settings.py
@@ -14,8 +14,7 @@
     """The options of the store and those of the coordinator's state.
 
     `path`: the directory; `engines_for_s`: how old, in seconds, a stored endpoint list may be to start with it;
-    `counters_every_s`: the interval in seconds at which counters are written. A value out of range raises
-    `ValueError`, which `msgspec` turns into a `ValidationError`.
+    `counters_every_s`: the interval in seconds at which counters are written.
     """
 
     path: str
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -245,7 +245,7 @@
             assert b"_app" in name_server.recv(512)  # it asks at the new address, and its connections are kept
             name_server.close()
             process.send_signal(signal.SIGTERM)
-            assert "told to end" in process.stderr.readline()
+            assert "shutting down" in process.stderr.readline()
             assert ask(b'{"jsonrpc":"2.0","id":2,"method":"alive"}')["result"] == {"pass": False}
             owed = json.loads(lines.readline())  # what was open is answered before the end
             assert owed["id"] == 7 and owed["error"]["code"] == -32008 and owed["error"]["data"]["backoff"] >= 0
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -1038,7 +1038,7 @@
 STOPS = """
 from twisted.internet import reactor
 import rackhub.daemon
-rackhub.daemon.Daemon._term = lambda self: reactor.stop()
+rackhub.daemon.Daemon._begin_shutdown = lambda self: reactor.stop()
 """
 
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -9,7 +9,7 @@
 from rackhub.ops import handover_file
 
 NO_SHARING = "import socket; socket.SO_REUSEPORT = socket.SO_REUSEADDR; "
-NO_DRAIN = "import rackhub.daemon as d; d.Daemon._term = lambda _: d.reactor.stop(); "
+NO_DRAIN = "import rackhub.daemon as d; d.Daemon._begin_shutdown = lambda _: d.reactor.stop(); "
 NO_HANDOVER = "import rackhub.ops.handover_file as s; s.save_ejections = lambda *_: None; "
 MAIN = "import sys; from rackhub.cli import main; sys.exit(main())"
 
@@ -73,7 +73,7 @@
         assert new.say("ONLINE e0").startswith("YES")
         until(lambda: len(engines[0].taken) > before)
         judged(traffic)
-        assert "gets all newcomers" in old.said()
+        assert "receives all new connections" in old.said()
 
 
 def test_a_process_is_replaced_under_traffic_and_nothing_is_lost_and_the_ejection_holds(tmp_path):
