--- a/rackhub/core/__init__.py
+++ b/rackhub/core/__init__.py
@@ -1,1 +1,1 @@
-"""The coordinator without wires: requests and attempts, their answers, deadlines and the drain."""
+"""The coordinator without wire protocols: requests and attempts, their answers, deadlines and the graceful shutdown."""
--- a/rackhub/core/component.py
+++ b/rackhub/core/component.py
@@ -1,4 +1,4 @@
-"""The port through which the daemon runs a part that an operator may turn on: it knows no part by more than this."""
+"""The port through which the daemon runs its optional components: it knows no component by more than this."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
@@ -14,13 +14,11 @@
 
 
 class ComponentStartError(Exception):
-    """A part that is turned on can't start; the text names it and says why."""
+    """A component that is turned on can't start; the text names it and says why."""
 
 
 class ComponentContext:
-    """What the daemon hands each part. `serving`: clients are taken and no SIGTERM came. `relist`: what a part shows
-    of the list has changed, the module is to be told. `reread`: the configuration as its file has it now.
-    `parts`: those that are on, by name; all are there from `begin` on."""
+    """What the daemon hands each component."""
 
     __slots__ = (
         "reactor",
@@ -46,43 +44,56 @@
         source: "Source",
         counters: "Counters",
         serving: Callable[[], bool],
-        relist: Callable[[], None],
-        reread: Callable[[], "Config"],
-    ):
-        self.reactor, self.clock, self.config, self.operator, self.core = reactor, clock, config, operator, core
-        self.source, self.counters, self.serving, self.republish_endpoints, self.read_config = (
-            source,
-            counters,
-            serving,
-            relist,
-            reread,
-        )
-        self.components: dict[str, Component] = {}
+        republish_endpoints: Callable[[], None],
+        read_config: Callable[[], "Config"],
+    ) -> None:
+        """Put the context together.
+
+        `serving`: whether clients are accepted and no SIGTERM came. `republish_endpoints`: hand the policy the endpoint
+        list anew, as what a component makes visible of it has changed. `read_config`: the configuration as its file
+        has it now.
+        """
+        self.reactor = reactor
+        self.clock = clock
+        self.config = config
+        self.operator = operator
+        self.core = core
+        self.source = source
+        self.counters = counters
+        self.serving = serving
+        self.republish_endpoints = republish_endpoints
+        self.read_config = read_config
+        self.components: dict[str, Component] = {}  # those turned on, by name; complete from `begin` on
 
 
 class Component:
-    """One part of a process; each does what it needs of these. The daemon calls all in the order of its list, and ends
-    them in the opposite one. A constructor or `begin` that can't go on raises `ComponentStartError`."""
+    """One component of a process; each overrides what it needs.
 
-    def __init__(self, host: ComponentContext):
-        self.context = host
+    The daemon calls all in the order of its list, and stops them in the opposite one. A constructor or `begin` that
+    can't go on raises `ComponentStartError`.
+    """
+
+    def __init__(self, context: ComponentContext) -> None:
+        self.context = context
 
     def begin(self, listing: "EndpointSnapshot") -> "EndpointSnapshot":
-        """The core is about to start with this list; the part may know a better one."""
+        """The list that the core is to start with: `listing`, or a newer one that the component has."""
         return listing
 
     def open(self) -> None:
-        """Clients can connect: open sockets of its own."""
+        """Open sockets: clients can connect from now on."""
 
     def reload(self, operator: "Operator") -> None:
-        """SIGHUP came and the operator's file could be read. What can't be used is logged by its key and counted, and
-        what held before goes on holding."""
+        """Take the operator's file as it was read on SIGHUP.
+
+        What can't be used is logged by its key and counted, and its former value stays in force.
+        """
 
     def endpoints_changed(self, listing: "EndpointSnapshot") -> None:
-        """A new list of engines; the module knows of it."""
+        """Take a new endpoint list, which the policy has already."""
 
     def visible_endpoints(self, entries: Sequence["interface.EngineEntry"]) -> Sequence["interface.EngineEntry"]:
-        """The list as the module is to see it."""
+        """The endpoint list as the policy is to see it."""
         return entries
 
     def succeeded(self) -> bool:
@@ -90,13 +101,13 @@
         return False
 
     def drain(self) -> None:
-        """SIGTERM came: others should stop counting on this process; what is open goes on."""
+        """Notify others of the graceful shutdown after SIGTERM; open requests go on."""
 
     def stop(self) -> None:
-        """The reactor has ended, all is answered: let go of files."""
+        """Release files: the reactor has ended, and all requests are answered."""
 
     def metrics(self) -> Mapping[str, float]:
-        """Where it stands, by name, for DUMP."""
+        """The component's metrics by name, for DUMP."""
         return {}
 
     def summary_lines(self) -> Sequence[str]:
--- a/rackhub/core/engine_start_times.py
+++ b/rackhub/core/engine_start_times.py
@@ -1,36 +1,48 @@
 """When engines started, by the process's own clock.
 
-A list tells a start in Unix time, by the wall clock of whoever wrote it. The process's clock is the wall clock of its
-own start, carried on by the monotonic one. Once a wall clock is stepped the two differ, and a start read as it stands
-would make a cold engine warm, or keep one cold for an hour. So each start is read once, when it is first told, and one
-that can't have been by this clock counts from then on: an engine taken for colder than it is only warms up longer.
+An endpoint list gives a start in Unix time, by the wall clock of whoever wrote it. The process's clock is the wall
+clock of its own start, advanced by the monotonic one. Once a wall clock is stepped the two differ, and a start read as
+it stands would end an engine's slow start early, or prolong it by an hour. So each start is converted once, when it is
+first reported, and one that is impossible by this clock counts from then on: the engine only warms up longer.
 """
 
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
 from rackhub.interface import EngineEntry
 
-MAX_REPORTED_START_AGE = 60_000_000  # microseconds that a start may be old when a list first tells of it
+MAX_REPORTED_START_AGE = 60_000_000  # microseconds between a start and the first list that reports it
+
+ReportedStart = tuple[str, int]  # an engine and its start in Unix time
 
 
 class EngineStartTimes:
-    """The starts that lists have told of. Times are microseconds."""
+    """Converts reported starts. Times are microseconds."""
 
     def __init__(self) -> None:
-        self._read: dict[tuple[str, int], int] | None = None  # (engine, start as told) -> start by the process's clock
+        self._converted: dict[ReportedStart, int] | None = None  # None: no list was converted yet
 
     def on_local_clock(self, entries: Sequence[EngineEntry], now: int) -> tuple[EngineEntry, ...]:
         """The entries with their starts by the process's clock, which is at `now`."""
-        before, self._read = self._read, {}
-        return tuple(self._entry(entry, before, now) for entry in entries)
-
-    def _entry(self, entry: EngineEntry, before: dict[tuple[str, int], int] | None, now: int) -> EngineEntry:
+        known = self._converted
+        converted: dict[ReportedStart, int] = {}
+        self._converted = converted
+        return tuple(self._convert(entry, known, converted, now) for entry in entries)
+
+    def _convert(
+        self,
+        entry: EngineEntry,
+        known: Mapping[ReportedStart, int] | None,
+        converted: dict[ReportedStart, int],
+        now: int,
+    ) -> EngineEntry:
         if not entry.started_at:  # long past
             return entry
         key = entry.engine, entry.started_at
-        known = before.get(key) if before is not None else min(entry.started_at, now)
-        if known is None:
-            known = entry.started_at if 0 <= now - entry.started_at <= MAX_REPORTED_START_AGE else now
-        self._read[key] = known
-        return replace(entry, started_at=known)
+        # The first list also reports engines that started long before this process.
+        started_at = known.get(key) if known is not None else min(entry.started_at, now)
+        if started_at is None:
+            is_plausible = 0 <= now - entry.started_at <= MAX_REPORTED_START_AGE
+            started_at = entry.started_at if is_plausible else now
+        converted[key] = started_at
+        return replace(entry, started_at=started_at)
--- a/rackhub/core/fleet.py
+++ b/rackhub/core/fleet.py
@@ -1,4 +1,4 @@
-"""The port through which the core asks what the gateways of the fleet agree on, where settings allow peers."""
+"""The port through which the core asks what the gateways of the fleet agree on, where settings allow gossip."""
 
 from typing import Protocol
 
@@ -6,26 +6,26 @@
 
 
 class FleetCoordinator(Protocol):
-    """Told of every request and attempt of this gateway; it answers from what it knows, and waits for nothing.
+    """Notified of every request and attempt of this gateway; it answers from what it knows, and never blocks.
 
-    Its own word to the module goes by `Coordinator.fleet_said`, `.probed` and `.peer_said`. Times are microseconds of
-    the core's clock.
+    It reports to the policy by `Coordinator.apply_allocation`, `.complete_health_check` and `.receive_gossip`. Times
+    are microseconds of the core's clock.
     """
 
     def request_received(self, query: Query, now: int) -> int:
-        """Where the request stands against the fleet's level: 1 above, -1 below, 0 no level holds."""
+        """Where the request is against the fleet's shedding threshold: 1 above, -1 below, 0 no threshold holds."""
 
     def attempt_sent(self, attempt: Attempt, now: int) -> None:
-        """An attempt goes out; a further one (`attempt.number` > 0) is paid from the fleet's budget."""
+        """Note an attempt that is sent; a retry (`attempt.number` > 0) is paid from the fleet's retry budget."""
 
     def attempt_completed(self, attempt: Attempt, reason: str, now: int) -> None:
-        """Its outcome, worded as in `interface.AttemptCompleted`."""
+        """Note the outcome of an attempt, as in `interface.AttemptCompleted`."""
 
     def request_completed(self, query: Query, how: str, now: int) -> None:
-        """The request is over: served, refused, failed or left."""
+        """Note the end of a request: a `RequestOutcome`."""
 
     def check_health(self, engine: str) -> None:
-        """The module wants to know how an engine is."""
+        """Start a health check that the policy asks for."""
 
     def send_gossip(self, peer: int, contents: bytes) -> None:
-        """The module's word to another gateway; -1: to all."""
+        """Send the policy's message to another gateway, by its instance index; -1: to all."""
--- a/rackhub/core/gather.py
+++ b/rackhub/core/gather.py
@@ -1,4 +1,4 @@
-"""The port between fronts and gathers: what a front asks of whoever takes its requests, and what it may be told."""
+"""The port between fronts and gathers: who takes requests that go to several sites, and the status of their answers."""
 
 from collections.abc import Sequence
 from typing import Literal, Protocol
@@ -19,18 +19,21 @@
 
 
 class GatherStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What stands beside the rows of a gathered answer, in the order of the sites."""
+    """What an answer has beside its gathered rows, in the order of the sites."""
 
-    complete: bool = msgspec.field(name="whole")  # every site is in and fresh
+    complete: bool = msgspec.field(name="whole")  # the rows of every site are in it, and fresh
     sites: Sequence[SiteStatus]
 
 
 class GatherPort(Protocol):
-    """Asked by the core for each request that is taken on. It answers by `Coordinator.gathered`, and submits parts as
-    requests of its own: `Query.part` set, `Query.zones` where they may run, and a `Reply` of its own."""
+    """Asked by the core about each request that is admitted.
+
+    It answers by `Coordinator.complete_gathered`, and submits subrequests: `Query.is_subrequest` set, `Query.zones`
+    where they may run, and a `Reply` of its own.
+    """
 
     def accept(self, query: Query) -> bool:
-        """Whether a rule gathers the request: then it is the caller's no more. Admitted or refused as a whole."""
+        """Whether a rule gathers the request: then the port owns it, and admits or rejects it as one."""
 
     def client_disconnected(self, query: Query) -> None:
-        """Its client is gone, or the core's backstop has answered it: its parts are called off."""
+        """Cancel the subrequests: the client is gone, or the core has answered at the deadline."""
--- a/rackhub/core/lease.py
+++ b/rackhub/core/lease.py
@@ -1,12 +1,13 @@
-"""For how long the list of engines in force may be acted on. Decides alone, does no I/O; times are microseconds.
+"""How long the endpoint list in force may be acted on. It does no I/O; times are microseconds.
 
-An engine may drain right after the question whose answer came last. The coordinator counts as told of that at the
-latest some time later, whether it heard or not, and may send there for the grace after it. Where questions are asked
-and answered in turn this never binds. It binds where nothing has come for too long: the process stood still, so that it
-has not asked, or nothing answers.
+An engine may begin to drain right after the poll whose answer came last. The gateway counts as notified of that a
+bounded time later, whether it was or not, and may send to the engine for the grace period after it. While polls are
+answered in turn the lease never binds. It binds once nothing has come for too long: the process was suspended and has
+not polled, or nothing answers.
 
-In a silence the engines tell: one that takes a request does not drain, and one that turns a request away may. So an
-engine goes on getting requests for the grace after the last one that it took, and none once it has turned one away.
+While the resolver doesn't respond the engines themselves are evidence: one that accepts a request isn't draining, and
+one that rejects a request may be. So an engine goes on getting requests for the grace period after the last one that
+it accepted, and none once it has rejected one.
 """
 
 import enum
@@ -16,69 +17,74 @@
 
 
 class Standing(enum.Enum):
-    """What the list is good for now."""
+    """Whether the endpoint list may be relied on."""
 
     CONFIRMED = enum.auto()
     UNCONFIRMED = enum.auto()  # it may be out of date, and an answer is on its way: wait for it
-    EXPIRED = enum.auto()  # it may be out of date, and nothing answers: nothing may be sent by it
+    EXPIRED = enum.auto()  # it may be out of date, and nothing answers: send nothing by it
 
 
 class EndpointLease:
-    """A lease on the list of engines, renewed by each good answer from when its question was asked."""
-
-    def __init__(self, limits: Limits, grace: int, now: int):
-        """`grace`: how long after being told requests may still go to an engine that drains."""
-        self._prompt = limits.told_prompt + grace - limits.lease_margin
-        self._longest = limits.told_longest + grace - limits.lease_margin
-        self._patience, self._confirmed = limits.answer_patience, now
-        self._waits_since: int | None = None  # for an answer, asking all the time; none: the last question was answered
+    """A lease on the endpoint list, renewed by each answered poll as of the poll's start."""
+
+    def __init__(self, limits: Limits, grace: int, now: int) -> None:
+        """`grace` is how long a draining engine still accepts requests after gateways are notified."""
         self._grace = grace - limits.lease_margin
-        self._taken: dict[str, int] = {}  # by engine: when the last request that it took was sent
-        self._turned_away: dict[str, int] = {}  # by engine: when it last turned a request away
-        self._asked_last = now
+        self._prompt = limits.told_prompt + self._grace
+        self._longest = limits.told_longest + self._grace
+        self._answer_timeout = limits.answer_patience
+        self._confirmed_at = now
+        self._last_poll_at = now
+        self._waiting_since: int | None = None  # polling without an answer since then; None: the last was answered
+        self._accepted_at: dict[str, int] = {}  # by engine: the send time of the last request that it accepted
+        self._rejected_at: dict[str, int] = {}  # by engine: when it last rejected a request
 
     def poll_started(self, now: int) -> None:
-        """A question has been sent."""
-        if self._waits_since is None or now - self._asked_last >= self._patience:
-            self._waits_since = now
-        self._asked_last = now
+        """Note that a poll was sent."""
+        if self._waiting_since is None or now - self._last_poll_at >= self._answer_timeout:
+            self._waiting_since = now
+        self._last_poll_at = now
 
-    def poll_confirmed(self, asked_at: int) -> None:
-        """A good answer came to the question asked then: the list holds all that had happened by that time."""
-        self._confirmed, self._waits_since = max(self._confirmed, asked_at), None
+    def poll_confirmed(self, started_at: int) -> None:
+        """Renew the lease: the list holds all that had happened when the poll started."""
+        self._confirmed_at = max(self._confirmed_at, started_at)
+        self._waiting_since = None
 
     def standing(self, now: int) -> Standing:
-        """What the list is good for at `now`."""
-        age = now - self._confirmed
+        """Whether the list may be relied on at `now`."""
+        age = now - self._confirmed_at
         if age <= self._prompt:
             return Standing.CONFIRMED
-        asking = self._waits_since is not None and now - self._asked_last < self._patience
-        if not asking or now - self._waits_since < self._patience:  # it stood still, or asks again only now
+        waiting_since = self._waiting_since
+        if waiting_since is None or now - self._last_poll_at >= self._answer_timeout:
+            return Standing.UNCONFIRMED  # the process was suspended
+        if now - waiting_since < self._answer_timeout:
             return Standing.UNCONFIRMED
         return Standing.CONFIRMED if age <= self._longest else Standing.EXPIRED
 
     # ---- single engines
 
-    def engine_accepted(self, engine: str, sent: int) -> None:
-        """An engine has taken a request that was sent then."""
-        self._taken[engine] = max(sent, self._taken.get(engine, sent))
+    def engine_accepted(self, engine: str, sent_at: int) -> None:
+        """Note that an engine accepted a request that was sent at `sent_at`."""
+        self._accepted_at[engine] = max(sent_at, self._accepted_at.get(engine, sent_at))
 
     def engine_rejected(self, engine: str, now: int) -> None:
-        """An engine has turned a request away: it is full, or it drains."""
-        self._turned_away[engine] = now
+        """Note that an engine rejected a request: it is overloaded, or it is draining."""
+        self._rejected_at[engine] = now
 
     def allows(self, engine: str, now: int) -> bool:
         """Whether the engine may be sent to, as far as the list is in force for it."""
-        age = now - self._confirmed
-        if age <= self._patience:
+        age = now - self._confirmed_at
+        if age <= self._answer_timeout:
             return True
-        taken = self._taken.get(engine, self._confirmed)
-        if self._turned_away.get(engine, self._confirmed) > max(taken, self._confirmed):
+        accepted_at = self._accepted_at.get(engine, self._confirmed_at)
+        rejected_at = self._rejected_at.get(engine, self._confirmed_at)
+        if rejected_at > max(accepted_at, self._confirmed_at):
             return False
-        return age <= self._prompt or now <= taken + self._grace
+        return age <= self._prompt or now <= accepted_at + self._grace
 
     def ineligible(self, engines: Iterable[str], now: int) -> frozenset[str]:
         """Those of the engines that may not be sent to."""
-        if now - self._confirmed <= self._patience:
+        if now - self._confirmed_at <= self._answer_timeout:
             return frozenset()
         return frozenset(engine for engine in engines if not self.allows(engine, now))
--- a/rackhub/core/request.py
+++ b/rackhub/core/request.py
@@ -1,4 +1,4 @@
-"""What passes between fronts, core and engine ports: requests, attempts, and where answers go."""
+"""What passes between fronts, the coordinator and engine ports: requests, attempts, and where answers go."""
 
 import enum
 from collections.abc import Sequence
@@ -10,24 +10,50 @@
     from rackhub.core.request_policy import RequestTerms
 
 
+class RequestOutcome(enum.StrEnum):
+    """How a request ended. The values are the names of counters and of the stored states."""
+
+    SERVED = "served"
+    REJECTED = "refused"
+    FAILED = "failed"
+    DISCONNECTED = "left"
+
+
+class AttemptOutcome(enum.StrEnum):
+    """How an attempt ended, as in `interface.AttemptCompleted`."""
+
+    SUCCESS = "GOOD"
+    ERROR = "BAD"
+    OVERLOADED = "FULL"
+    CONNECT_FAILED = "NOCONN"
+    NOT_EXECUTED = "NOP"
+    TIMED_OUT = "LATE"
+    RESET = "RST"
+    CANCELLED = "CXL"
+
+
 class Reply(Protocol):
-    """Where a front takes its one answer. `rows` are the pages of the result, in order. One that has
-    `marks` true tells beside them what stands in `Query.gather_status`; no other is given an answer that needs it.
-    While `reading_paused` is true nothing is read from the client, so it can't be seen that it has gone; while
-    `stale` is,
-    what is read had waited for that, from `stale_since` on at the longest, and its end may lie behind it."""
+    """Where a front takes its one answer.
+
+    One that has `marks` true shows `Query.gather_status` beside the rows; no other is given an answer that needs it.
+    """
 
-    reading_paused: bool = False
-    stale: bool = False
-    stale_since: int = 0
+    reading_paused: bool = False  # nothing is read from the client, so a disconnect can't be seen
+    stale: bool = False  # what is read has waited in the socket, and a disconnect may lie behind it
+    stale_since: int = 0  # the earliest time that what is read may have waited from, in microseconds
 
-    def served(self, query: "Query", rows: Sequence[bytes]) -> None: ...
-    def rejected(self, query: "Query", backoff: int) -> None: ...
-    def failed(self, query: "Query", why: str) -> None: ...
+    def served(self, query: "Query", rows: Sequence[bytes]) -> None:
+        """Answer with the pages of the result, in order."""
+
+    def rejected(self, query: "Query", backoff: int) -> None:
+        """Answer that the request was rejected, with a Retry-After of `backoff` microseconds."""
+
+    def failed(self, query: "Query", why: str) -> None:
+        """Answer that the request has failed; `why` is for the client."""
 
 
 class Query:
-    """One request from its arrival to its answer."""
+    """One request from its arrival to its answer. Times are microseconds of the coordinator's clock."""
 
     __slots__ = (
         "id",
@@ -69,38 +95,45 @@
         estimate: int = 0,
         memory_mb: float = 0.0,
         tables: int | None = None,
-    ):
-        self.id, self.cls, self.statement, self.deadline = id, cls, statement, deadline
-        self.reply, self.tag, self.tenant, self.idempotency_key = reply, tag, tenant, idempotency_key
-        self.estimate, self.memory_mb, self.tables = estimate, memory_mb, tables
-        self.closed, self.attempts, self.priority = False, 0, 1
-        self.in_flight: dict[int, Attempt] = {}  # by number: more than one only where the site allows it
-        self.possibly_executed: dict[
-            int, int
-        ] = {}  # of a keyed request: its attempts that may have run, and when they were sent
-        self.terms: RequestTerms | None = None  # where an operator has set terms
-        self.zones: tuple[str, ...] = ()  # a part of a gather goes to engines of these alone; none: to any
-        self.is_subrequest = self.is_gathered = False  # a part of a gather; a request that gathers took
-        self.gather_status: Any = (
-            None  # of a gathered answer, what the front tells beside its rows: `core.gather.GatherStatus`
-        )
-        self.priority_pinned = self.hedge_requested = (
-            False  # its priority is the operator's; a second copy is being asked for
-        )
+    ) -> None:
+        """`tag` is the front's own."""
+        self.id = id
+        self.cls = cls
+        self.statement = statement
+        self.deadline = deadline
+        self.reply = reply
+        self.tag = tag
+        self.tenant = tenant
+        self.idempotency_key = idempotency_key
+        self.estimate = estimate
+        self.memory_mb = memory_mb
+        self.tables = tables
+        self.closed = False
+        self.attempts = 0  # how many have been started
+        self.in_flight: dict[int, Attempt] = {}  # by number
+        self.possibly_executed: dict[int, int] = {}  # send times by number, of a request with an idempotency key
+        self.priority = 1
+        self.priority_pinned = False  # the priority is the operator's
+        self.terms: RequestTerms | None = None  # the operator's
+        self.hedge_requested = False  # the policy is being asked for a hedge
+        self.zones: tuple[str, ...] = ()  # the zones that a subrequest may run in; empty: any
+        self.is_subrequest = False
+        self.is_gathered = False  # the gather port has accepted it
+        self.gather_status: Any = None  # of a gathered answer: a `core.gather.GatherStatus`
 
 
 class AttemptState(enum.Enum):
-    """Where an attempt stands. Before `OUT` nothing of it has left, which proves that it never ran."""
+    """Where an attempt stands. Before `IN_FLIGHT` nothing of it has left, which proves that it never ran."""
 
-    PENDING = enum.auto()  # not with the port yet
-    QUEUED = enum.auto()  # with the port, whose connection is not up or takes no bytes: set by the port, as is `OUT`
+    PENDING = enum.auto()  # not with the engine port yet
+    QUEUED = enum.auto()  # set by the port: its connection is not up, or takes no bytes
     IN_FLIGHT = enum.auto()
-    CANCELLING = enum.auto()  # given up, and that has a way to go: what still comes of it counts for nothing
+    CANCELLING = enum.auto()  # given up, the cancellation is on its way: what still comes of it is ignored
     DONE = enum.auto()
 
 
 class Attempt:
-    """One try of a query on an engine. `link` is the port's own: what carries the attempt."""
+    """One attempt of a request on an engine. `connection` is the engine port's own."""
 
     __slots__ = (
         "query",
@@ -114,15 +147,21 @@
         "timeout_configured",
     )
 
-    def __init__(self, query: Query, number: int, engine: str, sent: int):
-        self.query, self.number, self.engine, self.sent_at = query, number, engine, sent
-        self.deadline, self.state, self.connection = sent, AttemptState.PENDING, None
-        self.send_by = 0  # a port that has not sent it by then must not: 0, no such time
-        self.timeout_configured = False  # its time is the operator's, not what is left of the request's
+    def __init__(self, query: Query, number: int, engine: str, sent: int) -> None:
+        """`sent` is the time in microseconds."""
+        self.query = query
+        self.number = number
+        self.engine = engine
+        self.sent_at = sent
+        self.deadline = sent
+        self.state = AttemptState.PENDING
+        self.connection: Any = None
+        self.send_by = 0  # the port must not send it from then on; 0: no limit
+        self.timeout_configured = False  # the deadline is by the operator's time-out, not by the request's deadline
 
     @property
     def done(self) -> bool:
-        """Whether its end is told or on its way."""
+        """Whether it is completed, or its completion is on its way."""
         return self.state in (AttemptState.CANCELLING, AttemptState.DONE)
 
     @property
@@ -131,22 +170,33 @@
         return self.state in (AttemptState.PENDING, AttemptState.QUEUED)
 
     def send_blocked_by(self, now: int, lease: "EndpointLease | None" = None) -> str:
-        """Why it must not leave now, as its end is worded; empty: it may. A client that is not read from may have gone
-        long ago; a key that is too old is one that an engine may have forgotten; by a list whose lease is over the
-        engine may have drained."""
+        """The outcome of an attempt that must not be sent now; empty if it may be.
+
+        A client that is not read from may be gone; an engine may have forgotten an idempotency key that is too old;
+        an engine that the endpoint list's lease doesn't cover may be draining.
+        """
         if self.query.reply.reading_paused:
-            return "NOP"
-        if lease is not None and lease.standing(now) is not Standing.CONFIRMED:
-            return "NOP" if lease.standing(now) is Standing.EXPIRED else "NOCONN"
-        if lease is not None and not lease.allows(self.engine, now):
-            return "NOCONN"
-        return "NOCONN" if 0 < self.send_by <= now else ""
+            return AttemptOutcome.NOT_EXECUTED
+        if lease is not None:
+            standing = lease.standing(now)
+            if standing is Standing.EXPIRED:
+                return AttemptOutcome.NOT_EXECUTED
+            if standing is not Standing.CONFIRMED or not lease.allows(self.engine, now):
+                return AttemptOutcome.CONNECT_FAILED
+        return AttemptOutcome.CONNECT_FAILED if 0 < self.send_by <= now else ""
 
 
 class EnginePort(Protocol):
-    """The way to the engines. It reports by `Coordinator.ended` and `.noted`."""
+    """The way to the engines. It reports by `Coordinator.complete_attempt` and `Coordinator.report_progress`."""
+
+    def send(self, attempt: Attempt) -> None:
+        """Send an attempt, or queue it for a connection."""
+
+    def give_up(self, attempt: Attempt) -> None:
+        """Cancel an attempt that is queued or in flight."""
+
+    def promote(self, attempt: Attempt) -> None:
+        """Tell the engine the new priority of an attempt's request."""
 
-    def send(self, attempt: Attempt) -> None: ...
-    def give_up(self, attempt: Attempt) -> None: ...
-    def promote(self, attempt: Attempt) -> None: ...
-    def close_idle(self, engine: str) -> None: ...
+    def close_idle(self, engine: str) -> None:
+        """Close the connections to an engine that have nothing in flight."""
--- a/rackhub/core/request_journal.py
+++ b/rackhub/core/request_journal.py
@@ -1,4 +1,4 @@
-"""The port through which the core tells what becomes of keyed requests, whoever keeps it."""
+"""The port through which the core records what becomes of requests with an idempotency key."""
 
 from typing import Protocol
 
@@ -6,9 +6,13 @@
 
 
 class RequestJournal(Protocol):
-    """Told of requests that bear an idempotency key, and of no others. It only notes: nothing waits for it."""
+    """Notified of requests that have an idempotency key, and of no others. It never blocks the caller."""
+
+    def request_admitted(self, query: Query) -> None:
+        """Record that a request was admitted."""
+
+    def attempt_sent(self, attempt: Attempt) -> None:
+        """Record that an attempt is about to be sent."""
 
-    def request_admitted(self, query: Query) -> None: ...
-    def attempt_sent(self, attempt: Attempt) -> None: ...
     def request_completed(self, query: Query, how: str) -> None:
-        """`how`: served, refused, failed or left."""
+        """Record the end of a request: a `RequestOutcome`."""
--- a/rackhub/core/source.py
+++ b/rackhub/core/source.py
@@ -1,4 +1,4 @@
-"""The port through which settings and lists of engines reach the core, whoever keeps them."""
+"""The port through which settings and endpoint lists reach the core."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -9,7 +9,7 @@
 
 
 class EndpointSnapshot(NamedTuple):
-    """The list of engines at one event of its numbering."""
+    """The endpoint list as of one revision."""
 
     revision: int
     entries: tuple[interface.EngineEntry, ...]
@@ -17,21 +17,28 @@
 
 
 class EndpointPollObserver(Protocol):
-    """Who is told of questions and good answers. `asked` gives the time of the question, which `confirmed` gets."""
+    """Notified of polls of the endpoint list. Times are microseconds."""
 
-    def endpoint_poll_started(self) -> int: ...
-    def endpoint_poll_confirmed(self, asked_at: int) -> None: ...
+    def endpoint_poll_started(self) -> int:
+        """Note that a poll was sent; the time of that, which `endpoint_poll_confirmed` gets."""
+
+    def endpoint_poll_confirmed(self, started_at: int) -> None:
+        """Note a good answer to the poll that started at `started_at`."""
 
 
 class Source(Protocol):
-    """On the platform its file and its resolver; a store of the program's own would stand here too."""
+    """Where the settings and the endpoint list come from."""
 
     settings: interface.Settings
     start: EndpointSnapshot
 
-    def follow(self, told: Callable[[EndpointSnapshot], None], lease: EndpointPollObserver | None = None) -> None:
-        """Call back with each list that is new from now on; `lease` hears of questions and good answers."""
+    def follow(
+        self, on_change: Callable[[EndpointSnapshot], None], observer: EndpointPollObserver | None = None
+    ) -> None:
+        """Call back with each new endpoint list from now on, and notify `observer` of polls and good answers."""
 
     def reload(self) -> None:
-        """Take up what was changed where the configuration is kept. What can't be used is logged by its key, and
-        what held before goes on holding."""
+        """Read the configuration again.
+
+        What can't be used is logged by its key, and its former value stays in force.
+        """
--- a/rackhub/core/timers.py
+++ b/rackhub/core/timers.py
@@ -1,4 +1,4 @@
-"""Many timers on one wake-up: the module asks for thousands that it never withdraws."""
+"""Many timers on one wake-up of the event loop. Times are microseconds."""
 
 import heapq
 import logging
@@ -7,67 +7,85 @@
 
 log = logging.getLogger(__name__)
 
+ITERATIONS_TO_READ_TWICE = 3  # the reads of the present iteration may be half made, so they don't count
+
 
 class Clock(Protocol):
-    def now(self) -> int: ...
+    """A clock that is never set back."""
+
+    def now(self) -> int:
+        """The time in microseconds."""
 
 
 class Waker(Protocol):
     """Calls back once after some microseconds; a new call replaces the one before it."""
 
-    def wake_after(self, delay: int, call: Callable[[], None]) -> None: ...
+    def wake_after(self, delay: int, call: Callable[[], None]) -> None:
+        """Call back after `delay` microseconds."""
+
+
+# The time of a call, its number, the function and its arguments: ordered by time and then by number, which is unique.
+_Timer = tuple[int, int, Callable[..., None], tuple[Any, ...]]
 
 
 class Timers:
-    """Calls at times, in order of time and then of asking."""
+    """Makes calls at given times, in the order of the times and then of the requests for them."""
 
-    def __init__(self, clock: Clock, waker: Waker):
-        self._clock, self._waker = clock, waker
-        self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._asked, self._armed = 0, 0
-        self._late = 0  # by how much the last wake-up was late
+    def __init__(self, clock: Clock, waker: Waker) -> None:
+        self._clock = clock
+        self._waker = waker
+        self._heap: list[_Timer] = []
+        self._last_number = 0
+        self._wakes_at = 0  # 0: no wake-up is planned
+        self._last_delay = 0  # how late the last wake-up was
 
     def at(self, when: int, call: Callable[..., None], *args: Any) -> None:
-        self._asked += 1
-        heapq.heappush(self._heap, (when, self._asked, call, args))
-        if not self._armed or when < self._armed:
-            self._arm()
-
-    def _arm(self) -> None:
-        self._armed = self._heap[0][0] if self._heap else 0
-        if self._armed:
-            self._waker.wake_after(max(self._armed - self._clock.now(), 0), self.run_expired)
-
-    def call_after_reads(self, late: int, call: Callable[..., None], *args: Any) -> None:
-        """Call now; where the loop is more than `late` behind its time, after all sockets have been read twice. The
-        loop makes calls that are due before it reads, and what it reads may be long there: a client's end may lie in
-        the kernel, alone or behind its last bytes, that a turn in time would have seen. Put off once, never again."""
+        """Call at a time; a timer is never withdrawn."""
+        self._last_number += 1
+        heapq.heappush(self._heap, (when, self._last_number, call, args))
+        if not self._wakes_at or when < self._wakes_at:
+            self._plan_wake_up()
+
+    def call_after_reads(self, tolerated_delay: int, call: Callable[..., None], *args: Any) -> None:
+        """Call now; where the event loop is later than `tolerated_delay`, after all sockets have been read twice.
+
+        The loop makes calls that are due before it reads. While it is late, a client's disconnect may lie in the
+        kernel, alone or behind its last bytes, that a loop in time would have seen. The call is put off only once.
+        """
         now = self._clock.now()
-        if max(self._late, now - (self._armed or now)) <= late:
-            return call(*args)
-        self._after(3, call, args)
-
-    def _after(self, turns: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Call after so many turns: the reads of the present one may be half made, so they don't count."""
-        if turns:
-            self.at(self._clock.now(), self._after, turns - 1, call, args)
-        else:
+        delay = max(self._last_delay, now - (self._wakes_at or now))
+        if delay <= tolerated_delay:
             call(*args)
+        else:
+            self._call_after_iterations(ITERATIONS_TO_READ_TWICE, call, args)
 
     def run_expired(self) -> None:
-        """Make the calls that are due; those asked for meanwhile wait for the next turn of the loop."""
-        now, last = self._clock.now(), self._asked
-        self._late = now - self._armed
-        held = []
+        """Make the calls that are due; those requested meanwhile wait for the next iteration of the loop."""
+        now = self._clock.now()
+        last_number = self._last_number
+        self._last_delay = now - self._wakes_at
+        new_timers: list[_Timer] = []
         while self._heap and self._heap[0][0] <= now:
-            due = heapq.heappop(self._heap)
-            if due[1] > last:
-                held.append(due)
+            timer = heapq.heappop(self._heap)
+            _, number, call, args = timer
+            if number > last_number:
+                new_timers.append(timer)
                 continue
             try:
-                due[2](*due[3])
-            except Exception:  # all other timers hang on this walk, deadlines among them: it must reach its end
+                call(*args)
+            except Exception:  # deadlines are among the other timers: they must be called all the same
                 log.exception("a timer's call failed")
-        for due in held:
-            heapq.heappush(self._heap, due)
-        self._arm()
+        for timer in new_timers:
+            heapq.heappush(self._heap, timer)
+        self._plan_wake_up()
+
+    def _plan_wake_up(self) -> None:
+        self._wakes_at = self._heap[0][0] if self._heap else 0
+        if self._wakes_at:
+            self._waker.wake_after(max(self._wakes_at - self._clock.now(), 0), self.run_expired)
+
+    def _call_after_iterations(self, iterations: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+        if iterations:
+            self.at(self._clock.now(), self._call_after_iterations, iterations - 1, call, args)
+        else:
+            call(*args)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -58,7 +58,7 @@
         self.clock, self.counters, self.port = FakeClock(), Counters(), Port()
         self.core = Coordinator(settings, 7, self.clock, Timers(self.clock, self.clock), limits, self.counters)
         if module:
-            self.core._control = module
+            self.core.decisions.control = module
         self.core.start(self.port, [t.EngineEntry("e0", "z", "std"), t.EngineEntry("e1", "z", "std")], 1)
         self.made = 0
 
@@ -103,7 +103,7 @@
     here.ask(budget=900 * MS)
     here.clock.advance(900 * MS + LIMITS.backstop + LIMITS.sweep)
     assert [kind for kind, *_ in here.port.answers] == ["failed"] and here.counters["backstop_answers"] == 1
-    assert isinstance(here.core._control.events[-1], t.ClientDisconnected)
+    assert isinstance(here.core.decisions.control.events[-1], t.ClientDisconnected)
 
 
 def test_a_late_loop_leaves_the_answer_to_the_module():
@@ -136,7 +136,7 @@
             here.core.complete_attempt(next(iter(query.in_flight.values())), "BAD")
     assert len(here.port.sent) == SETTINGS.max_attempts
     module.acts[t.TimerFired] = [t.Reject(query.id, 5), t.Fail(query.id), t.Reject(query.id), t.Send(query.id, "e0")]
-    here.core._due(1)
+    here.core.decisions.timer_fired(1)
     assert len(here.port.answers) == 1 and len(here.port.sent) == SETTINGS.max_attempts
 
 
@@ -168,7 +168,7 @@
     module.acts[t.AttemptCompleted] = lambda event: [t.Send(event.query, "e1")]
     here = Core(module)
     query = here.ask(budget=9 * S)
-    here.core._due(1)
+    here.core.decisions.timer_fired(1)
     here.core.complete_attempt(here.port.sent[0], "GOOD")  # crossed the give-up: it is none of ours any more
     assert here.port.given_up == here.port.sent == list(query.in_flight.values()) and here.port.answers == []
     here.clock.advance(LIMITS.handover)
@@ -182,7 +182,7 @@
     query = here.ask()
     assert here.port.sent[0].query.priority == 2 and here.port.hurried == []
     module.acts[t.TimerFired] = [t.ExecutionHints(query.id, 0, 3)]
-    here.core._due(1)
+    here.core.decisions.timer_fired(1)
     assert here.port.hurried == [(here.port.sent[0], 3)]
 
 
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -686,12 +686,12 @@
 listen.SharedPort._take_rest = take_rest
 """
 PATIENT = """
-import rackhub.core.coordinator as coordinator
-inner = coordinator.Coordinator._sweep
+import rackhub.core.deadline_monitor as deadline_monitor
+inner = deadline_monitor.DeadlineMonitor.sweep
 def sweep(self):
     inner(self)
-    self._behind = False
-coordinator.Coordinator._sweep = sweep
+    self._state.loop_overloaded = False
+deadline_monitor.DeadlineMonitor.sweep = sweep
 """  # on a machine that does ten things at once a late loop refuses what the test needs taken
 
 
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -409,7 +409,7 @@
     spin(lambda: here.wants(query))
     (attempt,) = query.in_flight.values()
     before = attempt.connection._out.given
-    here.core._cancel(t.Cancel(query.id, 0))
+    here.core.attempts.cancel(t.Cancel(query.id, 0))
     assert attempt.connection._out.given > before and not attempt.connection._out.kept()  # before any turn of the loop
 
 
@@ -448,7 +448,7 @@
     query = here.ask()
     first = one_out(query)
     under_way(here)
-    here.core._cancel(t.Cancel(query.id, 0))
+    here.core.attempts.cancel(t.Cancel(query.id, 0))
     here.clock.advance(2 * LIMITS.handover)
     second = one_out(query)
     assert second.engine != first.engine
@@ -590,7 +590,7 @@
     first, id = one_out(query), query.id.encode()
     (engine,) = here.stands[0].connections
     engine.transport.socket.sendall(b"".join(command(id, b"200", b"chunks=1", b"old\told\told\n")))
-    here.core._cancel(t.Cancel(query.id, 0))
+    here.core.attempts.cancel(t.Cancel(query.id, 0))
     if planted:
         first.connection.stale.clear()
     here.clock.advance(2 * LIMITS.handover)
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -22,8 +22,10 @@
 
 from rackhub import interface as t
 from rackhub.core import coordinator
+from rackhub.core.attempts import AttemptRunner
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Attempt, AttemptState
+from rackhub.core.request_completion import RequestCompletion
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.net.front import Client
@@ -208,7 +210,7 @@
         )
         self.core = Coordinator(told, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
         if eager is not None:
-            self.core._control = Eager(eager, self.states)
+            self.core.decisions.control = Eager(eager, self.states)
         shared = self.clock, LIMITS, self.counters, self.core
         self.front = jsonrpc_front(self.core, LIMITS, self.counters)
 
@@ -249,7 +251,7 @@
         for socket in self.links.values():
             socket.end()
         self.run(200 * MS)
-        assert not self.core.queries and not self.core.in_flight and self.core._held == 0
+        assert not self.core.queries and not self.core.in_flight and self.core.statement_bytes == 0
         assert not any(link.open for link in self.links) and not any(one.protocol.open for one in self.clients)
         counted = sum(self.counters[how] for how in ("served", "refused", "failed", "left"))
         assert counted == self.counters["requests_in"]
@@ -548,7 +550,7 @@
 
 
 def left_to_the_module(patch):
-    real = Coordinator._end
+    real = RequestCompletion.complete
 
     def end(self, query, how, *said):
         out, query.in_flight = query.in_flight, {}
@@ -557,7 +559,7 @@
         finally:
             query.in_flight = out
 
-    patch.setattr(Coordinator, "_end", end)
+    patch.setattr(RequestCompletion, "complete", end)
 
 
 def sent_to_the_deaf(patch):
@@ -578,20 +580,20 @@
     def give_up(self, attempt, reason):
         if not attempt.done:
             attempt.state = AttemptState.CANCELLING
-            self.engines.give_up(attempt)
-            self._over(attempt, reason)
+            self._state.engines.give_up(attempt)
+            self.complete(attempt, reason)
 
-    patch.setattr(Coordinator, "_give_up", give_up)
+    patch.setattr(AttemptRunner, "give_up", give_up)
 
 
 def a_second_end(patch):
-    real = Coordinator._end
+    real = RequestCompletion.complete
 
     def end(self, query, how, *said):
         query.closed = False
         return real(self, query, how, *said)
 
-    patch.setattr(Coordinator, "_end", end)
+    patch.setattr(RequestCompletion, "complete", end)
 
 
 def a_drain_unheeded(patch):
@@ -607,8 +609,8 @@
 
 
 def an_answer_forgotten(patch):
-    real = Coordinator._over
-    patch.setattr(Coordinator, "_over", lambda self, one, *said: real(self, one, *said) if one.number else None)
+    real = AttemptRunner.complete
+    patch.setattr(AttemptRunner, "complete", lambda self, one, *said: real(self, one, *said) if one.number else None)
 
 
 PLANTS = (
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -13,8 +13,8 @@
 from twisted.internet import reactor
 
 from rackhub import interface as t
-from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import AttemptState
+from rackhub.core.request_completion import RequestCompletion
 from rackhub.net.pool import DialFactory
 
 ROWS = b"a\tb\tc\n"
@@ -160,7 +160,7 @@
 
 def script(site, arrived, **acts):
     """A module that does what the test says."""
-    site.core._control = module = Scripted()
+    site.core.decisions.control = module = Scripted()
     module.acts[t.QueryReceived] = arrived
     for name, act in acts.items():
         module.acts[getattr(t, name)] = act
@@ -453,15 +453,15 @@
     elif event in ("answer", "reset"):
         here.core.complete_attempt(attempt, "GOOD" if event == "answer" else "RST", {}, (ROWS,))
     elif event == "cancel":
-        here.core._cancel(t.Cancel(query.id, 0))
+        here.core.attempts.cancel(t.Cancel(query.id, 0))
     elif event == "time-out again":
-        here.core._give_up(attempt, "LATE")
+        here.core.attempts.give_up(attempt, "LATE")
     elif event == "backstop":
         query.deadline = here.clock.now() - LIMITS.backstop - LIMITS.sweep
-        here.core._sweep()
+        here.core.deadline_monitor.sweep()
     else:
-        here.core._refuse(t.Reject(query.id, 5))
-        here.core._fail(t.Fail(query.id))
+        here.core.completion.reject(t.Reject(query.id, 5))
+        here.core.completion.fail(t.Fail(query.id))
     assert list(here.core.in_flight.values()) == [attempt] and here.port.given_up == [attempt]
     here.clock.advance(LIMITS.handover + MS)
     over = event in ("leaves", "backstop", "refused")
@@ -507,8 +507,8 @@
 
 ENDS = {
     "served": lambda here, query: here.core.complete_attempt(next(iter(query.in_flight.values())), "GOOD", {}, (ROWS,)),
-    "refused": lambda here, query: here.core._refuse(t.Reject(query.id, 5)),
-    "failed": lambda here, query: here.core._fail(t.Fail(query.id)),
+    "refused": lambda here, query: here.core.completion.reject(t.Reject(query.id, 5)),
+    "failed": lambda here, query: here.core.completion.fail(t.Fail(query.id)),
     "left": lambda here, query: here.core.disconnect_client(query),
 }
 
@@ -527,7 +527,7 @@
     here.core.complete_attempt(attempt, "GOOD", {}, (ROWS,))
     counts = {how: here.counters[how] for how in ENDS}
     assert counts == {how: int(how == first) for how in ENDS} and not here.core.queries and not here.core.in_flight
-    assert [kind for kind, *_ in here.port.answers] == [first] * (first != "left") and here.core._held == 0
+    assert [kind for kind, *_ in here.port.answers] == [first] * (first != "left") and here.core.statement_bytes == 0
 
 
 def test_a_send_after_the_answer_in_one_batch_sends_nothing():
@@ -543,7 +543,7 @@
     query = here.ask()
     here.core.disconnect_client(query)  # its client goes in the same turn
     assert here.core.is_known_id(query.id) and [kind for kind, *_ in here.port.answers] == ["refused"]
-    assert here.counters["refused"] == 1 and not here.counters["left"] and here.core._held == 0
+    assert here.counters["refused"] == 1 and not here.counters["left"] and here.core.statement_bytes == 0
 
 
 def test_an_attempt_that_ends_late_takes_nothing_from_a_request_that_came_under_its_id_again():
@@ -562,6 +562,6 @@
 
 
 def test_a_planted_end_that_leaves_its_request_with_the_module_is_seen(monkeypatch):
-    monkeypatch.setattr(Coordinator, "_forget", lambda self, query, how: None)
+    monkeypatch.setattr(RequestCompletion, "_release", lambda self, query, how: None)
     with pytest.raises(AssertionError):
         test_a_send_after_the_answer_in_one_batch_sends_nothing()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -6,7 +6,7 @@
 from stands import SETTINGS, Site, Stand, spin
 
 from rackhub import logs
-from rackhub.core import coordinator
+from rackhub.core import admission, attempts, request_completion
 from rackhub.net import resp
 
 
@@ -54,7 +54,7 @@
 def test_a_request_can_be_followed_by_its_id(level, caplog, monkeypatch):
     """From its arrival over its attempt to its end, with the reason of each."""
     level("debug")
-    for module in (coordinator, resp):
+    for module in (admission, attempts, request_completion, resp):
         monkeypatch.setattr(module, "log", logs.logger(module.__name__))
     full = Stand(act=lambda engine, word, id, *rest: engine.say(id, b"503") if word == b"want" else None)
     site = Site(full, settings=SETTINGS)
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -314,7 +314,7 @@
         self.core = Coordinator(self.settings, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
         self.desk = self.core.request_policy = Desk(self.table(*routes), {"depot-load": 25 * S}, 3, self.counters.add)
         if module:
-            self.core._control = module
+            self.core.decisions.control = module
         self.entries = [t.EngineEntry(f"e{i}", "z", "std") for i in range(engines)]
         self.core.start(self.port, self.entries, 1)
 
@@ -548,7 +548,7 @@
     here = Core(Route(cls="lookup", priority=3))
     query = here.ask()
     assert query.priority == 3
-    here.core._terms(t.ExecutionHints(query.id, 0.0, 1))
+    here.core.attempts.apply_hints(t.ExecutionHints(query.id, 0.0, 1))
     assert query.priority == 3
 
 
