--- a/rackhub/core/admission.py
+++ b/rackhub/core/admission.py
@@ -41,7 +41,7 @@
         if self._reject_early(query):
             return
         state.queries[query.id] = query
-        log.debug("request_taken", request=query.id, cls=query.cls, left_us=query.deadline - state.clock.now())
+        log.debug("request_admitted", request=query.id, cls=query.cls, left_us=query.deadline - state.clock.now())
         state.statement_bytes += len(query.statement)
         if state.request_journal is not None and query.idempotency_key:
             state.request_journal.request_admitted(query)
@@ -70,7 +70,7 @@
 
     def _reject(self, query: Query, counter: str, backoff: int) -> None:
         self._state.counters.add(counter)
-        log.debug("request_turned_back", request=query.id, reason=counter)
+        log.debug("request_not_admitted", request=query.id, reason=counter)
         self._completion.complete(query, RequestOutcome.REJECTED, backoff)
 
     def _deadline_margin(self, query: Query) -> int:
--- a/rackhub/core/attempts.py
+++ b/rackhub/core/attempts.py
@@ -70,7 +70,7 @@
             return
         attempt.sent_at = self._state.clock.now()
         if self._gate.standing() is Standing.UNCONFIRMED:
-            log.debug("attempt_held", request=attempt.query.id, reason="the list of engines is not confirmed")
+            log.debug("attempt_held", request=attempt.query.id, reason="the endpoint list is not confirmed")
             self._gate.hold(attempt)
             return
         if blocked_by := attempt.send_blocked_by(attempt.sent_at, self._state.lease):
@@ -97,7 +97,7 @@
         unsent = attempt.unsent
         attempt.state = AttemptState.CANCELLING
         log.debug(
-            "attempt_given_up",
+            "attempt_cancelled",
             request=attempt.query.id,
             attempt=attempt.number,
             engine=attempt.engine,
--- a/rackhub/core/deadline_monitor.py
+++ b/rackhub/core/deadline_monitor.py
@@ -44,7 +44,7 @@
         state.loop_overloaded = delay > state.limits.behind
         state.loop_delay = max(delay, state.loop_delay - state.loop_delay // DELAY_DECAY_DIVISOR)
         if state.loop_overloaded:
-            log.debug("loop_late", late_us=delay)
+            log.debug("event_loop_late", late_us=delay)
 
     def _time_out_attempts(self, now: int) -> None:
         expired = [each for each in self._state.in_flight.values() if each.deadline <= now and not each.done]
--- a/rackhub/core/decision_driver.py
+++ b/rackhub/core/decision_driver.py
@@ -61,7 +61,7 @@
                     handler(action)
         except Exception:  # a fault in a decision must not end the daemon: the backstop answers
             self._state.counters.add("module_errors")
-            log.exception("module_failed", on=repr(event))
+            log.exception("policy_failed", on=repr(event))
 
     def timer_fired(self, reference: int) -> None:
         """Report that a timer which the policy asked for has expired."""
@@ -74,7 +74,7 @@
         self._state.engine_port.close_idle(action.engine)
 
     def _log(self, action: interface.Log) -> None:
-        log.info("module_said", text=action.text)
+        log.info("policy_message", text=action.text)
 
     def _check_health(self, action: interface.CheckHealth) -> None:
         if self._state.fleet_coordinator is not None:  # only the fleet's peers make health checks
--- a/rackhub/core/endpoint_gate.py
+++ b/rackhub/core/endpoint_gate.py
@@ -59,7 +59,7 @@
         lease = self._state.lease
         ineligible = lease.ineligible(self._state.engine_kinds, now) if lease is not None else frozenset()
         if ineligible != self._ineligible:
-            log.info("engines_barred", engines=sorted(ineligible), reason="the list of engines is not confirmed")
+            log.info("engines_ineligible", engines=sorted(ineligible), reason="the endpoint list is not confirmed")
             self._ineligible = ineligible
             self.apply_allocation(self._allocation)
 
--- a/rackhub/core/request_completion.py
+++ b/rackhub/core/request_completion.py
@@ -54,7 +54,7 @@
     def reject(self, action: interface.Reject) -> None:
         """Carry out the policy's rejection of a request."""
         if query := self._state.queries.get(action.query):
-            log.debug("request_refused", request=query.id, reason=action.reason, retry_after_us=action.retry_after)
+            log.debug("request_rejected", request=query.id, reason=action.reason, retry_after_us=action.retry_after)
             self.complete(query, RequestOutcome.REJECTED, action.retry_after)
 
     def fail(self, action: interface.Fail) -> None:
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -213,7 +213,7 @@
 
     def _stop_reading(self) -> None:
         """Connections are drained: clients that keep theirs would keep this process from ever being done. What is
-        read on them still goes to the core, which refuses it (`Coordinator.ending`); each connection closes once
+        read on them goes to the core, which rejects it (see `Coordinator.start_draining`); each connection closes once
         nothing is open on it and nothing is half read."""
         for _, front in self.fronts:
             front.drain()
--- a/rackhub/fleet/overload/part.py
+++ b/rackhub/fleet/overload/part.py
@@ -47,7 +47,7 @@
 
 
 class Overload:
-    """Implements `core.fleet.Guide` and `ports.Level`; `shed` is for the rule book."""
+    """Implements `core.fleet.FleetCoordinator` and `ports.Level`; `shed` is for the rule book."""
 
     name = "overload"
 
@@ -113,7 +113,7 @@
         measure.further += taken
         return taken
 
-    # ---- core.fleet.Guide
+    # ---- core.fleet.FleetCoordinator
 
     def request_received(self, query: Query, now: int) -> int:
         if now - self._ticked > LATE:
--- a/rackhub/gather/desk.py
+++ b/rackhub/gather/desk.py
@@ -1,6 +1,6 @@
 """Gathers at one gateway: a machine for each request that a rule meets, parts here and at other installations.
 
-It implements `core.gather.Gathers`. All decisions are in `state`; here its effects are carried out.
+It implements `core.gather.GatherPort`. All decisions are in `state`; here its effects are carried out.
 """
 
 import random
@@ -127,7 +127,7 @@
     def _cut(self, site: Site) -> bool:
         return not self._ready.intersection(site.zones) if site.zones else self._cut_off(site)
 
-    # ---- core.gather.Gathers
+    # ---- core.gather.GatherPort
 
     def accept(self, query: Query) -> bool:
         rules = self.held.rules
--- a/rackhub/state/keeper.py
+++ b/rackhub/state/keeper.py
@@ -22,7 +22,7 @@
 
 
 class Keeper:
-    """The coordinator's store: a `core.request_journal.Ledger`, and the list of engines and the counters besides."""
+    """The coordinator's store: a `core.request_journal.RequestJournal`; also keeps the endpoint list and counters."""
 
     def __init__(
         self,
--- a/tests/test_incident_drain.py
+++ b/tests/test_incident_drain.py
@@ -113,7 +113,9 @@
     for client in clients:
         client.send(*(request(count + i, STATEMENT) for i in range(1, 17)))
         count += 16
-    until(lambda: len(process.lines("attempt_chosen")) + len(process.lines("turned_back")) >= count, "attempts")
+    until(
+        lambda: len(process.lines("attempt_chosen")) + len(process.lines("request_not_admitted")) >= count, "attempts"
+    )
     resolver.tell(4, stalled.entry(DRAINING), sound.entry())
     until(lambda: resolver.told(4), "the list")
     until(lambda: time.monotonic() > resolver.told(4) + GRACE, "the end of the grace")
@@ -189,7 +191,7 @@
         number += 1
     assert late_wants(engine, silent + 1.5 + GRACE) == []
     refused = client.answers[number - 1][0]["error"]
-    assert refused["code"] == -32008 and process.lines("request_turned_back", "over_lease")
+    assert refused["code"] == -32008 and process.lines("request_not_admitted", "over_lease")
     served = [n for n in range(1, number) if "result" in client.answers[n][0]]
     assert served == list(range(1, len(served) + 1)) and len(served) > 1
     resolver.silent = False
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -68,8 +68,8 @@
             spin(lambda: client.lines)
         told = [record.getMessage().partition(" at=")[0] for record in caplog.records]
         events = [line.split()[0] for line in told if "request=00000000000000a1" in line]
-        assert events[:4] == ["request_taken", "attempt_chosen", "attempt_written", "attempt_ended"]
-        assert events[-2:] == ["request_refused", "request_ended"]
+        assert events[:4] == ["request_admitted", "attempt_chosen", "attempt_written", "attempt_ended"]
+        assert events[-2:] == ["request_rejected", "request_ended"]
         assert any("reason=FULL" in line for line in told) and any("no further attempt after FULL" in x for x in told)
     finally:
         site.close()
