--- a/rackhub/core/attempts.py
+++ b/rackhub/core/attempts.py
@@ -6,20 +6,22 @@
 from rackhub.core.decision_driver import DecisionDriver
 from rackhub.core.endpoint_gate import EndpointGate
 from rackhub.core.lease import Standing
-from rackhub.core.request import Attempt, AttemptOutcome, AttemptState, Query, RequestOutcome
+from rackhub.core.request import Attempt, AttemptState, Query, RequestOutcome
 from rackhub.core.request_completion import RequestCompletion
 from rackhub.core.request_policy import RetryDecision
 from rackhub.core.state import ClassCounter, CoordinatorState
+from rackhub.interface import Idempotency, Outcome
 from rackhub.policy.retries import NOT_EXECUTED_OUTCOMES
 
 log = logs.logger(__name__)
 
 # Python 3.11 looks up an enum's member by a slow call: each request would pay for some.
-SUCCESS = AttemptOutcome.SUCCESS
+SUCCESS = Outcome.SUCCESS
+IDEMPOTENCY_KEY = Idempotency.IDEMPOTENCY_KEY
 SERVED = RequestOutcome.SERVED
 ATTEMPTS = ClassCounter.ATTEMPTS
 
-ACCEPTED_OUTCOMES = (AttemptOutcome.SUCCESS, AttemptOutcome.ERROR)  # ends by an engine that took the request
+ACCEPTED_OUTCOMES = (Outcome.SUCCESS, Outcome.ERROR)  # ends by an engine that took the request
 RETRY_AT_ONCE = RetryDecision(may_retry=True)
 WINDOW_MARGIN_DIVISOR = 20  # a 20th of the idempotency window is left unused
 
@@ -54,7 +56,7 @@
         attempt = Attempt(query, query.attempts, action.engine, now)
         attempt.deadline = min(query.deadline, now + action.timeout) if action.timeout > 0 else query.deadline
         if not self._may_start(attempt, action.timeout, now):
-            self._reject(attempt, AttemptOutcome.NOT_EXECUTED)
+            self._reject(attempt, Outcome.NOT_EXECUTED)
             return
         hedge_after = self._apply_operator_terms(attempt, now)
         self._guard_idempotency_window(attempt, now)
@@ -70,7 +72,7 @@
             return
         attempt.sent_at = self._state.clock.now()
         if self._gate.standing() is Standing.UNCONFIRMED:
-            log.debug("attempt_held", request=attempt.query.id, reason="the list of engines is not confirmed")
+            log.debug("attempt_held", request=attempt.query.id, reason="the endpoint list is not confirmed")
             self._gate.hold(attempt)
             return
         if blocked_by := attempt.send_blocked_by(attempt.sent_at, self._state.lease):
@@ -83,7 +85,7 @@
         """Carry out the policy's cancellation of an attempt."""
         attempt = self._state.in_flight.get((action.query, action.attempt))
         if attempt is not None:
-            self.give_up(attempt, AttemptOutcome.CANCELLED)
+            self.give_up(attempt, Outcome.CANCELLED)
 
     def give_up(self, attempt: Attempt, outcome: str) -> None:
         """Stop waiting for an attempt. One that has not left completes at once, as not executed.
@@ -97,7 +99,7 @@
         unsent = attempt.unsent
         attempt.state = AttemptState.CANCELLING
         log.debug(
-            "attempt_given_up",
+            "attempt_cancelled",
             request=attempt.query.id,
             attempt=attempt.number,
             engine=attempt.engine,
@@ -107,7 +109,7 @@
         self._state.engine_port.give_up(attempt)
         if unsent:
             closed = attempt.query.closed
-            self.complete(attempt, AttemptOutcome.NOT_EXECUTED if closed else AttemptOutcome.CONNECT_FAILED)
+            self.complete(attempt, Outcome.NOT_EXECUTED if closed else Outcome.CONNECT_FAILED)
             return
         self._state.timers.at(self._state.clock.now(), self._cancellation_sent, attempt, outcome)
 
@@ -202,7 +204,7 @@
         """
         query = attempt.query
         settings = self._state.classes.get(query.cls)
-        if settings is None or settings.idempotency != "dedup":
+        if settings is None or settings.idempotency != IDEMPOTENCY_KEY:
             return
         if query.possibly_executed:
             window = settings.idempotency_window
@@ -243,7 +245,7 @@
         lease = self._state.lease
         if lease is None:
             return
-        if outcome == AttemptOutcome.OVERLOADED:
+        if outcome == Outcome.OVERLOADED:
             lease.engine_rejected(attempt.engine, now)
         elif outcome in ACCEPTED_OUTCOMES:
             lease.engine_accepted(attempt.engine, attempt.sent_at)
@@ -252,9 +254,9 @@
         """Notify the operator's terms of a completed attempt, and ask them whether the request may be retried."""
         query = attempt.query
         policy = self._state.request_policy
-        if query.terms is None or policy is None or outcome == AttemptOutcome.NOT_EXECUTED:
+        if query.terms is None or policy is None or outcome == Outcome.NOT_EXECUTED:
             return RETRY_AT_ONCE
-        timed_out = outcome == AttemptOutcome.TIMED_OUT and attempt.timeout_configured
+        timed_out = outcome == Outcome.TIMED_OUT and attempt.timeout_configured
         kind = self._state.kind_of(attempt.engine)
         elapsed = now - attempt.sent_at
         policy.attempt_completed(query.terms, attempt.number, kind, attempt.engine, outcome, elapsed, timed_out, now)
--- a/rackhub/core/deadline_monitor.py
+++ b/rackhub/core/deadline_monitor.py
@@ -4,8 +4,9 @@
 
 from rackhub import logs
 from rackhub.core.attempts import AttemptRunner
-from rackhub.core.request import AttemptOutcome, Query, RequestOutcome
+from rackhub.core.request import Query, RequestOutcome
 from rackhub.core.state import CoordinatorState
+from rackhub.interface import Outcome
 
 log = logs.logger(__name__)
 
@@ -44,12 +45,12 @@
         state.loop_overloaded = delay > state.limits.behind
         state.loop_delay = max(delay, state.loop_delay - state.loop_delay // DELAY_DECAY_DIVISOR)
         if state.loop_overloaded:
-            log.debug("loop_late", late_us=delay)
+            log.debug("event_loop_late", late_us=delay)
 
     def _time_out_attempts(self, now: int) -> None:
         expired = [each for each in self._state.in_flight.values() if each.deadline <= now and not each.done]
         for attempt in expired:
-            self._attempts.give_up(attempt, AttemptOutcome.TIMED_OUT)
+            self._attempts.give_up(attempt, Outcome.TIMED_OUT)
 
     def _fail_expired_requests(self, now: int) -> None:
         # A sweep that is late comes before the policy's own timers of the time since it was due.
--- a/rackhub/core/request.py
+++ b/rackhub/core/request.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from rackhub.core.lease import EndpointLease, Standing
+from rackhub.interface import Outcome
 
 if TYPE_CHECKING:
     from rackhub.core.request_policy import RequestTerms
@@ -19,19 +20,6 @@
     DISCONNECTED = "left"
 
 
-class AttemptOutcome(enum.StrEnum):
-    """How an attempt ended, as in `interface.AttemptCompleted`."""
-
-    SUCCESS = "GOOD"
-    ERROR = "BAD"
-    OVERLOADED = "FULL"
-    CONNECT_FAILED = "NOCONN"
-    NOT_EXECUTED = "NOP"
-    TIMED_OUT = "LATE"
-    RESET = "RST"
-    CANCELLED = "CXL"
-
-
 class Reply(Protocol):
     """Where a front takes its one answer.
 
@@ -176,14 +164,14 @@
         an engine that the endpoint list's lease doesn't cover may be draining.
         """
         if self.query.reply.reading_paused:
-            return AttemptOutcome.NOT_EXECUTED
+            return Outcome.NOT_EXECUTED
         if lease is not None:
             standing = lease.standing(now)
             if standing is Standing.EXPIRED:
-                return AttemptOutcome.NOT_EXECUTED
+                return Outcome.NOT_EXECUTED
             if standing is not Standing.CONFIRMED or not lease.allows(self.engine, now):
-                return AttemptOutcome.CONNECT_FAILED
-        return AttemptOutcome.CONNECT_FAILED if 0 < self.send_by <= now else ""
+                return Outcome.CONNECT_FAILED
+        return Outcome.CONNECT_FAILED if 0 < self.send_by <= now else ""
 
 
 class EnginePort(Protocol):
--- a/rackhub/core/request_completion.py
+++ b/rackhub/core/request_completion.py
@@ -4,8 +4,9 @@
 from typing import Any
 
 from rackhub import interface, logs
-from rackhub.core.request import Attempt, AttemptOutcome, Query, RequestOutcome
+from rackhub.core.request import Attempt, Query, RequestOutcome
 from rackhub.core.state import ClassCounter, CoordinatorState
+from rackhub.interface import Outcome
 
 log = logs.logger(__name__)
 
@@ -22,7 +23,7 @@
 class RequestCompletion:
     """Completes requests, and remembers the ids of the last ones."""
 
-    def __init__(self, state: CoordinatorState, give_up: Callable[[Attempt, AttemptOutcome], None]) -> None:
+    def __init__(self, state: CoordinatorState, give_up: Callable[[Attempt, Outcome], None]) -> None:
         """`give_up` stops an attempt that has not left for its engine."""
         self._state = state
         self._give_up = give_up
@@ -46,7 +47,7 @@
             self._release(query, outcome)
         self._answer(query, outcome, details)
         for attempt in [attempt for attempt in query.in_flight.values() if attempt.unsent]:
-            self._give_up(attempt, AttemptOutcome.NOT_EXECUTED)
+            self._give_up(attempt, Outcome.NOT_EXECUTED)
         if not self._state.queries and self._state.on_idle:
             self._state.on_idle()
         return True
@@ -54,7 +55,7 @@
     def reject(self, action: interface.Reject) -> None:
         """Carry out the policy's rejection of a request."""
         if query := self._state.queries.get(action.query):
-            log.debug("request_refused", request=query.id, reason=action.reason, retry_after_us=action.retry_after)
+            log.debug("request_rejected", request=query.id, reason=action.reason, retry_after_us=action.retry_after)
             self.complete(query, RequestOutcome.REJECTED, action.retry_after)
 
     def fail(self, action: interface.Fail) -> None:
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -282,7 +282,7 @@
         """Close each connection once it has no open request and no partly read one.
 
         Clients that keep their connections open would keep the process running. Requests that are still read reach the
-        coordinator, which rejects them (`Coordinator.ending`).
+        coordinator, which rejects them (`Coordinator.start_draining`).
         """
         for _, factory in self.listeners:
             factory.drain()
