--- a/rackhub/interface.py
+++ b/rackhub/interface.py
@@ -54,7 +54,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassSettings:
-    """One class of query. `effect` is retryable, dedup or fragile."""
+    """One class of query, as it is configured.
+
+    `idempotency` is a value of `Idempotency`; `idempotency_scope` says where a key is known (`cell`, `zone` or `all`),
+    and `idempotency_window` for how long. `latency_objective` is the latency that clients want, `deadline` the latest one.
+    `threads`: of an engine, that a query takes. `serial_by_key`: queries of one key are executed one after the other.
+    """
 
     name: str
     deadline: int = 0
@@ -74,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantSettings:
-    """One tenant, with the operator's share of the service where one is told."""
+    """One tenant, with its quota of the service; 0: none is configured."""
 
     name: str
     quota_fraction: float = 0.0
@@ -101,7 +106,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a gateway is told at its start; whatever is not told keeps its default."""
+    """The settings of one gateway, an instance of the coordinator. What is not configured keeps its default.
+
+    `period`: the longest time between two calls of the decisions. `kind_cores`, `kind_memory` (MB): of an engine, by
+    kind. `turn_gap`: how long a key rests after an attempt that may still be executed. `drain_grace`: how long after
+    its notification a draining engine may still receive queries.
+    """
 
     classes: tuple[ClassSettings, ...] = ()
     tenants: tuple[TenantSettings, ...] = ()
@@ -132,8 +142,8 @@
     turn_gap: int = 0
     drain_grace: int = 0
 
-    def __post_init__(self):
-        """Refuse settings that no site can mean, naming the one at fault."""
+    def __post_init__(self) -> None:
+        """Raise `ValueError` for a value that no site can mean, by the name that the operator knows."""
         for attribute, configured_name, minimum in _MINIMUM_VALUES:
             value = getattr(self, attribute)
             if not value >= minimum:
@@ -141,14 +151,17 @@
         for kind, cores in self.kind_cores.items():
             if not cores > 0:
                 raise ValueError(f"setting kind_cores of {kind} is {cores!r}: more than 0 is needed")
+        self._check_classes()
+        for tenant in self.tenants:
+            if tenant.quota_fraction < 0 or tenant.rate_limit_per_s < 0:
+                raise ValueError(f"setting fraction or allowance_per_s of tenant {tenant.name} is below 0")
+
+    def _check_classes(self) -> None:
         for cls in self.classes:
-            if cls.idempotency not in ("retryable", "dedup", "fragile"):
+            if cls.idempotency not in list(Idempotency):
                 raise ValueError(f"setting effect of class {cls.name} is {cls.idempotency!r}: not known")
             if cls.threads < 1:
                 raise ValueError(f"setting threads of class {cls.name} is {cls.threads!r}: at least 1 is needed")
-        for tenant in self.tenants:
-            if tenant.quota_fraction < 0 or tenant.rate_limit_per_s < 0:
-                raise ValueError(f"setting fraction or allowance_per_s of tenant {tenant.name} is below 0")
 
 
 # ---- events -----------------------------------------------------------------------------------------
@@ -161,7 +174,10 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineEntry:
-    """One line of the list of engines. `came_up` 0: long past."""
+    """One engine of the endpoint list.
+
+    `state` is Ready, Terminating (draining) or Gone; `size` its relative capacity; `started_at` 0: long ago.
+    """
 
     engine: str
     zone: str = ""
@@ -174,7 +190,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """News of the fleet. `scope` is Partial, Complete, Persisted or Error."""
+    """The endpoint list or changes of it. `scope` is Partial, Complete, Persisted (an earlier run's) or Error."""
 
     scope: str
     entries: tuple[EngineEntry, ...] = ()
@@ -183,7 +199,13 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryReceived:
-    """A query that this gateway now owes one final answer."""
+    """A query to which this gateway owes one final answer by `deadline`.
+
+    `estimate`: its cost, in the unit of `AttemptCompleted.cost`. `key`: of a class that is serial by key. `tables`: the
+    group of tables that it touches. `max_attempts` 0: that of the settings. `retry_window`: how long after its first
+    attempt a query with an idempotency key may be retried, 0: by its class. `admission`: see `Admission`. `zones`: the
+    only zones where it may be executed; empty: anywhere.
+    """
 
     query: str
     cls: str
@@ -195,15 +217,15 @@
     write: bool = False
     memory_mb: float = 0.0
     tables: int | None = None
-    max_attempts: int = 0  # the most for this query; 0: the site's
-    retry_window: int = 0  # how long after its first attempt a keyed one may go out again; 0: by its class's window
-    admission: int = 0  # against the fleet's level: 1 it passes, -1 it is refused, 0 there is none
-    zones: tuple[str, ...] = ()  # where alone it may run; none: anywhere
+    max_attempts: int = 0
+    retry_window: int = 0
+    admission: int = Admission.UNDECIDED
+    zones: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class ResultStreamStarted:
-    """The answer of an attempt has begun: the attempt belongs to the client."""
+    """The result of an attempt has started to reach the client: no retry is possible any more."""
 
     query: str
     attempt: int
@@ -213,7 +235,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProgressReport:
-    """News of a running attempt. Topic 1: share done; 2: MB missing; 3: waits (1 memory, 2 a load)."""
+    """Progress of an attempt in flight. `topic` is a `ProgressTopic`, which says what `value` is."""
 
     query: str
     attempt: int
@@ -224,8 +246,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptCompleted:
-    """The one outcome of an attempt; `settled` tells that the query is closed. `again`: whether the operator's terms
-    allow a further attempt, and `wait` how long they have it wait; if not, `backoff` is when to come back."""
+    """The one outcome of an attempt, a value of `Outcome`.
+
+    `settled`: the query has had its answer. `elapsed`: microseconds since the attempt was sent. `report`: the engine's
+    load report. `may_retry`: the terms allow a retry, after `retry_delay`; if not, `backoff` is when the
+    client should come back.
+    """
 
     query: str
     attempt: int
@@ -242,7 +268,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HedgeDue:
-    """By the operator's terms a second copy of the query may go out beside the attempt that is."""
+    """By the operator's terms a hedge of the query may be sent beside the attempt in flight."""
 
     query: str
 
@@ -256,14 +282,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer asked for by `Timer` is due."""
+    """A timer that `Timer` asked for has expired."""
 
     ref: int
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckCompleted:
-    """The result of one probe."""
+    """The result of one health check; `elapsed` in microseconds."""
 
     engine: str
     outcome: str
@@ -281,13 +307,13 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetAllocation:
-    """What the gateways of a fleet agree on, as far as this one knows: numbers, which hold until the next come.
+    """What the gateways of a fleet agree on, as far as this one knows; it holds until the next.
 
-    `share`: this gateway's part of what the fleet may run, 0 to 1; None: as without peers, one of the told number.
-    `cold`: the same of what cold engines may get, which goes by demand. `tokens`: further attempts that this gateway
-    may make from now on, whoever served what they are a part of; None: by its own count. `probes`: the engines that it
-    is to probe; None: a draw, as without peers. `held`: engines that another gateway tries out, which get nothing from
-    this one. `back`: how long what is refused now should stay away at the least, microseconds.
+    `thread_share`: this gateway's fraction of the threads that the fleet may use; None: an equal share of the
+    configured number. `slow_start_share`: the same for engines that are warming up. `retry_tokens`: retries that this gateway may
+    make from now on; None: by its own budget. `health_check_targets`: the engines to check; None: a random sample.
+    `reserved_engines`: engines that get nothing from this gateway, as another one tries their recovery.
+    `minimum_backoff`: for clients that are rejected now, in microseconds.
     """
 
     thread_share: float | None = None
@@ -303,7 +329,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """One attempt of a query on an engine; `timeout` 0: until the client gives up."""
+    """Send one attempt of a query to an engine. `timeout` in microseconds; 0: until the deadline."""
 
     query: str
     engine: str
@@ -312,7 +338,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExecutionHints:
-    """Memory grant (0: the engine's own choice) and priority for the query's further attempts."""
+    """Memory grant (MB; 0: the engine's own choice) and priority for the query's next attempts."""
 
     query: str
     memory_grant_mb: float = 0.0
@@ -321,7 +347,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     query: str
     attempt: int
@@ -329,7 +355,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: trying again is harmless, best after `retry_after`. `reason` is for the log alone."""
+    """Final answer: rejected; a retry is harmless, best after `retry_after` microseconds. `reason` is logged."""
 
     query: str
     retry_after: int = 0
@@ -338,7 +364,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, with nothing promised of its effect. `reason` is for the log alone."""
+    """Final answer: failed; it may have been executed. `reason` is logged."""
 
     query: str
     reason: str = field(default="", compare=False)
@@ -346,7 +372,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """Ask for `TimerFired(ref)` after `delay`."""
+    """Ask for `TimerFired(ref)` after `delay` microseconds."""
 
     delay: int
     ref: int
@@ -354,14 +380,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Ask an engine how it is."""
+    """Check the health of an engine."""
 
     engine: str
 
 
 @dataclass(slots=True, frozen=True)
 class SendGossip:
-    """A message to a peer, -1 for all of them."""
+    """A message to another gateway; -1: to all of them."""
 
     peer: int
     contents: bytes
@@ -369,14 +395,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Ask discovery for changes from now on."""
+    """Watch the endpoint list for changes."""
 
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class PollEndpoints:
-    """Ask discovery for the complete list once."""
+    """Poll the complete endpoint list once."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -388,6 +414,6 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators."""
+    """A line for the operators' log."""
 
     text: str
