--- a/rackhub/interface.py
+++ b/rackhub/interface.py
@@ -57,7 +57,8 @@
     """One class of query, as it is configured.
 
     `idempotency` is a value of `Idempotency`; `idempotency_scope` says where a key is known (`cell`, `zone` or `all`),
-    and `idempotency_window` for how long. `latency_objective` is the latency that clients want, `deadline` the latest one.
+    and `idempotency_window` for how long. `latency_objective` is the latency that clients want, `deadline` the latest
+    one.
     `threads`: of an engine, that a query takes. `serial_by_key`: queries of one key are executed one after the other.
     """
 
@@ -310,7 +311,8 @@
     """What the gateways of a fleet agree on, as far as this one knows; it holds until the next.
 
     `thread_share`: this gateway's fraction of the threads that the fleet may use; None: an equal share of the
-    configured number. `slow_start_share`: the same for engines that are warming up. `retry_tokens`: retries that this gateway may
+    configured number. `slow_start_share`: the same for engines that are warming up. `retry_tokens`: retries that this
+    gateway may
     make from now on; None: by its own budget. `health_check_targets`: the engines to check; None: a random sample.
     `reserved_engines`: engines that get nothing from this gateway, as another one tries their recovery.
     `minimum_backoff`: for clients that are rejected now, in microseconds.
