--- a/rackhub/config.py
+++ b/rackhub/config.py
@@ -15,7 +15,7 @@
 from rackhub.address import address as read_address
 from rackhub.core.source import EndpointSnapshot
 from rackhub.limits import SECOND, Limits
-from rackhub.net.resolver import whole_list
+from rackhub.net.resolver import merge_events
 from rackhub.operatorfile import Operator
 from rackhub.settings import BadLine, flatten, settings_of
 
@@ -274,7 +274,7 @@
         if notice.pool.snapshot:
             events.clear()
         events.append(EndpointSnapshot(notice.rev, tuple(entries), addresses))
-    return whole_list(events)._replace(revision=known.rev)
+    return merge_events(events)._replace(revision=known.rev)
 
 
 def limits(file: File) -> Limits:
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -23,7 +23,7 @@
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.listen import SharedPort
 from rackhub.net.loop import ReactorWaker
-from rackhub.net.resolver import Platform
+from rackhub.net.resolver import PlatformSource
 from rackhub.net.resp import resp_pools
 from rackhub.net.tds.engine import tds_pools
 from rackhub.net.tds.front import tds_front
@@ -49,7 +49,7 @@
         self.config, self.counters, self._reread, self._told = config, Counters(), reread, told
         self._reread_operator = reread_operator
         clock = UnixClock()
-        self.source: Source = Platform(
+        self.source: Source = PlatformSource(
             reactor, config.settings, config.engines, config.nameserver, config.limits, self.counters, self._nameserver
         )
         self.core = Coordinator(
--- a/rackhub/fleet/overload/prober.py
+++ b/rackhub/fleet/overload/prober.py
@@ -11,8 +11,8 @@
 from rackhub.core.source import Address, EndpointSnapshot
 from rackhub.core.timers import Clock
 from rackhub.limits import Limits
-from rackhub.net.dial import OneDial
-from rackhub.net.resp_words import command
+from rackhub.net.dial import SingleConnectionFactory
+from rackhub.net.resp_protocol import command
 
 MS = 1_000
 OPEN = 64  # connections at most, and probes without an answer
@@ -123,7 +123,7 @@
             probe = self._probes[engine] = Probe(self, engine, address)
             probe.ask(done)
             self.reactor.connectTCP(
-                *address, OneDial(probe, probe.connectionLost), timeout=self._limits.dial_timeout / 1e6
+                *address, SingleConnectionFactory(probe, probe.connectionLost), timeout=self._limits.dial_timeout / 1e6
             )
         else:
             probe.ask(done)
--- a/rackhub/gather/remote_gateways.py
+++ b/rackhub/gather/remote_gateways.py
@@ -15,7 +15,7 @@
 from rackhub.core.gather import Missing
 from rackhub.core.request import Query
 from rackhub.core.source import Address
-from rackhub.net.dial import OneDial
+from rackhub.net.dial import SingleConnectionFactory
 
 log = logging.getLogger(__name__)
 REJECTED_CODE = -32008  # of a JSON-RPC error: retrying is harmless
@@ -212,7 +212,7 @@
         connection = self._connections.get(address)
         if connection is None:
             connection = self._connections[address] = Connection(self, address)
-            factory = OneDial(connection, connection.connection_closed)
+            factory = SingleConnectionFactory(connection, connection.connection_closed)
             self._reactor.connectTCP(*address, factory, timeout=self._dial_timeout_s)
         if len(connection.pending_calls) >= MAX_PENDING_CALLS:
             return None
--- a/rackhub/net/dial.py
+++ b/rackhub/net/dial.py
@@ -6,7 +6,7 @@
 from twisted.internet.protocol import ClientFactory
 
 
-class OneDial(ClientFactory):
+class SingleConnectionFactory(ClientFactory):
     """`failed` is called without words where nobody listens, or the time for it is over."""
 
     noisy = False
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -22,11 +22,11 @@
 
 NAME = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+")
 HEX = frozenset("0123456789abcdef")
-MOST_MS = 3_600_000  # of a budget: no class has a longer deadline
-MOST_FIGURE = 1e9  # of an estimate: beyond it it is none
+MAX_BUDGET_MS = 3_600_000  # of a budget: no class has a longer deadline
+MAX_ESTIMATE = 1e9  # of an estimate: beyond it it is none
 
 
-class Unusable(ValueError):
+class InvalidRequestError(ValueError):
     """A request whose figures or names can't be used; the text names the one at fault."""
 
 
@@ -47,23 +47,23 @@
     """The request of a client, checked. Ids and keys stand in heads of the engines' wire, so letters matter."""
     told = core.classes[cls]
     if len(id) != 16 or not HEX.issuperset(id):
-        raise Unusable("the request id is not 16 hex digits")
+        raise InvalidRequestError("the request id is not 16 hex digits")
     if core.is_known_id(id):  # one that was answered too: its engines may still know it, by another statement
-        raise Unusable("the request id is not new")
-    if not 0 < budget_ms <= MOST_MS:  # also no NaN
-        raise Unusable("the budget is out of range")
-    if not (0 <= est_ms <= MOST_FIGURE and 0 <= ram_mb <= MOST_FIGURE):
-        raise Unusable("an estimate is out of range")
+        raise InvalidRequestError("the request id is not new")
+    if not 0 < budget_ms <= MAX_BUDGET_MS:  # also no NaN
+        raise InvalidRequestError("the budget is out of range")
+    if not (0 <= est_ms <= MAX_ESTIMATE and 0 <= ram_mb <= MAX_ESTIMATE):
+        raise InvalidRequestError("an estimate is out of range")
     if told.idempotency != "dedup":
         idempotency_key = ""
     elif not idempotency_key:  # without it an engine could not tell a repeat, and repeats are what the class allows
-        raise Unusable("the key is missing: this class has one")
+        raise InvalidRequestError("the key is missing: this class has one")
     if len(idempotency_key) > 256 or not NAME.issuperset(idempotency_key):
-        raise Unusable("the key holds what a key can't")
+        raise InvalidRequestError("the key holds what a key can't")
     if tenant not in core.tenants:
-        raise Unusable("the tenant is not known")
+        raise InvalidRequestError("the tenant is not known")
     if not is_text(statement):  # engines answer 'error' to what they can't use, or close on it
-        raise Unusable("the statement is not text")
+        raise InvalidRequestError("the statement is not text")
     return Query(
         id,
         cls,
@@ -96,7 +96,7 @@
     return True
 
 
-class Patience(NamedTuple):
+class ClientTimeouts(NamedTuple):
     """How long a front waits: for a first message, for one that has begun, between messages, and for a client to
     take what is written to it."""
 
@@ -230,7 +230,7 @@
         limits: Limits,
         counters: Counters,
         most: int,
-        patience: Patience,
+        patience: ClientTimeouts,
     ):
         self._make, self._most, self._patience = make, most, patience
         self.core, self.limits, self.counters = core, limits, counters
--- a/rackhub/net/jsonrpc.py
+++ b/rackhub/net/jsonrpc.py
@@ -13,7 +13,7 @@
 from rackhub.core.request import Query
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.front import Client, Front, Patience, Unusable, request
+from rackhub.net.front import Client, ClientTimeouts, Front, InvalidRequestError, request
 
 log = logs.logger(__name__)
 PARSE, INVALID, NO_METHOD, BAD_PARAMS = -32700, -32600, -32601, -32602
@@ -33,7 +33,7 @@
     params: msgspec.Raw = msgspec.Raw(b"{}")
 
 
-class Ask(msgspec.Struct):
+class RequestParams(msgspec.Struct):
     """The parameters of a request; times in milliseconds, memory in MB."""
 
     rid: str
@@ -45,11 +45,15 @@
     ram: float = 0.0
 
 
-class Stop(msgspec.Struct):
+class CancelParams(msgspec.Struct):
     id: int | str | float
 
 
-DECODE, ASK, STOP = msgspec.json.Decoder(Message), msgspec.json.Decoder(Ask), msgspec.json.Decoder(Stop)
+MESSAGE_DECODER, REQUEST_PARAMS_DECODER, CANCEL_PARAMS_DECODER = (
+    msgspec.json.Decoder(Message),
+    msgspec.json.Decoder(RequestParams),
+    msgspec.json.Decoder(CancelParams),
+)
 
 
 class JsonRpcConnection(Client, Protocol):
@@ -131,7 +135,7 @@
     def lineReceived(self, line: bytes) -> None:
         self.counters.add("lines_in")
         try:
-            message = DECODE.decode(line)
+            message = MESSAGE_DECODER.decode(line)
         except msgspec.ValidationError:
             self.counters.add("bad_request")
             return self._error(None, INVALID, "not a request")
@@ -174,7 +178,7 @@
             self.counters.add("too_many_open")
             return self._error(id, INVALID, "too many open requests")
         try:
-            ask = ASK.decode(message.params)
+            ask = REQUEST_PARAMS_DECODER.decode(message.params)
             query = request(
                 self.core,
                 self,
@@ -188,7 +192,7 @@
                 ram_mb=ask.ram,
                 tag=id,
             )
-        except (*UNREADABLE, Unusable) as bad:
+        except (*UNREADABLE, InvalidRequestError) as bad:
             self.counters.add("bad_params")
             return self._error(id, BAD_PARAMS, str(bad))
         self.open[id], self.asked = query, True
@@ -196,7 +200,7 @@
 
     def _cancel(self, message: Message) -> None:
         try:
-            id = STOP.decode(message.params).id
+            id = CANCEL_PARAMS_DECODER.decode(message.params).id
         except UNREADABLE:
             self.counters.add("bad_params")
             return self._error(message.id, BAD_PARAMS, "no id to cancel")
@@ -218,9 +222,9 @@
         log.debug("line_dropped", client=self, reason="the connection ends", size=len(line))
         if self.open and b"cancelRequest" in line:
             with contextlib.suppress(*UNREADABLE):
-                message = DECODE.decode(line)
+                message = MESSAGE_DECODER.decode(line)
                 if message.method == "cancelRequest":
-                    self._withdrawn(STOP.decode(message.params).id)
+                    self._withdrawn(CANCEL_PARAMS_DECODER.decode(message.params).id)
 
     # ---- answers
 
@@ -290,5 +294,5 @@
         limits,
         counters,
         limits.client_connections,
-        Patience(limits.first_message, limits.half_message, limits.client_idle, limits.unread),
+        ClientTimeouts(limits.first_message, limits.half_message, limits.client_idle, limits.unread),
     )
--- a/rackhub/net/listen.py
+++ b/rackhub/net/listen.py
@@ -27,7 +27,7 @@
 RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K of linux/bpf_common.h
 
 
-class PatientReservation:
+class DelayedReservation:
     """Twisted's spare descriptor, kept back at first. Where accept finds no descriptor free, Twisted gives the spare
     one up, takes newcomers with it and closes each at once, with the requests that they may have sent. A shortage that
     is over in a moment costs nobody anything if newcomers wait in the kernel's queue for it."""
@@ -68,8 +68,8 @@
         """On `host`:`port` (IPv4). Raises `CannotListenError` where the address is taken by a socket without
         SO_REUSEPORT, or can't be had."""
         self._reactor, self._factory = reactor, factory
-        if not isinstance(tcp._reservedFD, PatientReservation):
-            tcp._reservedFD = PatientReservation(tcp._reservedFD)
+        if not isinstance(tcp._reservedFD, DelayedReservation):
+            tcp._reservedFD = DelayedReservation(tcp._reservedFD)
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/rackhub/net/pool.py
+++ b/rackhub/net/pool.py
@@ -1,6 +1,6 @@
 """Connections to engines by engine: which one carries an attempt, and what the list of engines does to them.
 
-The same for every protocol that engines speak; a connection is asked through `Link`.
+The same for every protocol that engines speak; a connection is asked through `EngineLink`.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -20,7 +20,7 @@
 log = logs.logger(__name__)
 
 
-class Link(Protocol):
+class EngineLink(Protocol):
     """One connection as the pool sees it."""
 
     closed: bool
@@ -37,16 +37,16 @@
     def refused(self) -> None: ...
 
 
-class Pool:
+class EnginePool:
     """The connections to one engine since one start of it. An engine is its name: another one may come to have its
     address, and one that comes back under its name has none of the connections of before."""
 
     def __init__(self, name: str, address: Address, counters: Counters, started: int = 0):
         self.name, self.address, self.counters, self.started = name, address, counters, started
-        self.links: list[Link] = []
-        self.dials: dict[Link, IConnector] = {}  # of those links that do not stand yet
+        self.links: list[EngineLink] = []
+        self.dials: dict[EngineLink, IConnector] = {}  # of those links that do not stand yet
 
-    def lost(self, link: Link) -> None:
+    def lost(self, link: EngineLink) -> None:
         if link in self.links:
             self.links.remove(link)
 
@@ -56,14 +56,14 @@
             if not self.call_off(link):
                 link.retire()
 
-    def call_off(self, link: Link) -> bool:
+    def call_off(self, link: EngineLink) -> bool:
         """End the dial of a link as one that failed. False: it stands already."""
         dial = self.dials.pop(link, None)
         if dial is not None:
             dial.stopConnecting()
         return dial is not None
 
-    def dial_failed(self, link: Link) -> None:
+    def dial_failed(self, link: EngineLink) -> None:
         self.counters.add("engine_dial_failures")
         log.debug("engine_dial_failed", engine=self.name, waiting=link.load())
         self.dials.pop(link, None)
@@ -71,15 +71,15 @@
         link.refused()
 
 
-class DialFactory(ClientFactory):
+class EngineDialFactory(ClientFactory):
     """Carries one dial: Twisted reports its failure here."""
 
     noisy = False
 
-    def __init__(self, pool: Pool, link: Link):
+    def __init__(self, pool: EnginePool, link: EngineLink):
         self._pool, self._link = pool, link
 
-    def buildProtocol(self, addr: object) -> Link:
+    def buildProtocol(self, addr: object) -> EngineLink:
         del self._pool.dials[self._link]
         return self._link
 
@@ -87,24 +87,24 @@
         self._pool.dial_failed(self._link)
 
 
-class Dial:
+class EngineDialer:
     """Opens connections of one protocol."""
 
-    def __init__(self, reactor: IReactorTCP, make: Callable[[Pool], Link], limits: Limits):
+    def __init__(self, reactor: IReactorTCP, make: Callable[[EnginePool], EngineLink], limits: Limits):
         self._reactor, self._make, self._timeout = reactor, make, limits.dial_timeout / 1_000_000
 
-    def __call__(self, pool: Pool) -> Link:
+    def __call__(self, pool: EnginePool) -> EngineLink:
         link = self._make(pool)
-        pool.dials[link] = self._reactor.connectTCP(*pool.address, DialFactory(pool, link), timeout=self._timeout)
+        pool.dials[link] = self._reactor.connectTCP(*pool.address, EngineDialFactory(pool, link), timeout=self._timeout)
         return link
 
 
-class Pools:
+class EnginePools:
     """The engine port: one pool for each engine that the list names."""
 
     def __init__(
         self,
-        dial: Callable[[Pool], Link],
+        dial: Callable[[EnginePool], EngineLink],
         clock: Clock,
         limits: Limits,
         counters: Counters,
@@ -113,8 +113,10 @@
     ):
         self._dial, self._clock, self._limits, self._counters, self._core = dial, clock, limits, counters, core
         self._most = most  # connections to one engine
-        self.pools: dict[str, Pool] = {}
-        self.retired: list[Pool] = []  # of engines that take nothing new, while something is open on their connections
+        self.pools: dict[str, EnginePool] = {}
+        self.retired: list[
+            EnginePool
+        ] = []  # of engines that take nothing new, while something is open on their connections
 
     def listed(self, addresses: Mapping[str, Address], entries: Sequence[interface.EngineEntry] = ()) -> None:
         """The list as it is now; `entries` as the module sees them. Engines that are gone, drain, have started anew or
@@ -129,7 +131,7 @@
                 if known is not None and (known.address, known.started) == (address, entry.started_at):
                     self.pools[name] = old.pop(name)
                 else:
-                    self.pools[name] = Pool(name, address, self._counters, entry.started_at)
+                    self.pools[name] = EnginePool(name, address, self._counters, entry.started_at)
         self.retired += old.values()
         if old:
             log.info("engines_retired", engines=sorted(old))
@@ -155,7 +157,7 @@
             return self._core.complete_attempt(attempt, "NOCONN")
         link.carry(attempt)
 
-    def _links(self) -> list[Link]:
+    def _links(self) -> list[EngineLink]:
         return [link for pool in (*self.pools.values(), *self.retired) for link in pool.links]
 
     def _room(self) -> bool:
--- a/rackhub/net/resolver.py
+++ b/rackhub/net/resolver.py
@@ -20,14 +20,14 @@
 from rackhub.core.source import Address, EndpointPollObserver, EndpointSnapshot
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.asking import Asking
+from rackhub.net.poll_schedule import PollSchedule
 
 log = logs.logger(__name__)
 SERVICE = b"_app._tcp.cluster.lan"
 READY, DRAINING = 0, 1  # SRV priorities
 
 
-class BadAnswer(ValueError):
+class InvalidAnswerError(ValueError):
     """A packet that is no whole answer to what was asked."""
 
 
@@ -37,13 +37,13 @@
     return struct.pack(">6H", number, 0x0100, 1, 0, 0, 0) + labels + b"\0" + struct.pack(">2H", dns.SRV, dns.IN)
 
 
-def listing_of(packet: bytes) -> EndpointSnapshot:
-    """The list in an answer; `BadAnswer` if it is not whole."""
+def parse_answer(packet: bytes) -> EndpointSnapshot:
+    """The list in an answer; `InvalidAnswerError` if it is not whole."""
     message = dns.Message()
     try:
         message.fromStr(packet)
     except Exception as bad:  # the decoder raises whatever the bytes led it to
-        raise BadAnswer(f"not a DNS message: {bad}") from None
+        raise InvalidAnswerError(f"not a DNS message: {bad}") from None
     asked = [query for query in message.queries if query.type == dns.SRV]
     if (
         not message.answer
@@ -52,10 +52,10 @@
         or len(asked) != 1
         or asked[0].name.name.lower() != SERVICE
     ):
-        raise BadAnswer("not an answer to the question")
+        raise InvalidAnswerError("not an answer to the question")
     serials = [record.payload.serial for record in message.authority if record.type == dns.SOA]
     if len(serials) != 1:
-        raise BadAnswer("no serial")
+        raise InvalidAnswerError("no serial")
     hosts, texts = {}, {}
     for record in (*message.additional, *message.answers):
         if record.type == dns.A:
@@ -69,10 +69,10 @@
         srv, target = record.payload, record.payload.target.name
         host, text = hosts.get(target.lower()), texts.get(target.lower())
         if host is None or text is None or srv.priority not in (READY, DRAINING):
-            raise BadAnswer(f"no whole record of {target!r}")
+            raise InvalidAnswerError(f"no whole record of {target!r}")
         name, zone = (target.decode("ascii", "replace").split(".") + [""])[:2]
         if name in addresses:  # which of them holds can't be told
-            raise BadAnswer(f"{name!r} is named twice")
+            raise InvalidAnswerError(f"{name!r} is named twice")
         told = dict(part.decode("utf-8", "replace").partition("=")[::2] for part in text)
         try:
             entries.append(
@@ -87,7 +87,7 @@
                 )
             )
         except (KeyError, ValueError):
-            raise BadAnswer(f"no whole text of {target!r}") from None
+            raise InvalidAnswerError(f"no whole text of {target!r}") from None
         addresses[name] = (host, srv.port)
     return EndpointSnapshot(serials[0], tuple(sorted(entries, key=lambda entry: entry.engine)), addresses)
 
@@ -119,7 +119,7 @@
         self._renew, self._settled = renew, settled
         self._limits, self._counters = limits, counters
         self._random = random.SystemRandom()  # ids that can't be guessed; no decision hangs on them
-        self._asking = Asking(limits, self._random.random)
+        self._schedule = PollSchedule(limits, self._random.random)
         self._asked: dict[int, Question] = {}  # those whose answers are taken, by number
         self._lease = lease
         self._same = b""  # the last good answer less its id: most answers repeat it
@@ -141,7 +141,7 @@
         with their numbers, so the last list holds until the new address tells of a later one."""
         if server != self._server:
             self._server, self._asked = server, {}
-            self._asking.moved()
+            self._schedule.server_changed()
             self._ask_in(0)
 
     def _ask_in(self, delay: int) -> None:
@@ -150,8 +150,8 @@
         self._next = self._reactor.callLater(delay / 1_000_000, self._ask)
 
     def _ask(self) -> None:
-        silent = self._asking.silent()
-        self._ask_in(self._asking.asked())  # a good answer puts it off: this one is for those that are lost
+        silent = self._schedule.needs_new_socket()
+        self._ask_in(self._schedule.poll_sent())  # a good answer puts it off: this one is for those that are lost
         if silent:
             self._renew()
         number = self._random.randrange(1 << 16)
@@ -178,18 +178,18 @@
             self._counters.add("dns_bad")
             return log.debug("answer_refused", sender=addr, size=len(packet), reason="not one of the open questions")
         if packet[2:] == self._same:
-            self._ask_in(self._asking.answered())
+            self._ask_in(self._schedule.answer_received())
             self._confirm(packet)
             return self._counters.add("dns_same")
         try:
-            listing = listing_of(packet)
-        except BadAnswer as bad:
+            listing = parse_answer(packet)
+        except InvalidAnswerError as bad:
             self._counters.add("dns_bad")
             return log.info("answer_refused", reason=str(bad))
         if listing.revision < self._last.revision:  # overtaken on its way, or from a server that is behind
             log.debug("answer_refused", rev=listing.revision, reason="older than the list in force")
             return self._counters.add("dns_old")
-        self._ask_in(self._asking.answered())
+        self._ask_in(self._schedule.answer_received())
         if listing[1:] != self._last[1:]:
             if not listing.entries:  # an answer like another, but all requests are refused from now on
                 self._counters.add("lists_empty")
@@ -202,7 +202,7 @@
 
     def _confirm(self, packet: bytes) -> None:
         asked = self._asked[int.from_bytes(packet[:2], "big")]
-        if self._reactor.seconds() - asked.sent < self._asking.first_round() / 1_000_000:
+        if self._reactor.seconds() - asked.sent < self._schedule.silence_limit() / 1_000_000:
             self._settled()
         if self._lease is not None:
             self._lease.endpoint_poll_confirmed(asked.leased)
@@ -217,7 +217,7 @@
         )
 
 
-def whole_list(known: Sequence[EndpointSnapshot]) -> EndpointSnapshot:
+def merge_events(known: Sequence[EndpointSnapshot]) -> EndpointSnapshot:
     """What numbered events come to, the first of them a whole list. An event's gone engines have state Gone."""
     entries: dict[str, interface.EngineEntry] = {}
     addresses: dict[str, Address] = {}
@@ -231,7 +231,7 @@
     )
 
 
-class Platform:
+class PlatformSource:
     """The platform as the source of settings and lists: what its file told at the start, then its resolver.
     `reread` reads and checks the file again and gives the resolver's address; `ValueError` where it can't be used."""
 
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -21,13 +21,21 @@
 from rackhub.counters import Counters
 from rackhub.limits import Limits
 from rackhub.net.outgoing import Outgoing
-from rackhub.net.pool import Dial, Pool, Pools
-from rackhub.net.resp_words import TOPICS, BadFrame, command, fields_of, figure, is_page, report_of
+from rackhub.net.pool import EngineDialer, EnginePool, EnginePools
+from rackhub.net.resp_protocol import (
+    TOPICS,
+    InvalidFrameError,
+    command,
+    is_valid_page,
+    parse_fields,
+    parse_load_report,
+    parse_number,
+)
 
 log = logs.logger(__name__)
 
 
-class Paging:
+class PartialResult:
     """A result on its way in: its pages by number, and the report that came with page 0."""
 
     __slots__ = ("pages", "missing", "size", "report")
@@ -37,7 +45,7 @@
         self.missing, self.size, self.report = count - 1, len(first), report
 
 
-class Span(NamedTuple):
+class ByteRange(NamedTuple):
     """Where an attempt stands in the bytes of its connection: behind `begin` of them, up to `end`."""
 
     begin: int
@@ -55,11 +63,11 @@
     MAX_LENGTH = 65_536  # per instance from the limits: see __init__
     delimiter = b"\r\n"
 
-    def __init__(self, pool: Pool, clock: Clock, limits: Limits, counters: Counters, core: Coordinator):
+    def __init__(self, pool: EnginePool, clock: Clock, limits: Limits, counters: Counters, core: Coordinator):
         self.pool, self.clock, self.limits, self.counters, self.core = pool, clock, limits, counters, core
         self.MAX_LENGTH = limits.head
         self.open: dict[bytes, Attempt] = {}
-        self.paging: dict[bytes, Paging] = {}
+        self.paging: dict[bytes, PartialResult] = {}
         self.stale: dict[bytes, int] = {}  # ids that ended here without success -> when; oldest first
         self.up = self.closed = self.silent = self.retired = False
         self._retired_at = 0
@@ -69,7 +77,7 @@
         self._frames = 0
         self._out: Outgoing | None = None
         self._waiting: dict[bytes, int] = {}  # ids in `open` that are not sent -> since when
-        self._spans: dict[bytes, Span] = {}  # by the other ids in `open`
+        self._spans: dict[bytes, ByteRange] = {}  # by the other ids in `open`
         self._last_end = 0  # of the request that was sent last
 
     # ---- what the pool asks
@@ -185,7 +193,7 @@
             if self.retired and now - self._retired_at >= self.limits.retired_send and self._undelivered():
                 self._cut("the engine takes nothing new and has not taken what was sent")
         if self.half_since and now - self.half_since > self.limits.half_frame and not self.closed:
-            self._malformed(BadFrame("a frame that stops half way"))
+            self._malformed(InvalidFrameError("a frame that stops half way"))
 
     def _cut(self, why: str) -> None:
         """Close at once, with what the process and the kernel hold thrown away."""
@@ -259,7 +267,7 @@
         del self._waiting[id]
         attempt.state, self.used = AttemptState.IN_FLIGHT, now
         self._last_end = self._out.given
-        self._spans[id] = Span(begin, self._last_end)
+        self._spans[id] = ByteRange(begin, self._last_end)
         log.debug(
             "attempt_written",
             request=query.id,
@@ -325,7 +333,7 @@
                 whole = self._whole()
                 if whole or before != self._frames or not self.half_since:
                     self.half_since = 0 if whole else self.heard
-        except BadFrame as bad:
+        except InvalidFrameError as bad:
             self._malformed(bad)
 
     def _whole(self) -> bool:
@@ -355,9 +363,9 @@
         return data[at:]
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        raise BadFrame("a head line is too long")
+        raise InvalidFrameError("a head line is too long")
 
-    def _malformed(self, bad: BadFrame) -> None:
+    def _malformed(self, bad: InvalidFrameError) -> None:
         self.counters.add("engine_bad_frames")
         log.warning("engine_connection_dropped", engine=self.pool.name, reason=str(bad), open=len(self.open))
         self.closed = True
@@ -370,7 +378,7 @@
         if not self._due:
             self._due, self._parts = self._count(line, b"*", 16), []
             if not self._due:
-                raise BadFrame("an empty array")
+                raise InvalidFrameError("an empty array")
         else:
             self._need = self._count(line, b"$", self.limits.frame) + 2
             self._got, self._got_size = [], 0
@@ -379,7 +387,7 @@
     @staticmethod
     def _count(line: bytes, mark: bytes, most: int) -> int:
         if line[:1] != mark or not line[1:].isdigit() or len(line) > 10 or int(line[1:]) > most:
-            raise BadFrame(f"a head {line[:40]!r}")
+            raise InvalidFrameError(f"a head {line[:40]!r}")
         return int(line[1:])
 
     def rawDataReceived(self, data: bytes) -> None:
@@ -392,7 +400,7 @@
             return
         bulk = b"".join(self._got) if len(self._got) > 1 else took
         if bulk[-2:] != b"\r\n":
-            raise BadFrame("a bulk string without its end")
+            raise InvalidFrameError("a bulk string without its end")
         self._parts.append(bulk[:-2])
         self._due -= 1
         if not self._due:
@@ -407,11 +415,11 @@
         if len(parts) != 4:
             if len(parts) == 2 and parts[1] == b"alive":  # not asked for here, but no fault
                 return
-            raise BadFrame(f"an answer of {len(parts)} parts")
+            raise InvalidFrameError(f"an answer of {len(parts)} parts")
         id, word, text, body = parts
         if word not in (b"200", b"503", b"500", b"504", b"status", b"chunk", b"alive"):
-            raise BadFrame(f"an answer {word[:40]!r}")
-        fields = fields_of(text)
+            raise InvalidFrameError(f"an answer {word[:40]!r}")
+        fields = parse_fields(text)
         attempt = self.open.get(id) if id in self._spans else None
         if attempt is None:  # not sent, or given up before; the end is on its way, and no more comes under this id
             self.counters.add("engine_strays")
@@ -422,27 +430,27 @@
         elif word == b"status":
             topic = TOPICS.get(fields.get(b"remark", b""))
             if topic:
-                self.core.report_progress(attempt, topic, figure(fields, b"amount", float))
+                self.core.report_progress(attempt, topic, parse_number(fields, b"amount", float))
         elif word == b"503" and id not in self.paging:
-            self._over(id, attempt, "FULL", report_of(fields))
+            self._over(id, attempt, "FULL", parse_load_report(fields))
         elif word == b"504" and id not in self.paging:  # over before it was read: there is no time to try again
-            self._over(id, attempt, "NOP", report_of(fields))
+            self._over(id, attempt, "NOP", parse_load_report(fields))
         elif word != b"alive":  # an error, or a page that is gone: the result can't be whole any more
-            self._over(id, attempt, "BAD", report_of(fields))
+            self._over(id, attempt, "BAD", parse_load_report(fields))
 
     def _result(self, id: bytes, attempt: Attempt, fields: dict[bytes, bytes], body: bytes) -> None:
         if id in self.paging:  # a second copy: the first one counts
             return self.counters.add("engine_extras")
         # an engine always says how many pages there are; what says nothing is none of its making
-        count = int(figure(fields, b"chunks", int))
+        count = int(parse_number(fields, b"chunks", int))
         if count < 1:
-            raise BadFrame(f"a result of {count} pages")
-        if not is_page(body, self.limits.page):
+            raise InvalidFrameError(f"a result of {count} pages")
+        if not is_valid_page(body, self.limits.page):
             return self._spoilt(id, attempt)
-        report = report_of(fields)
+        report = parse_load_report(fields)
         if count == 1:
             return self._over(id, attempt, "GOOD", report, (body,))
-        self.paging[id] = Paging(body, min(count, self.limits.pages), report)
+        self.paging[id] = PartialResult(body, min(count, self.limits.pages), report)
         if count > self.limits.pages:
             return self._too_large(id, attempt)
         pieces = []
@@ -451,10 +459,10 @@
         self._out.write(pieces)
 
     def _page(self, id: bytes, attempt: Attempt, fields: dict[bytes, bytes], body: bytes) -> None:
-        paging, at = self.paging.get(id), int(figure(fields, b"at", int))
+        paging, at = self.paging.get(id), int(parse_number(fields, b"at", int))
         if paging is None or not 0 < at < len(paging.pages) or paging.pages[at] is not None:
             return self.counters.add("engine_extras")  # a second copy, or a page that was not asked for
-        if not is_page(body, self.limits.page):
+        if not is_valid_page(body, self.limits.page):
             return self._spoilt(id, attempt)
         self.counters.add("pages_in")
         paging.pages[at] = body
@@ -469,7 +477,7 @@
         """It has run, and what came is no result. The rest of the connection is of no more use."""
         self.counters.add("engine_spoilt")
         self._over(id, attempt, "BAD", {})
-        raise BadFrame("an answer that is no result")
+        raise InvalidFrameError("an answer that is no result")
 
     def _too_large(self, id: bytes, attempt: Attempt) -> None:
         """More than a result may hold: memory is bounded, so the attempt has failed after it ran."""
@@ -488,10 +496,12 @@
         self.core.complete_attempt(attempt, reason, report, rows)
 
 
-def resp_pools(reactor: IReactorTCP, clock: Clock, limits: Limits, counters: Counters, core: Coordinator) -> Pools:
+def resp_pools(
+    reactor: IReactorTCP, clock: Clock, limits: Limits, counters: Counters, core: Coordinator
+) -> EnginePools:
     """The engine port over RESP."""
 
-    def make(pool: Pool) -> EngineConnection:
+    def make(pool: EnginePool) -> EngineConnection:
         return EngineConnection(pool, clock, limits, counters, core)
 
-    return Pools(Dial(reactor, make, limits), clock, limits, counters, core, limits.engine_connections)
+    return EnginePools(EngineDialer(reactor, make, limits), clock, limits, counters, core, limits.engine_connections)
--- a/rackhub/net/resp_words.py
+++ b/rackhub/net/resp_protocol.py
@@ -15,7 +15,7 @@
 }
 
 
-class BadFrame(ValueError):
+class InvalidFrameError(ValueError):
     """Bytes that no engine of this protocol sends: nothing after them on the connection can be trusted."""
 
 
@@ -27,31 +27,31 @@
     return pieces
 
 
-def fields_of(text: bytes) -> dict[bytes, bytes]:
+def parse_fields(text: bytes) -> dict[bytes, bytes]:
     if text == b"-":
         return {}
     fields = {}
     for part in text.split(b","):
         name, mark, value = part.partition(b"=")
         if not mark:
-            raise BadFrame(f"field {part[:40]!r} has no value")
+            raise InvalidFrameError(f"field {part[:40]!r} has no value")
         fields[name] = value
     return fields
 
 
-def figure(fields: dict[bytes, bytes], name: bytes, reader: Callable[[bytes], float]) -> float:
+def parse_number(fields: dict[bytes, bytes], name: bytes, reader: Callable[[bytes], float]) -> float:
     try:
         value = reader(fields[name])
     except KeyError:
-        raise BadFrame(f"field {name.decode()} is missing") from None
+        raise InvalidFrameError(f"field {name.decode()} is missing") from None
     except ValueError:
-        raise BadFrame(f"field {name.decode()} has the bad value {fields[name][:40]!r}") from None
+        raise InvalidFrameError(f"field {name.decode()} has the bad value {fields[name][:40]!r}") from None
     if not -1e18 < value < 1e18:  # also no NaN: a figure goes into the module's means
-        raise BadFrame(f"field {name.decode()} has the bad value {fields[name][:40]!r}")
+        raise InvalidFrameError(f"field {name.decode()} has the bad value {fields[name][:40]!r}")
     return value
 
 
-def report_of(fields: dict[bytes, bytes]) -> dict[str, float]:
+def parse_load_report(fields: dict[bytes, bytes]) -> dict[str, float]:
     """A load report in the words of the module; one that can't be read is left out, not the answer with it."""
     report = {}
     for part in fields.get(b"report", b"").split(b";"):
@@ -69,7 +69,7 @@
 ROWS = re.compile(rb"(?:[^\t\n]*+\t[^\t\n]*+\t[^\t\n]*+\n)*+")
 
 
-def is_page(body: bytes, most: int) -> bool:
+def is_valid_page(body: bytes, most: int) -> bool:
     """Whether this is a page: whole rows of three columns as text, and no more than a page may hold. On a scored day
     good heads came with noise as their body; passed on, it would be an answer that no engine made."""
     if len(body) > most or not ROWS.fullmatch(body):
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -23,8 +23,8 @@
 from rackhub.counters import Counters
 from rackhub.limits import Limits
 from rackhub.net.outgoing import Outgoing
-from rackhub.net.pool import Dial, Pool, Pools
-from rackhub.net.resp_words import report_of
+from rackhub.net.pool import EngineDialer, EnginePool, EnginePools
+from rackhub.net.resp_protocol import parse_load_report
 from rackhub.net.tds import codec
 from rackhub.net.tds.stream import TdsStream
 from rackhub.operatorfile import TdsEngineSettings
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        pool: Pool,
+        pool: EnginePool,
         settings: TdsEngineSettings,
         clock: Clock,
         limits: Limits,
@@ -295,7 +295,7 @@
 
     def _info(self, info: codec.Notice) -> None:
         if info.number == REPORT:
-            self._report = report_of({b"report": info.text.encode("ascii", "replace")})
+            self._report = parse_load_report({b"report": info.text.encode("ascii", "replace")})
         elif info.number in TOPICS:
             try:
                 value = float(info.text)
@@ -313,10 +313,12 @@
     limits: Limits,
     counters: Counters,
     core: Coordinator,
-) -> Pools:
+) -> EnginePools:
     """The engine port over TDS."""
 
-    def make(pool: Pool) -> TdsEngineConnection:
+    def make(pool: EnginePool) -> TdsEngineConnection:
         return TdsEngineConnection(pool, settings, clock, limits, counters, core)
 
-    return Pools(Dial(reactor, make, limits), clock, limits, counters, core, limits.tds_engine_connections)
+    return EnginePools(
+        EngineDialer(reactor, make, limits), clock, limits, counters, core, limits.tds_engine_connections
+    )
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -20,7 +20,7 @@
 from rackhub.core.request import Query
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.front import Client, Front, Patience, Unusable, request
+from rackhub.net.front import Client, ClientTimeouts, Front, InvalidRequestError, request
 from rackhub.net.tds import codec
 from rackhub.net.tds.stream import TdsStream
 from rackhub.operatorfile import TdsFrontSettings, TdsLogin
@@ -181,7 +181,7 @@
             self.counters.add("tds_unsupported")
             self._say_error(UNSUPPORTED, 1, 16, f"not supported: {what}")
             self.fault()
-        except Unusable as fault:
+        except InvalidRequestError as fault:
             self.counters.add("bad_params")
             self._say_error(BAD_REQUEST, 1, 16, str(fault))
             self.fault()
@@ -192,9 +192,9 @@
         for name, value in call.arguments.items():
             wanted = str if name in TEXTS else int | float if name in FIGURES else None
             if wanted is None:
-                raise Unusable(f"the parameter {name[:100] or 'without a name'} is not known")
+                raise InvalidRequestError(f"the parameter {name[:100] or 'without a name'} is not known")
             if value is not None and not isinstance(value, wanted):
-                raise Unusable(f"the parameter {name} is of another type")
+                raise InvalidRequestError(f"the parameter {name} is of another type")
         return {name: value for name, value in call.arguments.items() if value is not None}
 
     def _submit(self, given: dict[str, Any]) -> None:
@@ -202,11 +202,11 @@
         cls = given.get("@class", login.cls)
         tenant = given.get("@tenant", login.tenants[0] if login.tenants else "")
         if not given.get("@statement", "").strip():
-            raise Unusable("the parameter @statement is missing")
+            raise InvalidRequestError("the parameter @statement is missing")
         if cls not in self.core.classes:
-            raise Unusable(f"the class {cls[:100]!r} is not known")
+            raise InvalidRequestError(f"the class {cls[:100]!r} is not known")
         if tenant and tenant not in login.tenants:
-            raise Unusable("the tenant is not one of this login's")
+            raise InvalidRequestError("the tenant is not one of this login's")
         budget = given.get("@budget_ms", login.budget_ms or self.core.classes[cls].deadline / 1_000)
         query = request(
             self.core,
@@ -343,5 +343,5 @@
         limits,
         counters,
         limits.tds_connections,
-        Patience(limits.tds_login, limits.tds_half, limits.tds_idle, limits.tds_unread),
+        ClientTimeouts(limits.tds_login, limits.tds_half, limits.tds_idle, limits.tds_unread),
     )
--- a/rackhub/trials/processes/calls.py
+++ b/rackhub/trials/processes/calls.py
@@ -7,7 +7,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from rackhub.fleet.ports import Address
-from rackhub.net.dial import OneDial
+from rackhub.net.dial import SingleConnectionFactory
 
 MOST = 1 << 21
 
@@ -45,7 +45,7 @@
 ) -> None:
     """`done` gets the line that came back, or None: nobody listened, it closed, or the time was over."""
     protocol = _Call(line, done)
-    reactor.connectTCP(*address, OneDial(protocol, protocol.connectionLost), timeout=patience)
+    reactor.connectTCP(*address, SingleConnectionFactory(protocol, protocol.connectionLost), timeout=patience)
     limit = reactor.callLater(patience, protocol.give_up)
 
     def finished(line: bytes | None) -> None:
--- a/rackhub/trials/processes/door.py
+++ b/rackhub/trials/processes/door.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from rackhub.fleet.ports import Address
-from rackhub.net.dial import OneDial
+from rackhub.net.dial import SingleConnectionFactory
 
 Lines = Callable[[bytes], list[bytes]]
 
@@ -89,7 +89,9 @@
             return None
         front, behind = _Side(self, back=False), _Side(self, back=True)
         front.other, behind.other = behind, front  # type: ignore[assignment]
-        self.reactor.connectTCP(*self.target, OneDial(behind, lambda: front.transport.loseConnection()), timeout=2)
+        self.reactor.connectTCP(
+            *self.target, SingleConnectionFactory(behind, lambda: front.transport.loseConnection()), timeout=2
+        )
         return front
 
     def set(self, mode: Mode) -> None:
--- a/rackhub/trials/processes/pool.py
+++ b/rackhub/trials/processes/pool.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from rackhub.fleet.ports import Address
-from rackhub.net.dial import OneDial
+from rackhub.net.dial import SingleConnectionFactory
 from rackhub.trials.processes.link import Link, Owner, Try
 
 SECOND = 1_000_000
@@ -30,7 +30,7 @@
         link = Link(self._owner, gateway)
         self.links[gateway].append(link)
         host, port = self._addresses[gateway]
-        self._owner.reactor.connectTCP(host, port, OneDial(link, link.failed), timeout=2)
+        self._owner.reactor.connectTCP(host, port, SingleConnectionFactory(link, link.failed), timeout=2)
         return link
 
     def remove(self, link: Link) -> None:
--- a/rackhub/trials/scale/engines.py
+++ b/rackhub/trials/scale/engines.py
@@ -8,7 +8,7 @@
 
 from rackhub import interface
 from rackhub.limits import Limits
-from rackhub.net.resolver import listing_of, question
+from rackhub.net.resolver import parse_answer, question
 from rackhub.trials.processes.resolver import MOST as ANSWER_BYTES
 from rackhub.trials.processes.resolver import answer
 from rackhub.trials.processes.site import Engine
@@ -182,7 +182,7 @@
 
     def decode(packet: bytes) -> None:
         for _ in range(DECODES_A_ROUND):
-            listing_of(packet)
+            parse_answer(packet)
 
     calls = [lambda packet=packet: decode(packet) for packet in packets]  # type: ignore[misc]
     how = f"one DNS answer with the whole list; {sizes[-1]} engines are the most in {ANSWER_BYTES:,} bytes"
--- a/rackhub/trials/virtual/rig.py
+++ b/rackhub/trials/virtual/rig.py
@@ -21,9 +21,9 @@
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.asking import Asking
 from rackhub.net.loop import ReactorWaker
-from rackhub.net.pool import Pool, Pools
+from rackhub.net.poll_schedule import PollSchedule
+from rackhub.net.pool import EnginePool, EnginePools
 
 MS, SECOND = 1_000, 1_000_000
 START = 1_000 * SECOND
@@ -203,7 +203,7 @@
 class Wire:
     """One connection to an engine, as the pool sees one."""
 
-    def __init__(self, site: "Site", pool: Pool):
+    def __init__(self, site: "Site", pool: EnginePool):
         self.site, self.pool, self.world = site, pool, site.world
         self.engine = self.world.engines[pool.name]
         self.open: dict[Attempt, bool] = {}  # and whether it has left
@@ -301,10 +301,10 @@
         self.core = Coordinator(
             settings, number + 1, self, Timers(self, ReactorWaker(world.clock)), limits, self.counters
         )
-        self.pools = Pools(
+        self.pools = EnginePools(
             lambda pool: Wire(self, pool), self, limits, self.counters, self.core, limits.engine_connections
         )
-        self.asking, self._next = Asking(limits, self.random.random), None
+        self.asking, self._next = PollSchedule(limits, self.random.random), None
         self.gone: dict[str, float] = {}  # engines that it was told are gone, and when
         self._send, self.pools.send = self.pools.send, self.send
         listing = world.listing()
@@ -330,7 +330,7 @@
 
     def ask_list(self) -> None:
         self.world.count("list_calls")
-        self._again(self.asking.asked())
+        self._again(self.asking.poll_sent())
         if not self.world.is_silent():
             self.world.clock.callLater(2 * WIRE, self.told, self.world.listing())
 
@@ -340,7 +340,7 @@
         self._next = self.world.clock.callLater(delay / SECOND, self.ask_list)
 
     def told(self, listing: EndpointSnapshot) -> None:
-        self._again(self.asking.answered())
+        self._again(self.asking.answer_received())
         if listing.revision <= self.rev:
             return
         self.rev = listing.revision
--- a/tests/stands.py
+++ b/tests/stands.py
@@ -15,7 +15,7 @@
 from rackhub.limits import Limits
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.resp import resp_pools
-from rackhub.net.resp_words import command
+from rackhub.net.resp_protocol import command
 from rackhub.net.tds import codec
 from rackhub.net.tds.engine import tds_pools
 from rackhub.net.tds.front import tds_front
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -19,7 +19,7 @@
 from rackhub import interface as t
 from rackhub.core.request import Query
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_words import command
+from rackhub.net.resp_protocol import command
 
 TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 ROWS = b"a\tb\tc\n"
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -28,9 +28,9 @@
 from rackhub.counters import Counters
 from rackhub.net.front import Client
 from rackhub.net.jsonrpc import jsonrpc_front
-from rackhub.net.pool import Pool, Pools
+from rackhub.net.pool import EnginePool, EnginePools
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_words import command
+from rackhub.net.resp_protocol import command
 from rackhub.policy import further
 
 WINDOW = 300 * MS
@@ -212,13 +212,13 @@
         shared = self.clock, LIMITS, self.counters, self.core
         self.front = jsonrpc_front(self.core, LIMITS, self.counters)
 
-        def dial(pool: Pool):
+        def dial(pool: EnginePool):
             link = EngineConnection(pool, *shared)
             pool.dials[link] = SimpleNamespace(stopConnecting=lambda: self.dial_fails(link))
             self.dials.append(link)
             return link
 
-        self.pools = Pools(dial, self.clock, LIMITS, self.counters, self.core, LIMITS.engine_connections)
+        self.pools = EnginePools(dial, self.clock, LIMITS, self.counters, self.core, LIMITS.engine_connections)
         self.pools.listed({name: ("127.0.0.1", number) for number, name in enumerate(self.states)})
         self.core.start(self.pools, [t.EngineEntry(name, "z", "std") for name in self.states], 1)
         self.clients = []
@@ -595,7 +595,9 @@
 
 
 def a_drain_unheeded(patch):
-    patch.setattr(Pools, "listed", lambda self, addresses, entries=(), real=Pools.listed: real(self, addresses))
+    patch.setattr(
+        EnginePools, "listed", lambda self, addresses, entries=(), real=EnginePools.listed: real(self, addresses)
+    )
 
 
 def late_is_proof(patch):
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -15,7 +15,7 @@
 from rackhub import interface as t
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import AttemptState
-from rackhub.net.pool import DialFactory
+from rackhub.net.pool import EngineDialFactory
 
 ROWS = b"a\tb\tc\n"
 
@@ -87,7 +87,7 @@
     def release(self):
         """The oldest dial is made, and has come up on both sides."""
         pool, link = self.waiting.pop(0)
-        pool.dials[link] = reactor.connectTCP(*pool.address, DialFactory(pool, link))
+        pool.dials[link] = reactor.connectTCP(*pool.address, EngineDialFactory(pool, link))
         return link
 
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -22,8 +22,8 @@
 from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
-from rackhub.net.asking import Asking
-from rackhub.net.resolver import Platform, Question, Resolver
+from rackhub.net.poll_schedule import PollSchedule
+from rackhub.net.resolver import PlatformSource, Question, Resolver
 
 A, B = ("a", "127.0.0.1", 0, 0), ("b", "127.0.0.2", 0, 0)
 DRAINS = ("b", "127.0.0.2", 1, 0)
@@ -69,7 +69,7 @@
     def __init__(self, desk, start=None, told=None):
         self.time, self.counters, self.lists = Timed(), Counters(), []
         self.moved = desk.address
-        self.platform = Platform(
+        self.platform = PlatformSource(
             self.time,
             SETTINGS,
             start or EndpointSnapshot(3, (), {}),
@@ -310,10 +310,10 @@
     """The worst draw of chance: no call is brought forward."""
     for polls in (2, 3, 5):
         limits = limits_with(LIMITS, polls_silent=polls)
-        asking = Asking(limits, lambda: 0.0)
-        spent, calls = asking.answered(), 0
-        while not asking.silent():
-            spent, calls = spent + asking.asked(), calls + 1
+        asking = PollSchedule(limits, lambda: 0.0)
+        spent, calls = asking.answer_received(), 0
+        while not asking.needs_new_socket():
+            spent, calls = spent + asking.poll_sent(), calls + 1
         assert calls == polls and spent == limits.poll + sum(
             min(limits.poll_again << turn, limits.poll_again_most) for turn in range(polls)
         )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rackhub import interface as t
-from rackhub.net.asking import Asking
+from rackhub.net.poll_schedule import PollSchedule
 from rackhub.policy.control import Control
 from rackhub.trials.virtual.cost import SIZES, Answers
 from rackhub.trials.virtual.rig import Scene, World
@@ -90,7 +90,7 @@
 
 
 GUARDS = {
-    "list calls in a second": lambda p: p.setattr(Asking, "asked", lambda asking: 60 * MS),
+    "list calls in a second": lambda p: p.setattr(PollSchedule, "poll_sent", lambda asking: 60 * MS),
     "dials that dead engines refuse": lambda p: p.setattr(Control, "ail", lambda control, engine, sure=False: None),
     "further attempts at the loss": lambda p: p.setattr(Control, "ail", lambda control, engine, sure=False: None),
     "work sent to a cold engine": lambda p: p.setattr(
--- a/tests/test_momentary_faults.py
+++ b/tests/test_momentary_faults.py
@@ -6,7 +6,7 @@
 from real_process import EngineStandIn, ResolverStandIn, Served, request, until
 from test_config import SETTINGS as SITE
 
-from rackhub.net.listen import PatientReservation
+from rackhub.net.listen import DelayedReservation
 
 FAILING = """
 import os, socket
@@ -63,8 +63,8 @@
 
 def test_the_spare_descriptor_is_kept_back_until_a_shortage_has_lasted():
     now = [0.0]
-    reservation = PatientReservation(Spare(), lambda: now[0])
+    reservation = DelayedReservation(Spare(), lambda: now[0])
     told = []
-    for now[0] in (10.0, 10.05, 10.25, 10.5, 10.75 + PatientReservation.OVER):
+    for now[0] in (10.0, 10.05, 10.25, 10.5, 10.75 + DelayedReservation.OVER):
         told.append(reservation.available())
     assert told == [False, False, True, True, False]
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -11,8 +11,8 @@
 
 from rackhub.core.source import EndpointSnapshot
 from rackhub.counters import Counters
-from rackhub.net.asking import Asking
-from rackhub.net.resolver import SERVICE, BadAnswer, Resolver, listing_of, question
+from rackhub.net.poll_schedule import PollSchedule
+from rackhub.net.resolver import SERVICE, InvalidAnswerError, Resolver, parse_answer, question
 
 
 def answer(number, serial, *engines, rcode=0, drop=()):
@@ -44,7 +44,7 @@
         self.resolver = Resolver(
             self.clock, ("127.0.0.9", 53), EndpointSnapshot(3, (), {}), self.lists.append, LIMITS, self.counters
         )
-        self.resolver._asking = Asking(LIMITS, random.Random(seed).random)
+        self.resolver._schedule = PollSchedule(LIMITS, random.Random(seed).random)
         self.transport, self.resolver.transport = self, self
         self.resolver.startProtocol()
 
@@ -69,7 +69,7 @@
 
 
 def test_an_answer_is_the_whole_list():
-    listing = listing_of(answer(1, 41, A, B))
+    listing = parse_answer(answer(1, 41, A, B))
     first, second = listing.entries
     assert (first.engine, first.zone, first.kind, first.cell, first.state, first.size, first.started_at) == (
         "a",
@@ -85,7 +85,7 @@
 
 
 def test_an_empty_list_is_an_answer_too():
-    assert listing_of(answer(1, 41)).entries == ()
+    assert parse_answer(answer(1, 41)).entries == ()
 
 
 @pytest.mark.parametrize(
@@ -102,8 +102,8 @@
     ],
 )
 def test_half_an_answer_is_none(packet):
-    with pytest.raises(BadAnswer):
-        listing_of(packet)
+    with pytest.raises(InvalidAnswerError):
+        parse_answer(packet)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
@@ -113,8 +113,8 @@
     for _ in range(data.draw(st.integers(0, 4))):
         packet[data.draw(st.integers(0, len(packet) - 1))] = data.draw(st.integers(0, 255))
     try:
-        listing_of(bytes(packet[: data.draw(st.integers(0, len(packet)))]))
-    except BadAnswer:
+        parse_answer(bytes(packet[: data.draw(st.integers(0, len(packet)))]))
+    except InvalidAnswerError:
         pass
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -19,7 +19,7 @@
 from rackhub.fleet.link import frames
 from rackhub.fleet.overload import records
 from rackhub.fleet.register import words
-from rackhub.net.resolver import listing_of, question
+from rackhub.net.resolver import parse_answer, question
 from rackhub.trials.processes import bound, forger, probes, rows, schedule, torture
 from rackhub.trials.processes.arrivals import Arrival, Load
 from rackhub.trials.processes.attempts import Attempts, Sent
@@ -375,7 +375,7 @@
         )
         for number in range(count)
     ]
-    told = listing_of(answer(question(7), 41, engines))
+    told = parse_answer(answer(question(7), 41, engines))
     assert told.revision == 41 and told.addresses == {each.name: each.address for each in engines}
     assert {entry.engine: (entry.zone, entry.state, entry.started_at) for entry in told.entries} == {
         each.name: (each.site, "Terminating" if each.status == "draining" else "Ready", each.since_ms * 1_000)
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -18,9 +18,9 @@
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.net.jsonrpc import jsonrpc_front
-from rackhub.net.pool import Pool, Pools
+from rackhub.net.pool import EnginePool, EnginePools
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_words import command
+from rackhub.net.resp_protocol import command
 from rackhub.net.tds import codec
 from rackhub.net.tds import front as tds
 
@@ -374,7 +374,7 @@
     def __init__(self):
         super().__init__()
         self.core, self.counters = PlayedCore(), Counters()
-        self.pool = Pool("e0", ("127.0.0.1", 1), self.counters)
+        self.pool = EnginePool("e0", ("127.0.0.1", 1), self.counters)
         self.connection = EngineConnection(self.pool, self.core.clock, LIMITS, self.counters, self.core)
         self.pool.links.append(self.connection)
         self.wire, self.state = Transport(), "dialling"
@@ -874,7 +874,7 @@
 
 
 class Dialled:
-    """What `Pools` asks of a connection, with what it was told."""
+    """What `EnginePools` asks of a connection, with what it was told."""
 
     def __init__(self, pool):
         self.pool, self.closed, self.open, self.retired = pool, False, [], False
@@ -911,7 +911,7 @@
         made.append(Dialled(pool))
         return made[-1]
 
-    pools = Pools(dial, core.clock, LIMITS, counters, core, LIMITS.engine_connections)
+    pools = EnginePools(dial, core.clock, LIMITS, counters, core, LIMITS.engine_connections)
     place = ("127.0.0.1", 5050)
     pools.listed({"e0": place})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
@@ -931,7 +931,7 @@
 
 def test_connections_to_all_engines_together_stay_within_their_share_of_descriptors():
     core, counters, made = PlayedCore(), Counters(), []
-    pools = Pools(
+    pools = EnginePools(
         lambda pool: made.append(Dialled(pool)) or made[-1],
         core.clock,
         replace(LIMITS, engine_links=4),
