--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -96,7 +96,7 @@
         # the module first: once it knows of a drain it sends nothing there, and what the pools give back goes elsewhere
         entries = self._shown(listing)
         self.core.update_endpoints(entries, listing.revision)
-        self.engines.listed(listing.addresses, entries)
+        self.engines.update_endpoints(listing.addresses, entries)
 
     def _shown(self, listing: EndpointSnapshot) -> tuple:
         """The list as the module is to see it."""
@@ -130,7 +130,7 @@
         for part in self.parts.values():
             engines = part.begin(engines)
         entries = self._shown(engines)
-        self.engines.listed(engines.addresses, entries)
+        self.engines.update_endpoints(engines.addresses, entries)
         self.core.start(self.engines, entries, engines.revision)
         PythonLoggingObserver().start()  # a fault in a callback of the reactor's shows in the log, not nowhere
         self.core.lease = EndpointLease(self.config.limits, self.config.settings.drain_grace, self._host.clock.now())
--- a/rackhub/net/loop.py
+++ b/rackhub/net/loop.py
@@ -1,18 +1,19 @@
-"""What the core is handed of Twisted's reactor."""
+"""What the core uses of Twisted's reactor."""
 
 from collections.abc import Callable
-
-from twisted.internet.interfaces import IDelayedCall, IReactorTime
+from typing import Any
 
 
 class ReactorWaker:
-    """One delayed call of the reactor, moved as the earliest timer moves."""
+    """One delayed call of the reactor, rescheduled as the earliest timer changes."""
 
-    def __init__(self, reactor: IReactorTime):
+    def __init__(self, reactor: Any):
+        """`reactor` provides Twisted's `IReactorTime`."""
         self._reactor = reactor
-        self._call: IDelayedCall | None = None
+        self._call: Any = None  # an IDelayedCall
 
     def wake_after(self, delay: int, call: Callable[[], None]) -> None:
+        """Call back after `delay` microseconds, in place of the call scheduled before."""
         if self._call is not None and self._call.active():
             self._call.cancel()
         self._call = self._reactor.callLater(delay / 1_000_000, call)
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -82,7 +82,7 @@
 
     # ---- what the pool asks
 
-    def takes(self, attempt: Attempt) -> bool:
+    def accepts(self, attempt: Attempt) -> bool:
         """Whether a new attempt may go on this connection."""
         self._forget()
         id = attempt.query.id.encode()
@@ -95,19 +95,19 @@
             or id in self.stale
         )
 
-    def carry(self, attempt: Attempt) -> None:
+    def enqueue(self, attempt: Attempt) -> None:
         """Take an attempt, which is sent in a turn in which the socket takes it."""
         id = attempt.query.id.encode()
         attempt.connection, attempt.state = self, AttemptState.QUEUED
         self.open[id] = attempt
         self._waiting[id] = self.clock.now()
         if self.up:
-            self._out.ask()
+            self._out.request_write()
 
     def blocked(self) -> bool:
         """Whether the engine does not take what was sent to it."""
         late = self._waits_since() < self.clock.now() - self.limits.unread_turn
-        return self.up and (late or not self._out.has_left(self._last_end))
+        return self.up and (late or not self._out.has_sent(self._last_end))
 
     def _waits_since(self) -> int:
         return next(iter(self._waiting.values()), self.clock.now())
@@ -116,7 +116,7 @@
         """Whether an open attempt surely never ran: not all of it has left for the engine. What has, may have run,
         whatever came of the connection since. What came and was not read yet tells in time: a transport is read from
         before it is written to."""
-        return id not in self._spans or not self._out.has_left(self._spans[id].end)
+        return id not in self._spans or not self._out.has_sent(self._spans[id].end)
 
     def give_up(self, attempt: Attempt) -> None:
         id, now = attempt.query.id.encode(), self.clock.now()
@@ -125,7 +125,7 @@
         self._waiting.pop(id, None)
         span = self._spans.pop(id, None)
         if span is not None and self.up and not self.closed:
-            if not self._out.has_left(span.end):  # its rest would leave some time, and begin what was given up
+            if not self._out.has_sent(span.end):  # its rest would leave some time, and begin what was given up
                 return self._cut("a request given up that has left in part")
             self._out.write(command(b"shut" if id in self.paging else b"never_mind", id))
             self._stale(id, now)
@@ -179,10 +179,10 @@
 
     def _undelivered(self) -> bool:
         """Whether an open attempt may still have to reach the engine, as its first byte is not confirmed."""
-        delivered = self._out.given - self._out.undelivered()
+        delivered = self._out.bytes_written - self._out.unacknowledged_bytes()
         return any(span.begin >= delivered for span in self._spans.values())
 
-    def look(self, now: int) -> None:
+    def check_timeouts(self, now: int) -> None:
         """Drop a connection on which a frame has stopped half way: whatever else is open on it waits behind that
         frame, and on a scored day waited for its deadline. Also one whose engine does not take the last bytes."""
         if self.closed and now - self.used > self.limits.linger:
@@ -207,7 +207,7 @@
         if self.up:
             self.transport.abortConnection()
 
-    def refused(self) -> None:
+    def connect_failed(self) -> None:
         """The dial failed or was called off: nothing that waited for it ever left."""
         self.closed = True
         self._end_all()
@@ -240,7 +240,7 @@
 
     def _send_waiting(self) -> None:
         """Send what waits and may still be sent, until the socket takes no more."""
-        while self._waiting and not self.closed and not self._out.kept():
+        while self._waiting and not self.closed and not self._out.buffered_bytes():
             id = next(iter(self._waiting))
             attempt = self.open[id]
             if why := attempt.send_blocked_by(self.clock.now(), self.core.lease):
@@ -248,7 +248,7 @@
             elif not self._send(id, attempt):
                 break
         if self._waiting and not self.closed:
-            self._out.ask()
+            self._out.request_write()
 
     def _bar(self, id: bytes, attempt: Attempt, why: str) -> None:
         del self.open[id], self._waiting[id]
@@ -261,12 +261,12 @@
         fields = b"profile=%s,max=%d,level=%d" % (query.cls.encode(), left, query.priority)
         if query.idempotency_key:
             fields += b",replay=" + query.idempotency_key.encode()
-        begin = self._out.given
+        begin = self._out.bytes_written
         if not self._out.send(b"".join(command(b"want", id, fields, query.statement))):
             return False
         del self._waiting[id]
         attempt.state, self.used = AttemptState.IN_FLIGHT, now
-        self._last_end = self._out.given
+        self._last_end = self._out.bytes_written
         self._spans[id] = ByteRange(begin, self._last_end)
         log.debug(
             "attempt_written",
@@ -274,7 +274,7 @@
             attempt=attempt.number,
             engine=self.pool.name,
             left_ms=left,
-            kept_bytes=self._out.kept(),
+            kept_bytes=self._out.buffered_bytes(),
         )
         return True
 
@@ -297,7 +297,7 @@
         self.up = True
         if self._waiting:
             self._waiting = dict.fromkeys(self._waiting, self.clock.now())
-            self._out.ask()
+            self._out.request_write()
         elif self.retired:
             self.close_if_idle()
 
@@ -306,7 +306,7 @@
         if self.open:
             self.counters.add("engine_losses")
         self.up, self.closed = False, True
-        self.pool.lost(self)
+        self.pool.connection_closed(self)
         if any(map(self.surely_unread, self.open)):
             self.counters.add("engine_lost_unwritten")
         self._end_all()
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -78,10 +78,10 @@
 
     # ---- what the pool asks
 
-    def takes(self, attempt: Attempt) -> bool:
+    def accepts(self, attempt: Attempt) -> bool:
         return self._attempt is None and self.state in (self.DIALLING, self.PRELOGIN, self.LOGIN, self.READY)
 
-    def carry(self, attempt: Attempt) -> None:
+    def enqueue(self, attempt: Attempt) -> None:
         attempt.connection = self
         self._attempt = attempt
         attempt.state = AttemptState.QUEUED
@@ -90,7 +90,7 @@
 
     def _await_socket(self) -> None:
         self._waits_since = self.clock.now()
-        self._out.ask()
+        self._out.request_write()
 
     def give_up(self, attempt: Attempt) -> None:
         if attempt is not self._attempt:
@@ -98,7 +98,7 @@
         self._attempt = None
         if self.state != self.BUSY:  # it waits for the login or the socket: nothing to break off
             return
-        if not self._out.has_left(self._end_of_call):  # its rest would leave some time, and begin what was given up
+        if not self._out.has_sent(self._end_of_call):  # its rest would leave some time, and begin what was given up
             return self._drop()
         self.state = self.CANCELLING
         self.write(codec.message(codec.ATTENTION, b""))
@@ -133,7 +133,7 @@
             return self._end("NOCONN")
         self.close_if_idle()
 
-    def look(self, now: int) -> None:
+    def check_timeouts(self, now: int) -> None:
         """Nothing else waits behind an answer that has stopped half way: its own time-out ends it. What the engine does
         not take goes elsewhere, and does not stay in the buffers of an engine that takes nothing new."""
         if self._attempt is None:
@@ -141,11 +141,11 @@
         if self.state == self.READY and now - self._waits_since >= self.limits.unwritable:
             self._end("NOCONN")
         elif self.state == self.BUSY and self.retired and now - self._retired_at >= self.limits.retired_send:
-            if self._begin >= self._out.given - self._out.undelivered():
+            if self._begin >= self._out.bytes_written - self._out.unacknowledged_bytes():
                 self.counters.add("engine_cuts")
                 self._drop()
 
-    def refused(self) -> None:
+    def connect_failed(self) -> None:
         self.state = self.CLOSED
         self._end("NOCONN")
 
@@ -165,10 +165,10 @@
 
     def connectionLost(self, reason: object = None) -> None:
         self.state = self.CLOSED
-        self.pool.lost(self)
+        self.pool.connection_closed(self)
         if self._attempt is not None:
             self.counters.add("engine_losses")
-            unread = self._attempt.unsent or not self._out.has_left(self._end_of_call)
+            unread = self._attempt.unsent or not self._out.has_sent(self._end_of_call)
             self._end("NOCONN" if unread else "RST")
 
     def malformed(self) -> None:
@@ -207,10 +207,10 @@
             body = codec.rpc("rackhub_want", arguments)
         except UnicodeEncodeError:  # bytes that are no UTF-8 can't be put as text: this engine can't run it
             return self._end("BAD")
-        self._begin = self._out.given
+        self._begin = self._out.bytes_written
         if not self._out.send(b"".join(codec.message(codec.RPC, body))):
-            return self._out.ask()
-        self._end_of_call = self._out.given
+            return self._out.request_write()
+        self._end_of_call = self._out.bytes_written
         self.state, self.used, self._attempt.state = self.BUSY, now, AttemptState.IN_FLIGHT
         self._start_answer()
 
--- a/rackhub/trials/virtual/rig.py
+++ b/rackhub/trials/virtual/rig.py
@@ -243,17 +243,17 @@
     def lost(self) -> None:
         self.closed, self.up = True, False
         self.engine.links.discard(self)
-        self.pool.lost(self)
+        self.pool.connection_closed(self)
         ended, self.open = list(self.open), {}
         for attempt in ended:
             self.site.core.complete_attempt(attempt, "RST")
 
     # ---- what the pool asks
 
-    def takes(self, attempt: Attempt) -> bool:
+    def accepts(self, attempt: Attempt) -> bool:
         return not self.closed and len(self.open) < 100
 
-    def carry(self, attempt: Attempt) -> None:
+    def enqueue(self, attempt: Attempt) -> None:
         attempt.connection, self.open[attempt], self.used = self, False, self.site.now()
         if self.up:
             self._write(attempt)
@@ -271,7 +271,7 @@
         if self.up and not self.open:
             self.closed, self.up = True, False
             self.engine.links.discard(self)
-            self.pool.lost(self)
+            self.pool.connection_closed(self)
 
     def idle_since(self) -> int:
         return self.used
@@ -283,9 +283,9 @@
         self.retired = True
         self.close_if_idle()
 
-    def look(self, now: int) -> None: ...
+    def check_timeouts(self, now: int) -> None: ...
 
-    def refused(self) -> None:
+    def connect_failed(self) -> None:
         self.closed = True
         ended, self.open = list(self.open), {}
         for attempt in ended:
@@ -308,7 +308,7 @@
         self.gone: dict[str, float] = {}  # engines that it was told are gone, and when
         self._send, self.pools.send = self.pools.send, self.send
         listing = world.listing()
-        self.pools.listed(listing.addresses)
+        self.pools.update_endpoints(listing.addresses)
         self.core.start(self.pools, listing.entries, listing.revision)
         world.clock.callLater(self.random.random() * 0.25, self.ask_list)
         world.clock.callLater(0.1, self.sweep)
@@ -350,7 +350,7 @@
             else:
                 self.gone.setdefault(name, self.world.time())
         self.core.update_endpoints(listing.entries, listing.revision)
-        self.pools.listed(listing.addresses)
+        self.pools.update_endpoints(listing.addresses)
 
     def request(self) -> None:
         cls = REPORT if self.random.random() < 0.15 else LOOKUP
--- a/tests/stands.py
+++ b/tests/stands.py
@@ -256,7 +256,9 @@
             tds_front(TDS, self.core, limits, self.counters, ids),
         )
         self.ports = [reactor.listenTCP(0, front, interface="127.0.0.1") for front in self.fronts]
-        self.pools.listed({f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(stands)})
+        self.pools.update_endpoints(
+            {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(stands)}
+        )
         self.core.start(self.pools, [t.EngineEntry(f"e{i}", "z", "std") for i in range(len(stands))], 1)
 
     def json_client(self):
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -77,7 +77,7 @@
         entries = [t.EngineEntry(f"e{i}", "z", "std", state=state) for i, state in enumerate(states) if state]
         self.rev += 1
         self.core.update_endpoints(entries, self.rev)  # the order of `Daemon._tell_list`
-        self.pools.listed(
+        self.pools.update_endpoints(
             {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(self.stands) if states[i]},
             entries,
         )
@@ -248,11 +248,11 @@
         told(attempt, how, *more),
     )
     spin(lambda: not link._waiting)
-    while not link._out.kept():
+    while not link._out.buffered_bytes():
         whole.append(here.ask(statement=b"x" * 40_000))
         spin(lambda: not link._waiting)
     part = whole.pop()
-    assert whole and 0 < link._out.kept() < 40_000
+    assert whole and 0 < link._out.buffered_bytes() < 40_000
     reset(here.stands[0].connections[0])
     spin(lambda: any(query is part for query, _ in ends))
     assert (part, "NOCONN") in ends and not any((query, "NOCONN") in ends for query in whole)
@@ -408,9 +408,11 @@
     query = here.ask()
     spin(lambda: here.wants(query))
     (attempt,) = query.in_flight.values()
-    before = attempt.connection._out.given
+    before = attempt.connection._out.bytes_written
     here.core._cancel(t.Cancel(query.id, 0))
-    assert attempt.connection._out.given > before and not attempt.connection._out.kept()  # before any turn of the loop
+    assert (
+        attempt.connection._out.bytes_written > before and not attempt.connection._out.buffered_bytes()
+    )  # before any turn of the loop
 
 
 @pytest.mark.parametrize("moved", [False, True])
@@ -430,7 +432,7 @@
         waits = here.ask()
     entry = t.EngineEntry("e0", "z", "std", started_at=here.clock.now())
     here.core.update_endpoints([entry], 9)
-    here.pools.listed({"e0": ("127.0.0.1", here.stands[moved].port.getHost().port)}, [entry])
+    here.pools.update_endpoints({"e0": ("127.0.0.1", here.stands[moved].port.getHost().port)}, [entry])
     before = sum(len(stand.connections) for stand in here.stands)
     for stand in here.stands:
         stand.act = answer
@@ -479,7 +481,7 @@
     link = rest(here)
     here.stands[0].connections[0].transport.pauseProducing()
     link.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-    while not link._out.kept():  # no request stays behind a full socket, but what calls requests off does
+    while not link._out.buffered_bytes():  # no request stays behind a full socket, but what calls requests off does
         link._out.write(command(b"never_mind", b"%016x" % 99) * 5_000)
         reactor.iterate(0)
     here.told("Terminating")
@@ -675,7 +677,7 @@
 
 @pytest.mark.parametrize("said", CUT.values(), ids=CUT)
 def test_a_planted_patience_without_end_with_half_a_frame_is_seen(make, monkeypatch, said):
-    unheeded(monkeypatch, "look", lambda self, now: None)
+    unheeded(monkeypatch, "check_timeouts", lambda self, now: None)
     with pytest.raises(AssertionError):
         test_an_answer_that_is_cut_off_is_no_answer(make, said, False)
 
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -219,7 +219,7 @@
             return link
 
         self.pools = EnginePools(dial, self.clock, LIMITS, self.counters, self.core, LIMITS.engine_connections)
-        self.pools.listed({name: ("127.0.0.1", number) for number, name in enumerate(self.states)})
+        self.pools.update_endpoints({name: ("127.0.0.1", number) for number, name in enumerate(self.states)})
         self.core.start(self.pools, [t.EngineEntry(name, "z", "std") for name in self.states], 1)
         self.clients = []
         self.connect()
@@ -488,7 +488,7 @@
         there = {name: state for name, state in self.states.items() if state != "gone"}
         entries = [t.EngineEntry(name, "z", "std", state=state) for name, state in there.items()]
         self.core.update_endpoints(entries, 2)
-        self.pools.listed({name: ("127.0.0.1", int(name[1:])) for name in there}, entries)
+        self.pools.update_endpoints({name: ("127.0.0.1", int(name[1:])) for name in there}, entries)
         self.look()
 
     @precondition(lambda self: self.dials)
@@ -596,7 +596,9 @@
 
 def a_drain_unheeded(patch):
     patch.setattr(
-        EnginePools, "listed", lambda self, addresses, entries=(), real=EnginePools.listed: real(self, addresses)
+        EnginePools,
+        "update_endpoints",
+        lambda self, addresses, entries=(), real=EnginePools.update_endpoints: real(self, addresses),
     )
 
 
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -82,7 +82,7 @@
     def failed(self, link):
         """Called off, it is as one that nobody took."""
         self.waiting = [(pool, other) for pool, other in self.waiting if other is not link]
-        link.refused()
+        link.connect_failed()
 
     def release(self):
         """The oldest dial is made, and has come up on both sides."""
@@ -317,7 +317,7 @@
     entries = [t.EngineEntry("e0", "z", "std", state="Draining"), t.EngineEntry("e1", "z", "std")]
     site.core.update_endpoints(entries, 2)
     addresses = {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(site.stands)}
-    site.pools.listed(addresses, entries)
+    site.pools.update_endpoints(addresses, entries)
 
 
 def test_an_attempt_held_in_a_late_turn_leaves_an_engine_that_begins_to_drain(site):
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -401,11 +401,11 @@
         query = Query(id, "depot-load", b"INSERT", self.core.clock.now() + 9 * S, HEARD, idempotency_key="key")
         attempt = self.attempts[id] = Attempt(query, 0, "e0", self.core.clock.now())
         able = not self.silent and not self.blocked()
-        assert self.connection.takes(attempt) == able
+        assert self.connection.accepts(attempt) == able
         if not able:
             return self.attempts.__delitem__(id)
-        self.connection.carry(attempt)
-        assert not self.connection.takes(Attempt(query, 1, "e0", 0))  # its id is in use here
+        self.connection.enqueue(attempt)
+        assert not self.connection.accepts(Attempt(query, 1, "e0", 0))  # its id is in use here
         assert self.wire.take() == b""  # the socket is read first, and asked whether it takes anything
         self.since[id] = self.core.clock.now()
 
@@ -490,7 +490,7 @@
         self.say(id.encode(), word, b"-", b"", cuts=cuts)
         self.over(id, reason)
         self.stale.add(id)
-        assert not self.connection.takes(attempt)  # a second copy of this end would pass for a later attempt's
+        assert not self.connection.accepts(attempt)  # a second copy of this end would pass for a later attempt's
 
     @precondition(lambda self: self.state == "up" and self.pages)
     @rule(data=st.data(), cuts=CUTS, page=st.booleans())
@@ -543,7 +543,7 @@
 
     def look(self):
         now = self.core.clock.now()
-        self.connection.look(now)
+        self.connection.check_timeouts(now)
         for id in list(self.attempts) if self.state == "up" else ():
             if id not in self.ends and now - self.since[id] >= LIMITS.unwritable:
                 self.over(id, "NOCONN")  # the socket does not take it: it goes elsewhere
@@ -593,7 +593,7 @@
             self.stale.add(id)
             now = self.core.clock.now()
             self.silent |= self.heard <= attempt.sent_at and now - attempt.sent_at >= LIMITS.silence
-            assert not self.connection.takes(attempt)  # an answer that crossed would pass for a later attempt's
+            assert not self.connection.accepts(attempt)  # an answer that crossed would pass for a later attempt's
 
     @precondition(lambda self: self.state == "up" and self.stale)
     @rule(data=st.data(), cuts=CUTS, word=st.sampled_from([b"200", b"500", b"chunk", b"status"]))
@@ -879,10 +879,10 @@
     def __init__(self, pool):
         self.pool, self.closed, self.open, self.retired = pool, False, [], False
 
-    def takes(self, attempt):
+    def accepts(self, attempt):
         return not self.retired
 
-    def carry(self, attempt):
+    def enqueue(self, attempt):
         self.open.append(attempt)
 
     def load(self):
@@ -891,7 +891,7 @@
     def idle_since(self):
         return 0
 
-    def look(self, now):
+    def check_timeouts(self, now):
         pass
 
     def retire(self):
@@ -900,7 +900,7 @@
 
     def close_if_idle(self):
         if not self.open:
-            self.pool.lost(self)
+            self.pool.connection_closed(self)
 
 
 def test_connections_are_shared_by_few_and_end_with_their_engine():
@@ -913,12 +913,12 @@
 
     pools = EnginePools(dial, core.clock, LIMITS, counters, core, LIMITS.engine_connections)
     place = ("127.0.0.1", 5050)
-    pools.listed({"e0": place})
+    pools.update_endpoints({"e0": place})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
     for number in range(LIMITS.few * LIMITS.spread + 8):
         pools.send(Attempt(query, number, "e0", 0))
     assert [link.load() for link in made] == [5] * LIMITS.spread
-    pools.listed({"e1": place})
+    pools.update_endpoints({"e1": place})
     pools.send(Attempt(query, 99, "e0", 0))
     pools.send(Attempt(query, 99, "e1", 0))
     assert core.ends[-1][1] == "NOCONN" and made[-1].pool.name == "e1" and len(made) == LIMITS.spread + 1
@@ -939,7 +939,7 @@
         core,
         LIMITS.engine_connections,
     )
-    pools.listed({f"e{i}": ("127.0.0.1", 5050 + i) for i in range(6)})
+    pools.update_endpoints({f"e{i}": ("127.0.0.1", 5050 + i) for i in range(6)})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
     for i in range(6):
         pools.send(Attempt(query, i, f"e{i}", 0))
