--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -20,7 +20,7 @@
 from rackhub.core.request import Query
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.front import Client, ClientTimeouts, Front, InvalidRequestError, request
+from rackhub.net.front import Client, ClientTimeouts, Front, InvalidRequestError, build_query
 from rackhub.net.tds import codec
 from rackhub.net.tds.stream import TdsStream
 from rackhub.operatorfile import TdsFrontSettings, TdsLogin
@@ -125,7 +125,7 @@
                 raise codec.BadTds("a request while another one runs")
         self.stale = False
         # until it is logged in the time runs from its connecting
-        self.came(whole and self.login is not None, self._in.begun)
+        self.record_received(whole and self.login is not None, self._in.begun)
 
     def _prelogin(self, kind: int, body: bytes) -> None:
         if kind != codec.PRELOGIN:
@@ -180,11 +180,11 @@
         except codec.Unsupported as what:
             self.counters.add("tds_unsupported")
             self._say_error(UNSUPPORTED, 1, 16, f"not supported: {what}")
-            self.fault()
+            self.record_fault()
         except InvalidRequestError as fault:
             self.counters.add("bad_params")
             self._say_error(BAD_REQUEST, 1, 16, str(fault))
-            self.fault()
+            self.record_fault()
 
     def _arguments(self, call: codec.Call) -> dict[str, Any]:
         if call.name.lower().removeprefix("dbo.") != CALL:
@@ -208,7 +208,7 @@
         if tenant and tenant not in login.tenants:
             raise InvalidRequestError("the tenant is not one of this login's")
         budget = given.get("@budget_ms", login.budget_ms or self.core.classes[cls].deadline / 1_000)
-        query = request(
+        query = build_query(
             self.core,
             self,
             id=self._ids(),
@@ -256,14 +256,14 @@
         self.transport.registerProducer(self, False)  # one page at a time, as the client reads
 
     def resumeProducing(self) -> None:
-        self.choked_since = 0
+        self.write_blocked_since = 0
         if self.state != self.ROWS:
             return
         while self._pages:  # a page may fill no packet: only bytes written make the transport ask for more
             page = self._pages.pop(0)
             self._sent += len(page)
             if packets := self._out.add(codec.row(row) for row in page):
-                self.choked_since = self.core.clock.now()  # until the transport asks for more
+                self.write_blocked_since = self.core.clock.now()  # until the transport asks for more
                 return self.write(packets)
         self.transport.unregisterProducer()
         self._finish((self._status(), codec.done(codec.DONE_COUNT, self._sent, self._done)))
@@ -315,7 +315,7 @@
 
     def _finish(self, pieces: Sequence[bytes]) -> None:
         self.write(self._out.end(pieces))
-        self._out, self.choked_since, self.used = None, 0, self.core.clock.now()
+        self._out, self.write_blocked_since, self.used = None, 0, self.core.clock.now()
         self._done = codec.DONE
         if self.state in (self.BUSY, self.ROWS):
             self.state = self.READY
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -138,7 +138,7 @@
 def gone(client):
     """The test's side of the connection closes, and the coordinator's is gone with it."""
     client.socket.close()
-    spin(lambda: client.served_by not in client.front.connections and client.served_by not in client.front._leaving)
+    spin(lambda: client.served_by not in client.front.connections and client.served_by not in client.front._aborted)
 
 
 # ---- a close over unread bytes
@@ -233,7 +233,7 @@
     newcomer.send(ALIVE)
     spin(newcomer.answers)
     assert silent.served_by in here.fronts[0].connections and not silent.read()
-    spin(lambda: lingers.served_by not in here.fronts[0]._leaving)
+    spin(lambda: lingers.served_by not in here.fronts[0]._aborted)
 
 
 def test_a_flood_on_a_connection_that_ends_is_read_up_to_a_bound(site):
@@ -243,13 +243,13 @@
     spin(lambda: client.read())
     assert client.end == "closed"
     sent = 0
-    while not client.served_by.unread:
+    while not client.served_by.reading_stopped:
         try:
             sent += client.socket.send(b"y" * 10_000 + b"\n")
         except BlockingIOError:
             pass
         reactor.iterate(0)
-    assert len(client.served_by._buffer) <= 1_000 and client.served_by._dropped < 50_000 + (1 << 17)
+    assert len(client.served_by._buffer) <= 1_000 and client.served_by._discarded < 50_000 + (1 << 17)
     here.clock.advance(LIMITS.linger + LIMITS.look)
     spin(lambda: not here.fronts[0].connections)
 
@@ -276,7 +276,7 @@
     here = site(loop=True)
     client = here.client()
     client.send(b'{"jsonrpc":"2.0",')
-    spin(lambda: client.served_by.half_since)
+    spin(lambda: client.served_by.incomplete_since)
     here.clock.advance(LIMITS.half_message)
     client.send(b'"id":950,"method":"alive"}\n')
     here.clock.advance(LIMITS.look)
@@ -328,7 +328,7 @@
     client = here.client()
     whole = json.dumps(ask(1)).encode() + b"\n"
     client.send(whole[:40])
-    spin(lambda: client.served_by.half_since)
+    spin(lambda: client.served_by.incomplete_since)
     here.fronts[0].drain()
     for _ in range(5):
         reactor.iterate(0)
@@ -345,7 +345,7 @@
     here = site()
     client = here.client()
     client.send(b'{"jsonrpc"')
-    spin(lambda: client.served_by.half_since)
+    spin(lambda: client.served_by.incomplete_since)
     here.fronts[0].drain()
     here.clock.advance(LIMITS.half_message + LIMITS.look)
     assert client.until_ended() == "closed" and here.counters["clients_half"] == 1
@@ -389,7 +389,8 @@
     assert not client.served_by.reading_paused
     client.send(*[b"{\n"] * (LIMITS.free_faults + 1), ask(2))
     spin(lambda: here.counters["requests_in"] == 2)
-    assert client.served_by.unread and not client.served_by.reading_paused and here.counters["clients_slowed"] == 1
+    assert client.served_by.reading_stopped and not client.served_by.reading_paused
+    assert here.counters["clients_slowed"] == 1
     here.clock.advance(LIMITS.unread_turn + 1)
     assert client.served_by.reading_paused
     client.socket.close()
@@ -441,7 +442,7 @@
     client.served_by.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     client.send(*[ask(number) for number in range(1, 9)])
     spin(lambda: here.counters["served"] == 8)
-    assert client.served_by.choked_since
+    assert client.served_by.write_blocked_since
     here.clock.advance(LIMITS.unread_turn + 1)
     assert client.served_by.reading_paused
     spin(lambda: client.read() or client.got.count(b"\n") == 8)
@@ -879,7 +880,7 @@
 
 def test_without_room_made_for_newcomers_they_are_missed(gated, unreachable):
     """The mistake planted that the test above must find."""
-    planted = "import rackhub.net.front as front\nfront.Front._make_room = lambda self: False\n"
+    planted = "import rackhub.net.front as front\nfront.Front._evict_client = lambda self: False\n"
     with pytest.raises(AssertionError, match="assert 24 == 60"):
         test_idle_clients_fill_the_descriptors_while_discovery_is_down(gated, unreachable, planted)
 
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -362,7 +362,7 @@
         if not self.lost and not self.wire.aborted:
             # who is taken no more from is read from all the same: its close and its cancels have to show
             wanted = not self.taking or not self.choked and self.now >= self.held
-            assert (self.wire.producerState == "producing") == wanted == (not self.connection.unread)
+            assert (self.wire.producerState == "producing") == wanted == (not self.connection.reading_stopped)
         assert (self.connection in self.front.connections) != self.lost
 
 
