--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -247,10 +247,10 @@
         ends.append((attempt.query, how)),
         told(attempt, how, *more),
     )
-    spin(lambda: not link._waiting)
+    spin(lambda: not link._queued)
     while not link._out.buffered_bytes():
         whole.append(here.ask(statement=b"x" * 40_000))
-        spin(lambda: not link._waiting)
+        spin(lambda: not link._queued)
     part = whole.pop()
     assert whole and 0 < link._out.buffered_bytes() < 40_000
     reset(here.stands[0].connections[0])
@@ -555,7 +555,7 @@
     engine.transport.socket.sendall(GOOD + said)
     if lost:
         reset(engine)
-    spin(lambda: queries[1].closed and (lost or queries[0].in_flight[0].connection.half_since))
+    spin(lambda: queries[1].closed and (lost or queries[0].in_flight[0].connection.incomplete_since))
     here.clock.advance(LIMITS.half_frame + 1)
     here.pools.sweep()
     spin(lambda: all(query.closed for query in queries))
@@ -594,7 +594,7 @@
     engine.transport.socket.sendall(b"".join(command(id, b"200", b"chunks=1", b"old\told\told\n")))
     here.core._cancel(t.Cancel(query.id, 0))
     if planted:
-        first.connection.stale.clear()
+        first.connection.failed_ids.clear()
     here.clock.advance(2 * LIMITS.handover)
     second = one_out(query)
     assert second is not first and (second.connection is first.connection) == planted
@@ -670,7 +670,7 @@
 
 @pytest.mark.parametrize("said", SPOILT.values(), ids=SPOILT)
 def test_a_planted_reader_that_goes_on_after_a_bad_frame_is_seen(make, monkeypatch, said):
-    unheeded(monkeypatch, "_malformed", lambda self, bad: None)
+    unheeded(monkeypatch, "malformed", lambda self, bad: None)
     with pytest.raises(AssertionError):
         test_an_answer_that_can_t_be_read_ends_what_shares_its_connection_as_having_run(make, said)
 
