--- a/rackhub/config.py
+++ b/rackhub/config.py
@@ -15,7 +15,7 @@
 from rackhub.address import address as read_address
 from rackhub.core.source import EndpointSnapshot
 from rackhub.limits import SECOND, Limits
-from rackhub.net.resolver import merge_events
+from rackhub.net.platform_source import merge_events
 from rackhub.operatorfile import Operator
 from rackhub.settings import BadLine, flatten, settings_of
 
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -23,7 +23,7 @@
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.listen import SharedPort
 from rackhub.net.loop import ReactorWaker
-from rackhub.net.resolver import PlatformSource
+from rackhub.net.platform_source import PlatformSource
 from rackhub.net.resp import resp_pools
 from rackhub.net.tds.engine import tds_pools
 from rackhub.net.tds.front import tds_front
--- a/rackhub/trials/scale/engines.py
+++ b/rackhub/trials/scale/engines.py
@@ -8,7 +8,7 @@
 
 from rackhub import interface
 from rackhub.limits import Limits
-from rackhub.net.resolver import parse_answer, question
+from rackhub.net.dns_protocol import parse_answer, question
 from rackhub.trials.processes.resolver import MOST as ANSWER_BYTES
 from rackhub.trials.processes.resolver import answer
 from rackhub.trials.processes.site import Engine
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -22,8 +22,9 @@
 from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
+from rackhub.net.platform_source import PlatformSource
 from rackhub.net.poll_schedule import PollSchedule
-from rackhub.net.resolver import PlatformSource, Question, Resolver
+from rackhub.net.resolver import PendingPoll, Resolver
 
 A, B = ("a", "127.0.0.1", 0, 0), ("b", "127.0.0.2", 0, 0)
 DRAINS = ("b", "127.0.0.2", 1, 0)
@@ -225,7 +226,7 @@
     if planted:  # a reload that forgets where it asks
         resolver._server = desk.address
     resolver._random.randrange = lambda most: desk.asked[0][0]
-    resolver._asked = {desk.asked[0][0]: Question(0.0, 0)}
+    resolver._pending = {desk.asked[0][0]: PendingPoll(0.0, 0)}
     spin(lambda: watch.heard())
     assert [listing.revision for listing in watch.lists] == [9] * planted
     if not planted:
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -11,8 +11,9 @@
 
 from rackhub.core.source import EndpointSnapshot
 from rackhub.counters import Counters
+from rackhub.net.dns_protocol import SERVICE, InvalidAnswerError, parse_answer, question
 from rackhub.net.poll_schedule import PollSchedule
-from rackhub.net.resolver import SERVICE, InvalidAnswerError, Resolver, parse_answer, question
+from rackhub.net.resolver import Resolver
 
 
 def answer(number, serial, *engines, rcode=0, drop=()):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -19,7 +19,7 @@
 from rackhub.fleet.link import frames
 from rackhub.fleet.overload import records
 from rackhub.fleet.register import words
-from rackhub.net.resolver import parse_answer, question
+from rackhub.net.dns_protocol import parse_answer, question
 from rackhub.trials.processes import bound, forger, probes, rows, schedule, torture
 from rackhub.trials.processes.arrivals import Arrival, Load
 from rackhub.trials.processes.attempts import Attempts, Sent
