--- /dev/null
+++ b/rackhub/net/client.py
@@ -0,0 +1,158 @@
+"""One client's connection as all fronts treat it: its timeouts, flow control and half-close."""
+
+from typing import TYPE_CHECKING, Any
+
+from rackhub import logs
+from rackhub.core.request import Reply
+
+if TYPE_CHECKING:
+    from rackhub.net.front import Front
+
+log = logs.logger(__name__)
+
+MAX_PENALTY_DOUBLINGS = 10
+
+
+class Client(Reply):
+    """One client's connection: timeouts, flow control and the half-close. The front's protocol fills in the rest.
+
+    `incomplete_since` is when a message began that is not complete yet, `write_blocked_since` when the client stopped
+    reading what is written to it, `closed_at` when the writing side was closed; 0: it is not so.
+    """
+
+    marks = False  # whether it can answer that a result is partial: see `core.request.Reply`
+    transport: Any  # Twisted's TCP connection
+
+    def __init__(self, front: "Front"):
+        self.front = front
+        self.core = front.core
+        self.counters = front.counters
+        self.used = front.core.clock.now()  # when it connected, or last sent or received a complete message
+        self.incomplete_since = 0
+        self.write_blocked_since = 0
+        self.penalty_until = 0  # not read from before then
+        self.closed_at = 0
+        self.reading_stopped = False
+        self._reading_changed_at = 0
+        self.has_sent_message = False
+        self.ending = False
+        self.faults = 0  # invalid messages received
+
+    def busy(self) -> bool:
+        """Whether a request is open on it."""
+        raise NotImplementedError
+
+    def end(self) -> None:
+        """Accept no more from now on, answer what is open, then close."""
+        raise NotImplementedError
+
+    def drain(self) -> None:
+        """Close gracefully as the process ends: accept what is on its way, answer it, then close.
+
+        The same as `end` where the protocol has no better way.
+        """
+        self.end()
+
+    def end_with_error(self, why: str) -> None:
+        """Answer with an error, where the protocol has a place for one, then end the connection."""
+        raise NotImplementedError
+
+    def record_received(self, complete: bool, begun: bool) -> None:
+        """Record that bytes came: whether a `complete` message was among them, and whether one has `begun` after it."""
+        now = self.core.clock.now()
+        if complete:
+            self.has_sent_message = True
+            self.used = now
+        if not begun:
+            self.incomplete_since = 0
+        elif complete or not self.incomplete_since:
+            self.incomplete_since = now
+
+    def close(self) -> None:
+        """Close the writing side, once all that is owed is written.
+
+        A full close over bytes that are not read yet is a reset, which discards the answer written before it. What
+        still comes is read and discarded until the client closes too; `Front.check_timeouts` bounds the wait.
+        """
+        if not self.closed_at and self in self.front.connections:
+            self.ending = True
+            self.closed_at = self.core.clock.now()
+            log.debug("client_closed", client=self, reason="all is answered")
+            self.transport.unregisterProducer()
+            self.transport.loseWriteConnection()
+
+    def __str__(self) -> str:
+        """Return the client's address, for the log."""
+        peer = self.transport.getPeer()
+        return f"{peer.host}:{peer.port}"
+
+    def abort(self) -> None:
+        """Close at once, with nothing owed."""
+        self.transport.abortConnection()
+
+    # ---- flow control: a client that does not read is not read from either, which bounds both buffers
+
+    def pauseProducing(self) -> None:  # noqa: N802
+        """Stop reading while the client does not read its answers (Twisted)."""
+        self.write_blocked_since = self.core.clock.now()
+        self.update_reading()
+
+    def resumeProducing(self) -> None:  # noqa: N802
+        """Go on reading, as the client has read its answers (Twisted)."""
+        self.write_blocked_since = 0
+        self.update_reading()
+
+    def stopProducing(self) -> None:  # noqa: N802
+        """Ignore the loss of the connection, which `connectionLost` handles (Twisted)."""
+
+    def record_fault(self) -> None:
+        """Record an invalid message, which was answered.
+
+        A few have no consequence; after each further one the client is not read from for a while, which doubles, as
+        clients that send them at full speed would take most of the CPU.
+        """
+        self.faults += 1
+        excess = self.faults - self.front.limits.free_faults
+        if excess <= 0 or self.ending:
+            return
+        now = self.core.clock.now()
+        penalised = now < self.penalty_until  # then its timer is running
+        doubled = self.front.limits.penance << min(excess - 1, MAX_PENALTY_DOUBLINGS)
+        self.penalty_until = now + min(doubled, self.front.limits.penance_most)
+        if not penalised:
+            self.counters.add("clients_slowed")
+            self.core.timers.at(self.penalty_until, self._check_penalty)
+            self.update_reading()
+
+    def _check_penalty(self) -> None:
+        if self.core.clock.now() < self.penalty_until:
+            self.core.timers.at(self.penalty_until, self._check_penalty)
+        else:
+            self.update_reading()
+
+    def should_stop_reading(self) -> bool:
+        """Whether it is not to be read from now."""
+        return not self.ending and (self.write_blocked_since > 0 or self.core.clock.now() < self.penalty_until)
+
+    def update_reading(self) -> None:
+        """Stop reading or go on, as it should be now. Nothing else pauses or resumes the transport."""
+        if self.should_stop_reading() == self.reading_stopped:
+            return
+        if not self.reading_stopped and not self.stale:
+            self.stale_since = self.core.clock.now()
+        self.stale = self.stale or self.reading_paused  # until all that the kernel has buffered is read
+        self.reading_stopped = not self.reading_stopped
+        self._reading_changed_at = self.core.clock.now()
+        if self.reading_stopped:
+            self.transport.pauseProducing()
+        else:
+            self.transport.resumeProducing()
+
+    @property
+    def reading_paused(self) -> bool:  # type: ignore[override]
+        """Whether a cancel or the client's close may be unread.
+
+        One answer that fills the buffer stops the reading for an event-loop iteration, which does not count.
+        """
+        stopped_for = self.core.clock.now() - self._reading_changed_at
+        return self.reading_stopped and stopped_for > self.front.limits.unread_turn
--- a/rackhub/net/jsonrpc.py
+++ b/rackhub/net/jsonrpc.py
@@ -13,7 +13,9 @@
 from rackhub.core.request import Query
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.front import Client, ClientTimeouts, Front, InvalidRequestError, build_query
+from rackhub.net.client import Client
+from rackhub.net.front import ClientTimeouts, Front
+from rackhub.net.request_validation import InvalidRequestError, build_query
 
 log = logs.logger(__name__)
 
@@ -146,14 +148,14 @@
         """Whether a request is open on it."""
         return bool(self.open)
 
-    def late(self, why: str) -> None:
+    def end_with_error(self, why: str) -> None:
         """Answer with an error, then end the connection."""
         self._error(None, INVALID_REQUEST, why)
         self.end()
 
     def _too_long(self) -> None:
         self.counters.add("too_long")
-        self.late("the line is too long")
+        self.end_with_error("the line is too long")
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         """Decode and handle one message."""
--- a/rackhub/net/pool.py
+++ b/rackhub/net/pool.py
@@ -198,7 +198,7 @@
         """Return the connection for an attempt, a new one if need be; None where no more may be opened."""
         candidates = [link for link in pool.links if link.accepts(attempt)]
         link = min(candidates, key=lambda link: link.load(), default=None)
-        if link is not None and not self._should_spread(pool, link):
+        if link is not None and not self._should_add_link(pool, link):
             return link
         if len(pool.links) < self._max_links and self._reserve_descriptor():
             self._counters.add("engine_dials")
@@ -207,9 +207,9 @@
             pool.links.append(link)
         return link
 
-    def _should_spread(self, pool: EnginePool, least_loaded: EngineLink) -> bool:
-        """Whether one more connection is worth a descriptor, though the least loaded one could accept an attempt."""
-        crowded = least_loaded.load() >= self._limits.few and len(pool.links) < self._limits.spread
+    def _should_add_link(self, pool: EnginePool, best: EngineLink) -> bool:
+        """Whether one more connection is worth a descriptor, though the `best` one could accept an attempt."""
+        crowded = best.load() >= self._limits.few and len(pool.links) < self._limits.spread
         return crowded and len(self._all_links()) < self._limits.engine_links * 3 // 4
 
     def _all_pools(self) -> Iterable[EnginePool]:
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -289,6 +289,7 @@
     """Return the engine port over RESP; `reactor` provides Twisted's `IReactorTCP`."""
 
     def make(pool: EnginePool) -> EngineConnection:
+        """Return a connection that is not up yet."""
         return EngineConnection(pool, clock, limits, counters, core)
 
     return EnginePools(EngineDialer(reactor, make, limits), clock, limits, counters, core, limits.engine_connections)
--- a/rackhub/net/resp_reader.py
+++ b/rackhub/net/resp_reader.py
@@ -18,7 +18,7 @@
 class RespReader(LineReceiver):
     """The receiving side of a connection: calls `frame_received` for each array.
 
-    The parser's state is in `_strings_due`: how many bulk strings the present array still needs, 0 between arrays.
+    The parser's state is in `_strings_missing`: how many bulk strings the present array still needs, 0 between arrays.
     """
 
     MAX_LENGTH = 65_536  # of a header line, in bytes; per instance from the limits
@@ -32,7 +32,7 @@
         self.closed = False  # lost, or to be closed: nothing more is read
         self.last_received = clock.now()
         self.incomplete_since = 0  # when a frame began that is not complete yet; 0: there is none
-        self._strings_due = 0
+        self._strings_missing = 0
         self._strings: list[bytes] = []
         self._string_size = -1  # of the present bulk string, with its end of line
         self._chunks: list[bytes] = []  # of the present bulk string
@@ -66,7 +66,7 @@
 
     def _between_frames(self) -> bool:
         """Whether no part of a frame has come after the last one."""
-        return not self._strings_due and bool(self.line_mode) and not self._buffer
+        return not self._strings_missing and bool(self.line_mode) and not self._buffer
 
     def _read_complete_answers(self, data: bytes) -> bytes:
         """Handle the answers that are complete at the front of `data`, and return the rest for the parser's states.
@@ -102,10 +102,10 @@
         """Read the header of an array or of a bulk string (Twisted)."""
         if self.closed:
             return
-        if not self._strings_due:
-            self._strings_due = self._size_in(line, b"*", MAX_STRINGS)
+        if not self._strings_missing:
+            self._strings_missing = self._size_in(line, b"*", MAX_STRINGS)
             self._strings = []
-            if not self._strings_due:
+            if not self._strings_missing:
                 raise InvalidFrameError("an empty array")
         else:
             self._string_size = self._size_in(line, b"$", self.limits.frame) + len(self.delimiter)
@@ -133,7 +133,7 @@
         if bulk[-2:] != b"\r\n":
             raise InvalidFrameError("a bulk string without its end")
         self._strings.append(bulk[:-2])
-        self._strings_due -= 1
-        if not self._strings_due:
+        self._strings_missing -= 1
+        if not self._strings_missing:
             self.frame_received(self._strings)
         self.setLineMode(data[len(chunk) :])  # type: ignore[no-untyped-call]
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -20,7 +20,9 @@
 from rackhub.core.request import Query
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.front import Client, ClientTimeouts, Front, InvalidRequestError, build_query
+from rackhub.net.client import Client
+from rackhub.net.front import ClientTimeouts, Front
+from rackhub.net.request_validation import InvalidRequestError, build_query
 from rackhub.net.tds import codec
 from rackhub.net.tds.stream import TdsStream
 from rackhub.operatorfile import TdsFrontSettings, TdsLogin
@@ -85,9 +87,9 @@
     def busy(self) -> bool:
         return self.state in (self.BUSY, self.ROWS)
 
-    def late(self, why: str) -> None:
+    def end_with_error(self, why: str) -> None:
         self.state = self.CLOSED
-        self.cut()  # inside a message there is no place for an error
+        self.abort()  # inside a message there is no place for an error
 
     def malformed(self) -> None:
         self.counters.add("tds_bad")
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -26,7 +26,7 @@
 from rackhub.core.request import Attempt, AttemptState
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
-from rackhub.net.front import Client
+from rackhub.net.client import Client
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.pool import EnginePool, EnginePools
 from rackhub.net.resp import EngineConnection
