--- a/rackhub/config.py
+++ b/rackhub/config.py
@@ -14,7 +14,7 @@
 from rackhub import address, interface
 from rackhub.core.source import EndpointSnapshot
 from rackhub.limits import SECOND, Limits
-from rackhub.net.resolver import whole_list
+from rackhub.net.platform_source import merge_events
 from rackhub.operatorfile import Operator, TdsLogin
 from rackhub.settings import flatten, parse_settings
 
@@ -307,7 +307,7 @@
         if notice.pool.snapshot:
             events.clear()
         events.append(_watch_event(notice, f"known.notices[{index}].pool"))
-    return whole_list(events)._replace(revision=known.revision)
+    return merge_events(events)._replace(revision=known.revision)
 
 
 def _watch_event(notice: WatchNotice, key: str) -> EndpointSnapshot:
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -25,7 +25,7 @@
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.listen import SharedPort
 from rackhub.net.loop import ReactorWaker
-from rackhub.net.resolver import Platform
+from rackhub.net.platform_source import PlatformSource
 from rackhub.net.resp import resp_pools
 from rackhub.net.tds.engine import tds_pools
 from rackhub.net.tds.front import tds_front
@@ -78,7 +78,7 @@
 
     def _create_source(self) -> Source:
         config = self.config
-        return Platform(
+        return PlatformSource(
             reactor,
             config.settings,
             config.engines,
@@ -144,7 +144,7 @@
         for component in self.components.values():
             listing = component.begin(listing)
         entries = self._visible_endpoints(listing)
-        self.engines.listed(listing.addresses, entries)
+        self.engines.update_endpoints(listing.addresses, entries)
         self.core.start(self.engines, entries, listing.revision)
         # Log errors in the reactor's callbacks, which would be lost otherwise.
         PythonLoggingObserver().start()  # type: ignore[no-untyped-call]
@@ -200,7 +200,7 @@
         # The coordinator first: it stops sending to a draining engine, so that what the pools return goes elsewhere.
         entries = self._visible_endpoints(listing)
         self.core.update_endpoints(entries, listing.revision)
-        self.engines.listed(listing.addresses, entries)
+        self.engines.update_endpoints(listing.addresses, entries)
 
     def _visible_endpoints(self, listing: EndpointSnapshot) -> tuple[interface.EngineEntry, ...]:
         """The endpoint list as the decision module is to see it."""
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -1,9 +1,9 @@
-"""What the fronts share: the listening side, how long clients may keep it waiting, and the checks that make a
-client's words a request.
+"""The listening side of a front: its connections, their maximum, and the client timeouts.
 
-Every client, however it behaves, gets a refusal, an error or a close in time, and none holds a descriptor for good:
-who says nothing, stops half way, idles or does not read is closed, and where room runs short the longest idle make
-way for newcomers. Who repeats faults is read from more and more slowly.
+Every client, however it behaves, is answered, rejected or disconnected in time, and none holds a descriptor for good:
+one that sends nothing, stops in the middle of a message, idles or does not read is disconnected, and where descriptors
+run short the clients that have idled longest are evicted. A client that sends invalid messages again and again is read
+from more and more slowly (see `client`).
 """
 
 from collections.abc import Callable
@@ -13,213 +13,24 @@
 
 from rackhub import logs
 from rackhub.core.coordinator import Coordinator
-from rackhub.core.request import Query, Reply
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.statement import table_group
+from rackhub.net.client import Client
 
 log = logs.logger(__name__)
 
-NAME = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+")
-HEX = frozenset("0123456789abcdef")
-MOST_MS = 3_600_000  # of a budget: no class has a longer deadline
-MOST_FIGURE = 1e9  # of an estimate: beyond it it is none
 
+class ClientTimeouts(NamedTuple):
+    """How long a front waits for a client, in microseconds."""
 
-class Unusable(ValueError):
-    """A request whose figures or names can't be used; the text names the one at fault."""
-
-
-def request(
-    core: Coordinator,
-    reply: Reply,
-    *,
-    id: str,
-    cls: str,
-    statement: bytes,
-    budget_ms: float,
-    tenant: str,
-    idempotency_key: str,
-    est_ms: float,
-    ram_mb: float,
-    tag: object = None,
-) -> Query:
-    """The request of a client, checked. Ids and keys stand in heads of the engines' wire, so letters matter."""
-    told = core.classes[cls]
-    if len(id) != 16 or not HEX.issuperset(id):
-        raise Unusable("the request id is not 16 hex digits")
-    if core.is_known_id(id):  # one that was answered too: its engines may still know it, by another statement
-        raise Unusable("the request id is not new")
-    if not 0 < budget_ms <= MOST_MS:  # also no NaN
-        raise Unusable("the budget is out of range")
-    if not (0 <= est_ms <= MOST_FIGURE and 0 <= ram_mb <= MOST_FIGURE):
-        raise Unusable("an estimate is out of range")
-    if told.idempotency != "dedup":
-        idempotency_key = ""
-    elif not idempotency_key:  # without it an engine could not tell a repeat, and repeats are what the class allows
-        raise Unusable("the key is missing: this class has one")
-    if len(idempotency_key) > 256 or not NAME.issuperset(idempotency_key):
-        raise Unusable("the key holds what a key can't")
-    if tenant not in core.tenants:
-        raise Unusable("the tenant is not known")
-    if not is_text(statement):  # engines answer 'error' to what they can't use, or close on it
-        raise Unusable("the statement is not text")
-    return Query(
-        id,
-        cls,
-        statement,
-        deadline(core.clock.now(), reply, int(budget_ms * 1_000)),
-        reply,
-        tag=tag,
-        tenant=tenant,
-        idempotency_key=idempotency_key,
-        estimate=int(est_ms * 1_000),
-        memory_mb=ram_mb,
-        tables=table_group(statement),
-    )
-
-
-def deadline(now: int, reply: Reply, budget: int) -> int:
-    """When a client that waits for `budget` has waited for it. What was not read for a while may have been sent at any
-    time of it, and more must not be passed on than the client has left."""
-    sent = reply.stale_since if reply.stale else now
-    return max(sent + budget, now + 1)
-
-
-def is_text(statement: bytes) -> bool:
-    if not statement.strip() or b"\0" in statement:
-        return False
-    try:
-        statement.decode()
-    except UnicodeDecodeError:
-        return False
-    return True
-
-
-class Patience(NamedTuple):
-    """How long a front waits: for a first message, for one that has begun, between messages, and for a client to
-    take what is written to it."""
-
-    first: int
-    half: int
-    idle: int
-    unread: int
-
-
-class Client(Reply):
-    """One client's connection, as far as the rules of service go; the front's protocol fills in the rest.
-
-    `half_since` is when a message began that has not come whole, `choked_since` when the client stopped taking what
-    is written to it, `closed_at` when the writing side was closed; 0: it is not so.
-    """
-
-    marks = False  # whether it can tell of an answer that it is partial: see `core.request.Reply`
-
-    def __init__(self, front: "Front"):
-        self.front, self.core, self.counters = front, front.core, front.counters
-        self.used = front.core.clock.now()  # when it connected, or last sent or got a whole message
-        self.half_since = self.choked_since = self.held_until = self.closed_at = 0
-        self.unread, self._paused_at = False, 0  # whether reading has stopped, and when that last changed
-        self.spoke = self.ending = False
-        self.faults = 0
-
-    def busy(self) -> bool:
-        """Whether a request is open on it."""
-        raise NotImplementedError
-
-    def end(self) -> None:
-        """Take no more from now on, answer what is open, then close."""
-        raise NotImplementedError
-
-    def drain(self) -> None:
-        """The process ends: take what is on its way, answer it, then close. As `end` where the protocol has no
-        better way."""
-        self.end()
-
-    def late(self, why: str) -> None:
-        """Tell the client as its protocol words it, then end the connection."""
-        raise NotImplementedError
-
-    def came(self, whole: bool, begun: bool) -> None:
-        """Bytes came: a `whole` message among them or not, and after it one has `begun` or not."""
-        now = self.core.clock.now()
-        if whole:
-            self.spoke, self.used = True, now
-        self.half_since = 0 if not begun else now if whole or not self.half_since else self.half_since
-
-    def close(self) -> None:
-        """All that is owed is written. Only the writing side is closed: a whole close over bytes that lie unread is
-        a reset, and that eats the answer written before it. What still comes is read and dropped until the client
-        closes too; `Front.look` bounds the wait."""
-        if not self.closed_at and self in self.front.connections:
-            self.ending, self.closed_at = True, self.core.clock.now()
-            log.debug("client_closed", client=self, reason="all is answered")
-            self.transport.unregisterProducer()
-            self.transport.loseWriteConnection()
-
-    def __str__(self) -> str:
-        """Where the client connects from, for the log."""
-        peer = self.transport.getPeer()
-        return f"{peer.host}:{peer.port}"
-
-    def cut(self) -> None:
-        """Close at once, with nothing owed."""
-        self.transport.abortConnection()
-
-    # a client that does not read its answers is not read from either, so that neither buffer grows without end
-    def pauseProducing(self) -> None:
-        self.choked_since = self.core.clock.now()
-        self.hear()
-
-    def resumeProducing(self) -> None:
-        self.choked_since = 0
-        self.hear()
-
-    def stopProducing(self) -> None:
-        pass
-
-    def fault(self) -> None:
-        """The client has sent what can't be used, and been told. A few times cost nothing; then it is read from
-        only after a while, which doubles: at full speed such clients took half of the one core."""
-        self.faults += 1
-        over = self.faults - self.front.limits.free_faults
-        if over > 0 and not self.ending:
-            now, waits = self.core.clock.now(), self.held_until
-            wait = min(self.front.limits.penance << min(over - 1, 10), self.front.limits.penance_most)
-            self.held_until = now + wait
-            if now >= waits:  # else it is held already, and its timer looks again
-                self.counters.add("clients_slowed")
-                self.core.timers.at(self.held_until, self._held)
-                self.hear()
-
-    def _held(self) -> None:
-        if self.core.clock.now() < self.held_until:
-            self.core.timers.at(self.held_until, self._held)
-        else:
-            self.hear()
-
-    def held(self) -> bool:
-        """Whether it is not to be read from now."""
-        return not self.ending and (self.choked_since > 0 or self.core.clock.now() < self.held_until)
-
-    def hear(self) -> None:
-        """The one place that stops reading and goes on with it."""
-        if self.held() != self.unread:
-            if not self.unread and not self.stale:
-                self.stale_since = self.core.clock.now()
-            self.stale = self.stale or self.reading_paused  # until all that lies unread is read
-            self.unread, self._paused_at = not self.unread, self.core.clock.now()
-            (self.transport.pauseProducing if self.unread else self.transport.resumeProducing)()
-
-    @property
-    def reading_paused(self) -> bool:
-        """Whether a cancel or the client's close may have gone unseen. One answer that fills the buffer stops the
-        reading for a turn, which tells nothing."""
-        return self.unread and self.core.clock.now() - self._paused_at > self.front.limits.unread_turn
+    first: int  # for the first message
+    half: int  # for the rest of a message
+    idle: int  # between messages
+    unread: int  # for the client to read what is written to it
 
 
 class Front(protocol.ServerFactory):
-    """A listening side: its connections, how many there may be, and whether another process takes its place."""
+    """A listening side: its connections, their maximum, and their timeouts."""
 
     noisy = False
 
@@ -229,86 +40,105 @@
         core: Coordinator,
         limits: Limits,
         counters: Counters,
-        most: int,
-        patience: Patience,
+        max_connections: int,
+        timeouts: ClientTimeouts,
     ):
-        self._make, self._most, self._patience = make, most, patience
-        self.core, self.limits, self.counters = core, limits, counters
+        """`make` builds the protocol of one connection."""
+        self._make = make
+        self._max_connections = max_connections
+        self._timeouts = timeouts
+        self.core = core
+        self.limits = limits
+        self.counters = counters
         self.connections: set[Client] = set()
-        self._leaving: set[Client] = set()  # cut, but their descriptors are not free yet
-        self.succeeded = False  # the process ends, and another one serves on the same address
-        core.timers.at(core.clock.now() + limits.look, self.look)
-
-    def buildProtocol(self, addr: object) -> protocol.Protocol | None:
-        full = len(self.connections) >= self._most
-        if full and (len(self._leaving) >= self.limits.leaving or not self._make_room()):
+        self._aborted: set[Client] = set()  # their descriptors are not free yet
+        self.succeeded = False  # whether the process ends while another one serves on the same address
+        core.timers.at(core.clock.now() + limits.look, self.check_timeouts)
+
+    def buildProtocol(self, addr: object) -> protocol.Protocol | None:  # noqa: N802
+        """Accept a connection, or close it at once: descriptors for engines are kept free (Twisted)."""
+        full = len(self.connections) >= self._max_connections
+        if full and (len(self._aborted) >= self.limits.leaving or not self._evict_client()):
             self.counters.add("clients_refused")
-            log.debug("client_refused", reason="no descriptor is left for it")
-            return None  # closed at once: descriptors for engines are kept free
+            log.debug("client_rejected", reason="no descriptor is left for it")
+            return None
         return self._make(self)
 
-    def _make_room(self) -> bool:
-        """Cut the client that can be missed most: whose connection is closed on this side, then who never said a
-        word, then the longest idle."""
-        able = [client for client in self.connections if not client.busy()]
-        if able:
-            self._cut(
-                min(able, key=lambda client: (not client.closed_at, client.spoke, client.used)), "clients_evicted"
-            )
-        return bool(able)
+    def _evict_client(self) -> bool:
+        """Abort the least useful client without an open request; False: there is none.
 
-    def _cut(self, client: Client, counter: str) -> None:
+        First one that is closed on this side, then one that never sent a message, then the one that idled longest.
+        """
+        candidates = [client for client in self.connections if not client.busy()]
+        if not candidates:
+            return False
+        evicted = min(candidates, key=lambda client: (not client.closed_at, client.has_sent_message, client.used))
+        self._abort(evicted, "clients_evicted")
+        return True
+
+    def _abort(self, client: Client, counter: str) -> None:
         self.counters.add(counter)
-        log.debug("client_cut", client=client, reason=counter, busy=client.busy())
+        log.debug("client_aborted", client=client, reason=counter, busy=client.busy())
         self.connections.discard(client)
-        self._leaving.add(client)
-        client.cut()
+        self._aborted.add(client)
+        client.abort()
 
     def connected(self, client: Client) -> None:
+        """Register a connection that is established."""
         self.counters.add("clients_accepted")
         log.debug("client_connected", client=client)
         self.connections.add(client)
 
     def lost(self, client: Client) -> None:
+        """Forget a connection that is closed."""
         self.counters.add("clients_closed")
         self.connections.discard(client)
-        self._leaving.discard(client)
+        self._aborted.discard(client)
+
+    def check_timeouts(self) -> None:
+        """Disconnect the clients that have timed out. Called periodically.
 
-    def look(self) -> None:
-        """Close who keeps the front waiting. By the time now, but in the next turn of the loop: what lies unread
-        in the kernel by now is read first, and may be just what was waited for."""
+        By the time now, but in the next event-loop iteration: what the kernel has buffered by now is read first, and
+        may be just what was waited for.
+        """
         now = self.core.clock.now()
-        self.core.timers.at(now + self.limits.look, self.look)
-        self.core.timers.at(now, self._end_late, now)
+        self.core.timers.at(now + self.limits.look, self.check_timeouts)
+        self.core.timers.at(now, self._end_timed_out, now)
 
-    def _end_late(self, now: int) -> None:
-        """Half of the room is kept free of idlers, for many may come at once."""
-        limits, patience = self.limits, self._patience
-        spare = sum(not client.ending for client in self.connections) - self._most // 2
+    def _end_timed_out(self, now: int) -> None:
+        """Half of the connections are kept free of idle clients, for many may connect at once."""
+        excess = sum(not client.ending for client in self.connections) - self._max_connections // 2
         for client in sorted(self.connections, key=lambda client: client.used):
-            if client.choked_since and now - client.choked_since >= patience.unread:
-                self._cut(client, "clients_unread")
-            elif client.closed_at and now - client.closed_at >= limits.linger:
-                self._cut(client, "clients_lingering")
-            elif client.ending:
-                continue
-            elif client.half_since and now - client.half_since >= patience.half:
-                self.counters.add("clients_half")
-                log.debug("client_ended", client=client, reason="clients_half")
-                client.late("the message did not come whole in time")
-            elif client.busy():
-                continue
-            elif not client.spoke and now - client.used >= patience.first:
-                self.counters.add("clients_silent")
-                log.debug("client_ended", client=client, reason="clients_silent")
-                client.late("nothing came in time")
-            elif now - client.used >= (limits.idle_crowded if spare > 0 else patience.idle):
-                self.counters.add("clients_idle")
-                log.debug("client_ended", client=client, reason="clients_idle")
-                client.end()
-            else:
-                continue
-            spare -= 1
+            idle_timeout = self.limits.idle_crowded if excess > 0 else self._timeouts.idle
+            if self._end_if_timed_out(client, now, idle_timeout):
+                excess -= 1
+
+    def _end_if_timed_out(self, client: Client, now: int, idle_timeout: int) -> bool:
+        timeouts = self._timeouts
+        if client.write_blocked_since and now - client.write_blocked_since >= timeouts.unread:
+            self._abort(client, "clients_unread")
+        elif client.closed_at and now - client.closed_at >= self.limits.linger:
+            self._abort(client, "clients_lingering")
+        elif client.ending:
+            return False
+        elif client.incomplete_since and now - client.incomplete_since >= timeouts.half:
+            self._count_ended(client, "clients_half")
+            client.end_with_error("the message did not come whole in time")
+        elif client.busy():
+            return False
+        elif not client.has_sent_message and now - client.used >= timeouts.first:
+            self._count_ended(client, "clients_silent")
+            client.end_with_error("nothing came in time")
+        elif now - client.used >= idle_timeout:
+            self._count_ended(client, "clients_idle")
+            client.end()
+        else:
+            return False
+        return True
+
+    def _count_ended(self, client: Client, counter: str) -> None:
+        self.counters.add(counter)
+        log.debug("client_ended", client=client, reason=counter)
 
     def drain(self) -> None:
         """Close every connection once what is open and on its way there is answered."""
@@ -316,6 +146,6 @@
             connection.drain()
 
     def end(self) -> None:
-        """Close every connection: what comes now is not taken."""
+        """Close every connection once what is open is answered: what comes now is discarded."""
         for connection in list(self.connections):
             connection.end()
--- a/rackhub/trials/virtual/rig.py
+++ b/rackhub/trials/virtual/rig.py
@@ -21,9 +21,9 @@
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.asking import Asking
 from rackhub.net.loop import ReactorWaker
-from rackhub.net.pool import Pool, Pools
+from rackhub.net.poll_schedule import PollSchedule
+from rackhub.net.pool import EnginePool, EnginePools
 
 MS, SECOND = 1_000, 1_000_000
 START = 1_000 * SECOND
@@ -203,7 +203,7 @@
 class Wire:
     """One connection to an engine, as the pool sees one."""
 
-    def __init__(self, site: "Site", pool: Pool):
+    def __init__(self, site: "Site", pool: EnginePool):
         self.site, self.pool, self.world = site, pool, site.world
         self.engine = self.world.engines[pool.name]
         self.open: dict[Attempt, bool] = {}  # and whether it has left
@@ -243,17 +243,17 @@
     def lost(self) -> None:
         self.closed, self.up = True, False
         self.engine.links.discard(self)
-        self.pool.lost(self)
+        self.pool.connection_closed(self)
         ended, self.open = list(self.open), {}
         for attempt in ended:
             self.site.core.complete_attempt(attempt, "RST")
 
     # ---- what the pool asks
 
-    def takes(self, attempt: Attempt) -> bool:
+    def accepts(self, attempt: Attempt) -> bool:
         return not self.closed and len(self.open) < 100
 
-    def carry(self, attempt: Attempt) -> None:
+    def enqueue(self, attempt: Attempt) -> None:
         attempt.connection, self.open[attempt], self.used = self, False, self.site.now()
         if self.up:
             self._write(attempt)
@@ -271,7 +271,7 @@
         if self.up and not self.open:
             self.closed, self.up = True, False
             self.engine.links.discard(self)
-            self.pool.lost(self)
+            self.pool.connection_closed(self)
 
     def idle_since(self) -> int:
         return self.used
@@ -283,9 +283,9 @@
         self.retired = True
         self.close_if_idle()
 
-    def look(self, now: int) -> None: ...
+    def check_timeouts(self, now: int) -> None: ...
 
-    def refused(self) -> None:
+    def connect_failed(self) -> None:
         self.closed = True
         ended, self.open = list(self.open), {}
         for attempt in ended:
@@ -301,14 +301,14 @@
         self.core = Coordinator(
             settings, number + 1, self, Timers(self, ReactorWaker(world.clock)), limits, self.counters
         )
-        self.pools = Pools(
+        self.pools = EnginePools(
             lambda pool: Wire(self, pool), self, limits, self.counters, self.core, limits.engine_connections
         )
-        self.asking, self._next = Asking(limits, self.random.random), None
+        self.asking, self._next = PollSchedule(limits, self.random.random), None
         self.gone: dict[str, float] = {}  # engines that it was told are gone, and when
         self._send, self.pools.send = self.pools.send, self.send
         listing = world.listing()
-        self.pools.listed(listing.addresses)
+        self.pools.update_endpoints(listing.addresses)
         self.core.start(self.pools, listing.entries, listing.revision)
         world.clock.callLater(self.random.random() * 0.25, self.ask_list)
         world.clock.callLater(0.1, self.sweep)
@@ -330,7 +330,7 @@
 
     def ask_list(self) -> None:
         self.world.count("list_calls")
-        self._again(self.asking.asked())
+        self._again(self.asking.poll_sent())
         if not self.world.is_silent():
             self.world.clock.callLater(2 * WIRE, self.told, self.world.listing())
 
@@ -340,7 +340,7 @@
         self._next = self.world.clock.callLater(delay / SECOND, self.ask_list)
 
     def told(self, listing: EndpointSnapshot) -> None:
-        self._again(self.asking.answered())
+        self._again(self.asking.answer_received())
         if listing.revision <= self.rev:
             return
         self.rev = listing.revision
@@ -350,7 +350,7 @@
             else:
                 self.gone.setdefault(name, self.world.time())
         self.core.update_endpoints(listing.entries, listing.revision)
-        self.pools.listed(listing.addresses)
+        self.pools.update_endpoints(listing.addresses)
 
     def request(self) -> None:
         cls = REPORT if self.random.random() < 0.15 else LOOKUP
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -28,11 +28,11 @@
 from rackhub.core.request_completion import RequestCompletion
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
-from rackhub.net.front import Client
+from rackhub.net.client import Client
 from rackhub.net.jsonrpc import jsonrpc_front
-from rackhub.net.pool import Pool, Pools
+from rackhub.net.pool import EnginePool, EnginePools
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_words import command
+from rackhub.net.resp_protocol import command
 from rackhub.policy import lifecycle, retries
 
 WINDOW = 300 * MS
@@ -214,14 +214,14 @@
         shared = self.clock, LIMITS, self.counters, self.core
         self.front = jsonrpc_front(self.core, LIMITS, self.counters)
 
-        def dial(pool: Pool):
+        def dial(pool: EnginePool):
             link = EngineConnection(pool, *shared)
             pool.dials[link] = SimpleNamespace(stopConnecting=lambda: self.dial_fails(link))
             self.dials.append(link)
             return link
 
-        self.pools = Pools(dial, self.clock, LIMITS, self.counters, self.core, LIMITS.engine_connections)
-        self.pools.listed({name: ("127.0.0.1", number) for number, name in enumerate(self.states)})
+        self.pools = EnginePools(dial, self.clock, LIMITS, self.counters, self.core, LIMITS.engine_connections)
+        self.pools.update_endpoints({name: ("127.0.0.1", number) for number, name in enumerate(self.states)})
         self.core.start(self.pools, [t.EngineEntry(name, "z", "std") for name in self.states], 1)
         self.clients = []
         self.connect()
@@ -490,7 +490,7 @@
         there = {name: state for name, state in self.states.items() if state != "gone"}
         entries = [t.EngineEntry(name, "z", "std", state=state) for name, state in there.items()]
         self.core.update_endpoints(entries, 2)
-        self.pools.listed({name: ("127.0.0.1", int(name[1:])) for name in there}, entries)
+        self.pools.update_endpoints({name: ("127.0.0.1", int(name[1:])) for name in there}, entries)
         self.look()
 
     @precondition(lambda self: self.dials)
@@ -597,7 +597,11 @@
 
 
 def a_drain_unheeded(patch):
-    patch.setattr(Pools, "listed", lambda self, addresses, entries=(), real=Pools.listed: real(self, addresses))
+    patch.setattr(
+        EnginePools,
+        "update_endpoints",
+        lambda self, addresses, entries=(), real=EnginePools.update_endpoints: real(self, addresses),
+    )
 
 
 def late_is_proof(patch):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rackhub import interface as t
-from rackhub.net.asking import Asking
+from rackhub.net.poll_schedule import PollSchedule
 from rackhub.policy.endpoints import EndpointTracker
 from rackhub.policy.outliers import OutlierDetector
 from rackhub.policy.router import Router
@@ -93,7 +93,7 @@
 
 
 GUARDS = {
-    "list calls in a second": lambda p: p.setattr(Asking, "asked", lambda asking: 60 * MS),
+    "list calls in a second": lambda p: p.setattr(PollSchedule, "poll_sent", lambda asking: 60 * MS),
     "dials that dead engines refuse": lambda p: p.setattr(
         OutlierDetector, "record_failure", lambda outliers, engine, certain=False: None
     ),
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -18,9 +18,9 @@
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.net.jsonrpc import jsonrpc_front
-from rackhub.net.pool import Pool, Pools
+from rackhub.net.pool import EnginePool, EnginePools
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_words import command
+from rackhub.net.resp_protocol import command
 from rackhub.net.tds import codec
 from rackhub.net.tds import front as tds
 
@@ -148,6 +148,26 @@
         self.open, self.numbers, self.taking, self.lost = {}, itertools.count(1), True, False
         self.used, self.half, self.choked, self.held, self.faults = self.now, 0, 0, 0, 0
         self.spoke = self.asked = False
+        self.stopped_at, self.unchoked_at = (
+            None,
+            0,
+        )  # since when it is not read from; when it last read its answers again
+        self.unread_since = 0  # what is read next may have been sent since then; 0: it was sent just now
+
+    @property
+    def reading(self):
+        """Whether the client is to be read from: one that no more is taken from is read for its close and cancels."""
+        return not self.taking or not self.choked and self.now >= self.held
+
+    def track_reading(self):
+        """Note when the reading stopped and, once it goes on after more than a turn, that what lay unread is old."""
+        if not self.reading:
+            self.stopped_at = self.now if self.stopped_at is None else self.stopped_at
+        elif self.stopped_at is not None:
+            resumed_at = max(self.stopped_at, self.unchoked_at, min(self.held, self.now))
+            if resumed_at - self.stopped_at > LIMITS.unread_turn:
+                self.unread_since = self.unread_since or self.stopped_at
+            self.stopped_at = None
 
     @property
     def now(self):
@@ -158,7 +178,12 @@
         return self.taking and not self.half
 
     def say(self, message, cuts, raw=False):
-        feed(self.connection, (message if raw else json.dumps(message).encode()) + b"\n", cuts)
+        data = (message if raw else json.dumps(message).encode()) + b"\n"
+        self.track_reading()
+        in_one_read = not cuts or cuts[0] >= len(data)
+        self.sent_at = self.unread_since if self.unread_since and in_one_read else self.now
+        feed(self.connection, data, cuts)
+        self.unread_since = 0  # each read but a full one ends what lay unread
         self.spoke, self.used = True, self.now
         return self.heard()
 
@@ -187,7 +212,7 @@
             self.open[id], self.asked = f"{id:016x}", True
             assert said == []
             query = self.core.open[f"{id:016x}"]
-            assert (query.tables, query.deadline) == (3, self.core.clock.now() + 900 * MS)
+            assert (query.tables, query.deadline) == (3, max(self.sent_at + 900 * MS, self.now + 1))
             assert query.idempotency_key == ("k" if method == "depot-load" else "")
 
     @precondition(lambda self: self.ready)
@@ -285,7 +310,9 @@
             assert self.say(b'"id":950,"method":"alive"}', cuts, raw=True)[0]["result"] == {"pass": True}
         else:
             self.half = self.now
+            self.track_reading()
             feed(self.connection, b'{"jsonrpc":"2.0",', cuts)
+            self.unread_since = 0
 
     @precondition(lambda self: not self.lost and not self.wire.disconnecting)
     @rule(on=st.booleans())
@@ -295,7 +322,7 @@
             self.choked = self.now
             self.connection.pauseProducing()
         elif not on and self.choked:
-            self.choked = 0
+            self.choked, self.unchoked_at = 0, self.now
             self.connection.resumeProducing()
 
     @rule(span=st.sampled_from([100 * MS, S, 2 * S, 6 * S]))
@@ -361,8 +388,11 @@
         assert self.lost or self.wire.disconnecting == (not self.taking and not self.open)
         if not self.lost and not self.wire.aborted:
             # who is taken no more from is read from all the same: its close and its cancels have to show
-            wanted = not self.taking or not self.choked and self.now >= self.held
-            assert (self.wire.producerState == "producing") == wanted == (not self.connection.unread)
+            assert (self.wire.producerState == "producing") == self.reading == (not self.connection.reading_stopped)
+            self.track_reading()
+            # once no more is taken nothing rests on it
+            stale_since = self.connection.stale_since if self.connection.stale else 0
+            assert not self.taking or stale_since == self.unread_since
         assert (self.connection in self.front.connections) != self.lost
 
 
@@ -374,7 +404,7 @@
     def __init__(self):
         super().__init__()
         self.core, self.counters = PlayedCore(), Counters()
-        self.pool = Pool("e0", ("127.0.0.1", 1), self.counters)
+        self.pool = EnginePool("e0", ("127.0.0.1", 1), self.counters)
         self.connection = EngineConnection(self.pool, self.core.clock, LIMITS, self.counters, self.core)
         self.pool.links.append(self.connection)
         self.wire, self.state = Transport(), "dialling"
@@ -401,11 +431,11 @@
         query = Query(id, "depot-load", b"INSERT", self.core.clock.now() + 9 * S, HEARD, idempotency_key="key")
         attempt = self.attempts[id] = Attempt(query, 0, "e0", self.core.clock.now())
         able = not self.silent and not self.blocked()
-        assert self.connection.takes(attempt) == able
+        assert self.connection.accepts(attempt) == able
         if not able:
             return self.attempts.__delitem__(id)
-        self.connection.carry(attempt)
-        assert not self.connection.takes(Attempt(query, 1, "e0", 0))  # its id is in use here
+        self.connection.enqueue(attempt)
+        assert not self.connection.accepts(Attempt(query, 1, "e0", 0))  # its id is in use here
         assert self.wire.take() == b""  # the socket is read first, and asked whether it takes anything
         self.since[id] = self.core.clock.now()
 
@@ -490,7 +520,7 @@
         self.say(id.encode(), word, b"-", b"", cuts=cuts)
         self.over(id, reason)
         self.stale.add(id)
-        assert not self.connection.takes(attempt)  # a second copy of this end would pass for a later attempt's
+        assert not self.connection.accepts(attempt)  # a second copy of this end would pass for a later attempt's
 
     @precondition(lambda self: self.state == "up" and self.pages)
     @rule(data=st.data(), cuts=CUTS, page=st.booleans())
@@ -543,7 +573,7 @@
 
     def look(self):
         now = self.core.clock.now()
-        self.connection.look(now)
+        self.connection.check_timeouts(now)
         for id in list(self.attempts) if self.state == "up" else ():
             if id not in self.ends and now - self.since[id] >= LIMITS.unwritable:
                 self.over(id, "NOCONN")  # the socket does not take it: it goes elsewhere
@@ -593,7 +623,7 @@
             self.stale.add(id)
             now = self.core.clock.now()
             self.silent |= self.heard <= attempt.sent_at and now - attempt.sent_at >= LIMITS.silence
-            assert not self.connection.takes(attempt)  # an answer that crossed would pass for a later attempt's
+            assert not self.connection.accepts(attempt)  # an answer that crossed would pass for a later attempt's
 
     @precondition(lambda self: self.state == "up" and self.stale)
     @rule(data=st.data(), cuts=CUTS, word=st.sampled_from([b"200", b"500", b"chunk", b"status"]))
@@ -874,15 +904,15 @@
 
 
 class Dialled:
-    """What `Pools` asks of a connection, with what it was told."""
+    """What `EnginePools` asks of a connection, with what it was told."""
 
     def __init__(self, pool):
         self.pool, self.closed, self.open, self.retired = pool, False, [], False
 
-    def takes(self, attempt):
+    def accepts(self, attempt):
         return not self.retired
 
-    def carry(self, attempt):
+    def enqueue(self, attempt):
         self.open.append(attempt)
 
     def load(self):
@@ -891,7 +921,7 @@
     def idle_since(self):
         return 0
 
-    def look(self, now):
+    def check_timeouts(self, now):
         pass
 
     def retire(self):
@@ -900,7 +930,7 @@
 
     def close_if_idle(self):
         if not self.open:
-            self.pool.lost(self)
+            self.pool.connection_closed(self)
 
 
 def test_connections_are_shared_by_few_and_end_with_their_engine():
@@ -911,14 +941,14 @@
         made.append(Dialled(pool))
         return made[-1]
 
-    pools = Pools(dial, core.clock, LIMITS, counters, core, LIMITS.engine_connections)
+    pools = EnginePools(dial, core.clock, LIMITS, counters, core, LIMITS.engine_connections)
     place = ("127.0.0.1", 5050)
-    pools.listed({"e0": place})
+    pools.update_endpoints({"e0": place})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
     for number in range(LIMITS.few * LIMITS.spread + 8):
         pools.send(Attempt(query, number, "e0", 0))
     assert [link.load() for link in made] == [5] * LIMITS.spread
-    pools.listed({"e1": place})
+    pools.update_endpoints({"e1": place})
     pools.send(Attempt(query, 99, "e0", 0))
     pools.send(Attempt(query, 99, "e1", 0))
     assert core.ends[-1][1] == "NOCONN" and made[-1].pool.name == "e1" and len(made) == LIMITS.spread + 1
@@ -931,7 +961,7 @@
 
 def test_connections_to_all_engines_together_stay_within_their_share_of_descriptors():
     core, counters, made = PlayedCore(), Counters(), []
-    pools = Pools(
+    pools = EnginePools(
         lambda pool: made.append(Dialled(pool)) or made[-1],
         core.clock,
         replace(LIMITS, engine_links=4),
@@ -939,7 +969,7 @@
         core,
         LIMITS.engine_connections,
     )
-    pools.listed({f"e{i}": ("127.0.0.1", 5050 + i) for i in range(6)})
+    pools.update_endpoints({f"e{i}": ("127.0.0.1", 5050 + i) for i in range(6)})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
     for i in range(6):
         pools.send(Attempt(query, i, f"e{i}", 0))
