--- a/rackhub/net/tds/codec.py
+++ b/rackhub/net/tds/codec.py
@@ -1,73 +1,142 @@
-"""TDS on the byte level, for both sides: packets, PRELOGIN, LOGIN7, requests and the tokens of answers.
+"""TDS codec for clients and servers: packets, PRELOGIN, LOGIN7, requests and response tokens.
 
-Written from MS-TDS. What arrives is checked before it is used: every length is held against what is there,
-so that bad bytes end as `BadTds` and never as a wrong answer.
+Implements the subset of MS-TDS that this program uses. Every length is checked against the available bytes before
+use; malformed input raises `TdsProtocolError`.
 """
 
 import struct
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any, NamedTuple
 
-SQL_BATCH, RPC, REPLY, ATTENTION, BULK, TRANSACTION, LOGIN7, SSPI, PRELOGIN = 1, 3, 4, 6, 7, 14, 16, 17, 18
-EOM, IGNORE, RESET = 0x01, 0x02, 0x08 | 0x10  # status bits of a packet
+# Packet types (MS-TDS 2.2.3.1.1).
+SQL_BATCH = 1
+RPC = 3
+REPLY = 4
+ATTENTION = 6
+BULK = 7
+TRANSACTION = 14
+LOGIN7 = 16
+SSPI = 17
+PRELOGIN = 18
+PACKET_TYPES = frozenset((SQL_BATCH, RPC, REPLY, ATTENTION, BULK, TRANSACTION, LOGIN7, SSPI, PRELOGIN))
+
+# Status bits of a packet header.
+EOM = 0x01
+IGNORE = 0x02
+RESET = 0x08 | 0x10  # RESETCONNECTION and RESETCONNECTIONSKIPTRAN
+
 HEADER = struct.Struct(">BBHHBB")  # type, status, length, SPID, packet id, window
-LEAST_PACKET, USUAL_PACKET, MOST_PACKET = 512, 4_096, 32_767
-VERSION_72, VERSION_74 = 0x72090002, 0x74000004
+MIN_PACKET_BYTES = 512
+DEFAULT_PACKET_BYTES = 4_096
+MAX_PACKET_BYTES = 32_767
+VERSION_72 = 0x72090002
+VERSION_74 = 0x74000004
+
+# Token types (MS-TDS 2.2.7).
+RETURNSTATUS = 0x79
+COLMETADATA = 0x81
+TABNAME = 0xA4
+COLINFO = 0xA5
+ORDER = 0xA9
+ERROR = 0xAA
+INFO = 0xAB
+RETURNVALUE = 0xAC
+LOGINACK = 0xAD
+ROW = 0xD1
+ENVCHANGE = 0xE3
+SSPI_TOKEN = 0xED
+DONE = 0xFD
+DONEPROC = 0xFE
+DONEINPROC = 0xFF
+DONE_TOKENS = frozenset((DONE, DONEPROC, DONEINPROC))
+SKIPPED_TOKENS = frozenset((LOGINACK, ENVCHANGE, ORDER, TABNAME, COLINFO, SSPI_TOKEN))
+
+# Status bits of a DONE token.
+DONE_MORE = 0x01
+DONE_ERROR = 0x02
+DONE_COUNT = 0x10
+DONE_ATTN = 0x20
+
+# Data types (MS-TDS 2.2.5.4).
+NULLTYPE = 0x1F
+INTN = 0x26
+BITN = 0x68
+DECIMALN = 0x6A
+NUMERICN = 0x6C
+FLTN = 0x6D
+BIGVARCHAR = 0xA7
+BIGCHAR = 0xAF
+NVARCHAR = 0xE7
+NCHAR = 0xEF
+UNICODE_TYPES = frozenset((NVARCHAR, NCHAR))
+CHARACTER_TYPES = UNICODE_TYPES | {BIGVARCHAR, BIGCHAR}
 
-COLMETADATA, ERROR, INFO, LOGINACK, ENVCHANGE, ROW, RETURNSTATUS = 0x81, 0xAA, 0xAB, 0xAD, 0xE3, 0xD1, 0x79
-DONE, DONEPROC, DONEINPROC = 0xFD, 0xFE, 0xFF
-DONE_MORE, DONE_ERROR, DONE_COUNT, DONE_ATTN = 0x01, 0x02, 0x10, 0x20
 ENCRYPT_NOT_SUP = 2
-COLLATION = bytes.fromhex("0904d00034")  # Latin1_General, case-insensitive: what most servers tell
-NVARCHAR, MAX = 0xE7, 0xFFFF
-NO_PLP, UNKNOWN_PLP = (1 << 64) - 1, (1 << 64) - 2
+COLLATION = bytes.fromhex("0904d00034")  # Latin1_General, case-insensitive
+MAX = 0xFFFF  # as a declared length: a (max) type; as the length of a value: NULL
+NO_PLP = (1 << 64) - 1  # PLP_NULL
+UNKNOWN_PLP = (1 << 64) - 2  # PLP_UNKNOWN_LEN
+PRELOGIN_OPTION_BYTES = 5
+PRELOGIN_TERMINATOR = 0xFF
+LOGIN_HEADER_BYTES = 94  # the fixed fields and the offsets of LOGIN7
+LOGIN_INTEGRATED_SECURITY = 0x80  # in OptionFlags2
+RPC_BY_NUMBER = 0xFFFF
+RPC_BATCH_FLAGS = (0x80, 0xFF, 0xFE)  # separate the calls of one message
 
 
-class BadTds(ValueError):
-    """Bytes that are no TDS, or no TDS of the versions spoken here."""
+class TdsProtocolError(ValueError):
+    """The bytes are not TDS, or not of a supported TDS version."""
 
 
-class Unsupported(ValueError):
-    """Sound TDS that asks for something this program does not do."""
+class UnsupportedTdsError(ValueError):
+    """Valid TDS that requests a feature which is not implemented."""
 
 
-class Short(Exception):
-    """The bytes at hand end inside a token: more are to come."""
+class IncompleteTokenError(Exception):
+    """The buffered bytes end inside a token; more are expected."""
 
 
-class Cut:
-    """Reads values off bytes in place; running past the end raises `Short`."""
+class ByteCursor:
+    """Reads values from a buffer in place; reading past the end raises `IncompleteTokenError`."""
 
     __slots__ = ("data", "at", "end")
 
     def __init__(self, data: bytes | bytearray, at: int = 0, end: int | None = None):
-        self.data, self.at, self.end = data, at, len(data) if end is None else end
+        self.data = data
+        self.at = at
+        self.end = len(data) if end is None else end
 
     def take(self, size: int) -> bytes:
+        """The next `size` bytes."""
         if size < 0 or self.at + size > self.end:
-            raise Short
+            raise IncompleteTokenError
         self.at += size
         return bytes(self.data[self.at - size : self.at])
 
     def number(self, size: int, signed: bool = False) -> int:
+        """The next little-endian integer of `size` bytes."""
         return int.from_bytes(self.take(size), "little", signed=signed)
 
     def text(self, letters: int) -> str:
+        """The next UTF-16 text of `letters` code units."""
         try:
             return self.take(2 * letters).decode("utf-16-le")
         except UnicodeDecodeError:
-            raise BadTds("text that is not UTF-16") from None
+            raise TdsProtocolError("text that is not UTF-16") from None
 
     def left(self) -> int:
+        """The number of bytes not yet read."""
         return self.end - self.at
 
 
 def b_text(text: str) -> bytes:
+    """B_VARCHAR: UTF-16 text with a one-byte length, truncated to 255 code units."""
     raw = text[:255].encode("utf-16-le", "replace")[:510]
     return bytes([len(raw) // 2]) + raw
 
 
 def us_text(text: str) -> bytes:
+    """US_VARCHAR: UTF-16 text with a two-byte length, truncated to 2,000 characters."""
     raw = text[:2_000].encode("utf-16-le", "replace")
     return struct.pack("<H", len(raw) // 2) + raw
 
@@ -76,43 +145,50 @@
 
 
 class Assembler:
-    """Packets split anywhere in, whole messages out. Holds one message at most, of a bounded size."""
+    """Reassembles packets, split anywhere, into complete messages; buffers one message of at most `max_bytes`."""
 
-    def __init__(self, most: int):
-        self._most, self._buffer = most, bytearray()
-        self._kind, self._body, self._reset = 0, bytearray(), False
+    def __init__(self, max_bytes: int):
+        self._max_bytes = max_bytes
+        self._buffer = bytearray()
+        self._kind = 0
+        self._body = bytearray()
+        self._reset = False
 
     @property
     def begun(self) -> bool:
-        """Whether a message has come in part."""
+        """Whether a message has been received in part."""
         return bool(self._buffer or self._body)
 
     def feed(self, data: bytes) -> Iterator[tuple[int, int, bytes]]:
-        """(type, status bits of all its packets, body) of each message that is now whole."""
+        """(type, status bits of all its packets, body) of each message that is now complete."""
         for kind, status, body in self.packets(data):
             if self._body and kind != self._kind:
                 if kind != ATTENTION:
-                    raise BadTds("a message inside another")
-                self._body, self._reset = bytearray(), False  # a cancel in mid-request: that one is void
-            if len(self._body) + len(body) > self._most:
-                raise BadTds("a message over the limit")
+                    raise TdsProtocolError("a message inside another")
+                # Attention inside a request cancels the request
+                self._body = bytearray()
+                self._reset = False
+            if len(self._body) + len(body) > self._max_bytes:
+                raise TdsProtocolError("a message over the limit")
             self._kind = kind
             self._body += body
             self._reset |= bool(status & RESET)
             if status & EOM:
-                whole, reset = bytes(self._body), self._reset
-                self._body, self._reset = bytearray(), False
-                yield kind, status | (RESET if reset else 0), whole
+                complete = bytes(self._body)
+                reset = self._reset
+                self._body = bytearray()
+                self._reset = False
+                yield kind, status | (RESET if reset else 0), complete
 
     def packets(self, data: bytes) -> Iterator[tuple[int, int, bytes]]:
-        """(type, status, body) of each packet that is now whole."""
+        """(type, status, body) of each packet that is now complete."""
         self._buffer += data
         while len(self._buffer) >= HEADER.size:
             kind, status, size, _, _, _ = HEADER.unpack_from(self._buffer)
-            if not HEADER.size <= size <= MOST_PACKET:
-                raise BadTds(f"a packet of {size} bytes")
-            if kind not in (SQL_BATCH, RPC, REPLY, ATTENTION, BULK, TRANSACTION, LOGIN7, SSPI, PRELOGIN):
-                raise BadTds(f"a packet of type {kind}")
+            if not HEADER.size <= size <= MAX_PACKET_BYTES:
+                raise TdsProtocolError(f"a packet of {size} bytes")
+            if kind not in PACKET_TYPES:
+                raise TdsProtocolError(f"a packet of type {kind}")
             if len(self._buffer) < size:
                 return
             body = bytes(self._buffer[HEADER.size : size])
@@ -121,33 +197,38 @@
 
 
 class Packetizer:
-    """A message on its way out, cut to packets as it grows; the last one bears the end mark."""
+    """Splits an outgoing message into packets as it grows; the last packet has the EOM bit."""
 
     def __init__(self, kind: int, size: int):
-        self._kind, self._room, self._number, self._rest = kind, size - HEADER.size, 0, bytearray()
+        self._kind = kind
+        self._capacity = size - HEADER.size
+        self._packet_id = 0
+        self._rest = bytearray()
 
     def add(self, pieces: Iterable[bytes]) -> list[bytes]:
-        """Heads and bodies of the packets that are full now; one packet's worth is kept for the end."""
+        """Headers and bodies of the packets that are now full; the last one is retained for `end`."""
         for piece in pieces:
             self._rest += piece
         out: list[bytes] = []
-        while len(self._rest) > self._room:
-            out += self._packet(bytes(self._rest[: self._room]), 0)
-            del self._rest[: self._room]
+        while len(self._rest) > self._capacity:
+            out += self._packet(bytes(self._rest[: self._capacity]), 0)
+            del self._rest[: self._capacity]
         return out
 
     def end(self, pieces: Iterable[bytes] = ()) -> list[bytes]:
+        """Headers and bodies of all remaining packets, the last one with the EOM bit."""
         out = self.add(pieces)
         out += self._packet(bytes(self._rest), EOM)
         self._rest = bytearray()
         return out
 
     def _packet(self, body: bytes, status: int) -> tuple[bytes, bytes]:
-        self._number = (self._number + 1) & 0xFF
-        return HEADER.pack(self._kind, status, HEADER.size + len(body), 0, self._number, 0), body
+        self._packet_id = (self._packet_id + 1) & 0xFF
+        return HEADER.pack(self._kind, status, HEADER.size + len(body), 0, self._packet_id, 0), body
 
 
-def message(kind: int, body: bytes, size: int = USUAL_PACKET) -> list[bytes]:
+def message(kind: int, body: bytes, size: int = DEFAULT_PACKET_BYTES) -> list[bytes]:
+    """A complete message as packet headers and bodies; `size` is the packet size in bytes."""
     return Packetizer(kind, size).end((body,))
 
 
@@ -157,7 +238,9 @@
 def prelogin(encryption: int = ENCRYPT_NOT_SUP) -> bytes:
     """VERSION, ENCRYPTION, INSTOPT, THREADID and MARS: no encryption, no MARS."""
     options = ((0, b"\x10\x00\x00\x00\x00\x00"), (1, bytes([encryption])), (2, b"\0"), (3, b""), (4, b"\0"))
-    at, heads, bodies = 5 * len(options) + 1, b"", b""
+    at = PRELOGIN_OPTION_BYTES * len(options) + 1
+    heads = b""
+    bodies = b""
     for option, body in options:
         heads += struct.pack(">BHH", option, at + len(bodies), len(body))
         bodies += body
@@ -165,22 +248,24 @@
 
 
 def prelogin_options(body: bytes) -> dict[int, bytes]:
-    options, at = {}, 0
-    while at < len(body) and body[at] != 0xFF:
-        if at + 5 > len(body):
-            raise BadTds("PRELOGIN is cut off")
+    """The options of a PRELOGIN message by option number."""
+    options: dict[int, bytes] = {}
+    at = 0
+    while at < len(body) and body[at] != PRELOGIN_TERMINATOR:
+        if at + PRELOGIN_OPTION_BYTES > len(body):
+            raise TdsProtocolError("PRELOGIN is cut off")
         option, offset, size = struct.unpack_from(">BHH", body, at)
         if offset + size > len(body):
-            raise BadTds("PRELOGIN points outside itself")
+            raise TdsProtocolError("PRELOGIN points outside itself")
         options[option] = body[offset : offset + size]
-        at += 5
+        at += PRELOGIN_OPTION_BYTES
     if at >= len(body):
-        raise BadTds("PRELOGIN has no end")
+        raise TdsProtocolError("PRELOGIN has no end")
     return options
 
 
 class Login(NamedTuple):
-    """What is heeded of LOGIN7."""
+    """The fields of LOGIN7 that the server uses."""
 
     version: int
     packet_size: int
@@ -195,14 +280,17 @@
 
 
 def scrambled(password: bytes) -> bytes:
+    """Obfuscate a password as LOGIN7 requires."""
     return bytes(((byte << 4 | byte >> 4) & 0xFF) ^ 0xA5 for byte in password)
 
 
 def unscrambled(password: bytes) -> bytes:
+    """The inverse of `scrambled`."""
     return bytes(((byte ^ 0xA5) << 4 | (byte ^ 0xA5) >> 4) & 0xFF for byte in password)
 
 
 def login7(user: str, password: str, database: str, packet_size: int) -> bytes:
+    """The body of a LOGIN7 message; `packet_size` is in bytes."""
     texts = {
         "host": "rackhub",
         "user": user,
@@ -211,7 +299,9 @@
         "library": "rackhub",
         "database": database,
     }
-    at, heads, bodies = 94, b"", b""
+    at = LOGIN_HEADER_BYTES
+    heads = b""
+    bodies = b""
     for name in LOGIN_TEXTS:
         raw = scrambled(password.encode("utf-16-le")) if name == "password" else texts.get(name, "").encode("utf-16-le")
         heads += struct.pack("<HH", at + len(bodies), len(raw) // 2)
@@ -222,46 +312,56 @@
 
 
 def login_of(body: bytes) -> Login:
-    if len(body) < 94:
-        raise BadTds("LOGIN7 is cut off")
+    """Parse the body of a LOGIN7 message."""
+    if len(body) < LOGIN_HEADER_BYTES:
+        raise TdsProtocolError("LOGIN7 is cut off")
     size, version, packet_size, *_ = LOGIN_FIXED.unpack_from(body)
     if size > len(body):
-        raise BadTds("LOGIN7 is cut off")
+        raise TdsProtocolError("LOGIN7 is cut off")
     texts = {}
-    for i, name in enumerate(LOGIN_TEXTS):
-        at, letters = struct.unpack_from("<HH", body, LOGIN_FIXED.size + 4 * i)
+    for index, name in enumerate(LOGIN_TEXTS):
+        at, letters = struct.unpack_from("<HH", body, LOGIN_FIXED.size + 4 * index)
         if at + 2 * letters > len(body):
-            raise BadTds("LOGIN7 points outside itself")
+            raise TdsProtocolError("LOGIN7 points outside itself")
         raw = body[at : at + 2 * letters]
         try:
             texts[name] = (unscrambled(raw) if name == "password" else raw).decode("utf-16-le")
         except UnicodeDecodeError:
-            raise BadTds("LOGIN7 holds text that is not UTF-16") from None
-    return Login(version, packet_size, texts["user"], texts["password"], texts["database"], bool(body[25] & 0x80))
+            raise TdsProtocolError("LOGIN7 holds text that is not UTF-16") from None
+    return Login(
+        version,
+        packet_size,
+        texts["user"],
+        texts["password"],
+        texts["database"],
+        bool(body[25] & LOGIN_INTEGRATED_SECURITY),
+    )
 
 
 # ---- requests
 
 
-def all_headers(body: bytes) -> Cut:
-    """Past the headers that open a request (MS-TDS 2.2.5.3)."""
+def all_headers(body: bytes) -> ByteCursor:
+    """A cursor behind the ALL_HEADERS block that begins a request (MS-TDS 2.2.5.3)."""
     if len(body) < 4 or not 4 <= int.from_bytes(body[:4], "little") <= len(body):
-        raise BadTds("a request without its headers")
-    return Cut(body, int.from_bytes(body[:4], "little"))
+        raise TdsProtocolError("a request without its headers")
+    return ByteCursor(body, int.from_bytes(body[:4], "little"))
 
 
 HEADERS = struct.pack("<IIHQI", 22, 18, 2, 0, 1)  # one, of a transaction: none, one request outstanding
 
 
 def batch(statement: str) -> bytes:
+    """The body of a SQL batch message."""
     return HEADERS + statement.encode("utf-16-le")
 
 
 def batch_text(body: bytes) -> str:
-    cut = all_headers(body)
-    if cut.left() % 2:
-        raise BadTds("a batch of half a letter")
-    return cut.text(cut.left() // 2)
+    """The statement of a SQL batch message."""
+    cursor = all_headers(body)
+    if cursor.left() % 2:
+        raise TdsProtocolError("a batch of half a letter")
+    return cursor.text(cursor.left() // 2)
 
 
 class Call(NamedTuple):
@@ -276,21 +376,23 @@
     return struct.pack("<QI", len(raw), len(raw)) + raw + b"\0\0\0\0" if raw else b"\0" * 12
 
 
-def read_plp(cut: Cut, most: int) -> bytes | None:
-    total = cut.number(8)
+def read_plp(cursor: ByteCursor, max_bytes: int) -> bytes | None:
+    """Read a partially length-prefixed value; None for NULL."""
+    total = cursor.number(8)
     if total == NO_PLP:
         return None
-    if total != UNKNOWN_PLP and total > most:
-        raise BadTds("a value over the limit")
-    parts, size = [], 0
-    while piece := cut.number(4):
-        size += piece
-        if size > most:
-            raise BadTds("a value over the limit")
-        parts.append(cut.take(piece))
+    if total != UNKNOWN_PLP and total > max_bytes:
+        raise TdsProtocolError("a value over the limit")
+    chunks: list[bytes] = []
+    size = 0
+    while chunk := cursor.number(4):
+        size += chunk
+        if size > max_bytes:
+            raise TdsProtocolError("a value over the limit")
+        chunks.append(cursor.take(chunk))
     if total not in (UNKNOWN_PLP, size):
-        raise BadTds("a value of another length than told")
-    return b"".join(parts)
+        raise TdsProtocolError("a value of another length than told")
+    return b"".join(chunks)
 
 
 def rpc(name: str, arguments: dict[str, str | int | float]) -> bytes:
@@ -301,9 +403,9 @@
         if isinstance(value, str):
             pieces += (bytes([NVARCHAR]), b"\xff\xff", COLLATION, plp(value.encode("utf-16-le")))
         elif isinstance(value, int):
-            pieces.append(struct.pack("<BBBq", 0x26, 8, 8, value))
+            pieces.append(struct.pack("<BBBq", INTN, 8, 8, value))
         else:
-            pieces.append(struct.pack("<BBBd", 0x6D, 8, 8, value))
+            pieces.append(struct.pack("<BBBd", FLTN, 8, 8, value))
     return b"".join(pieces)
 
 
@@ -316,67 +418,89 @@
     0x3B: ("<f", 4),
     0x3E: ("<d", 8),
 }
-INTEGERS, FLOATS = {1: "<B", 2: "<h", 4: "<i", 8: "<q"}, {4: "<f", 8: "<d"}
+INTEGERS = {1: "<B", 2: "<h", 4: "<i", 8: "<q"}
+FLOATS = {4: "<f", 8: "<d"}
 
 
-def argument(cut: Cut) -> Any:
-    """The value of one argument, of the types that the documented parameters can have."""
-    kind = cut.number(1)
-    if kind == 0x1F:
+def argument(cursor: ByteCursor) -> Any:
+    """Read one argument: its TYPE_INFO and value. Raises `UnsupportedTdsError` for other types."""
+    kind = cursor.number(1)
+    if kind == NULLTYPE:
         return None
     if kind in FIXED:
         form, size = FIXED[kind]
-        return struct.unpack(form, cut.take(size))[0]
-    if kind in (0x26, 0x6D, 0x68):  # INTN, FLTN, BITN
-        cut.number(1)
-        size = cut.number(1)
-        if not size:
-            return None
-        forms = FLOATS if kind == 0x6D else INTEGERS
-        if size not in forms:
-            raise BadTds(f"a number of {size} bytes")
-        return struct.unpack(forms[size], cut.take(size))[0]
-    if kind in (0x6A, 0x6C):  # DECIMALN, NUMERICN
-        cut.number(2)
-        scale, size = cut.number(1), cut.number(1)
-        if not size:
-            return None
-        sign = cut.number(1)
-        return (1 if sign else -1) * cut.number(size - 1) / 10**scale
-    if kind in (NVARCHAR, 0xEF, 0xA7, 0xAF):  # NVARCHAR, NCHAR, BIGVARCHAR, BIGCHAR
-        most = cut.number(2)
-        cut.take(5)
-        if most == MAX:
-            raw = read_plp(cut, cut.end)
-        else:
-            size = cut.number(2)
-            raw = None if size == MAX else cut.take(size)
-        if raw is None:
-            return None
-        try:
-            return raw.decode("utf-16-le" if kind in (NVARCHAR, 0xEF) else "cp1252")
-        except UnicodeDecodeError:
-            raise BadTds("an argument that is not text") from None
-    raise Unsupported(f"arguments of type 0x{kind:02x}")
+        return struct.unpack(form, cursor.take(size))[0]
+    if kind in (INTN, FLTN, BITN):
+        return _nullable_number(cursor, FLOATS if kind == FLTN else INTEGERS)
+    if kind in (DECIMALN, NUMERICN):
+        return _decimal(cursor)
+    if kind in CHARACTER_TYPES:
+        return _text_argument(cursor, kind)
+    raise UnsupportedTdsError(f"arguments of type 0x{kind:02x}")
+
+
+def _nullable_number(cursor: ByteCursor, formats: dict[int, str]) -> Any:
+    cursor.number(1)
+    size = cursor.number(1)
+    if not size:
+        return None
+    if size not in formats:
+        raise TdsProtocolError(f"a number of {size} bytes")
+    return struct.unpack(formats[size], cursor.take(size))[0]
+
+
+def _decimal(cursor: ByteCursor) -> float | None:
+    cursor.number(2)
+    scale = cursor.number(1)
+    size = cursor.number(1)
+    if not size:
+        return None
+    sign = 1 if cursor.number(1) else -1
+    return float(sign * cursor.number(size - 1) / 10**scale)
+
+
+def _text_argument(cursor: ByteCursor, kind: int) -> str | None:
+    declared = cursor.number(2)
+    cursor.take(len(COLLATION))
+    raw = _character_bytes(cursor, declared, cursor.end)
+    if raw is None:
+        return None
+    try:
+        return raw.decode(_encoding(kind))
+    except UnicodeDecodeError:
+        raise TdsProtocolError("an argument that is not text") from None
+
+
+def _character_bytes(cursor: ByteCursor, declared: int, max_bytes: int) -> bytes | None:
+    """The bytes of a character value of the declared length; None for NULL."""
+    if declared == MAX:
+        return read_plp(cursor, max_bytes)
+    size = cursor.number(2)
+    return None if size == MAX else cursor.take(size)
+
+
+def _encoding(kind: int) -> str:
+    return "utf-16-le" if kind in UNICODE_TYPES else "cp1252"
 
 
 def call_of(body: bytes) -> Call:
-    cut = all_headers(body)
+    """Parse the body of an RPC message with one call."""
+    cursor = all_headers(body)
     try:
-        size = cut.number(2)
-        name = f"#{cut.number(2)}" if size == 0xFFFF else cut.text(size)
-        cut.number(2)
+        size = cursor.number(2)
+        name = f"#{cursor.number(2)}" if size == RPC_BY_NUMBER else cursor.text(size)
+        cursor.number(2)
         arguments: dict[str, Any] = {}
-        while cut.left():
-            if cut.data[cut.at] in (0x80, 0xFF, 0xFE):  # marks between calls; no name of ours is so long
-                raise Unsupported("several calls in one message")
-            label = cut.text(cut.number(1)).lower()
-            cut.number(1)
+        while cursor.left():
+            if cursor.data[cursor.at] in RPC_BATCH_FLAGS:  # no supported parameter has a name of this length
+                raise UnsupportedTdsError("several calls in one message")
+            label = cursor.text(cursor.number(1)).lower()
+            cursor.number(1)
             if label in arguments:
-                raise Unsupported(f"the argument {label or 'without a name'} twice")
-            arguments[label] = argument(cut)
-    except Short:
-        raise BadTds("a call is cut off") from None
+                raise UnsupportedTdsError(f"the argument {label or 'without a name'} twice")
+            arguments[label] = argument(cursor)
+    except IncompleteTokenError:
+        raise TdsProtocolError("a call is cut off") from None
     return Call(name, arguments)
 
 
@@ -384,6 +508,7 @@
 
 
 def token_of(kind: int, body: bytes) -> bytes:
+    """A token with a two-byte length."""
     return struct.pack("<BH", kind, len(body)) + body
 
 
@@ -396,10 +521,12 @@
 
 
 def done(status: int, rows: int = 0, kind: int = DONE) -> bytes:
+    """A DONE, DONEPROC or DONEINPROC token."""
     return struct.pack("<BHHQ", kind, status, 0xC1, rows)
 
 
 def env_text(kind: int, new: str, old: str) -> bytes:
+    """An ENVCHANGE token with text values."""
     return token_of(ENVCHANGE, bytes([kind]) + b_text(new) + b_text(old))
 
 
@@ -407,6 +534,7 @@
 
 
 def login_ack(version: int, program: str) -> bytes:
+    """A LOGINACK token."""
     return token_of(LOGINACK, b"\x01" + struct.pack(">I", version) + b_text(program) + b"\x10\0\0\0")
 
 
@@ -418,10 +546,13 @@
 
 
 def row(values: Sequence[str]) -> bytes:
+    """A ROW token of nvarchar(max) values."""
     return bytes([ROW]) + b"".join(plp(value.encode("utf-16-le", "surrogatepass")) for value in values)
 
 
 class Notice(NamedTuple):
+    """The content of an ERROR or INFO token."""
+
     number: int
     state: int
     severity: int
@@ -429,82 +560,87 @@
 
 
 class Done(NamedTuple):
+    """The content of a DONE, DONEPROC or DONEINPROC token."""
+
     status: int
     rows: int
 
 
 class TokenReader:
-    """The tokens of an answer as its packets come in: (kind, value), where value is what is heeded of it."""
+    """Parses the tokens of a response incrementally, each of at most `max_bytes`."""
 
-    def __init__(self, most: int):
-        self._most, self._buffer, self._columns = most, bytearray(), []
+    def __init__(self, max_bytes: int):
+        self._max_bytes = max_bytes
+        self._buffer = bytearray()
+        self._columns: list[tuple[int, int]] = []
 
     def feed(self, data: bytes) -> Iterator[tuple[int, Any]]:
+        """(type, content) of each token that is now complete; the content is None or empty if unused."""
         self._buffer += data
         while self._buffer:
-            cut = Cut(self._buffer)
+            cursor = ByteCursor(self._buffer)
             try:
-                kind = cut.number(1)
-                value = self._value(kind, cut)
-            except Short:
-                if len(self._buffer) > self._most:
-                    raise BadTds("a token over the limit") from None
+                kind = cursor.number(1)
+                value = self._value(kind, cursor)
+            except IncompleteTokenError:
+                if len(self._buffer) > self._max_bytes:
+                    raise TdsProtocolError("a token over the limit") from None
                 return
-            del self._buffer[: cut.at]
+            del self._buffer[: cursor.at]
             yield kind, value
 
-    def whole(self) -> bool:
+    def complete(self) -> bool:
+        """Whether no part of a token is buffered."""
         return not self._buffer
 
-    def _value(self, kind: int, cut: Cut) -> Any:
-        if kind in (DONE, DONEPROC, DONEINPROC):
-            status, _, rows = struct.unpack("<HHQ", cut.take(12))
+    def _value(self, kind: int, cursor: ByteCursor) -> Any:
+        if kind in DONE_TOKENS:
+            status, _, rows = struct.unpack("<HHQ", cursor.take(12))
             return Done(status, rows)
         if kind in (ERROR, INFO):
-            inner = self._inner(cut)
-            try:
-                number, state, severity = struct.unpack("<iBB", inner.take(6))
-                return Notice(number, state, severity, inner.text(inner.number(2)))
-            except Short:
-                raise BadTds("a notice is cut off") from None
+            return self._notice(cursor)
         if kind == COLMETADATA:
-            count = cut.number(2)
-            self._columns = [] if count == 0xFFFF else [self._column(cut) for _ in range(count)]
+            count = cursor.number(2)
+            self._columns = [] if count == MAX else [self._column(cursor) for _ in range(count)]
             return list(self._columns)
         if kind == ROW:
-            return [self._cell(type_, size, cut) for type_, size in self._columns]
+            return [self._cell(type_, size, cursor) for type_, size in self._columns]
         if kind == RETURNSTATUS:
-            return cut.number(4, signed=True)
-        if kind == 0xAC:  # RETURNVALUE: none is asked for
-            raise Unsupported("RETURNVALUE")
-        if kind in (LOGINACK, ENVCHANGE, 0xA9, 0xA4, 0xA5, 0xED):  # also ORDER, TABNAME, COLINFO, SSPI
-            return self._inner(cut).take(0)
-        raise BadTds(f"a token 0x{kind:02x}")
+            return cursor.number(4, signed=True)
+        if kind == RETURNVALUE:  # no call has output parameters
+            raise UnsupportedTdsError("RETURNVALUE")
+        if kind in SKIPPED_TOKENS:
+            return self._inner(cursor).take(0)
+        raise TdsProtocolError(f"a token 0x{kind:02x}")
+
+    def _notice(self, cursor: ByteCursor) -> Notice:
+        inner = self._inner(cursor)
+        try:
+            number, state, severity = struct.unpack("<iBB", inner.take(6))
+            return Notice(number, state, severity, inner.text(inner.number(2)))
+        except IncompleteTokenError:
+            raise TdsProtocolError("a notice is cut off") from None
 
     @staticmethod
-    def _inner(cut: Cut) -> Cut:
-        size = cut.number(2)
-        body = cut.take(size)
-        return Cut(body)
+    def _inner(cursor: ByteCursor) -> ByteCursor:
+        size = cursor.number(2)
+        body = cursor.take(size)
+        return ByteCursor(body)
 
     @staticmethod
-    def _column(cut: Cut) -> tuple[int, int]:
-        cut.take(6)
-        kind = cut.number(1)
-        if kind not in (NVARCHAR, 0xEF, 0xA7, 0xAF):
-            raise Unsupported(f"columns of type 0x{kind:02x}")
-        size = cut.number(2)
-        cut.take(5)
-        cut.text(cut.number(1))
+    def _column(cursor: ByteCursor) -> tuple[int, int]:
+        cursor.take(6)
+        kind = cursor.number(1)
+        if kind not in CHARACTER_TYPES:
+            raise UnsupportedTdsError(f"columns of type 0x{kind:02x}")
+        size = cursor.number(2)
+        cursor.take(5)
+        cursor.text(cursor.number(1))
         return kind, size
 
-    def _cell(self, kind: int, most: int, cut: Cut) -> str:
-        if most == MAX:
-            raw = read_plp(cut, self._most)
-        else:
-            size = cut.number(2)
-            raw = None if size == MAX else cut.take(size)
+    def _cell(self, kind: int, declared: int, cursor: ByteCursor) -> str:
+        raw = _character_bytes(cursor, declared, self._max_bytes)
         try:
-            return (raw or b"").decode("utf-16-le" if kind in (NVARCHAR, 0xEF) else "cp1252")
+            return (raw or b"").decode(_encoding(kind))
         except UnicodeDecodeError:
-            raise BadTds("a cell that is not text") from None
+            raise TdsProtocolError("a cell that is not text") from None
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -219,22 +219,24 @@
             if self.state == self.CLOSED:
                 return
             if kind != codec.REPLY:
-                raise codec.BadTds(f"an answer of type {kind}")
+                raise codec.TdsProtocolError(f"an answer of type {kind}")
             if self.state == self.PRELOGIN:
                 self._logon(codec.prelogin_options(body))
             elif self.state in (self.LOGIN, self.BUSY, self.CANCELLING):
                 self._answer(body, bool(status & codec.EOM))
             else:
-                raise codec.BadTds("an answer to nothing")
+                raise codec.TdsProtocolError("an answer to nothing")
 
     def _logon(self, options: dict[int, bytes]) -> None:
         if options.get(1, b"\x02") not in (b"\x00", b"\x02"):
-            raise codec.BadTds("the engine insists on encryption")
+            raise codec.TdsProtocolError("the engine insists on encryption")
         self.state = self.LOGIN
         self.write(
             codec.message(
                 codec.LOGIN7,
-                codec.login7(self.settings.user, self.settings.password, self.settings.database, codec.USUAL_PACKET),
+                codec.login7(
+                    self.settings.user, self.settings.password, self.settings.database, codec.DEFAULT_PACKET_BYTES
+                ),
             )
         )
 
@@ -242,12 +244,12 @@
         try:
             for kind, value in self._tokens.feed(body):
                 self._token(kind, value)
-        except codec.Unsupported as what:
-            raise codec.BadTds(f"an answer with {what}") from None
+        except codec.UnsupportedTdsError as what:
+            raise codec.TdsProtocolError(f"an answer with {what}") from None
         if not last or self.state == self.CLOSED:
             return
-        if not self._tokens.whole():
-            raise codec.BadTds("an answer that is cut off")
+        if not self._tokens.complete():
+            raise codec.TdsProtocolError("an answer that is cut off")
         if self.state == self.LOGIN:
             self._logged_on()
         elif self.state == self.CANCELLING:
@@ -300,9 +302,9 @@
             try:
                 value = float(info.text)
             except ValueError:
-                raise codec.BadTds("a note without a figure") from None
+                raise codec.TdsProtocolError("a note without a figure") from None
             if not 0 <= value < 1e12:
-                raise codec.BadTds("a note whose figure is out of range")
+                raise codec.TdsProtocolError("a note whose figure is out of range")
             self.core.report_progress(self._attempt, TOPICS[info.number], value)
 
 
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -59,7 +59,7 @@
         super().__init__(front)
         self.settings, self.state = settings, self.PRELOGIN
         self.login: TdsLogin | None = None
-        self._ids, self._size = ids, codec.USUAL_PACKET
+        self._ids, self._size = ids, codec.DEFAULT_PACKET_BYTES
         self._in = codec.Assembler(front.limits.tds_message)
         self._query: Query | None = None
         self._out: codec.Packetizer | None = None
@@ -122,21 +122,21 @@
             elif self.state == self.READY:
                 self._request(kind, body, bool(status & codec.RESET))
             else:
-                raise codec.BadTds("a request while another one runs")
+                raise codec.TdsProtocolError("a request while another one runs")
         self.stale = False
         # until it is logged in the time runs from its connecting
         self.came(whole and self.login is not None, self._in.begun)
 
     def _prelogin(self, kind: int, body: bytes) -> None:
         if kind != codec.PRELOGIN:
-            raise codec.BadTds("no PRELOGIN")
+            raise codec.TdsProtocolError("no PRELOGIN")
         codec.prelogin_options(body)
         self.state = self.LOGIN
         self.write(codec.message(codec.REPLY, codec.prelogin()))
 
     def _login(self, kind: int, body: bytes) -> None:
         if kind != codec.LOGIN7:  # also a client that insists on encryption
-            raise codec.BadTds("no LOGIN7")
+            raise codec.TdsProtocolError("no LOGIN7")
         asked = codec.login_of(body)
         login = None if asked.integrated else self.settings.check(asked.user, asked.password)
         if login is None or asked.database not in ("", self.settings.database) or asked.version < codec.VERSION_72:
@@ -145,7 +145,7 @@
             return self._close()
         self.counters.add("tds_logins")
         self.login, self.state = login, self.READY
-        if codec.LEAST_PACKET <= asked.packet_size <= codec.MOST_PACKET:
+        if codec.MIN_PACKET_BYTES <= asked.packet_size <= codec.MAX_PACKET_BYTES:
             self._size = asked.packet_size
         name = self.settings.database
         self.write(
@@ -156,7 +156,7 @@
                         codec.env_text(1, name, ""),
                         codec.token_of(codec.ENVCHANGE, b"\x07\x05" + codec.COLLATION + b"\0"),
                         codec.login_ack(min(asked.version, codec.VERSION_74), "rackhub"),
-                        codec.env_text(4, str(self._size), str(codec.USUAL_PACKET)),
+                        codec.env_text(4, str(self._size), str(codec.DEFAULT_PACKET_BYTES)),
                         codec.notice(codec.INFO, 5701, 2, 0, f"rackhub {VERSION}", "rackhub"),
                         codec.done(0),
                     )
@@ -175,9 +175,9 @@
             elif kind == codec.RPC:
                 given = self._arguments(codec.call_of(body))
             else:
-                raise codec.Unsupported("requests of this type")
+                raise codec.UnsupportedTdsError("requests of this type")
             self._submit(given)
-        except codec.Unsupported as what:
+        except codec.UnsupportedTdsError as what:
             self.counters.add("tds_unsupported")
             self._say_error(UNSUPPORTED, 1, 16, f"not supported: {what}")
             self.fault()
@@ -188,7 +188,7 @@
 
     def _arguments(self, call: codec.Call) -> dict[str, Any]:
         if call.name.lower().removeprefix("dbo.") != CALL:
-            raise codec.Unsupported(f"the procedure {call.name[:100]}")
+            raise codec.UnsupportedTdsError(f"the procedure {call.name[:100]}")
         for name, value in call.arguments.items():
             wanted = str if name in TEXTS else int | float if name in FIGURES else None
             if wanted is None:
@@ -227,7 +227,7 @@
         """Stop what runs or is being written; the acknowledgement leaves the connection ready."""
         self.counters.add("tds_attentions")
         if self.state in (self.PRELOGIN, self.LOGIN):
-            raise codec.BadTds("Attention before a login")
+            raise codec.TdsProtocolError("Attention before a login")
         query, self._query = self._query, None
         if query is not None:
             self.core.disconnect_client(query)
--- a/rackhub/net/tds/stream.py
+++ b/rackhub/net/tds/stream.py
@@ -5,7 +5,7 @@
 
 from twisted.protocols.basic import LineReceiver
 
-from rackhub.net.tds.codec import BadTds
+from rackhub.net.tds.codec import TdsProtocolError
 
 log = logging.getLogger(__name__)
 
@@ -21,7 +21,7 @@
     def rawDataReceived(self, data: bytes) -> None:
         try:
             self.taken(data)
-        except BadTds as bad:
+        except TdsProtocolError as bad:
             log.warning("tds: %s: connection dropped", bad)
             self.malformed()
             self.transport.abortConnection()
@@ -33,7 +33,7 @@
         """The connection is up."""
 
     def taken(self, data: bytes) -> None:
-        """Bytes have come; `BadTds` drops the connection."""
+        """Bytes have come; `TdsProtocolError` drops the connection."""
         raise NotImplementedError
 
     def malformed(self) -> None:
