--- a/rackhub/net/tds/stream.py
+++ b/rackhub/net/tds/stream.py
@@ -1,7 +1,8 @@
-"""The connection under both sides of TDS: the LineReceiver family's raw mode, for all bodies are counted."""
+"""Base of the TDS connections of clients and engines: LineReceiver in raw mode, as TDS packets have a length field."""
 
 import logging
 from collections.abc import Iterable
+from typing import Any
 
 from twisted.protocols.basic import LineReceiver
 
@@ -11,30 +12,35 @@
 
 
 class TdsStream(LineReceiver):
-    """Hands raw bytes to `taken` and drops the connection on bytes that are no TDS."""
+    """Passes received bytes to `taken` and aborts the connection when they are malformed."""
 
-    def connectionMade(self) -> None:
-        self.setRawMode()  # there are no lines in TDS: every body is counted by its packet's head
+    transport: Any  # a TCP transport; Twisted declares only the common base interface
+
+    def connectionMade(self) -> None:  # noqa: N802
+        """Twisted: the connection is established."""
+        self.setRawMode()  # type: ignore[no-untyped-call]
         self.transport.setTcpNoDelay(True)
         self.made()
 
-    def rawDataReceived(self, data: bytes) -> None:
+    def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Twisted: bytes were received."""
         try:
             self.taken(data)
-        except TdsProtocolError as bad:
-            log.warning("tds: %s: connection dropped", bad)
+        except TdsProtocolError as error:
+            log.warning("tds: %s: connection dropped", error)
             self.malformed()
             self.transport.abortConnection()
 
     def write(self, pieces: Iterable[bytes]) -> None:
+        """Write byte strings in order, without joining them."""
         self.transport.writeSequence(tuple(pieces))
 
     def made(self) -> None:
-        """The connection is up."""
+        """The connection is established."""
 
     def taken(self, data: bytes) -> None:
-        """Bytes have come; `TdsProtocolError` drops the connection."""
+        """Process received bytes; raising `TdsProtocolError` aborts the connection."""
         raise NotImplementedError
 
     def malformed(self) -> None:
-        """The other side sent what is no TDS; the connection is dropped next."""
+        """The peer sent malformed data; the connection is aborted next."""
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -20,6 +20,7 @@
 from rackhub.core.request import Query
 from rackhub.net.resp import EngineConnection
 from rackhub.net.resp_words import command
+from rackhub.net.tds.engine import EngineConnectionState
 
 TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 ROWS = b"a\tb\tc\n"
@@ -327,7 +328,7 @@
             held.append(self)
 
     here.stands[0].factory.buildProtocol = lambda addr: Held()
-    spin(lambda: held and all(link.state != link.DIALLING for link in here.links()))
+    spin(lambda: held and all(link.state != EngineConnectionState.DIALLING for link in here.links()))
     here.told("Terminating", "Ready")
     spin(lambda: all(query.closed for query in queries))
     assert [query.reply.came for query in queries] == [[("served", ROWS)]] * len(queries)
