--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -1,16 +1,17 @@
 """The front for TDS clients: logins of the operator's file, SQL batches and calls of `rackhub_query`.
 
-A batch runs with what its login sets. A call of `rackhub_query` takes these parameters, by name:
+A batch runs with the settings of its login. A call of `rackhub_query` takes these parameters, by name:
 
-    @statement  the statement; needed            @budget_ms  how long the client waits; else the login's,
-    @class      else the login's                             else the class's deadline
-    @tenant     one of the login's; else its     @key        idempotency key, needed in keyed classes
-                first                            @est_ms, @ram_mb   estimates of work and memory
+    @statement  the statement; required          @budget_ms  how long the client waits; default: the login's,
+    @class      default: the login's                         then the class's deadline
+    @tenant     one of the login's; default:     @key        idempotency key, required in classes that use one
+                its first                        @est_ms, @ram_mb   estimated execution time and memory
 
-An answer is a set of three text columns. Errors bear the numbers below. A back-off stands in the message, as
-'retry after N ms'. Attention stops what runs, also while rows are on their way.
+A result set has three text columns. Errors have the numbers below. A backoff is part of the error text, as
+'retry after N ms'. Attention stops the running request, also while its rows are being written.
 """
 
+import enum
 import logging
 import random
 from collections.abc import Callable, Sequence
@@ -27,16 +28,39 @@
 from rackhub.version import VERSION
 
 log = logging.getLogger(__name__)
-LOGIN_FAILED = 18456  # as SQL Server has it, for drivers know it
-REFUSED, FAILED, DEADLINE, BAD_REQUEST, UNSUPPORTED = 50001, 50002, 50003, 50004, 50005
-HARMLESS, UNKNOWN = 1, 2  # states of DEADLINE: nothing of it can do harm twice, or its effect is not known
+
+# Error numbers.
+LOGIN_FAILED = 18456  # SQL Server's number, which drivers recognise
+REJECTED = 50001
+FAILED = 50002
+DEADLINE = 50003
+BAD_REQUEST = 50004
+UNSUPPORTED = 50005
+
+# States of DEADLINE.
+HARMLESS = 1  # a retry is harmless
+UNKNOWN = 2  # the request may have been executed
+ERROR_STATE = 1  # of all other errors
+ERROR_SEVERITY = 16
+LOGIN_SEVERITY = 14
+
+# Types of ENVCHANGE.
+ENV_DATABASE = 1
+ENV_PACKET_SIZE = 4
+ENV_COLLATION = codec.token_of(codec.ENVCHANGE, b"\x07\x05" + codec.COLLATION + b"\0")
+RETURN_STATUS_ZERO = bytes([codec.RETURNSTATUS, 0, 0, 0, 0])
+
+SERVER_NAME = "rackhub"
+WELCOME_INFO = 5701
 COLUMNS = ("c1", "c2", "c3")
-CALL = "rackhub_query"
-TEXTS, FIGURES = ("@statement", "@class", "@tenant", "@key"), ("@budget_ms", "@est_ms", "@ram_mb")
+PROCEDURE = "rackhub_query"
+TEXT_PARAMETERS = ("@statement", "@class", "@tenant", "@key")
+NUMBER_PARAMETERS = ("@budget_ms", "@est_ms", "@ram_mb")
+MAX_NAME_CHARACTERS = 100  # of a client's name quoted in an error
 
 
 def rows_of(pages: Sequence[bytes]) -> list[list[list[str]]]:
-    """The rows of each page; `ValueError` where they are not of three columns."""
+    """The rows of each page; raises `ValueError` unless all have three columns."""
     result = []
     for page in pages:
         lines = page.decode("utf-8").split("\n")
@@ -49,162 +73,206 @@
     return result
 
 
-class TdsConnection(Client, TdsStream):
-    """One client. States: PRELOGIN, LOGIN, READY, BUSY (a request runs), ROWS (its answer is being written),
-    CLOSED. `ending` lets no new request in and closes once READY is reached."""
+class ClientConnectionState(enum.Enum):
+    """States of a client's connection."""
+
+    PRELOGIN = enum.auto()
+    LOGIN = enum.auto()
+    READY = enum.auto()
+    BUSY = enum.auto()  # a request is running
+    ROWS = enum.auto()  # its result is being written
+    CLOSED = enum.auto()
+
+
+State = ClientConnectionState
 
-    PRELOGIN, LOGIN, READY, BUSY, ROWS, CLOSED = "prelogin", "login", "ready", "busy", "rows", "closed"
+
+class TdsConnection(Client, TdsStream):
+    """One client's connection. While `ending` it accepts no new request, and it closes once it is READY."""
 
     def __init__(self, front: Front, settings: TdsFrontSettings, ids: Callable[[], str]):
         super().__init__(front)
-        self.settings, self.state = settings, self.PRELOGIN
+        self.settings = settings
+        self.state = State.PRELOGIN
         self.login: TdsLogin | None = None
-        self._ids, self._size = ids, codec.DEFAULT_PACKET_BYTES
-        self._in = codec.Assembler(front.limits.tds_message)
+        self._ids = ids
+        self._packet_bytes = codec.DEFAULT_PACKET_BYTES
+        self._assembler = codec.Assembler(front.limits.tds_message)
         self._query: Query | None = None
-        self._out: codec.Packetizer | None = None
+        self._packetizer = self._new_packetizer()
         self._pages: list[list[list[str]]] = []
-        self._sent = 0
-        self._done = codec.DONE  # the kind of DONE that ends the present answer
-        self._reset = False
+        self._sent_rows = 0
+        self._done = codec.DONE  # the DONE token that ends the current response
+        self._reset = False  # whether the response must acknowledge a connection reset
+
+    def _new_packetizer(self) -> codec.Packetizer:
+        return codec.Packetizer(codec.REPLY, self._packet_bytes)
 
     # ---- the connection
 
     def made(self) -> None:
+        """Register the new connection with the front."""
         self.counters.add("tds_connections")
         self.front.connected(self)
 
-    def connectionLost(self, reason: object = None) -> None:
-        self.state = self.CLOSED
+    def connectionLost(self, reason: object = None) -> None:  # noqa: N802
+        """Twisted: the connection is lost. Cancels the running request."""
+        self.state = State.CLOSED
         self._pages = []
         self.front.lost(self)
-        query, self._query = self._query, None
+        self._cancel_request()
+
+    def _cancel_request(self) -> None:
+        query = self._query
+        self._query = None
         if query is not None:
             self.core.disconnect_client(query)
 
     def busy(self) -> bool:
-        return self.state in (self.BUSY, self.ROWS)
+        """Whether a request is running or its result is being written."""
+        return self.state in (State.BUSY, State.ROWS)
 
     def late(self, why: str) -> None:
-        self.state = self.CLOSED
-        self.cut()  # inside a message there is no place for an error
+        """Abort a connection whose client exceeded a time limit."""
+        self.state = State.CLOSED
+        self.cut()  # an error can't be sent inside a message
 
     def malformed(self) -> None:
+        """Count malformed data."""
         self.counters.add("tds_bad")
 
     def end(self) -> None:
+        """Accept no new request; close once the running one has been answered."""
         self.ending = True
-        if self.state in (self.PRELOGIN, self.LOGIN, self.READY):
+        if self.state in (State.PRELOGIN, State.LOGIN, State.READY):
             self._close()
 
+    def _is_closed(self) -> bool:
+        return self.state == State.CLOSED
+
     def _close(self) -> None:
-        self.state = self.CLOSED
+        self.state = State.CLOSED
         self.transport.loseConnection()
 
     # ---- messages in
 
     def taken(self, data: bytes) -> None:
-        if self.state == self.CLOSED:
+        """Process received bytes; raises `TdsProtocolError`."""
+        if self._is_closed():
             return
-        whole = False
-        for kind, status, body in self._in.feed(data):
-            if self.state == self.CLOSED:
+        complete = False
+        for kind, status, body in self._assembler.feed(data):
+            if self._is_closed():
                 return
-            whole = True
+            complete = True
             if kind == codec.ATTENTION:
                 self._attention()
-            elif status & codec.IGNORE:  # the client broke off its own request: Attention follows
-                continue
-            elif self.state == self.PRELOGIN:
-                self._prelogin(kind, body)
-            elif self.state == self.LOGIN:
-                self._login(kind, body)
-            elif self.state == self.READY:
-                self._request(kind, body, bool(status & codec.RESET))
-            else:
-                raise codec.TdsProtocolError("a request while another one runs")
+            elif not status & codec.IGNORE:  # IGNORE: the client cancelled its own request, and Attention follows
+                self._message(kind, status, body)
         self.stale = False
-        # until it is logged in the time runs from its connecting
-        self.came(whole and self.login is not None, self._in.begun)
+        # until the login is done the time limit runs from the connection's start
+        self.came(complete and self.login is not None, self._assembler.begun)
+
+    def _message(self, kind: int, status: int, body: bytes) -> None:
+        if self.state == State.PRELOGIN:
+            self._prelogin(kind, body)
+        elif self.state == State.LOGIN:
+            self._login(kind, body)
+        elif self.state == State.READY:
+            self._request(kind, body, bool(status & codec.RESET))
+        else:
+            raise codec.TdsProtocolError("a request while another one runs")
 
     def _prelogin(self, kind: int, body: bytes) -> None:
         if kind != codec.PRELOGIN:
             raise codec.TdsProtocolError("no PRELOGIN")
         codec.prelogin_options(body)
-        self.state = self.LOGIN
+        self.state = State.LOGIN
         self.write(codec.message(codec.REPLY, codec.prelogin()))
 
     def _login(self, kind: int, body: bytes) -> None:
         if kind != codec.LOGIN7:  # also a client that insists on encryption
             raise codec.TdsProtocolError("no LOGIN7")
-        asked = codec.login_of(body)
-        login = None if asked.integrated else self.settings.check(asked.user, asked.password)
-        if login is None or asked.database not in ("", self.settings.database) or asked.version < codec.VERSION_72:
+        requested = codec.login_of(body)
+        login = self._authenticate(requested)
+        if login is None:
             self.counters.add("tds_bad_logins")
-            self._say_error(LOGIN_FAILED, 1, 14, f"Login failed for user '{asked.user[:100]}'.")
-            return self._close()
+            user = requested.user[:MAX_NAME_CHARACTERS]
+            self._send_error(LOGIN_FAILED, ERROR_STATE, LOGIN_SEVERITY, f"Login failed for user '{user}'.")
+            self._close()
+            return
         self.counters.add("tds_logins")
-        self.login, self.state = login, self.READY
-        if codec.MIN_PACKET_BYTES <= asked.packet_size <= codec.MAX_PACKET_BYTES:
-            self._size = asked.packet_size
-        name = self.settings.database
-        self.write(
-            codec.message(
-                codec.REPLY,
-                b"".join(
-                    (
-                        codec.env_text(1, name, ""),
-                        codec.token_of(codec.ENVCHANGE, b"\x07\x05" + codec.COLLATION + b"\0"),
-                        codec.login_ack(min(asked.version, codec.VERSION_74), "rackhub"),
-                        codec.env_text(4, str(self._size), str(codec.DEFAULT_PACKET_BYTES)),
-                        codec.notice(codec.INFO, 5701, 2, 0, f"rackhub {VERSION}", "rackhub"),
-                        codec.done(0),
-                    )
-                ),
-            )
+        self.login = login
+        self.state = State.READY
+        if codec.MIN_PACKET_BYTES <= requested.packet_size <= codec.MAX_PACKET_BYTES:
+            self._packet_bytes = requested.packet_size
+        self._acknowledge_login(min(requested.version, codec.VERSION_74))
+
+    def _authenticate(self, requested: codec.Login) -> TdsLogin | None:
+        login = None if requested.integrated else self.settings.check(requested.user, requested.password)
+        if requested.database not in ("", self.settings.database) or requested.version < codec.VERSION_72:
+            return None
+        return login
+
+    def _acknowledge_login(self, version: int) -> None:
+        tokens = (
+            codec.env_text(ENV_DATABASE, self.settings.database, ""),
+            ENV_COLLATION,
+            codec.login_ack(version, SERVER_NAME),
+            codec.env_text(ENV_PACKET_SIZE, str(self._packet_bytes), str(codec.DEFAULT_PACKET_BYTES)),
+            codec.notice(codec.INFO, WELCOME_INFO, 2, 0, f"rackhub {VERSION}", SERVER_NAME),
+            codec.done(0),
         )
+        self.write(codec.message(codec.REPLY, b"".join(tokens)))
 
     def _request(self, kind: int, body: bytes, reset: bool) -> None:
         self.counters.add("tds_requests")
-        self._reset, self._done = reset, codec.DONEPROC if kind == codec.RPC else codec.DONE
+        self._reset = reset
+        self._done = codec.DONEPROC if kind == codec.RPC else codec.DONE
         if self.ending:
-            return self._close()
+            self._close()
+            return
         try:
-            if kind == codec.SQL_BATCH:
-                given = {"@statement": codec.batch_text(body)}
-            elif kind == codec.RPC:
-                given = self._arguments(codec.call_of(body))
-            else:
-                raise codec.UnsupportedTdsError("requests of this type")
-            self._submit(given)
-        except codec.UnsupportedTdsError as what:
+            self._submit(self._parameters(kind, body))
+        except codec.UnsupportedTdsError as error:
             self.counters.add("tds_unsupported")
-            self._say_error(UNSUPPORTED, 1, 16, f"not supported: {what}")
+            self._send_error(UNSUPPORTED, ERROR_STATE, ERROR_SEVERITY, f"not supported: {error}")
             self.fault()
-        except Unusable as fault:
+        except Unusable as error:
             self.counters.add("bad_params")
-            self._say_error(BAD_REQUEST, 1, 16, str(fault))
+            self._send_error(BAD_REQUEST, ERROR_STATE, ERROR_SEVERITY, str(error))
             self.fault()
 
+    def _parameters(self, kind: int, body: bytes) -> dict[str, Any]:
+        if kind == codec.SQL_BATCH:
+            return {"@statement": codec.batch_text(body)}
+        if kind == codec.RPC:
+            return self._arguments(codec.call_of(body))
+        raise codec.UnsupportedTdsError("requests of this type")
+
     def _arguments(self, call: codec.Call) -> dict[str, Any]:
-        if call.name.lower().removeprefix("dbo.") != CALL:
-            raise codec.UnsupportedTdsError(f"the procedure {call.name[:100]}")
+        if call.name.lower().removeprefix("dbo.") != PROCEDURE:
+            raise codec.UnsupportedTdsError(f"the procedure {call.name[:MAX_NAME_CHARACTERS]}")
         for name, value in call.arguments.items():
-            wanted = str if name in TEXTS else int | float if name in FIGURES else None
-            if wanted is None:
-                raise Unusable(f"the parameter {name[:100] or 'without a name'} is not known")
-            if value is not None and not isinstance(value, wanted):
+            if name in TEXT_PARAMETERS:
+                valid = isinstance(value, str)
+            elif name in NUMBER_PARAMETERS:
+                valid = isinstance(value, int | float)
+            else:
+                raise Unusable(f"the parameter {name[:MAX_NAME_CHARACTERS] or 'without a name'} is not known")
+            if value is not None and not valid:
                 raise Unusable(f"the parameter {name} is of another type")
         return {name: value for name, value in call.arguments.items() if value is not None}
 
     def _submit(self, given: dict[str, Any]) -> None:
         login = self.login
+        assert login is not None  # READY is reached by a login only
         cls = given.get("@class", login.cls)
         tenant = given.get("@tenant", login.tenants[0] if login.tenants else "")
         if not given.get("@statement", "").strip():
             raise Unusable("the parameter @statement is missing")
         if cls not in self.core.classes:
-            raise Unusable(f"the class {cls[:100]!r} is not known")
+            raise Unusable(f"the class {cls[:MAX_NAME_CHARACTERS]!r} is not known")
         if tenant and tenant not in login.tenants:
             raise Unusable("the tenant is not one of this login's")
         budget = given.get("@budget_ms", login.budget_ms or self.core.classes[cls].deadline / 1_000)
@@ -220,19 +288,18 @@
             est_ms=given.get("@est_ms", 0),
             ram_mb=given.get("@ram_mb", 0),
         )
-        self.state, self._query = self.BUSY, query
+        self.state = State.BUSY
+        self._query = query
         self.core.submit(query)
 
     def _attention(self) -> None:
-        """Stop what runs or is being written; the acknowledgement leaves the connection ready."""
+        """Stop the running request or its result; after the acknowledgement the connection is READY."""
         self.counters.add("tds_attentions")
-        if self.state in (self.PRELOGIN, self.LOGIN):
+        if self.state in (State.PRELOGIN, State.LOGIN):
             raise codec.TdsProtocolError("Attention before a login")
-        query, self._query = self._query, None
-        if query is not None:
-            self.core.disconnect_client(query)
+        self._cancel_request()
         ack = codec.done(codec.DONE_ATTN)
-        if self.state == self.ROWS:  # inside the answer: it ends here, short of its rows, and says so
+        if self.state == State.ROWS:  # the result ends here, incomplete, and its DONE token says so
             self._pages = []
             self.transport.unregisterProducer()
             self._finish((ack,))
@@ -242,84 +309,91 @@
     # ---- answers out
 
     def served(self, query: Query, rows: Sequence[bytes]) -> None:
+        """Start to write the result of a request."""
         if query is not self._query:
             return
         self._query = None
         try:
             self._pages = rows_of(rows)
-        except ValueError as fault:  # the columns are promised: no answer may look whole that is not
-            log.warning("tds: an engine's answer is no rows: %s", fault)
-            return self._say_error(FAILED, 1, 16, "failed: the engine's answer is not rows of three columns")
-        self.state, self._sent = self.ROWS, 0
-        self._out = codec.Packetizer(codec.REPLY, self._size)
-        self.write(self._out.add((self._head(), codec.columns(COLUMNS))))
+        except ValueError as error:  # a malformed result must not look complete
+            log.warning("tds: an engine's answer is no rows: %s", error)
+            text = "failed: the engine's answer is not rows of three columns"
+            self._send_error(FAILED, ERROR_STATE, ERROR_SEVERITY, text)
+            return
+        self.state = State.ROWS
+        self._sent_rows = 0
+        self._packetizer = self._new_packetizer()
+        self.write(self._packetizer.add((self._reset_acknowledgement(), codec.columns(COLUMNS))))
         self.transport.registerProducer(self, False)  # one page at a time, as the client reads
 
-    def resumeProducing(self) -> None:
+    def resumeProducing(self) -> None:  # noqa: N802
+        """Twisted: the transport's buffer is empty. Writes the next page, or the end of the result."""
         self.choked_since = 0
-        if self.state != self.ROWS:
+        if self.state != State.ROWS:
             return
-        while self._pages:  # a page may fill no packet: only bytes written make the transport ask for more
+        while self._pages:  # a page may fill no packet, and the transport asks again only after a write
             page = self._pages.pop(0)
-            self._sent += len(page)
-            if packets := self._out.add(codec.row(row) for row in page):
+            self._sent_rows += len(page)
+            if packets := self._packetizer.add(codec.row(row) for row in page):
                 self.choked_since = self.core.clock.now()  # until the transport asks for more
-                return self.write(packets)
+                self.write(packets)
+                return
         self.transport.unregisterProducer()
-        self._finish((self._status(), codec.done(codec.DONE_COUNT, self._sent, self._done)))
+        self._finish((self._status(), codec.done(codec.DONE_COUNT, self._sent_rows, self._done)))
 
-    def stopProducing(self) -> None:
+    def stopProducing(self) -> None:  # noqa: N802
+        """Twisted: the connection is lost."""
         self._pages = []
 
     def rejected(self, query: Query, backoff: int) -> None:
-        if query is self._query:
-            late = self.core.is_near_deadline(query)
-            self._say_error(
-                DEADLINE if late else REFUSED,
-                HARMLESS,
-                16,
-                ("deadline passed" if late else "refused")
-                + f": trying again is harmless, retry after {-(-backoff // 1_000)} ms",
-            )
+        """A retry is harmless, and makes sense after `backoff` microseconds."""
+        if query is not self._query:
+            return
+        retry = f"trying again is harmless, retry after {-(-backoff // 1_000)} ms"
+        if self.core.is_near_deadline(query):
+            self._send_error(DEADLINE, HARMLESS, ERROR_SEVERITY, f"deadline passed: {retry}")
+        else:
+            self._send_error(REJECTED, HARMLESS, ERROR_SEVERITY, f"refused: {retry}")
 
     def failed(self, query: Query, why: str) -> None:
-        if query is self._query:
-            late = self.core.is_near_deadline(query)
-            self._say_error(
-                DEADLINE if late else FAILED,
-                UNKNOWN if late else 1,
-                16,
-                "deadline passed: its effect is not known" if late else why,
-            )
+        """The request failed, and may have been executed."""
+        if query is not self._query:
+            return
+        if self.core.is_near_deadline(query):
+            self._send_error(DEADLINE, UNKNOWN, ERROR_SEVERITY, "deadline passed: its effect is not known")
+        else:
+            self._send_error(FAILED, ERROR_STATE, ERROR_SEVERITY, why)
 
-    def _say_error(self, number: int, state: int, severity: int, text: str) -> None:
+    def _send_error(self, number: int, state: int, severity: int, text: str) -> None:
         self._answer(
             (
-                codec.notice(codec.ERROR, number, state, severity, text, "rackhub"),
+                codec.notice(codec.ERROR, number, state, severity, text, SERVER_NAME),
                 self._status(),
                 codec.done(codec.DONE_ERROR, 0, self._done),
             )
         )
 
     def _status(self) -> bytes:
-        return b"\x79\0\0\0\0" if self._done == codec.DONEPROC else b""
+        return RETURN_STATUS_ZERO if self._done == codec.DONEPROC else b""
 
-    def _head(self) -> bytes:
-        reset, self._reset = self._reset, False
+    def _reset_acknowledgement(self) -> bytes:
+        reset = self._reset
+        self._reset = False
         return codec.RESET_DONE if reset else b""
 
     def _answer(self, pieces: Sequence[bytes]) -> None:
         self._query = None
-        self._out = codec.Packetizer(codec.REPLY, self._size)
-        self._finish((self._head(), *pieces))
+        self._packetizer = self._new_packetizer()
+        self._finish((self._reset_acknowledgement(), *pieces))
 
     def _finish(self, pieces: Sequence[bytes]) -> None:
-        self.write(self._out.end(pieces))
-        self._out, self.choked_since, self.used = None, 0, self.core.clock.now()
+        self.write(self._packetizer.end(pieces))
+        self.choked_since = 0
+        self.used = self.core.clock.now()
         self._done = codec.DONE
-        if self.state in (self.BUSY, self.ROWS):
-            self.state = self.READY
-        if self.ending and self.state == self.READY:
+        if self.state in (State.BUSY, State.ROWS):
+            self.state = State.READY
+        if self.ending and self.state == State.READY:
             self._close()
 
 
@@ -336,6 +410,7 @@
     counters: Counters,
     ids: Callable[[], str] | None = None,
 ) -> Front:
+    """The front for TDS clients; `ids` generates request ids."""
     ids = ids or random_ids()
     return Front(
         lambda front: TdsConnection(front, settings, ids),
--- a/tests/test_two_fronts.py
+++ b/tests/test_two_fronts.py
@@ -180,7 +180,7 @@
         back_off = said["error"].get("data", {}).get("backoff")
         return ("failed", None) if back_off is None else ("refused", back_off)
     for error in errors(answer):
-        harmless = error.number == tds.REFUSED or (error.number, error.state) == (tds.DEADLINE, tds.HARMLESS)
+        harmless = error.number == tds.REJECTED or (error.number, error.state) == (tds.DEADLINE, tds.HARMLESS)
         return ("refused", int(error.text.split(" ")[-2])) if harmless else ("failed", None)
     return "served", rows(answer)
 
@@ -226,4 +226,4 @@
     thread.start()
     spin(lambda: not thread.is_alive(), 10_000)
     assert found["batch"] == [("a", "b", "c"), ("d", "e", "f")] and found["again"] == ("a", "b", "c")
-    assert found["error"] == tds.REFUSED and "Login failed" in found["login"]
+    assert found["error"] == tds.REJECTED and "Login failed" in found["login"]
