--- a/rackhub/net/tds/codec.py
+++ b/rackhub/net/tds/codec.py
@@ -59,6 +59,13 @@
 
 # Data types (MS-TDS 2.2.5.4).
 NULLTYPE = 0x1F
+INT1TYPE = 0x30
+BITTYPE = 0x32
+INT2TYPE = 0x34
+INT4TYPE = 0x38
+FLT4TYPE = 0x3B
+FLT8TYPE = 0x3E
+INT8TYPE = 0x7F
 INTN = 0x26
 BITN = 0x68
 DECIMALN = 0x6A
@@ -117,10 +124,10 @@
         """The next little-endian integer of `size` bytes."""
         return int.from_bytes(self.take(size), "little", signed=signed)
 
-    def text(self, letters: int) -> str:
-        """The next UTF-16 text of `letters` code units."""
+    def text(self, code_units: int) -> str:
+        """The next UTF-16 text of `code_units` code units."""
         try:
-            return self.take(2 * letters).decode("utf-16-le")
+            return self.take(2 * code_units).decode("utf-16-le")
         except UnicodeDecodeError:
             raise TdsProtocolError("text that is not UTF-16") from None
 
@@ -320,10 +327,10 @@
         raise TdsProtocolError("LOGIN7 is cut off")
     texts = {}
     for index, name in enumerate(LOGIN_TEXTS):
-        at, letters = struct.unpack_from("<HH", body, LOGIN_FIXED.size + 4 * index)
-        if at + 2 * letters > len(body):
+        at, code_units = struct.unpack_from("<HH", body, LOGIN_FIXED.size + 4 * index)
+        if at + 2 * code_units > len(body):
             raise TdsProtocolError("LOGIN7 points outside itself")
-        raw = body[at : at + 2 * letters]
+        raw = body[at : at + 2 * code_units]
         try:
             texts[name] = (unscrambled(raw) if name == "password" else raw).decode("utf-16-le")
         except UnicodeDecodeError:
@@ -410,13 +417,13 @@
 
 
 FIXED = {
-    0x30: ("<B", 1),
-    0x32: ("<B", 1),
-    0x34: ("<h", 2),
-    0x38: ("<i", 4),
-    0x7F: ("<q", 8),
-    0x3B: ("<f", 4),
-    0x3E: ("<d", 8),
+    INT1TYPE: ("<B", 1),
+    BITTYPE: ("<B", 1),
+    INT2TYPE: ("<h", 2),
+    INT4TYPE: ("<i", 4),
+    INT8TYPE: ("<q", 8),
+    FLT4TYPE: ("<f", 4),
+    FLT8TYPE: ("<d", 8),
 }
 INTEGERS = {1: "<B", 2: "<h", 4: "<i", 8: "<q"}
 FLOATS = {4: "<f", 8: "<d"}
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -393,6 +393,7 @@
     """The engine port over TDS."""
 
     def connect(pool: Pool) -> TdsEngineConnection:
+        """A connection of this pool, not yet established."""
         return TdsEngineConnection(pool, settings, clock, limits, counters, core)
 
     return Pools(Dial(reactor, connect, limits), clock, limits, counters, core, limits.tds_engine_connections)
