--- a/rackhub/net/tds/codec.py
+++ b/rackhub/net/tds/codec.py
@@ -75,8 +75,7 @@
 BIGCHAR = 0xAF
 NVARCHAR = 0xE7
 NCHAR = 0xEF
-UNICODE_TYPES = frozenset((NVARCHAR, NCHAR))
-CHARACTER_TYPES = UNICODE_TYPES | {BIGVARCHAR, BIGCHAR}
+CHARACTER_ENCODINGS = {NVARCHAR: "utf-16-le", NCHAR: "utf-16-le", BIGVARCHAR: "cp1252", BIGCHAR: "cp1252"}
 
 ENCRYPT_NOT_SUP = 2
 COLLATION = bytes.fromhex("0904d00034")  # Latin1_General, case-insensitive
@@ -432,6 +431,8 @@
 def argument(cursor: ByteCursor) -> Any:
     """Read one argument: its TYPE_INFO and value. Raises `UnsupportedTdsError` for other types."""
     kind = cursor.number(1)
+    if kind in CHARACTER_ENCODINGS:
+        return _text_argument(cursor, CHARACTER_ENCODINGS[kind])
     if kind == NULLTYPE:
         return None
     if kind in FIXED:
@@ -441,8 +442,6 @@
         return _nullable_number(cursor, FLOATS if kind == FLTN else INTEGERS)
     if kind in (DECIMALN, NUMERICN):
         return _decimal(cursor)
-    if kind in CHARACTER_TYPES:
-        return _text_argument(cursor, kind)
     raise UnsupportedTdsError(f"arguments of type 0x{kind:02x}")
 
 
@@ -466,30 +465,24 @@
     return float(sign * cursor.number(size - 1) / 10**scale)
 
 
-def _text_argument(cursor: ByteCursor, kind: int) -> str | None:
+def _text_argument(cursor: ByteCursor, encoding: str) -> str | None:
     declared = cursor.number(2)
     cursor.take(len(COLLATION))
-    raw = _character_bytes(cursor, declared, cursor.end)
+    raw = read_plp(cursor, cursor.end) if declared == MAX else _short_value(cursor)
     if raw is None:
         return None
     try:
-        return raw.decode(_encoding(kind))
+        return raw.decode(encoding)
     except UnicodeDecodeError:
         raise TdsProtocolError("an argument that is not text") from None
 
 
-def _character_bytes(cursor: ByteCursor, declared: int, max_bytes: int) -> bytes | None:
-    """The bytes of a character value of the declared length; None for NULL."""
-    if declared == MAX:
-        return read_plp(cursor, max_bytes)
+def _short_value(cursor: ByteCursor) -> bytes | None:
+    """Read a value with a two-byte length; None for NULL."""
     size = cursor.number(2)
     return None if size == MAX else cursor.take(size)
 
 
-def _encoding(kind: int) -> str:
-    return "utf-16-le" if kind in UNICODE_TYPES else "cp1252"
-
-
 def call_of(body: bytes) -> Call:
     """Parse the body of an RPC message with one call."""
     cursor = all_headers(body)
@@ -579,7 +572,7 @@
     def __init__(self, max_bytes: int):
         self._max_bytes = max_bytes
         self._buffer = bytearray()
-        self._columns: list[tuple[int, int]] = []
+        self._columns: list[tuple[str, int]] = []  # encoding and declared length
 
     def feed(self, data: bytes) -> Iterator[tuple[int, Any]]:
         """(type, content) of each token that is now complete; the content is None or empty if unused."""
@@ -601,6 +594,8 @@
         return not self._buffer
 
     def _value(self, kind: int, cursor: ByteCursor) -> Any:
+        if kind == ROW:
+            return [self._cell(encoding, declared, cursor) for encoding, declared in self._columns]
         if kind in DONE_TOKENS:
             status, _, rows = struct.unpack("<HHQ", cursor.take(12))
             return Done(status, rows)
@@ -610,8 +605,6 @@
             count = cursor.number(2)
             self._columns = [] if count == MAX else [self._column(cursor) for _ in range(count)]
             return list(self._columns)
-        if kind == ROW:
-            return [self._cell(type_, size, cursor) for type_, size in self._columns]
         if kind == RETURNSTATUS:
             return cursor.number(4, signed=True)
         if kind == RETURNVALUE:  # no call has output parameters
@@ -635,19 +628,19 @@
         return ByteCursor(body)
 
     @staticmethod
-    def _column(cursor: ByteCursor) -> tuple[int, int]:
+    def _column(cursor: ByteCursor) -> tuple[str, int]:
         cursor.take(6)
         kind = cursor.number(1)
-        if kind not in CHARACTER_TYPES:
+        if kind not in CHARACTER_ENCODINGS:
             raise UnsupportedTdsError(f"columns of type 0x{kind:02x}")
         size = cursor.number(2)
         cursor.take(5)
         cursor.text(cursor.number(1))
-        return kind, size
+        return CHARACTER_ENCODINGS[kind], size
 
-    def _cell(self, kind: int, declared: int, cursor: ByteCursor) -> str:
-        raw = _character_bytes(cursor, declared, self._max_bytes)
+    def _cell(self, encoding: str, declared: int, cursor: ByteCursor) -> str:
+        raw = read_plp(cursor, self._max_bytes) if declared == MAX else _short_value(cursor)
         try:
-            return (raw or b"").decode(_encoding(kind))
+            return (raw or b"").decode(encoding)
         except UnicodeDecodeError:
             raise TdsProtocolError("a cell that is not text") from None
