--- a/rackhub/fleet/overload/back.py
+++ b/rackhub/fleet/overload/backoff.py
@@ -14,32 +14,32 @@
 SPREAD = 0.5
 
 
-class Back:
+class Backoff:
     """`most`: the longest back-off that may be told, microseconds; 0: none is."""
 
     def __init__(self, most: int, seed: int):
-        self._most = most
+        self._maximum = most
         self._random = random.Random(seed)
-        self._away: deque[tuple[int, float]] = deque()  # when work is due back, thread-seconds
-        self._refused = 0.0  # since the tick
-        self.away = 0.0
-        self.told = 0  # what is refused now is told to stay away for, microseconds
+        self._retry_due: deque[tuple[int, float]] = deque()  # when work is due back, thread-seconds
+        self._rejected = 0.0  # since the tick
+        self.retry_work = 0.0
+        self.retry_after = 0  # what is refused now is told to stay away for, microseconds
 
-    def refused(self, work: float) -> None:
+    def add_rejected(self, work: float) -> None:
         """Work of so many thread-seconds was turned away just now."""
-        self._refused += work
+        self._rejected += work
 
     def tick(self, now: int, away: float, capacity: float, demand: float) -> None:
         """`away`: thread-seconds at all gateways; `demand`: threads asked of `capacity`."""
-        if self._refused:
-            self._away.append((now + max(self.told, LEAST), self._refused))
-            self.away += self._refused
-            self._refused = 0.0
-        while self._away and self._away[0][0] <= now:
-            self.away = max(self.away - self._away.popleft()[1], 0.0)
-        if not self._away:
-            self.away = 0.0
+        if self._rejected:
+            self._retry_due.append((now + max(self.retry_after, LEAST), self._rejected))
+            self.retry_work += self._rejected
+            self._rejected = 0.0
+        while self._retry_due and self._retry_due[0][0] <= now:
+            self.retry_work = max(self.retry_work - self._retry_due.popleft()[1], 0.0)
+        if not self._retry_due:
+            self.retry_work = 0.0
         free = max(capacity - demand, FREE * capacity, 1e-6)
         wait = away / free * SECOND
         drawn = wait * self._random.uniform(1 - SPREAD, 1 + SPREAD)
-        self.told = int(min(max(drawn, 0), self._most)) if away > 0 else 0
+        self.retry_after = int(min(max(drawn, 0), self._maximum)) if away > 0 else 0
--- a/rackhub/fleet/overload/safe.py
+++ b/rackhub/fleet/overload/fault_barrier.py
@@ -11,11 +11,11 @@
 TOLD = 20  # faults whose traces are logged; all are counted
 
 
-class Safe:
+class FaultBarrier:
     """`count` adds one to a counter."""
 
     def __init__(self, guide: FleetCoordinator, count: Callable[[str], None]):
-        self._guide, self._count, self._faults = guide, count, 0
+        self._coordinator, self._count, self._faults = guide, count, 0
 
     def _fault(self, what: str) -> None:
         self._count("guide_faults")
@@ -25,27 +25,27 @@
 
     def request_received(self, query: Query, now: int) -> int:
         try:
-            return self._guide.request_received(query, now)
+            return self._coordinator.request_received(query, now)
         except Exception:
             self._fault("a request")
             return 0
 
     def attempt_sent(self, attempt: Attempt, now: int) -> None:
-        self._safe(self._guide.attempt_sent, "an attempt", attempt, now)
+        self._call(self._coordinator.attempt_sent, "an attempt", attempt, now)
 
     def attempt_completed(self, attempt: Attempt, reason: str, now: int) -> None:
-        self._safe(self._guide.attempt_completed, "an attempt's end", attempt, reason, now)
+        self._call(self._coordinator.attempt_completed, "an attempt's end", attempt, reason, now)
 
     def request_completed(self, query: Query, how: str, now: int) -> None:
-        self._safe(self._guide.request_completed, "a request's end", query, how, now)
+        self._call(self._coordinator.request_completed, "a request's end", query, how, now)
 
     def check_health(self, engine: str) -> None:
-        self._safe(self._guide.check_health, "a probe", engine)
+        self._call(self._coordinator.check_health, "a probe", engine)
 
     def send_gossip(self, peer: int, contents: bytes) -> None:
-        self._safe(self._guide.send_gossip, "the module's word", peer, contents)
+        self._call(self._coordinator.send_gossip, "the module's word", peer, contents)
 
-    def _safe(self, call: Callable[..., None], what: str, *words: Any) -> None:
+    def _call(self, call: Callable[..., None], what: str, *words: Any) -> None:
         try:
             call(*words)
         except Exception:
--- a/rackhub/fleet/overload/prober.py
+++ b/rackhub/fleet/overload/prober.py
@@ -29,29 +29,29 @@
 
     def __init__(self, prober: "Prober", engine: str, address: Address):
         self.prober, self.engine, self.address = prober, engine, address
-        self.up = self.over = False
-        self._buffer, self._tag, self._sent, self.asked = b"", 0, 0, prober.clock.now()
+        self.up = self.closed = False
+        self._buffer, self._tag, self._sent, self.last_used = b"", 0, 0, prober.clock.now()
         self._done: Done | None = None
         self._late: Any = None
 
-    def ask(self, done: Done) -> None:
+    def send(self, done: Done) -> None:
         """A second one while the first waits is not sent: the first one's end tells as much."""
         if self._done is not None:
             return
         self._done, self._sent = done, self.prober.clock.now()
-        self.asked = self._sent
+        self.last_used = self._sent
         self._late = self.prober.reactor.callLater(PATIENCE / 1e6, self._too_late)
         if self.up:
             self._write()
 
     def drop(self, reason: str = "") -> None:
         """End it. Let go of for its own sake, not the engine's, it says nothing of the engine: its probe has no end."""
-        self.over = True
+        self.closed = True
         if self.up:
             self.transport.abortConnection()
-        self.end(reason)
+        self.complete(reason)
 
-    def end(self, reason: str) -> None:
+    def complete(self, reason: str) -> None:
         done, self._done = self._done, None
         if self._late is not None and self._late.active():
             self._late.cancel()
@@ -60,7 +60,7 @@
 
     def _too_late(self) -> None:
         """Nothing came: what still may come on this connection is of no more use, and the next probe dials anew."""
-        self.prober.gone(self)
+        self.prober.remove(self)
         self.drop("LATE")
 
     def _write(self) -> None:
@@ -68,7 +68,7 @@
         self.transport.writeSequence(command(b"there", b"%d" % self._tag))
 
     def connectionMade(self) -> None:
-        if self.over:
+        if self.closed:
             return self.drop()
         self.up = True
         self.transport.setTcpNoDelay(True)
@@ -80,17 +80,17 @@
         answer = b"".join(command(b"%d" % self._tag, b"alive"))
         if self._buffer == answer:
             self._buffer = b""
-            self.end("GOOD")
+            self.complete("GOOD")
         elif len(self._buffer) > MOST or not answer.startswith(self._buffer):
-            self.prober.gone(self)  # whatever speaks here is no engine of this protocol
+            self.prober.remove(self)  # whatever speaks here is no engine of this protocol
             self.drop("NOCONN")
 
     def connectionLost(self, reason: object = None) -> None:
         self.up = False
-        self.prober.gone(self)
-        if not self.over:
-            self.over = True
-            self.end("NOCONN")
+        self.prober.remove(self)
+        if not self.closed:
+            self.closed = True
+            self.complete("NOCONN")
 
 
 class Prober:
@@ -106,13 +106,13 @@
         self._addresses = dict(listing.addresses)
         for engine, probe in list(self._probes.items()):
             if self._addresses.get(engine) != probe.address:
-                self.gone(probe)
+                self.remove(probe)
                 probe.drop()
 
     def __call__(self, engine: str, done: Done) -> None:
         edge = self.clock.now() - IDLE
-        for other in [other for other in self._probes.values() if other.asked < edge]:  # others probe it now
-            self.gone(other)
+        for other in [other for other in self._probes.values() if other.last_used < edge]:  # others probe it now
+            self.remove(other)
             other.drop()
         probe, address = self._probes.get(engine), self._addresses.get(engine)
         if address is None:
@@ -121,14 +121,14 @@
             if len(self._probes) >= OPEN:  # the one that was asked first makes way
                 self._probes.pop(next(iter(self._probes))).drop()
             probe = self._probes[engine] = Probe(self, engine, address)
-            probe.ask(done)
+            probe.send(done)
             self.reactor.connectTCP(
                 *address, OneDial(probe, probe.connectionLost), timeout=self._limits.dial_timeout / 1e6
             )
         else:
-            probe.ask(done)
+            probe.send(done)
 
-    def gone(self, probe: Probe) -> None:
+    def remove(self, probe: Probe) -> None:
         if self._probes.get(probe.engine) is probe:
             del self._probes[probe.engine]
 
--- a/rackhub/fleet/overload/records.py
+++ b/rackhub/fleet/overload/records.py
@@ -29,26 +29,26 @@
     """One class and tenant at one gateway."""
 
     code: Figure
-    asked: Figure  # requests in 1,000 s, each once however often it came: see `measure`
-    taken: Figure  # what passed the level
+    requested: Figure  # requests in 1,000 s, each once however often it came: see `measure`
+    admitted: Figure  # what passed the level
 
 
 class Work(msgspec.Struct, frozen=True, array_like=True):
     """What requests of one class take: thousandths of attempts ended lately, and thread-milliseconds they held."""
 
     code: Figure
-    ended: Figure
-    held: Figure
+    completed: Figure
+    thread_time: Figure
 
 
-class Lent(msgspec.Struct, frozen=True, array_like=True):
+class Loan(msgspec.Struct, frozen=True, array_like=True):
     """What a gateway leaves of its even slice, and what it wants past it: the least and the most of the last while,
     as parts of the whole. See `share`."""
 
-    least_left: Part = 0
-    most_left: Part = 0
-    least_want: Part = 0
-    most_want: Part = 0
+    minimum_offered: Part = 0
+    maximum_offered: Part = 0
+    minimum_wanted: Part = 0
+    maximum_wanted: Part = 0
 
 
 class Trial(msgspec.Struct, frozen=True, array_like=True):
@@ -65,21 +65,21 @@
     cells: Annotated[tuple[Cell, ...], msgspec.Meta(max_length=CELLS)] = ()
     rest: Figure = 0  # asked in cells that are not listed, as `Cell.asked`
     work: Annotated[tuple[Work, ...], msgspec.Meta(max_length=CLASSES)] = ()
-    hand: Figure = 0  # threads held now, thousandths
+    threads_in_use: Figure = 0  # threads held now, thousandths
     served: Figure = 0
-    refused: Figure = 0
-    away: Figure = 0  # threads' work refused that was told to come back and may not have yet, thousandths
-    further: Figure = 0  # attempts past the first, spent
-    wanted: Figure = 0  # and wished for, spent or not
-    room: Figure = PART  # what pressure makes of the told threads, as this gateway sees it
-    share: Lent = Lent()
-    tokens: Lent = Lent()
+    rejected: Figure = 0
+    retry_work: Figure = 0  # threads' work refused that was told to come back and may not have yet, thousandths
+    retries: Figure = 0  # attempts past the first, spent
+    retries_wanted: Figure = 0  # and wished for, spent or not
+    capacity_factor: Figure = PART  # what pressure makes of the told threads, as this gateway sees it
+    share: Loan = Loan()
+    retry_share: Loan = Loan()
     trials: Annotated[tuple[Trial, ...], msgspec.Meta(max_length=TRIALS)] = ()
     counted: Figure = 0  # whom this gateway counts: see `who.Who.digest`
     version: Figure = 0  # of the rule book's part that it sheds by
 
 
-class Seen(msgspec.Struct, frozen=True, array_like=True):
+class HealthReport(msgspec.Struct, frozen=True, array_like=True):
     """One engine as a prober has it: milliseconds ago, how the probe ended and after how many microseconds, and the
     word of its module on it (0: none, else 1 more than the word's byte)."""
 
@@ -87,11 +87,11 @@
     age: Figure
     reason: Annotated[int, msgspec.Meta(ge=0, lt=3)]
     elapsed: Figure
-    word: Annotated[int, msgspec.Meta(ge=0, le=256)] = 0
+    module_report: Annotated[int, msgspec.Meta(ge=0, le=256)] = 0
 
 
 REASONS = ("GOOD", "LATE", "NOCONN")
-_load, _seen = msgspec.msgpack.Decoder(Load), msgspec.msgpack.Decoder(tuple[Seen, ...])
+_load, _seen = msgspec.msgpack.Decoder(Load), msgspec.msgpack.Decoder(tuple[HealthReport, ...])
 
 
 def bounded(value: float) -> int:
@@ -101,10 +101,10 @@
 def pack(load: Load) -> bytes:
     """As it is posted: at most `RECORD` bytes, whatever the names and figures are. The least asked cells give way to
     the sum first; the level needs the large ones."""
-    cells = sorted(load.cells, key=lambda cell: (-cell.asked, cell.code))
+    cells = sorted(load.cells, key=lambda cell: (-cell.requested, cell.code))
     room = CELLS
     while True:
-        left = sum(cell.asked for cell in cells[room:])
+        left = sum(cell.requested for cell in cells[room:])
         body = msgspec.msgpack.encode(
             msgspec.structs.replace(
                 load,
@@ -127,16 +127,17 @@
     except msgspec.MsgspecError:
         return None
     ordered = all(
-        lent.least_left <= lent.most_left and lent.least_want <= lent.most_want for lent in (load.share, load.tokens)
+        lent.minimum_offered <= lent.maximum_offered and lent.minimum_wanted <= lent.maximum_wanted
+        for lent in (load.share, load.retry_share)
     )
     return load if ordered else None
 
 
-def pack_seen(seen: list[Seen]) -> bytes:
+def pack_seen(seen: list[HealthReport]) -> bytes:
     return msgspec.msgpack.encode(seen)
 
 
-def unpack_seen(body: bytes) -> tuple[Seen, ...] | None:
+def unpack_seen(body: bytes) -> tuple[HealthReport, ...] | None:
     try:
         return _seen.decode(body)
     except msgspec.MsgspecError:
--- a/rackhub/fleet/overload/trials.py
+++ b/rackhub/fleet/overload/recovery_trials.py
@@ -24,7 +24,7 @@
 TRYING, SOUND, BAD = 1, 2, 3
 
 
-class Case:
+class Recovery:
     """One engine that was out, as this gateway holds it."""
 
     __slots__ = ("began", "since", "turn", "sent", "state", "at", "round")
@@ -37,79 +37,79 @@
         self.state, self.at, self.round = 0, now, 0
 
 
-class Trials:
+class RecoveryTrials:
     def __init__(self, me: Name, bound: int = BOUND):
-        self.me, self._bound = me, bound
-        self._up: dict[str, int] = {}  # each listed engine, and when it came up
+        self.local_name, self._bound = me, bound
+        self._started_at: dict[str, int] = {}  # each listed engine, and when it came up
         self._names: dict[int, str] = {}
-        self._rowed: dict[str, int] = {}
-        self._until: dict[str, int] = {}  # not held again before then
-        self.cases: dict[str, Case] = {}
-        self._heard: frozenset[Name] = frozenset((me,))
-        self.held: frozenset[str] = frozenset()
+        self._consecutive_failures: dict[str, int] = {}
+        self._not_before: dict[str, int] = {}  # not held again before then
+        self.recoveries: dict[str, Recovery] = {}
+        self._reachable: frozenset[Name] = frozenset((me,))
+        self.reserved: frozenset[str] = frozenset()
 
     def listed(self, now: int, engines: Iterable[tuple[str, int]]) -> None:
         """The list, with when each came up; all of the first list are taken as known, or nothing could be served."""
-        before, self._up = self._up, dict(engines)
-        self._names = {code(engine): engine for engine in self._up}
-        for kept in (self.cases, self._rowed, self._until):
-            for engine in [engine for engine in kept if engine not in self._up]:
-                del kept[engine]  # type: ignore[attr-defined]
-        for engine, up in self._up.items():
+        before, self._started_at = self._started_at, dict(engines)
+        self._names = {code(engine): engine for engine in self._started_at}
+        for kept in (self.recoveries, self._consecutive_failures, self._not_before):
+            for engine in [engine for engine in kept if engine not in self._started_at]:
+                del kept[engine]
+        for engine, up in self._started_at.items():
             if before and (engine not in before or up > before[engine]):
-                self.out(now, engine, anew=True)
+                self.mark_down(now, engine, anew=True)
 
-    def out(self, now: int, engine: str, anew: bool = False) -> None:
+    def mark_down(self, now: int, engine: str, anew: bool = False) -> None:
         """It is out: nothing goes there until its trial. `anew`: its process is another one than that before."""
-        case = self.cases.get(engine)
-        known = case is not None and case.state != SOUND or now < self._until.get(engine, 0)
-        if engine not in self._up or known and not anew:
+        case = self.recoveries.get(engine)
+        known = case is not None and case.state != SOUND or now < self._not_before.get(engine, 0)
+        if engine not in self._started_at or known and not anew:
             return
-        if len(self.cases) < self._room():
-            self.cases[engine] = Case(now, now - self._bound * anew)  # others may have had the list sooner
-            self._rowed.pop(engine, None)
+        if len(self.recoveries) < self._maximum_reserved():
+            self.recoveries[engine] = Recovery(now, now - self._bound * anew)  # others may have had the list sooner
+            self._consecutive_failures.pop(engine, None)
 
-    def see(self, now: int, heard: frozenset[Name]) -> frozenset[str]:
+    def update(self, now: int, heard: frozenset[Name]) -> frozenset[str]:
         """The engines that get nothing from this gateway for now."""
-        self._heard = heard
+        self._reachable = heard
         held = set()
-        for engine, case in list(self.cases.items()):
+        for engine, case in list(self.recoveries.items()):
             line = ranked(f"trial {case.round} {engine}", heard)
-            late = case.began + self._bound + min(line.index(self.me), APARTS) * APART
+            late = case.began + self._bound + min(line.index(self.local_name), APARTS) * APART
             out = case.sent and now - case.at < self._bound  # longer, and its end may have passed unseen
             if now >= late and not out or case.state == SOUND:
                 if case.state != SOUND:
-                    self._until[engine] = now + AGAIN
+                    self._not_before[engine] = now + AGAIN
                 elif now - case.at < self._bound:  # its word is still to be told
                     continue
-                del self.cases[engine]
+                del self.recoveries[engine]
                 continue
             case.turn = line[0]
             if case.state == BAD and now - case.at >= REST and not case.sent:
                 case.state = 0
-            if case.turn != self.me or case.sent or case.state == BAD:
+            if case.turn != self.local_name or case.sent or case.state == BAD:
                 held.add(engine)
-        if len(held) > self._room():  # the list has shrunk
-            held = set(sorted(held, key=lambda engine: self.cases[engine].began)[: self._room()])
-        self.held = frozenset(held)
-        return self.held
+        if len(held) > self._maximum_reserved():  # the list has shrunk
+            held = set(sorted(held, key=lambda engine: self.recoveries[engine].began)[: self._maximum_reserved()])
+        self.reserved = frozenset(held)
+        return self.reserved
 
-    def _room(self) -> int:
-        return max(int(len(self._up) * PART), 1) if len(self._up) > 1 else 0
+    def _maximum_reserved(self) -> int:
+        return max(int(len(self._started_at) * PART), 1) if len(self._started_at) > 1 else 0
 
-    def sent(self, now: int, engine: str) -> bool:
+    def attempt_sent(self, now: int, engine: str) -> bool:
         """An own attempt goes there; whether that changes what is held."""
-        case = self.cases.get(engine)
+        case = self.recoveries.get(engine)
         if case is None or case.state == SOUND or case.sent:
             return False
         case.sent, case.state, case.at = True, TRYING, now
-        self.held |= {engine}
+        self.reserved |= {engine}
         return True
 
-    def ended(self, now: int, engine: str, reason: str) -> bool:
+    def attempt_completed(self, now: int, engine: str, reason: str) -> bool:
         """An own attempt there has ended; whether that changes what is held."""
         failed = reason in ("NOCONN", "RST")
-        case = self.cases.get(engine)
+        case = self.recoveries.get(engine)
         if case is not None and case.sent and case.state == TRYING:
             case.sent, case.at = False, now
             if reason in ("GOOD", "BAD", "FULL"):  # it answers
@@ -117,33 +117,33 @@
             elif reason == "CXL":  # says nothing: another attempt may
                 case.state = 0
             else:
-                self._failed(case, now)
+                self._trial_failed(case, now)
             return True
-        rowed = self._rowed[engine] = self._rowed.get(engine, 0) + 1 if failed else 0
+        rowed = self._consecutive_failures[engine] = self._consecutive_failures.get(engine, 0) + 1 if failed else 0
         if rowed >= ROWED:
-            self.out(now, engine)
+            self.mark_down(now, engine)
         return rowed == ROWED
 
-    def told(self, now: int) -> tuple[Trial, ...]:
+    def records(self, now: int) -> tuple[Trial, ...]:
         """The own word on engines that it tries, or has tried."""
         return tuple(
             Trial(code(engine), case.state, bounded((now - case.at) // MS))
-            for engine, case in sorted(self.cases.items())
+            for engine, case in sorted(self.recoveries.items())
             if case.state
         )[:TRIALS]
 
-    def heard_of(self, now: int, owner: Name, age: int, told: Iterable[Trial]) -> None:
+    def receive(self, now: int, owner: Name, age: int, told: Iterable[Trial]) -> None:
         """Another's word, in a record so old: one that answered is free from here, with no other way to hold it."""
         for one in told:
             engine, at = self._names.get(one.engine), now - age - one.age * MS
-            case = self.cases.get(engine) if engine is not None else None
+            case = self.recoveries.get(engine) if engine is not None else None
             if engine is None or now - at > self._bound:
                 continue
             if one.state == SOUND and case is not None and at > case.since and case.state != SOUND and not case.sent:
-                del self.cases[engine]
+                del self.recoveries[engine]
             elif one.state == BAD and case is not None and owner == case.turn and at > case.at + MS:
-                self._failed(case, at)
+                self._trial_failed(case, at)
 
-    def _failed(self, case: Case, at: int) -> None:
+    def _trial_failed(self, case: Recovery, at: int) -> None:
         case.state, case.at, case.round = BAD, at, case.round + 1
         case.began = max(case.began, at) if case.round < ROUNDS else case.began
--- a/rackhub/fleet/overload/tokens.py
+++ b/rackhub/fleet/overload/retry_budget.py
@@ -8,7 +8,7 @@
 import random
 
 from rackhub import interface as t
-from rackhub.fleet.overload.share import Lending
+from rackhub.fleet.overload.quota import Quota
 
 SECOND = 1_000_000
 RATIO, FLOOR, OVER = 0.1, 3.0, 10 * SECOND  # where the site tells none: of what is served, and so many in so long
@@ -18,7 +18,7 @@
 DEBT = 2.0  # most that may be owed: what two callers took at the same moment
 
 
-class Tokens:
+class RetryBudget:
     """One gateway's further attempts."""
 
     def __init__(self, settings: t.Settings, hold: int, seed: int):
@@ -27,10 +27,10 @@
         self._floor = (settings.retry_budget_minimum or 0.0) if told else FLOOR
         self._over = settings.retry_budget_window or OVER
         self._random = random.Random(seed)
-        self.lending = Lending(hold, KEPT)
+        self.quota = Quota(hold, KEPT)
         self.budget = self.rate = 0.0  # a second: the fleet's, and this gateway's part of it
-        self._gathered = 0.0  # less than a whole one
-        self.left = 0.0  # whole ones that may be spent now
+        self._accrued = 0.0  # less than a whole one
+        self.available = 0.0  # whole ones that may be spent now
 
     def tick(
         self, now: int, took: int, served: float, wanted: float, even: float, digest: int, lacking: bool = True
@@ -39,29 +39,29 @@
         `share`."""
         self.budget = self._ratio * served + self._floor * SECOND / self._over
         need = wanted * SPARE / self.budget if self.budget else 0.0
-        self.lending.need(now, need, even, digest, lacking)
-        self._gathered += self.rate * took / SECOND
+        self.quota.update_need(now, need, even, digest, lacking)
+        self._accrued += self.rate * took / SECOND
 
-    def part(self, part: float, wanting: bool) -> None:
+    def set_share(self, part: float, wanting: bool) -> None:
         """What this gateway's part of the budget is from now on; `wanting`: whether any is wished for, so that what
         is less than one is worth a draw."""
         self.rate = self.budget * part
         most = self.rate * GATHERED / SECOND
-        room = max(most, 1.0) - max(self.left, 0.0)
-        self._gathered = min(self._gathered, max(room, 0.0), max(most, 0.0))
-        whole = int(self._gathered)
-        if wanting and self.left < 1 and not whole:  # won or lost, what was gathered is staked
-            self.left += self._random.random() < self._gathered
-            self._gathered = 0.0
-        self._gathered -= whole
-        self.left += whole
+        room = max(most, 1.0) - max(self.available, 0.0)
+        self._accrued = min(self._accrued, max(room, 0.0), max(most, 0.0))
+        whole = int(self._accrued)
+        if wanting and self.available < 1 and not whole:  # won or lost, what was gathered is staked
+            self.available += self._random.random() < self._accrued
+            self._accrued = 0.0
+        self._accrued -= whole
+        self.available += whole
 
     def spend(self) -> None:
-        self.left = max(self.left - 1, -DEBT)
+        self.available = max(self.available - 1, -DEBT)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """One for work beside the module's; False: there is none now."""
-        if self.left < 1:
+        if self.available < 1:
             return False
         self.spend()
         return True
--- a/rackhub/fleet/overload/shed.py
+++ b/rackhub/fleet/overload/shed.py
@@ -10,22 +10,22 @@
 import msgspec
 
 from rackhub import interface as t
-from rackhub.fleet.overload.level import Key
+from rackhub.fleet.overload.shedding_threshold import Key
 
 ENTRIES, MOST = 64, 100.0
 
 
-class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SheddingRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     worth: float
     cls: str = msgspec.field(name="class", default="")
     tenant: str = ""
 
 
-class Order(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    order: tuple[Entry, ...] = ()
+class SheddingTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    order: tuple[SheddingRule, ...] = ()
 
 
-class Shed:
+class SheddingPolicy:
     """Implements `ports.RulePart`."""
 
     def __init__(self, settings: t.Settings):
@@ -46,11 +46,11 @@
                     worth[cls, tenant] = worth.get((cls, tenant), 1.0) * entry.worth
         self.worth, self.version = worth, version
 
-    def _read(self, part: Mapping[str, Any] | None) -> tuple[Entry, ...]:
+    def _read(self, part: Mapping[str, Any] | None) -> tuple[SheddingRule, ...]:
         if part is None:
             return ()
         try:
-            entries = msgspec.convert(part, Order, strict=True).order
+            entries = msgspec.convert(part, SheddingTable, strict=True).order
         except msgspec.ValidationError as bad:
             raise ValueError(f"shed: {bad}") from None
         faults = [] if len(entries) <= ENTRIES else [f"shed.order: {len(entries)} entries, more than {ENTRIES}"]
--- a/rackhub/fleet/overload/level.py
+++ b/rackhub/fleet/overload/shedding_threshold.py
@@ -18,7 +18,7 @@
 APART = 4  # places in the order to the octave of worth for each thread second
 FULL, IDLE = 0.9, 0.4  # of the threads, held: with fewer no level begins, or holds
 OVER = 1.0  # by what power of its excess over its part a tenant's worth falls
-ALL = 65_536  # the hash's range: one that is below the mark of its cell is taken
+HASH_RANGE = 65_536  # the hash's range: one that is below the mark of its cell is taken
 SPREAD = 0x9E3779B1  # CRC-32 is linear: its product's upper bits are spread evenly
 
 
@@ -29,14 +29,14 @@
     density: float
 
 
-def parts(demand: Mapping[Key, Demand], fractions: Mapping[str, float], capacity: float) -> dict[str, float]:
+def tenant_quotas(demand: Mapping[Key, Demand], fractions: Mapping[str, float], capacity: float) -> dict[str, float]:
     """Of each tenant that asks for something: its part of the fleet, threads, by the told fractions, or even."""
     active = {tenant for (_, tenant), asked in demand.items() if asked.threads > 0}
     total = sum(fractions.get(tenant) or 1.0 for tenant in active)
     return {tenant: capacity * (fractions.get(tenant) or 1.0) / total for tenant in sorted(active)}
 
 
-def order(demand: Mapping[Key, Demand], part: Mapping[str, float]) -> list[list[Key]]:
+def shedding_order(demand: Mapping[Key, Demand], part: Mapping[str, float]) -> list[list[Key]]:
     """All cells, those to shed last first; those of about the same place together, as they are shed alike. Places are
     apart by a quarter octave: what views differ by changes few."""
     asked: dict[str, float] = {}
@@ -49,16 +49,16 @@
     return [sorted(places[place]) for place in sorted(places, reverse=True)]
 
 
-def reckon(
+def admitted_fractions(
     demand: Mapping[Key, Demand],
     fractions: Mapping[str, float],
     capacity: float,
     guard: float,
 ) -> dict[Key, float]:
     """The part of each cell that is taken, so that all together are `capacity` threads."""
-    part = parts(demand, fractions, capacity)
-    line = order(demand, part)
-    taken = fill(demand, line, dict.fromkeys(demand, 0.0), capacity * (1 - guard))
+    part = tenant_quotas(demand, fractions, capacity)
+    line = shedding_order(demand, part)
+    taken = admit(demand, line, dict.fromkeys(demand, 0.0), capacity * (1 - guard))
     got, left = dict.fromkeys(part, 0.0), dict.fromkeys(part, 0.0)
     for key, cell in demand.items():
         if key[1] in part:
@@ -69,11 +69,11 @@
     for tenant in part if short else ():  # to each the same part of what it lacks, its dearest cells first
         room = lacking[tenant] * min(kept / short, 1.0)
         mine = [[key for key in keys if key[1] == tenant] for keys in line]
-        taken, used = fill(demand, mine, taken, room), used + room
-    return fill(demand, line, taken, kept - used)
+        taken, used = admit(demand, mine, taken, room), used + room
+    return admit(demand, line, taken, kept - used)
 
 
-def fill(
+def admit(
     demand: Mapping[Key, Demand],
     line: list[list[Key]],
     taken: Mapping[Key, float],
@@ -90,17 +90,17 @@
     return new
 
 
-class Level:
+class SheddingThreshold:
     """The level as this gateway holds it: it moves late and by steps, so that it does not flap, and gateways whose
     records differ by little hold the same."""
 
     def __init__(self) -> None:
-        self.on = False
+        self.active = False
         self.marks: dict[Key, int] = {}  # of each cell that is not taken whole: below which hash it is
-        self.place = 1.0  # the part of what is asked that lies above it: where it stands in the order
+        self.admitted_share = 1.0  # the part of what is asked that lies above it: where it stands in the order
         self.moves = 0
 
-    def see(
+    def update(
         self,
         demand: Mapping[Key, Demand],
         fractions: Mapping[str, float],
@@ -111,37 +111,41 @@
         """`full`: threads held by all, against what they may: what is asked is an estimate, and turns nothing away
         while engines stand idle."""
         total = sum(cell.threads for cell in demand.values())
-        if total <= capacity * (ENDS if self.on else BEGINS) or total <= 0 or full < (IDLE if self.on else FULL):
-            self.on, self.marks, self.place = False, {}, 1.0
+        if (
+            total <= capacity * (ENDS if self.active else BEGINS)
+            or total <= 0
+            or full < (IDLE if self.active else FULL)
+        ):
+            self.active, self.marks, self.admitted_share = False, {}, 1.0
             return
-        self.on, marks = True, {}
-        for key, part in reckon(demand, fractions, capacity, guard).items():
-            held = self.marks.get(key, ALL) * STEPS / ALL
+        self.active, marks = True, {}
+        for key, part in admitted_fractions(demand, fractions, capacity, guard).items():
+            held = self.marks.get(key, HASH_RANGE) * STEPS / HASH_RANGE
             step = held if abs(part * STEPS - held) <= BAND else round(part * STEPS)
             if part <= 0:
                 step = 0
             if step < STEPS:
-                marks[key] = round(step * ALL / STEPS)
+                marks[key] = round(step * HASH_RANGE / STEPS)
         self.moves += marks != self.marks
         self.marks = marks
-        above = sum(cell.threads * marks.get(key, ALL) / ALL for key, cell in demand.items())
-        self.place = above / total
+        above = sum(cell.threads * marks.get(key, HASH_RANGE) / HASH_RANGE for key, cell in demand.items())
+        self.admitted_share = above / total
 
-    def takes(self, key: Key, statement: bytes) -> int:
+    def verdict(self, key: Key, statement: bytes) -> int:
         """1: above the level, -1: below it, 0: there is none."""
-        if not self.on:
+        if not self.active:
             return 0
-        mark = self.marks.get(key, ALL)
-        if 0 < mark < ALL:
-            return 1 if hashed(statement, seed_of(key)) < mark else -1
+        mark = self.marks.get(key, HASH_RANGE)
+        if 0 < mark < HASH_RANGE:
+            return 1 if statement_hash(statement, hash_seed(key)) < mark else -1
         return 1 if mark else -1
 
 
-def seed_of(key: Key) -> int:
+def hash_seed(key: Key) -> int:
     """What the hash of a cell's statements begins with."""
     return zlib.crc32("\0".join((key[1], key[0], "")).encode())
 
 
-def hashed(statement: bytes, seed: int) -> int:
+def statement_hash(statement: bytes, seed: int) -> int:
     """Below `ALL`. CRC-32 of tenant, class and statement: the same in every process, and no library is needed."""
     return (zlib.crc32(statement, seed) * SPREAD & 0xFFFFFFFF) >> 16
--- a/rackhub/fleet/overload/view.py
+++ b/rackhub/fleet/overload/view.py
@@ -7,9 +7,9 @@
 from typing import NamedTuple
 
 from rackhub import interface as t
-from rackhub.fleet.overload.level import Demand, Key
-from rackhub.fleet.overload.measure import Kind
+from rackhub.fleet.overload.load_measurement import ClassLoad
 from rackhub.fleet.overload.records import PART, Load, code
+from rackhub.fleet.overload.shedding_threshold import Demand, Key
 
 THREADS_PER_CORE, CORES_UNTOLD = 1.5, 8  # as the module has them
 BACKLOG = 0.2  # of what is held over what the fleet can do, that its capacity is counted less by
@@ -23,13 +23,13 @@
     demand: dict[Key, Demand]
     capacity: float  # threads that the fleet may run
     threads: float  # as told, of those that are heard
-    hand: float  # that it runs
+    threads_in_use: float  # that it runs
     served: float  # requests in a second, as are:
-    refused: float
-    further: float
-    wanted: float
-    away: float  # threads' work, in thread-seconds, that was told to come back
-    room: float  # what pressure makes of the told threads
+    rejected: float
+    retries: float
+    retries_wanted: float
+    retry_work: float  # threads' work, in thread-seconds, that was told to come back
+    capacity_factor: float  # what pressure makes of the told threads
     work: dict[str, float]  # thread-seconds that a request of each class takes
 
 
@@ -45,7 +45,7 @@
 def view(
     loads: Iterable[Load],
     codes: Codes,
-    kinds: Mapping[str, Kind],
+    kinds: Mapping[str, ClassLoad],
     worth: Mapping[Key, float],
     threads: float,
 ) -> View:
@@ -56,11 +56,11 @@
     for load in loads:
         for told in load.work:
             if (cls := codes.classes.get(told.code)) is not None:
-                ended[cls] += told.ended / 1000
-                held[cls] += told.held / 1000
+                ended[cls] += told.completed / 1000
+                held[cls] += told.thread_time / 1000
     work = {
         cls: THREADS_PER_CORE
-        * (held[cls] + SURE * kind.work() * (ended[cls] < SURE))
+        * (held[cls] + SURE * kind.work_per_request() * (ended[cls] < SURE))
         / (ended[cls] + SURE * (ended[cls] < SURE))
         for cls, kind in kinds.items()
     }
@@ -68,7 +68,7 @@
     rest = listed = 0.0
     most = MOST * max(threads, 1.0)
     for load in loads:
-        known = [(codes.cells.get(cell.code), cell.asked) for cell in load.cells]
+        known = [(codes.cells.get(cell.code), cell.requested) for cell in load.cells]
         wanted = sum(rate * work[key[0]] for key, rate in known if key is not None) / 1000
         part = min(most / wanted, 1.0) if wanted > 0 else 1.0
         of_listed = sum(rate for key, rate in known if key is not None)
@@ -83,22 +83,22 @@
     demand = {
         key: Demand(
             rate * grown * work[key[0]],
-            kinds[key[0]].told.priority_weight * worth.get(key, 1.0) / max(work[key[0]], 1e-9),
+            kinds[key[0]].settings.priority_weight * worth.get(key, 1.0) / max(work[key[0]], 1e-9),
         )
         for key, rate in asked.items()
         if rate > 0
     }
-    hands = [min(load.hand / 1000, most) for load in loads]
+    hands = [min(load.threads_in_use / 1000, most) for load in loads]
     hand, weights = sum(hands), sum(hands) + len(hands)
-    felt = sum((held + 1) * min(load.room, 4 * PART) for held, load in zip(hands, loads, strict=True))
+    felt = sum((held + 1) * min(load.capacity_factor, 4 * PART) for held, load in zip(hands, loads, strict=True))
     room = felt / PART / weights if weights else 1.0
     capacity = threads * room
     capacity = max(capacity - BACKLOG * max(hand - capacity, 0.0), LEAST * threads)
     sums = {
         name: sum(getattr(load, name) for load in loads) / 1000
-        for name in ("served", "refused", "further", "wanted", "away")
+        for name in ("served", "rejected", "retries", "retries_wanted", "retry_work")
     }
-    return View(demand, capacity, threads, hand, **sums, room=room, work=work)
+    return View(demand, capacity, threads, hand, **sums, capacity_factor=room, work=work)
 
 
 def told_threads(entries: Iterable[t.EngineEntry], settings: t.Settings, now: int) -> float:
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -18,10 +18,10 @@
 from rackhub.fleet.disk import open_disk
 from rackhub.fleet.members.part import Membership
 from rackhub.fleet.members.subset import MembersWithout
-from rackhub.fleet.overload.part import Overload
+from rackhub.fleet.overload.component import Overload
+from rackhub.fleet.overload.fault_barrier import FaultBarrier
 from rackhub.fleet.overload.prober import Prober
-from rackhub.fleet.overload.safe import Safe
-from rackhub.fleet.overload.shed import Shed
+from rackhub.fleet.overload.shed import SheddingPolicy
 from rackhub.fleet.ports import Fleet, RulePart
 from rackhub.fleet.register.disk import StoreDisk
 from rackhub.fleet.roles import RELAY, VOTER, shares_overload
@@ -86,7 +86,7 @@
         if self.overload is not None:
             parts["shed"] = self.overload.shed
         elif self.told.role == VOTER:
-            parts["shed"] = Shed(self.context.source.settings)
+            parts["shed"] = SheddingPolicy(self.context.source.settings)
         return parts
 
     def _distribution(self) -> "Distribution":
@@ -127,7 +127,7 @@
 
     def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
         if self.overload is not None:
-            self.context.core.fleet_coordinator = Safe(self.overload, self._tally)
+            self.context.core.fleet_coordinator = FaultBarrier(self.overload, self._tally)
         return listing
 
     def open(self) -> None:
--- a/rackhub/trials/fleet/overload_world.py
+++ b/rackhub/trials/fleet/overload_world.py
@@ -16,7 +16,7 @@
 from rackhub.core.source import EndpointSnapshot
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
-from rackhub.fleet.overload.part import Overload
+from rackhub.fleet.overload.component import Overload
 from rackhub.fleet.ports import State
 from rackhub.fleet.settings import FleetSettings
 from rackhub.limits import Limits
--- a/rackhub/trials/processes/forger.py
+++ b/rackhub/trials/processes/forger.py
@@ -50,7 +50,9 @@
         elif note.kind.startswith(records.PROBES):
             way, body = (
                 "all_engines_dead",
-                records.pack_seen([records.Seen(code, 0, 2, 1, 1 + chance.randrange(256)) for code in self._engines]),
+                records.pack_seen(
+                    [records.HealthReport(code, 0, 2, 1, 1 + chance.randrange(256)) for code in self._engines]
+                ),
             )
         else:
             return bytes(raw)
@@ -62,10 +64,10 @@
     """disordered: figures that no sound gateway tells. The others could be told, and are lies."""
     most, part = records.MOST, records.PART
     if way == "disordered":
-        return records.Load(share=records.Lent(least_left=part, most_left=0))
+        return records.Load(share=records.Loan(minimum_offered=part, maximum_offered=0))
     if way == "nothing":
-        return records.Load(room=0)
-    lent = records.Lent(part, part, 0, 0) if way == "lends_all" else records.Lent(0, 0, part, part)
+        return records.Load(capacity_factor=0)
+    lent = records.Loan(part, part, 0, 0) if way == "lends_all" else records.Loan(0, 0, part, part)
     cells = tuple(records.Cell(code, most, most) for code in range(8))
     return records.Load(
         cells,
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -51,10 +51,10 @@
 
 
 def _sorted_ranges(value: Any) -> Any:
-    if not isinstance(value, records.Lent):
+    if not isinstance(value, records.Loan):
         return value
     least_left, most_left, least_want, most_want = msgspec.structs.astuple(value)
-    return records.Lent(*sorted((least_left, most_left)), *sorted((least_want, most_want)))
+    return records.Loan(*sorted((least_left, most_left)), *sorted((least_want, most_want)))
 
 
 CODECS = {
@@ -79,7 +79,7 @@
     "distribution change on disk": _msgpack(history.Past),
     "load record": Codec(records.Load, records.unpack, records.pack, _ordered),
     "health checks record": Codec(
-        records.Seen, lambda body: records.unpack_seen(body)[0], lambda one: records.pack_seen([one])
+        records.HealthReport, lambda body: records.unpack_seen(body)[0], lambda one: records.pack_seen([one])
     ),
     "reachability record": _msgpack(reach.Reach),
     "keyed request on disk": _json(state_records.KeyedRequestRecord),
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -14,19 +14,26 @@
 from rackhub.core.request import Query
 from rackhub.core.source import EndpointSnapshot
 from rackhub.fleet.overload import records
-from rackhub.fleet.overload.back import Back
-from rackhub.fleet.overload.level import ALL, Demand, Level, hashed, reckon, seed_of
-from rackhub.fleet.overload.measure import Kind
+from rackhub.fleet.overload.backoff import Backoff
+from rackhub.fleet.overload.fault_barrier import FaultBarrier
+from rackhub.fleet.overload.load_measurement import ClassLoad
+from rackhub.fleet.overload.participants import Participants
 from rackhub.fleet.overload.prober import Prober
-from rackhub.fleet.overload.probing import COUNTS, Probing
+from rackhub.fleet.overload.probing import COUNTS, HealthCheckSchedule
+from rackhub.fleet.overload.quota import Quota
+from rackhub.fleet.overload.recovery_trials import BOUND, RecoveryTrials
 from rackhub.fleet.overload.rendezvous import ranked
-from rackhub.fleet.overload.safe import Safe
-from rackhub.fleet.overload.share import Lending
-from rackhub.fleet.overload.shed import Shed
-from rackhub.fleet.overload.tokens import Tokens
-from rackhub.fleet.overload.trials import BOUND, Trials
+from rackhub.fleet.overload.retry_budget import RetryBudget
+from rackhub.fleet.overload.shed import SheddingPolicy
+from rackhub.fleet.overload.shedding_threshold import (
+    HASH_RANGE,
+    Demand,
+    SheddingThreshold,
+    admitted_fractions,
+    hash_seed,
+    statement_hash,
+)
 from rackhub.fleet.overload.view import Codes, view
-from rackhub.fleet.overload.who import Who
 from rackhub.fleet.ports import RECORD, State
 from rackhub.limits import Limits
 from rackhub.trials.fleet.overload import main, run
@@ -50,14 +57,16 @@
         (records.Work(other, other, other),) * 20,
         other,
         other,
-        share=records.Lent(0, part, 0, part),
+        share=records.Loan(0, part, 0, part),
         trials=(records.Trial(other, 1, other),) * 20,
     )
     body = records.pack(load)
     told = records.unpack(body)
     assert len(body) <= RECORD
-    total = sum(cell.asked for cell in load.cells)
-    assert told is not None and (total > records.MOST or told.rest + sum(cell.asked for cell in told.cells) == total)
+    total = sum(cell.requested for cell in load.cells)
+    assert told is not None and (
+        total > records.MOST or told.rest + sum(cell.requested for cell in told.cells) == total
+    )
 
 
 @fixed
@@ -65,7 +74,7 @@
 def test_nonsense_is_no_record(body):
     told = records.unpack(body)
     again = told and records.unpack(msgspec.msgpack.encode(told))
-    assert told is None or told == again and min(told.hand, told.rest, told.room) >= 0
+    assert told is None or told == again and min(told.threads_in_use, told.rest, told.capacity_factor) >= 0
 
 
 def test_no_figure_of_a_record_is_below_nothing_or_beyond_what_a_gateway_can_tell():
@@ -95,7 +104,7 @@
 @fixed
 @given(demands, st.floats(1, 1e4), st.floats(0, 0.5))
 def test_what_is_taken_fills_the_fleet_and_no_more(demand, capacity, guard):
-    taken = reckon(demand, {}, capacity, guard)
+    taken = admitted_fractions(demand, {}, capacity, guard)
     used = sum(demand[key].threads * part for key, part in taken.items())
     total = sum(cell.threads for cell in demand.values())
     assert abs(used - min(total, capacity)) <= 1e-6 * total + 1e-6
@@ -106,7 +115,7 @@
 @given(demands, st.floats(1, 1e4))
 def test_a_tenant_below_its_part_gets_of_the_guard_whatever_others_ask(demand, capacity):
     guard = 0.1
-    taken = reckon(demand, {}, capacity, guard)
+    taken = admitted_fractions(demand, {}, capacity, guard)
     tenants = {tenant for _, tenant in demand}
     for tenant in tenants:
         asked = sum(cell.threads for (_, of), cell in demand.items() if of == tenant)
@@ -116,10 +125,11 @@
 
 def test_worth_for_a_thread_second_goes_first_and_a_tenant_over_its_part_falls_back():
     demand = {("a", "x"): Demand(50, 3.0), ("b", "x"): Demand(50, 1.0)}
-    assert reckon(demand, {}, 60, 0) == {("a", "x"): 1.0, ("b", "x"): 0.2}
+    assert admitted_fractions(demand, {}, 60, 0) == {("a", "x"): 1.0, ("b", "x"): 0.2}
     demand = {("a", "x"): Demand(160, 1.5), ("a", "y"): Demand(40, 1.0)}  # x asks for 3.2 times its part
-    assert reckon(demand, {}, 100, 0) == {("a", "y"): 1.0, ("a", "x"): 0.375}
-    assert reckon(demand, {"x": 0.9, "y": 0.1}, 100, 0)["a", "x"] == 100 / 160  # and there y is over its own
+    assert admitted_fractions(demand, {}, 100, 0) == {("a", "y"): 1.0, ("a", "x"): 0.375}
+    # and there y is over its own
+    assert admitted_fractions(demand, {"x": 0.9, "y": 0.1}, 100, 0)["a", "x"] == 100 / 160
 
 
 @fixed
@@ -127,18 +137,19 @@
 def test_views_that_differ_by_a_part_hold_marks_that_differ_by_little_more(demand, capacity, seed):
     """As derived: one step and a half of hysteresis, and what the views differ by."""
     draw, off = random.Random(seed), 0.02
-    one, two = Level(), Level()
+    one, two = SheddingThreshold(), SheddingThreshold()
     for _ in range(4):
         for level in (one, two):
             seen = {
                 key: Demand(cell.threads * draw.uniform(1 - off, 1 + off), cell.density) for key, cell in demand.items()
             }
-            level.see(seen, {}, capacity, 0.0)
-    if not (one.on and two.on):
+            level.update(seen, {}, capacity, 0.0)
+    if not (one.active and two.active):
         return
     total = sum(cell.threads for cell in demand.values())
     apart = sum(
-        abs(one.marks.get(key, ALL) - two.marks.get(key, ALL)) / ALL * cell.threads for key, cell in demand.items()
+        abs(one.marks.get(key, HASH_RANGE) - two.marks.get(key, HASH_RANGE)) / HASH_RANGE * cell.threads
+        for key, cell in demand.items()
     )
     overs = len({tenant for _, tenant in demand}) > 1  # then the order too may differ where tenants are over
     step = max(cell.threads for cell in demand.values()) * 1.5 / 64 * len(demand)
@@ -146,30 +157,30 @@
 
 
 def test_a_repeat_hears_the_same_at_every_gateway_and_in_every_process():
-    level = Level()
-    level.see({("a", "x"): Demand(100, 1.0)}, {}, 50, 0.1)
-    other = Level()
-    other.see({("a", "x"): Demand(100.4, 1.0)}, {}, 50, 0.1)
+    level = SheddingThreshold()
+    level.update({("a", "x"): Demand(100, 1.0)}, {}, 50, 0.1)
+    other = SheddingThreshold()
+    other.update({("a", "x"): Demand(100.4, 1.0)}, {}, 50, 0.1)
     words = [b"select %d" % i for i in range(4000)]
-    assert [level.takes(("a", "x"), word) for word in words] == [other.takes(("a", "x"), word) for word in words]
-    taken = sum(level.takes(("a", "x"), word) == 1 for word in words)
+    assert [level.verdict(("a", "x"), word) for word in words] == [other.verdict(("a", "x"), word) for word in words]
+    taken = sum(level.verdict(("a", "x"), word) == 1 for word in words)
     assert 0.47 < taken / 4000 < 0.53
-    assert hashed(b"select 1", seed_of(("a", "x"))) == 39178  # fixed: two versions must agree
+    assert statement_hash(b"select 1", hash_seed(("a", "x"))) == 39178  # fixed: two versions must agree
 
 
 def test_the_level_holds_still_while_demand_scatters_and_ends_below_where_it_began():
-    level, draw = Level(), random.Random(3)
+    level, draw = SheddingThreshold(), random.Random(3)
     for _ in range(200):
-        level.see({("a", "x"): Demand(100 * draw.uniform(0.995, 1.005), 1.0)}, {}, 50, 0.1)
+        level.update({("a", "x"): Demand(100 * draw.uniform(0.995, 1.005), 1.0)}, {}, 50, 0.1)
     assert level.moves == 1
-    level.see({("a", "x"): Demand(53, 1.0)}, {}, 50, 0.1)
-    assert level.on and level.marks["a", "x"] / ALL > 0.9
-    level.see({("a", "x"): Demand(52, 1.0)}, {}, 50, 0.1)
-    assert not level.on and level.takes(("a", "x"), b"") == 0
-    level.see({("a", "x"): Demand(57, 1.0)}, {}, 50, 0.1)
-    assert not level.on
-    level.see({("a", "x"): Demand(90, 1.0)}, {}, 50, 0.1, full=0.5)
-    assert not level.on  # an estimate turns nothing away while engines stand idle
+    level.update({("a", "x"): Demand(53, 1.0)}, {}, 50, 0.1)
+    assert level.active and level.marks["a", "x"] / HASH_RANGE > 0.9
+    level.update({("a", "x"): Demand(52, 1.0)}, {}, 50, 0.1)
+    assert not level.active and level.verdict(("a", "x"), b"") == 0
+    level.update({("a", "x"): Demand(57, 1.0)}, {}, 50, 0.1)
+    assert not level.active
+    level.update({("a", "x"): Demand(90, 1.0)}, {}, 50, 0.1, full=0.5)
+    assert not level.active  # an estimate turns nothing away while engines stand idle
 
 
 # ---- share
@@ -180,22 +191,22 @@
 
     def __init__(self, net, name, told, need, draw, keep=KEEP, hold=FRESH + SECOND):
         self.node, self.net, self.need, self.draw = net.nodes[name], net, need, draw
-        self.lending = Lending(hold)
-        self.who = Who(name, told, keep, FRESH)
+        self.lending = Quota(hold)
+        self.who = Participants(name, told, keep, FRESH)
         self.part, self.was = 0.0, []
         self.node.later(draw.randrange(TICK), self.tick)
 
     def tick(self):
         now = self.node.now()
-        self.who.see(now, self.node.living(), self.node.heard(), self.node.read(records.LOAD))
-        self.lending.need(now, self.need(), self.who.even, self.who.digest)
-        self.node.post(records.LOAD, records.pack(records.Load(share=self.lending.told(), counted=self.who.digest)))
+        self.who.update(now, self.node.living(), self.node.heard(), self.node.read(records.LOAD))
+        self.lending.update_need(now, self.need(), self.who.equal_share, self.who.digest)
+        self.node.post(records.LOAD, records.pack(records.Load(share=self.lending.loan(), counted=self.who.digest)))
         held = {name: records.unpack(record.body) for name, record in self.node.read(records.LOAD).items()}
         others = [
             held[name].share if name not in self.who.silent and held[name].counted == self.who.digest else None
             for name in self.who.counted - {self.node.me}
         ]
-        self.part = self.lending.part(self.who.even, others)
+        self.part = self.lending.share(self.who.equal_share, others)
         self.was.append((now, self.part))
         self.node.later(TICK, self.tick)
 
@@ -309,9 +320,9 @@
 
 def disagreement(world):
     """Of repeats at another gateway, the part that hears something else than at the first."""
-    levels = [gateway.part.reckoning.level for gateway in world.gateways]
+    levels = [gateway.part.controller.threshold for gateway in world.gateways]
     words = [((cls.name, tenant.name), b"select %d" % i) for cls in CLASSES for tenant in TENANTS for i in range(60)]
-    said = [[level.takes(key, word) >= 0 for level in levels] for key, word in words]
+    said = [[level.verdict(key, word) >= 0 for level in levels] for key, word in words]
     return sum(one != other for row in said for one in row for other in row) / len(said) / len(levels) ** 2
 
 
@@ -320,7 +331,7 @@
     world = World(4, 4, True, lambda at: 2.0, 1, hot=0.5)
     for gateway in world.gateways:
         if own_view:  # planted: nobody else's record is taken for one
-            gateway.part._read = lambda record: None
+            gateway.part._decode = lambda record: None
     apart = []
     world.run(5, lambda: apart.append(disagreement(world)) if world.seconds() > 3 else None)
     return world, sum(apart) / len(apart)
@@ -328,7 +339,7 @@
 
 def test_a_level_from_each_one_s_own_view_is_found():
     world, apart = overloaded()
-    assert all(gateway.part.reckoning.on for gateway in world.gateways) and apart < 0.1
+    assert all(gateway.part.controller.shedding for gateway in world.gateways) and apart < 0.1
     assert world.counts["attempts"] <= 1.1 * world.counts["served"] + 40  # what is still out at the end
     _, own = overloaded(own_view=True)
     assert own > 0.1 and own > 3 * apart, (own, apart)
@@ -336,7 +347,7 @@
 
 def test_the_parts_that_hold_sum_up_to_one_and_a_record_stays_small():
     world, _ = overloaded()
-    assert sum(gateway.part.reckoning.part for gateway in world.gateways) <= 1 + 1e-3
+    assert sum(gateway.part.controller.thread_share for gateway in world.gateways) <= 1 + 1e-3
     assert all(len(record.body) <= RECORD for record in world.net.nodes["g0"].read(records.LOAD).values())
 
 
@@ -359,16 +370,16 @@
     """What gateways that want so many a second spend, all hearing of one another; `own`: planted, each by its own
     count and its own floor."""
     names = range(len(wanting))
-    all_of = [Tokens(SITE, 4 * SECOND, seed) for seed in names]
+    all_of = [RetryBudget(SITE, 4 * SECOND, seed) for seed in names]
     used, even = [0] * len(wanting), 1.0 if own else 1 / len(wanting)
     for tick in range(seconds * 5):
         now = tick * TICK
-        told = [one.lending.told() for one in all_of]
+        told = [one.quota.loan() for one in all_of]
         for at, one in enumerate(all_of):
             one.tick(now, TICK, served / len(wanting) if own else served, wanting[at], even, 1)
             others = [] if own else [told[other] for other in names if other != at]
-            one.part(one.lending.part(even, others), wanting[at] > 0)
-            while wanting[at] and one.take():
+            one.set_share(one.quota.share(even, others), wanting[at] > 0)
+            while wanting[at] and one.try_spend():
                 used[at] += 1
     return used, (0.1 * served + 0.3) * seconds * TICK * 5 / SECOND
 
@@ -393,12 +404,12 @@
 
 
 def probers(names, dead=()):
-    all_of = {name: Probing(name) for name in names}
+    all_of = {name: HealthCheckSchedule(name) for name in names}
     for probing in all_of.values():
         probing.listed(f"e{i}" for i in range(40))
-        probing.see(0, frozenset(names))
-        probing.see(1, frozenset(names) - set(dead))
-    return Counter(engine for name, probing in all_of.items() if name not in dead for engine in probing.mine)
+        probing.update(0, frozenset(names))
+        probing.update(1, frozenset(names) - set(dead))
+    return Counter(engine for name, probing in all_of.items() if name not in dead for engine in probing.targets)
 
 
 def test_each_engine_has_two_probers_whoever_else_there_is_and_one_gone_is_replaced_at_once():
@@ -412,26 +423,26 @@
 def test_a_prober_that_lives_and_says_nothing_is_passed_over():
     names = frozenset(f"g{i}" for i in range(5))
     line = ranked("e", names)
-    third = Probing(line[2])
+    third = HealthCheckSchedule(line[2])
     third.listed(["e"])
-    third.see(0, names)
-    assert third.mine == ()
-    seen = [records.Seen(records.code("e"), 0, 0, 900)]
+    third.update(0, names)
+    assert third.targets == ()
+    seen = [records.HealthReport(records.code("e"), 0, 0, 900)]
     for at in range(0, 4 * SECOND, 100 * MS):
-        third.heard_of(at, line[0], 0, seen)
-        third.see(at, names)
-    assert third.mine == ("e",)  # the first speaks, the second has not for 1.5 s
-    assert not third.heard_of(4 * SECOND, line[4], 0, seen)  # not one that is to probe it: counts for nothing
+        third.receive(at, line[0], 0, seen)
+        third.update(at, names)
+    assert third.targets == ("e",)  # the first speaks, the second has not for 1.5 s
+    assert not third.receive(4 * SECOND, line[4], 0, seen)  # not one that is to probe it: counts for nothing
 
 
 def stale(counts=COUNTS):
     """Whether a result older than it may be is still told, after the prober fell silent."""
     names = ["a", "b", "c", "d"]
     first, *_, last = ranked("e", names)
-    probing = Probing(last, counts)
+    probing = HealthCheckSchedule(last, counts)
     probing.listed(["e"])
-    probing.see(0, frozenset(names))
-    probing.heard_of(0, first, 0, [records.Seen(records.code("e"), 0, 0, 900)])
+    probing.update(0, frozenset(names))
+    probing.receive(0, first, 0, [records.HealthReport(records.code("e"), 0, 0, 900)])
     assert probing.latest(COUNTS, "e") is not None
     return probing.latest(COUNTS + 1, "e") is not None
 
@@ -449,7 +460,7 @@
     words take 100 to 700 ms."""
     draw, all_of, sends, words, ends = random.Random(5), {}, [], [], []
     for name in names:
-        all_of[name] = Trials(name)
+        all_of[name] = RecoveryTrials(name)
         all_of[name].listed(0, [("e", 0), ("f", 0), ("g", 0)])
     for now in range(0, until, 50 * MS):
         for name, trials in all_of.items():
@@ -457,14 +468,15 @@
                 trials.listed(now, [("e", 1), ("f", 0), ("g", 0)])
             for at, owner, told in words:
                 if at <= now < at + 50 * MS and owner != name and name not in deaf:
-                    trials.heard_of(now, owner, 0, told)
+                    trials.receive(now, owner, 0, told)
             for at, owner in ends:
-                if owner == name and at <= now < at + 50 * MS and trials.ended(now, "e", "GOOD" if sound else "RST"):
-                    words.append((now + draw.randrange(100 * MS, 700 * MS), name, trials.told(now)))
-            held = trials.see(now, frozenset(names))
+                answer = "GOOD" if sound else "RST"
+                if owner == name and at <= now < at + 50 * MS and trials.attempt_completed(now, "e", answer):
+                    words.append((now + draw.randrange(100 * MS, 700 * MS), name, trials.records(now)))
+            held = trials.update(now, frozenset(names))
             if name not in dead and now > listed_at[name] and "e" not in held:
                 sends.append((now, name))
-                trials.sent(now, "e")
+                trials.attempt_sent(now, "e")
                 ends.append((now + answers, name))
     return sends
 
@@ -493,15 +505,15 @@
 
 
 def test_what_was_refused_is_told_to_come_back_as_the_fleet_can_serve_it():
-    back, waits = Back(5 * SECOND, 1), []
+    back, waits = Backoff(5 * SECOND, 1), []
     for tick in range(40):
-        back.refused(2.0)
-        back.tick(tick * TICK, back.away * 10, 100.0, 95.0)
-        waits.append(back.told)
-    assert max(waits) <= 5 * SECOND and 0.5 < back.away * 10 / 10 / (sum(waits[-10:]) / 10 / SECOND) < 20
+        back.add_rejected(2.0)
+        back.tick(tick * TICK, back.retry_work * 10, 100.0, 95.0)
+        waits.append(back.retry_after)
+    assert max(waits) <= 5 * SECOND and 0.5 < back.retry_work * 10 / 10 / (sum(waits[-10:]) / 10 / SECOND) < 20
     for tick in range(40, 100):
-        back.tick(tick * TICK, back.away * 10, 100.0, 50.0)
-    assert back.away == 0 and back.told == 0
+        back.tick(tick * TICK, back.retry_work * 10, 100.0, 50.0)
+    assert back.retry_work == 0 and back.retry_after == 0
 
 
 @pytest.mark.parametrize(
@@ -517,7 +529,7 @@
     ],
 )
 def test_a_bad_order_of_shedding_is_named_and_what_held_goes_on(part, named):
-    shed = Shed(SITE)
+    shed = SheddingPolicy(SITE)
     shed.hold({"order": [{"tenant": "night", "worth": 0.5}, {"class": "report", "worth": 4.0}]}, 7)
     held = dict(shed.worth)
     with pytest.raises(ValueError, match=named):
@@ -534,7 +546,7 @@
     liar.post = lambda kind, body: post(kind, b"\xff" + body)
     world.run(3)
     part = world.gateways[0].part
-    assert part.reckoning.who.silent == {"g2"} and world.net.nodes["g0"].counts["overload_nonsense"] > 0
+    assert part.controller.participants.silent == {"g2"} and world.net.nodes["g0"].counts["overload_nonsense"] > 0
     assert world.counts["served"] > 0.9 * world.counts["requests"] - 40
 
 
@@ -548,8 +560,8 @@
     query = Query("x", "lookup", b"select 1", node.now() + SECOND, None, tenant="north")
     gateway.part.request_received(query, node.now())
     assert gateway.part._ticked == node.now() > before + 6 * SECOND
-    own = gateway.part.reckoning
-    assert own.who.silent == {"g1", "g2"} and own.part <= 1 / 3  # what it holds of them is old
+    own = gateway.part.controller
+    assert own.participants.silent == {"g1", "g2"} and own.thread_share <= 1 / 3  # what it holds of them is old
 
 
 # ---- the probe on the wire
@@ -635,7 +647,7 @@
 @fixed
 @given(st.integers(0, 10**6))
 def test_no_run_of_events_holds_most_engines_or_one_for_good(seed):
-    draw, trials, names = random.Random(seed), Trials("a"), ["a", "b", "c", "d"]
+    draw, trials, names = random.Random(seed), RecoveryTrials("a"), ["a", "b", "c", "d"]
     engines = [f"e{i}" for i in range(6)]
     now, held_since = 0, {}
     trials.listed(0, [(engine, 0) for engine in engines])
@@ -646,24 +658,24 @@
             some = draw.sample(engines, draw.randrange(1, 7))
             trials.listed(now, [(one, draw.choice([0, 0, 0, now])) for one in some])
         elif what == 1:
-            trials.sent(now, engine)
+            trials.attempt_sent(now, engine)
         elif what == 2:
-            trials.ended(now, engine, draw.choice(["GOOD", "RST", "NOCONN", "LATE", "CXL", "FULL"]))
+            trials.attempt_completed(now, engine, draw.choice(["GOOD", "RST", "NOCONN", "LATE", "CXL", "FULL"]))
         elif what == 3:  # also of members that lie
-            trials.heard_of(
+            trials.receive(
                 now,
                 draw.choice(names),
                 draw.randrange(5 * SECOND),
                 [records.Trial(records.code(engine), draw.randrange(5), draw.randrange(4_000))],
             )
         elif what == 4:
-            trials.out(now, engine)
-        held = trials.see(now, frozenset(draw.sample(names[1:], 2)) | {"a"})
-        assert len(held) <= max(len(trials._up) // 2, 1) and len(trials.told(now)) <= records.TRIALS
+            trials.mark_down(now, engine)
+        held = trials.update(now, frozenset(draw.sample(names[1:], 2)) | {"a"})
+        assert len(held) <= max(len(trials._started_at) // 2, 1) and len(trials.records(now)) <= records.TRIALS
         held_since = {one: held_since.get(one, now) for one in held}
     for _ in range(60):  # nothing more comes, not even the end of an own attempt: all are free by the bound
         now += SECOND
-        held = trials.see(now, frozenset(names))
+        held = trials.update(now, frozenset(names))
     assert not held
 
 
@@ -676,7 +688,7 @@
             return fails
 
     counted = []
-    safe = Safe(Broken(), counted.append)
+    safe = FaultBarrier(Broken(), counted.append)
     assert safe.request_received(None, 0) == 0
     safe.attempt_sent(None, 0)
     safe.attempt_completed(None, "GOOD", 0)
@@ -688,15 +700,15 @@
 
 def test_a_member_that_lies_in_figures_that_can_be_told_does_not_shut_the_others_out():
     """2**40 threads held, and asked for, were taken as told: the fleet then counted a quarter of its capacity."""
-    codes, kinds = Codes(SITE), {told.name: Kind(told) for told in SITE.classes}
+    codes, kinds = Codes(SITE), {told.name: ClassLoad(told) for told in SITE.classes}
     cell, work = next(iter(codes.cells)), next(iter(codes.classes))
     honest = records.Load(
-        cells=(records.Cell(cell, 5_000, 5_000),), hand=4_000, work=(records.Work(work, 20_000, 4_000),)
+        cells=(records.Cell(cell, 5_000, 5_000),), threads_in_use=4_000, work=(records.Work(work, 20_000, 4_000),)
     )
-    lies = records.Load(hand=2**40), records.Load(cells=(records.Cell(cell, 2**40, 0),), rest=2**40)
+    lies = records.Load(threads_in_use=2**40), records.Load(cells=(records.Cell(cell, 2**40, 0),), rest=2**40)
     calm = view([honest] * 5, codes, kinds, {}, 24.0)
     for lie in lies:
         seen = view([*[honest] * 5, lie], codes, kinds, {}, 24.0)
-        assert seen.hand <= calm.hand + 4 * 24 and seen.capacity >= 0.25 * 24
+        assert seen.threads_in_use <= calm.threads_in_use + 4 * 24 and seen.capacity >= 0.25 * 24
         asked = sum(demand.threads for demand in seen.demand.values())
         assert asked <= 2 * (sum(demand.threads for demand in calm.demand.values()) + 4 * 24)
