--- a/rackhub/fleet/overload/__init__.py
+++ b/rackhub/fleet/overload/__init__.py
@@ -1,7 +1,8 @@
-"""Overload handled as one: what all gateways of a fleet reckon alike from the records of the board.
+"""Load shedding, quotas, retry budget, health checks and recovery for all gateways of a fleet together.
 
-Pure cores, each with its state and nothing else: `records` (what each gateway tells), `level` (who is shed), `who` and
-`share` (what each may run), `tokens` (further attempts), `probing` and `trials` (engines), `back` (when what was
-refused may return). `measure` counts, `reckoning` puts these together, `part` ties them to the core and to the board.
-Why it is so, and what differing views can cost: docs/design/overload.md.
+Pure modules, each with its own state only: `records` (what each gateway publishes), `shedding_threshold` (which
+requests are shed), `participants` and `quota` (how many threads each gateway may use), `retry_budget`, `probing` and
+`recovery_trials` (engines), `backoff` (the retry-after of rejected requests). `load_measurement` counts requests,
+`load_controller` combines these modules, `component` connects them to the core and to the gossip board.
+See docs/design/overload.md.
 """
--- a/rackhub/fleet/overload/fault_barrier.py
+++ b/rackhub/fleet/overload/fault_barrier.py
@@ -1,4 +1,4 @@
-"""A guide whose faults stay its own: the core goes on as if no peers were there, and says so in the log."""
+"""A barrier for faults of the fleet coordinator: the core goes on as with no peers, and the fault is logged."""
 
 import logging
 from collections.abc import Callable
@@ -8,45 +8,56 @@
 from rackhub.core.request import Attempt, Query
 
 log = logging.getLogger(__name__)
-TOLD = 20  # faults whose traces are logged; all are counted
+LOGGED_FAULTS = 20  # faults with a logged traceback; all are counted
 
 
 class FaultBarrier:
-    """`count` adds one to a counter."""
+    """Implements `core.fleet.FleetCoordinator` by another one, whose exceptions it catches.
 
-    def __init__(self, guide: FleetCoordinator, count: Callable[[str], None]):
-        self._coordinator, self._count, self._faults = guide, count, 0
+    `count` adds one to the counter of the given name.
+    """
 
-    def _fault(self, what: str) -> None:
-        self._count("guide_faults")
-        self._faults += 1
-        if self._faults <= TOLD:
-            log.exception("fleet: the guide failed on %s", what)
+    def __init__(self, coordinator: FleetCoordinator, count: Callable[[str], None]):
+        self._coordinator = coordinator
+        self._count = count
+        self._faults = 0
 
     def request_received(self, query: Query, now: int) -> int:
+        """Return the verdict on a new request; 0 (no threshold) after a fault."""
         try:
             return self._coordinator.request_received(query, now)
-        except Exception:
-            self._fault("a request")
+        except Exception:  # noqa: BLE001 - a fault of any kind must not reach the core
+            self._record_fault("a request")
             return 0
 
     def attempt_sent(self, attempt: Attempt, now: int) -> None:
+        """Forward the start of an attempt."""
         self._call(self._coordinator.attempt_sent, "an attempt", attempt, now)
 
     def attempt_completed(self, attempt: Attempt, reason: str, now: int) -> None:
+        """Forward the end of an attempt."""
         self._call(self._coordinator.attempt_completed, "an attempt's end", attempt, reason, now)
 
     def request_completed(self, query: Query, how: str, now: int) -> None:
+        """Forward the end of a request."""
         self._call(self._coordinator.request_completed, "a request's end", query, how, now)
 
     def check_health(self, engine: str) -> None:
+        """Forward the request for a health check."""
         self._call(self._coordinator.check_health, "a probe", engine)
 
     def send_gossip(self, peer: int, contents: bytes) -> None:
+        """Forward a gossip message of the core."""
         self._call(self._coordinator.send_gossip, "the module's word", peer, contents)
 
-    def _call(self, call: Callable[..., None], what: str, *words: Any) -> None:
+    def _call(self, call: Callable[..., None], what: str, *arguments: Any) -> None:
         try:
-            call(*words)
-        except Exception:
-            self._fault(what)
+            call(*arguments)
+        except Exception:  # noqa: BLE001 - a fault of any kind must not reach the core
+            self._record_fault(what)
+
+    def _record_fault(self, what: str) -> None:
+        self._count("guide_faults")
+        self._faults += 1
+        if self._faults <= LOGGED_FAULTS:
+            log.exception("fleet: the guide failed on %s", what)
--- a/rackhub/fleet/overload/participants.py
+++ b/rackhub/fleet/overload/participants.py
@@ -1,4 +1,4 @@
-"""Who counts in the sums: whom this gateway hears, who is silent, and who is gone but whose work may still run."""
+"""The gateways that count in fleet-wide sums: reachable, silent, and gone with work that may still run."""
 
 from collections.abc import Mapping
 
@@ -7,22 +7,34 @@
 
 
 class Participants:
-    """`told`: how many gateways the settings tell; `keep`: for how long what a member sent may run once it is gone;
-    `fresh`: the age past which a record counts for nothing, both microseconds."""
+    """The participants as this gateway sees them.
 
-    def __init__(self, me: Name, told: int, keep: int, fresh: int):
-        self.local_name, self.configured, self.takeover_delay, self.maximum_age = me, told, keep, fresh
-        self._since: int | None = None  # when the majority was last seen to begin
-        self._last_alive: dict[Name, int] = {}  # when each was last among the living, of those that are not
+    `configured` is the number of gateways in the settings, `takeover_delay` how long the requests of a member that is
+    gone may still run, `maximum_age` the age past which a record does not count; both in microseconds.
+    """
+
+    def __init__(self, local_name: Name, configured: int, takeover_delay: int, maximum_age: int):
+        self.local_name = local_name
+        self.configured = configured
+        self.takeover_delay = takeover_delay
+        self.maximum_age = maximum_age
+        self._majority_since: int | None = None
+        self._last_alive: dict[Name, int] = {}  # of the members that are not alive now
         self._living: frozenset[Name] = frozenset()
-        self.counted: frozenset[Name] = frozenset((me,))
+        self.counted: frozenset[Name] = frozenset((local_name,))
         self.silent: frozenset[Name] = frozenset()
-        self.equal_share = 1 / told
+        self.equal_share = 1 / configured
         self.majority = False
-        self.digest = code(me)  # of `counted`: lends and takes only go between those who count the same
+        self.digest = code(local_name)  # of `counted`: only gateways that count the same members exchange loans
 
     def update(self, now: int, living: frozenset[Name], heard: frozenset[Name], records: Mapping[Name, Record]) -> None:
-        """Reckon anew from what is held now."""
+        """Recompute the participants from the membership and the load records held now."""
+        self._update_counted(now, living)
+        fresh = {name for name, record in records.items() if record.age <= self.maximum_age and name in heard}
+        self.silent = self.counted - fresh - {self.local_name}
+        self._update_equal_share(now)
+
+    def _update_counted(self, now: int, living: frozenset[Name]) -> None:
         for name in self._living - living:
             self._last_alive[name] = now
         self._living = living | {self.local_name}
@@ -31,12 +43,16 @@
         }
         counted = self._living | self._last_alive.keys()
         if counted != self.counted:
-            self.counted, self.digest = counted, code(*sorted(counted))
-        fresh = {name for name, record in records.items() if record.age <= self.maximum_age and name in heard}
-        self.silent = self.counted - fresh - {self.local_name}
-        # Cut off with the smaller side, the rest most likely lives on, and works: nothing of it is taken over. Nor by
-        # one that has just started, or is just back from a smaller side: it has not seen who is there.
+            self.counted = counted
+            self.digest = code(*sorted(counted))
+
+    def _update_equal_share(self, now: int) -> None:
+        # In the minority side of a partition the other gateways most likely still serve, so their shares are not taken
+        # over; nor by a gateway that has just started or rejoined, as it does not know yet who is there.
         self.majority = 2 * len(self._living) > self.configured
-        self._since = (now if self._since is None else self._since) if self.majority else None
-        sure = self._since is not None and now - self._since >= self.takeover_delay
-        self.equal_share = 1 / (len(self.counted) if sure else max(self.configured, len(self.counted)))
+        if not self.majority:
+            self._majority_since = None
+        elif self._majority_since is None:
+            self._majority_since = now
+        settled = self._majority_since is not None and now - self._majority_since >= self.takeover_delay
+        self.equal_share = 1 / (len(self.counted) if settled else max(self.configured, len(self.counted)))
--- a/rackhub/fleet/overload/records.py
+++ b/rackhub/fleet/overload/records.py
@@ -1,7 +1,7 @@
-"""What a gateway tells the others of its load: one small record of the board, of bounded cells.
+"""The gossip records of the load and health checks of a gateway.
 
-Rates are thousandths in a second, threads thousandths, parts of one 65,536ths, times milliseconds. A class and tenant
-stand as the CRC-32 of their names: what is told must fit, and both sides know the names from their settings.
+Rates are in thousandths per second, threads in thousandths, fractions in 65,536ths, times in milliseconds. A class and
+tenant are encoded as the CRC-32 of their names, to bound the size; all gateways know the names from their settings.
 """
 
 import zlib
@@ -11,17 +11,20 @@
 
 from rackhub.fleet.ports import RECORD
 
-LOAD, PROBES = "load", "probes"  # kinds on the board; `PROBES` with the number of its page behind it
-CELLS, CLASSES, TRIALS = 32, 12, 12  # most of each in one record; cells past these are summed
-PART = 65_536  # one, as a part is told
-MOST = 2**40  # no figure of a sound gateway is larger
+LOAD = "load"  # kind on the board
+PROBES = "probes"  # kind on the board, with the page number appended
+CELLS = 32  # maximum in one record; further cells are summed
+CLASSES = 12
+TRIALS = 12
+PART = 65_536  # the encoding of the fraction 1
+MOST = 2**40  # maximum of every number
 
 Figure = Annotated[int, msgspec.Meta(ge=0, le=MOST)]
 Part = Annotated[int, msgspec.Meta(ge=0, le=PART)]
 
 
 def code(*names: str) -> int:
-    """The same at every gateway and in every process: no seed."""
+    """Return the CRC-32 of the names, the same at every gateway."""
     return zlib.crc32("\0".join(names).encode())
 
 
@@ -29,12 +32,12 @@
     """One class and tenant at one gateway."""
 
     code: Figure
-    requested: Figure  # requests in 1,000 s, each once however often it came: see `measure`
-    admitted: Figure  # what passed the level
+    requested: Figure  # requests in 1,000 s, without repeats: see `load_measurement`
+    admitted: Figure  # passed the shedding threshold
 
 
 class Work(msgspec.Struct, frozen=True, array_like=True):
-    """What requests of one class take: thousandths of attempts ended lately, and thread-milliseconds they held."""
+    """The cost of one class: recently completed attempts in thousandths, and their thread-milliseconds."""
 
     code: Figure
     completed: Figure
@@ -42,8 +45,7 @@
 
 
 class Loan(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway leaves of its even slice, and what it wants past it: the least and the most of the last while,
-    as parts of the whole. See `share`."""
+    """What a gateway offers of its equal share and wants beyond it, as fractions of the whole. See `quota`."""
 
     minimum_offered: Part = 0
     maximum_offered: Part = 0
@@ -52,7 +54,7 @@
 
 
 class Trial(msgspec.Struct, frozen=True, array_like=True):
-    """An engine that was out, as the gateway that tries it out has it. `state`: see `trials`."""
+    """The recovery trial of an engine at the gateway that runs it; for `state` see `recovery_trials`."""
 
     engine: Figure
     state: Figure
@@ -60,28 +62,31 @@
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
-    """The record. What a newer version adds comes at the end, and an older one passes over it."""
+    """The load record. Newer versions append fields, which older ones ignore."""
 
     cells: Annotated[tuple[Cell, ...], msgspec.Meta(max_length=CELLS)] = ()
-    rest: Figure = 0  # asked in cells that are not listed, as `Cell.asked`
+    rest: Figure = 0  # requests in cells that are not listed, as `Cell.requested`
     work: Annotated[tuple[Work, ...], msgspec.Meta(max_length=CLASSES)] = ()
-    threads_in_use: Figure = 0  # threads held now, thousandths
+    threads_in_use: Figure = 0  # in thousandths
     served: Figure = 0
     rejected: Figure = 0
-    retry_work: Figure = 0  # threads' work refused that was told to come back and may not have yet, thousandths
-    retries: Figure = 0  # attempts past the first, spent
-    retries_wanted: Figure = 0  # and wished for, spent or not
-    capacity_factor: Figure = PART  # what pressure makes of the told threads, as this gateway sees it
+    retry_work: Figure = 0  # rejected work that may not have returned yet, thousandths of thread-seconds
+    retries: Figure = 0  # attempts past the first
+    retries_wanted: Figure = 0  # sent or not
+    capacity_factor: Figure = PART  # usable fraction of the configured threads, as this gateway measures it
     share: Loan = Loan()
     retry_share: Loan = Loan()
     trials: Annotated[tuple[Trial, ...], msgspec.Meta(max_length=TRIALS)] = ()
-    counted: Figure = 0  # whom this gateway counts: see `who.Who.digest`
-    version: Figure = 0  # of the rule book's part that it sheds by
+    counted: Figure = 0  # see `participants.Participants.digest`
+    version: Figure = 0  # of the shedding policy in force
 
 
 class HealthReport(msgspec.Struct, frozen=True, array_like=True):
-    """One engine as a prober has it: milliseconds ago, how the probe ended and after how many microseconds, and the
-    word of its module on it (0: none, else 1 more than the word's byte)."""
+    """The result of a health check.
+
+    `age` is in milliseconds, `elapsed` in microseconds, `reason` an index of `REASONS`; `module_report` is 0 for none,
+    else one more than the byte that the module of the prober reported.
+    """
 
     engine: Figure
     age: Figure
@@ -91,24 +96,28 @@
 
 
 REASONS = ("GOOD", "LATE", "NOCONN")
-_load, _seen = msgspec.msgpack.Decoder(Load), msgspec.msgpack.Decoder(tuple[HealthReport, ...])
+_load_decoder = msgspec.msgpack.Decoder(Load)
+_health_decoder = msgspec.msgpack.Decoder(tuple[HealthReport, ...])
 
 
 def bounded(value: float) -> int:
+    """Return `value` as an integer from 0 to `MOST`."""
     return int(min(max(value, 0), MOST))
 
 
 def pack(load: Load) -> bytes:
-    """As it is posted: at most `RECORD` bytes, whatever the names and figures are. The least asked cells give way to
-    the sum first; the level needs the large ones."""
+    """Encode a load record in at most `RECORD` bytes.
+
+    The cells with the fewest requests are summed first, as the shedding threshold needs the large ones.
+    """
     cells = sorted(load.cells, key=lambda cell: (-cell.requested, cell.code))
-    room = CELLS
+    listed = CELLS
     while True:
-        left = sum(cell.requested for cell in cells[room:])
+        left = sum(cell.requested for cell in cells[listed:])
         body = msgspec.msgpack.encode(
             msgspec.structs.replace(
                 load,
-                cells=tuple(cells[:room]),
+                cells=tuple(cells[:listed]),
                 rest=bounded(load.rest + left),
                 work=load.work[:CLASSES],
                 trials=load.trials[:TRIALS],
@@ -116,29 +125,30 @@
         )
         if len(body) <= RECORD:
             return body
-        room = min(room, len(cells)) - 2
+        listed = min(listed, len(cells)) - 2
 
 
 def unpack(body: bytes) -> Load | None:
-    """None: it can't be read, or no sound gateway tells such figures. A member that tells nonsense counts like one that
-    tells nothing."""
+    """Decode a load record; return None if it is invalid, so that its sender counts as silent."""
     try:
-        load = _load.decode(body)
+        load = _load_decoder.decode(body)
     except msgspec.MsgspecError:
         return None
     ordered = all(
-        lent.minimum_offered <= lent.maximum_offered and lent.minimum_wanted <= lent.maximum_wanted
-        for lent in (load.share, load.retry_share)
+        loan.minimum_offered <= loan.maximum_offered and loan.minimum_wanted <= loan.maximum_wanted
+        for loan in (load.share, load.retry_share)
     )
     return load if ordered else None
 
 
 def pack_seen(seen: list[HealthReport]) -> bytes:
+    """Encode one page of health check results."""
     return msgspec.msgpack.encode(seen)
 
 
 def unpack_seen(body: bytes) -> tuple[HealthReport, ...] | None:
+    """Decode one page of health check results; return None if it is invalid."""
     try:
-        return _seen.decode(body)
+        return _health_decoder.decode(body)
     except msgspec.MsgspecError:
         return None
--- a/rackhub/fleet/overload/rendezvous.py
+++ b/rackhub/fleet/overload/rendezvous.py
@@ -1,6 +1,6 @@
-"""Who of some members is first for a thing, with no word between them: the highest hash of both names.
+"""Rendezvous hashing: members with the same membership view rank themselves alike for a key, without messages.
 
-All who see the same members agree; one member more or less moves only what it is first for.
+A member that joins or leaves moves only the keys that it ranks first for.
 """
 
 import zlib
@@ -8,15 +8,18 @@
 
 from rackhub.fleet.ports import Name
 
-MIX = 0x9E3779B1  # CRC-32 is linear in what is hashed: two rounds with a product between them are not
+MULTIPLIER = 0x9E3779B1  # CRC-32 is linear in its input: two rounds with a product between them are not
+FINAL_MULTIPLIER = 0x85EBCA6B
+MASK = 0xFFFFFFFF
 
 
-def weight(thing: str, name: Name) -> int:
-    first = zlib.crc32(thing.encode()) * MIX & 0xFFFFFFFF
-    mixed = (zlib.crc32(name.encode(), first) ^ first >> 15) * MIX & 0xFFFFFFFF
-    return ((mixed ^ mixed >> 16) * 0x85EBCA6B & 0xFFFFFFFF) >> 1
+def weight(key: str, name: Name) -> int:
+    """Return the weight of the member `name` for `key`, below 2**31."""
+    first = zlib.crc32(key.encode()) * MULTIPLIER & MASK
+    mixed = (zlib.crc32(name.encode(), first) ^ first >> 15) * MULTIPLIER & MASK
+    return ((mixed ^ mixed >> 16) * FINAL_MULTIPLIER & MASK) >> 1
 
 
-def ranked(thing: str, names: Iterable[Name]) -> list[Name]:
-    """The first one first; even ones by their names."""
-    return sorted(names, key=lambda name: (-weight(thing, name), name))
+def ranked(key: str, names: Iterable[Name]) -> list[Name]:
+    """Return the members by descending weight for `key`; equal weights are ordered by name."""
+    return sorted(names, key=lambda name: (-weight(key, name), name))
