--- a/rackhub/fleet/overload/load_measurement.py
+++ b/rackhub/fleet/overload/load_measurement.py
@@ -1,8 +1,9 @@
-"""What one gateway counts of its own requests: integer sums as they come, rates once a tick.
+"""The load measured by one gateway: integer counters per request, rates once a tick.
 
-A client carries what was refused to the next gateway. Counted again there, it would look like more demand, and less
-than the fleet can do would be taken. So each cell counts what is new: whole above the level; in the cell at the level
-those that pass, as each stands for as many as the mark lets pass of; below it, by the part that was new when last seen.
+A client takes a rejected request to the next gateway. If it were counted there again, demand would look larger than it
+is and too little would be admitted. So each cell (class and tenant) estimates its first attempts: all requests above
+the shedding threshold; at the threshold those that pass, scaled by the fraction that the mark admits; below it by the
+last known fraction of first attempts.
 """
 
 import math
@@ -12,19 +13,26 @@
 from rackhub.fleet.overload.shedding_threshold import HASH_RANGE, Key, hash_seed
 
 SECOND = 1_000_000
-SPAN, WORK_SPAN = SECOND * 12 // 10, 8 * SECOND  # over which rates, and what a request takes, are smoothed
-THIN = HASH_RANGE // 32  # a mark below this lets too few pass to count all by them
-NEW = 1 / 3  # the part of what comes that is new, where it was never seen
-PRESSED, FULLS, FEW = math.log(2.0), 0.02, 10  # latency over the best, of which full threads make 1.5 by themselves;
-# part of attempts turned away; answers to judge by
-STEP_DOWN, STEP_UP, CALM = 0.03, 0.04, 0.02  # what a tick makes of the room: pressed, full and calm, back to one
-LEAST, MOST = 0.25, 2.0  # room against the told threads
-SMOOTH, LONG = 30, 400  # answers that recent latency, and that of calm times, is smoothed over
-ROWS = 1_024  # cells of one gateway; requests of more have no row, and count in one for all of them
+RATE_WINDOW = SECOND * 12 // 10  # smoothing time of rates
+WORK_WINDOW = 8 * SECOND  # smoothing time of the cost of requests
+MINIMUM_MARK = HASH_RANGE // 32  # below this mark too few requests pass to estimate demand by them
+FIRST_ATTEMPT_FRACTION = 1 / 3  # of requests, before it was measured
+LATENCY_PRESSURE = math.log(2.0)  # latency over the baseline; fully used threads alone make 1.5
+FULL_PRESSURE = 0.02  # fraction of attempts that engines rejected as full
+MINIMUM_SAMPLES = 10
+STEP_DOWN = 0.03  # change of the capacity factor per tick under pressure
+STEP_UP = 0.04  # while requests are shed and threads are idle
+STEP_BACK = 0.02  # back to one otherwise
+MINIMUM_FACTOR = 0.25
+MAXIMUM_FACTOR = 2.0
+RECENT_SAMPLES = 30  # smoothing of the recent latency, in answers
+BASELINE_SAMPLES = 400  # smoothing of the baseline latency, in answers
+MAXIMUM_COUNTERS = 1_024  # cells of one gateway; requests of further cells share one counter
+MINIMUM_RATE = 0.001  # below this a rate is published as none
 
 
 class CellCounter:
-    """One class and tenant here. `mark`: the level's, below which hash a request passes."""
+    """The requests of one class and tenant; those whose hash is below `mark` pass the shedding threshold."""
 
     __slots__ = (
         "code",
@@ -39,161 +47,196 @@
     )
 
     def __init__(self, cls: str, tenant: str):
-        self.code, self.seed, self.mark = code(cls, tenant), hash_seed((cls, tenant)), HASH_RANGE
-        # since the tick; `turned`: passed the level, and found its gateway at its limit
-        self.requested = self.admitted_count = self.over_limit = 0
-        self.rate = self.admitted = 0.0  # in a second: new ones, and those let pass
-        self.first_attempt_fraction = NEW
-
-    def tick(self, seconds: float, part: float) -> None:
-        if THIN <= self.mark < HASH_RANGE:
-            unique = min(self.admitted_count * HASH_RANGE / self.mark, self.requested)
-            if self.requested:
-                self.first_attempt_fraction += (unique / self.requested - self.first_attempt_fraction) * part
-        else:
-            unique = (
-                self.requested
-                if self.mark == HASH_RANGE
-                else max(self.requested * self.first_attempt_fraction, self.admitted_count)
-            )
-        unique += self.over_limit * NEW
-        self.rate += (unique / seconds - self.rate) * part
-        self.admitted += (self.admitted_count / seconds - self.admitted) * part
-        self.requested = self.admitted_count = self.over_limit = 0
+        self.code = code(cls, tenant)
+        self.seed = hash_seed((cls, tenant))
+        self.mark = HASH_RANGE
+        # counts since the last tick; `over_limit`: passed the threshold, rejected by the limit of this gateway
+        self.requested = 0
+        self.admitted_count = 0
+        self.over_limit = 0
+        # per second
+        self.rate = 0.0
+        self.admitted = 0.0
+        self.first_attempt_fraction = FIRST_ATTEMPT_FRACTION
+
+    def tick(self, seconds: float, weight: float) -> None:
+        """Update the rates with the counts of the last `seconds`, by the smoothing `weight`."""
+        first_attempts = self._first_attempts(weight)
+        first_attempts += self.over_limit * FIRST_ATTEMPT_FRACTION
+        self.rate += (first_attempts / seconds - self.rate) * weight
+        self.admitted += (self.admitted_count / seconds - self.admitted) * weight
+        self.requested = 0
+        self.admitted_count = 0
+        self.over_limit = 0
+
+    def _first_attempts(self, weight: float) -> float:
+        if self.mark >= HASH_RANGE:
+            return self.requested
+        if self.mark < MINIMUM_MARK:
+            return max(self.requested * self.first_attempt_fraction, self.admitted_count)
+        first_attempts = min(self.admitted_count * HASH_RANGE / self.mark, self.requested)
+        if self.requested:
+            self.first_attempt_fraction += (first_attempts / self.requested - self.first_attempt_fraction) * weight
+        return first_attempts
 
 
 class ClassLoad:
-    """One class: what its requests take with no pressure, and how its latency stands against that. By the latency of
-    the moment an overload would make all work look larger, and for good less would be taken than engines can do."""
-
-    def __init__(self, told: t.ClassSettings):
-        self.settings, self.code = told, code(told.name)
-        self.completed = 0.0  # answers lately, decayed
-        self.recent_latency = self.baseline_latency = self.baseline_variance = (
-            0.0  # logarithms: one long query is no pressure
-        )
-        self.answer_count = self.baseline_count = 0
-        self.estimate_count, self.estimate_sum = (
-            0,
-            0,
-        )  # requests with an estimate, and its sum, microseconds of one core
+    """The cost of requests of one class without pressure, and their latency against that baseline.
+
+    The cost goes by the baseline: by the present latency all work would look larger during an overload, and less would
+    be admitted than the engines can do, permanently.
+    """
+
+    def __init__(self, settings: t.ClassSettings):
+        self.settings = settings
+        self.code = code(settings.name)
+        self.completed = 0.0  # recent answers, decayed
+        # logarithms, so that one long query does not count as pressure
+        self.recent_latency = 0.0
+        self.baseline_latency = 0.0
+        self.baseline_variance = 0.0
+        self.answer_count = 0
+        self.baseline_count = 0
+        self.estimate_count = 0
+        self.estimate_sum = 0  # microseconds of one core
 
     def add_estimate(self, estimate: int) -> None:
-        """A request came with this estimate."""
-        if self.estimate_count >= LONG:  # the newest count
-            self.estimate_count, self.estimate_sum = self.estimate_count // 2, self.estimate_sum // 2
-        self.estimate_count, self.estimate_sum = self.estimate_count + 1, self.estimate_sum + estimate
+        """Count the client's estimate for a request, in microseconds of one core."""
+        if self.estimate_count >= BASELINE_SAMPLES:  # older estimates lose weight
+            self.estimate_count //= 2
+            self.estimate_sum //= 2
+        self.estimate_count += 1
+        self.estimate_sum += estimate
 
     def add_latency(self, elapsed: int, calm: bool) -> float:
-        """How far the latency, as a logarithm, is over what it is while the fleet is calm."""
+        """Count an answer after `elapsed` microseconds; return the logarithm of recent over baseline latency."""
         now = math.log(max(elapsed, 1))
         self.answer_count += 1
         self.completed += 1
-        self.recent_latency += (now - self.recent_latency) / min(self.answer_count, SMOOTH)
+        self.recent_latency += (now - self.recent_latency) / min(self.answer_count, RECENT_SAMPLES)
         if calm:
-            self.baseline_count += 1
-            part, off = 1 / min(self.baseline_count, LONG), now - self.baseline_latency
-            self.baseline_latency += off * part
-            self.baseline_variance = (1 - part) * (self.baseline_variance + part * off * off)
-        elif not self.baseline_count or self.answer_count > SMOOTH:
-            self.baseline_latency = (
-                min(self.baseline_latency, self.recent_latency) if self.answer_count > 1 else self.recent_latency
-            )
+            self._add_to_baseline(now)
+        elif self.answer_count == 1:
+            self.baseline_latency = self.recent_latency
+        elif not self.baseline_count or self.answer_count > RECENT_SAMPLES:
+            self.baseline_latency = min(self.baseline_latency, self.recent_latency)
         return self.recent_latency - self.baseline_latency
 
+    def _add_to_baseline(self, latency: float) -> None:
+        self.baseline_count += 1
+        weight = 1 / min(self.baseline_count, BASELINE_SAMPLES)
+        deviation = latency - self.baseline_latency
+        self.baseline_latency += deviation * weight
+        self.baseline_variance = (1 - weight) * (self.baseline_variance + weight * deviation * deviation)
+
     def work_per_request(self) -> float:
-        """Thread-seconds of one request, as it is with no pressure; 0: not known yet, and counted as no demand. A guess
-        on the high side had the level hold in the first seconds of every start. Latency has waiting in it, also while
-        the fleet is calm: at 0.7 of what engines can do 1.4 times the work, so what clients estimate bounds it."""
+        """Return the thread-seconds of one request without pressure, 0 while unknown.
+
+        Unknown work counts as no demand, as a high guess would shed requests right after a start. Latency includes
+        waiting, so the clients' estimates are an upper bound.
+        """
         if not self.answer_count:
             return 0.0
-        taken = math.exp(self.baseline_latency + self.baseline_variance / 2) / SECOND * self.settings.threads
-        return min(taken, self.estimate_sum / self.estimate_count / SECOND) if self.estimate_count >= FEW else taken
+        measured = math.exp(self.baseline_latency + self.baseline_variance / 2) / SECOND * self.settings.threads
+        if self.estimate_count < MINIMUM_SAMPLES:
+            return measured
+        return min(measured, self.estimate_sum / self.estimate_count / SECOND)
 
 
 class LoadMeasurement:
-    """The counts and rates of one gateway."""
+    """The counters and rates of one gateway."""
 
     def __init__(self, settings: t.Settings):
-        self.classes = {told.name: ClassLoad(told) for told in settings.classes}
-        self.threads = {told.name: told.threads for told in settings.classes}
+        self.classes = {cls.name: ClassLoad(cls) for cls in settings.classes}
+        self.threads = {cls.name: cls.threads for cls in settings.classes}
         self.counters: dict[Key, CellCounter] = {}
         self._overflow_counter = CellCounter("", "")
-        self.served = self.rejected = self.retries = self.retries_wanted = self.full_answers = (
-            self.completed_attempts
-        ) = 0
+        self._reset_counts()
         self.rates = {"served": 0.0, "rejected": 0.0, "retries": 0.0, "retries_wanted": 0.0}
-        self.latency_excess = self.full_fraction = 0.0
-        self.recent_answers = 0.0  # answers lately
+        self.latency_excess = 0.0
+        self.full_fraction = 0.0
+        self.recent_answers = 0.0  # decayed
         self.capacity_factor = 1.0
-        self.calm = True  # nothing is turned away, and no more threads are held than may be
+        self.calm = True  # nothing is shed, and no more threads are in use than configured
+
+    def _reset_counts(self) -> None:
+        self.served = 0
+        self.rejected = 0
+        self.retries = 0
+        self.retries_wanted = 0
+        self.full_answers = 0
+        self.completed_attempts = 0
 
     def counter(self, cls: str, tenant: str) -> CellCounter:
-        row = self.counters.get((cls, tenant))
-        if row is None:
-            if len(self.counters) >= ROWS:
+        """Return the counter of a cell, the shared one if there are `MAXIMUM_COUNTERS` already."""
+        counter = self.counters.get((cls, tenant))
+        if counter is None:
+            if len(self.counters) >= MAXIMUM_COUNTERS:
                 return self._overflow_counter
-            row = self.counters[cls, tenant] = CellCounter(cls, tenant)
-        return row
+            counter = self.counters[cls, tenant] = CellCounter(cls, tenant)
+        return counter
 
     def attempt_completed(self, cls: str, reason: str, elapsed: int) -> None:
-        kind = self.classes.get(cls)
+        """Count the end of an attempt after `elapsed` microseconds."""
+        load = self.classes.get(cls)
         self.completed_attempts += 1
         self.full_answers += reason == "FULL"
-        if kind is None or reason != "GOOD":
+        if load is None or reason != "GOOD":
             return
         self.recent_answers += 1
-        self.latency_excess += (kind.add_latency(elapsed, self.calm) - self.latency_excess) / min(
-            self.recent_answers + 1, SMOOTH
-        )
-
-    def tick(self, took: int, holding: bool, full: float) -> None:
-        """`took` microseconds since the last; `holding`: the level turns work away, so that more room could be used;
-        `full`: threads held by all, against what they may."""
-        self.calm = not holding and full < 1
-        seconds, part = took / SECOND, 1 - math.exp(-took / SPAN)
-        for row in (*self.counters.values(), self._overflow_counter):
-            row.tick(seconds, part)
+        excess = load.add_latency(elapsed, self.calm)
+        self.latency_excess += (excess - self.latency_excess) / min(self.recent_answers + 1, RECENT_SAMPLES)
+
+    def tick(self, elapsed: int, shedding: bool, usage: float) -> None:
+        """Update the rates and the capacity factor, `elapsed` microseconds after the last tick.
+
+        `shedding`: requests are shed, so that more capacity could be used; `usage`: threads in use by the fleet over
+        those configured.
+        """
+        self.calm = not shedding and usage < 1
+        seconds = elapsed / SECOND
+        weight = 1 - math.exp(-elapsed / RATE_WINDOW)
+        for counter in (*self.counters.values(), self._overflow_counter):
+            counter.tick(seconds, weight)
         for name in self.rates:
-            self.rates[name] += (getattr(self, name) / seconds - self.rates[name]) * part
-        self.full_fraction += (
-            (self.full_answers / self.completed_attempts if self.completed_attempts else 0.0) - self.full_fraction
-        ) * part
-        self.served = self.rejected = self.retries = self.retries_wanted = self.full_answers = (
-            self.completed_attempts
-        ) = 0
-        fade = math.exp(-took / WORK_SPAN)
-        for kind in self.classes.values():
-            kind.completed *= fade
-        self._update_capacity_factor(holding, full)
-        self.recent_answers *= math.exp(-took / SPAN)
-
-    def _update_capacity_factor(self, holding: bool, full: float) -> None:
-        """Room follows pressure: down while it lasts, up only where more would be taken, else back to what is told."""
-        lag = self.latency_excess - PRESSED if self.recent_answers >= FEW else -1.0
-        excess = max(lag, (self.full_fraction - FULLS) * 10)
-        if excess > 0:
-            self.capacity_factor *= 1 - STEP_DOWN * min(max(excess, 0.1), 1)
-        elif holding:
-            self.capacity_factor *= 1 + STEP_UP * max(1 - full, 0)
+            self.rates[name] += (getattr(self, name) / seconds - self.rates[name]) * weight
+        full_fraction = self.full_answers / self.completed_attempts if self.completed_attempts else 0.0
+        self.full_fraction += (full_fraction - self.full_fraction) * weight
+        self._reset_counts()
+        decay = math.exp(-elapsed / WORK_WINDOW)
+        for load in self.classes.values():
+            load.completed *= decay
+        self._update_capacity_factor(shedding, usage)
+        self.recent_answers *= math.exp(-elapsed / RATE_WINDOW)
+
+    def _update_capacity_factor(self, shedding: bool, usage: float) -> None:
+        """Lower the factor under pressure, raise it only where more would be admitted, else return it to one."""
+        latency = self.latency_excess - LATENCY_PRESSURE if self.recent_answers >= MINIMUM_SAMPLES else -1.0
+        pressure = max(latency, (self.full_fraction - FULL_PRESSURE) * 10)
+        if pressure > 0:
+            self.capacity_factor *= 1 - STEP_DOWN * min(max(pressure, 0.1), 1)
+        elif shedding:
+            self.capacity_factor *= 1 + STEP_UP * max(1 - usage, 0)
         else:
-            self.capacity_factor += (1 - self.capacity_factor) * CALM
-        self.capacity_factor = min(max(self.capacity_factor, LEAST), MOST)
+            self.capacity_factor += (1 - self.capacity_factor) * STEP_BACK
+        self.capacity_factor = min(max(self.capacity_factor, MINIMUM_FACTOR), MAXIMUM_FACTOR)
 
     def cells(self) -> tuple[tuple[Cell, ...], int]:
-        """The most asked ones, and the sum of the rest."""
-        rows = sorted(
-            (row for row in self.counters.values() if row.rate >= 0.001), key=lambda row: (-row.rate, row.code)
+        """Return the cells with the most requests, and the sum of the others in requests per 1,000 s."""
+        active = [counter for counter in self.counters.values() if counter.rate >= MINIMUM_RATE]
+        active.sort(key=lambda counter: (-counter.rate, counter.code))
+        rest = sum(counter.rate for counter in active[CELLS:]) + self._overflow_counter.rate
+        cells = tuple(
+            Cell(counter.code, bounded(counter.rate * 1000), bounded(counter.admitted * 1000))
+            for counter in active[:CELLS]
         )
-        rest = sum(row.rate for row in rows[CELLS:]) + self._overflow_counter.rate
-        return tuple(
-            Cell(row.code, bounded(row.rate * 1000), bounded(row.admitted * 1000)) for row in rows[:CELLS]
-        ), bounded(rest * 1000)
+        return cells, bounded(rest * 1000)
 
     def work(self) -> tuple[Work, ...]:
-        kinds = sorted(self.classes.values(), key=lambda kind: (-kind.completed, kind.code))
+        """Return the cost of each class with recent answers, the most frequent first."""
+        loads = sorted(self.classes.values(), key=lambda load: (-load.completed, load.code))
         return tuple(
-            Work(kind.code, bounded(kind.completed * 1000), bounded(kind.completed * kind.work_per_request() * 1000))
-            for kind in kinds
-            if kind.completed >= 0.001
+            Work(load.code, bounded(load.completed * 1000), bounded(load.completed * load.work_per_request() * 1000))
+            for load in loads
+            if load.completed >= MINIMUM_RATE
         )
--- a/rackhub/fleet/overload/shedding_threshold.py
+++ b/rackhub/fleet/overload/shedding_threshold.py
@@ -1,8 +1,8 @@
-"""One order of all classes and tenants, and the level in it: above it all is taken, below it nothing.
+"""One priority order of all classes and tenants, and the threshold in it: cells above are admitted, cells below shed.
 
-Every gateway reckons it from the same records. A cell's place goes by the worth of a thread second of its class, less
-by how far its tenant is over its part of the fleet; a part of the fleet is kept for tenants below theirs, whatever the
-others ask. In the cell at the level a hash of the request decides, so that whoever is asked again says the same.
+Every gateway computes it from the same records. The position of a cell goes by the priority of a thread-second of its
+class, reduced by how far its tenant exceeds its quota; a reserve is admitted for tenants below their quota whatever the
+others request. In the cell at the threshold a hash of the request decides, so that every gateway decides alike.
 """
 
 import math
@@ -12,41 +12,47 @@
 
 Key = tuple[str, str]  # class and tenant
 
-STEPS = 64  # the part of a cell that is taken moves by one of so many steps
-BAND = 0.75  # of a step that the reckoned part must be off before the held one moves
-BEGINS, ENDS = 1.15, 1.05  # demand against what the fleet can do, where the level begins and ends to hold
-APART = 4  # places in the order to the octave of worth for each thread second
-FULL, IDLE = 0.9, 0.4  # of the threads, held: with fewer no level begins, or holds
-OVER = 1.0  # by what power of its excess over its part a tenant's worth falls
-HASH_RANGE = 65_536  # the hash's range: one that is below the mark of its cell is taken
-SPREAD = 0x9E3779B1  # CRC-32 is linear: its product's upper bits are spread evenly
+STEPS = 64  # the admitted fraction of a cell is a multiple of 1 / STEPS
+HYSTERESIS = 0.75  # in steps, by which the computed fraction must differ before the held one moves
+BEGIN_RATIO = 1.15  # demand over capacity at which the threshold becomes active
+END_RATIO = 1.05  # demand over capacity at which it ends
+POSITIONS_PER_OCTAVE = 4  # of the priority per thread-second
+BEGIN_USAGE = 0.9  # threads in use over those configured; with fewer no threshold becomes active
+END_USAGE = 0.4
+EXCESS_POWER = 1.0  # by which a tenant's excess over its quota reduces its priority
+HASH_RANGE = 65_536  # a request is admitted if its hash is below the mark of its cell
+HASH_MULTIPLIER = 0x9E3779B1  # CRC-32 is linear: the upper bits of the product are distributed evenly
 
 
 class Demand(NamedTuple):
-    """What the fleet is asked for in one cell: threads (thread-seconds in a second), and the worth of each."""
+    """The demand in one cell in threads (thread-seconds per second), and the priority of each."""
 
     threads: float
     density: float
 
 
 def tenant_quotas(demand: Mapping[Key, Demand], fractions: Mapping[str, float], capacity: float) -> dict[str, float]:
-    """Of each tenant that asks for something: its part of the fleet, threads, by the told fractions, or even."""
-    active = {tenant for (_, tenant), asked in demand.items() if asked.threads > 0}
+    """Return the quota of each tenant with demand in threads, by the configured fractions, else equal."""
+    active = {tenant for (_, tenant), cell in demand.items() if cell.threads > 0}
     total = sum(fractions.get(tenant) or 1.0 for tenant in active)
     return {tenant: capacity * (fractions.get(tenant) or 1.0) / total for tenant in sorted(active)}
 
 
-def shedding_order(demand: Mapping[Key, Demand], part: Mapping[str, float]) -> list[list[Key]]:
-    """All cells, those to shed last first; those of about the same place together, as they are shed alike. Places are
-    apart by a quarter octave: what views differ by changes few."""
-    asked: dict[str, float] = {}
+def shedding_order(demand: Mapping[Key, Demand], quotas: Mapping[str, float]) -> list[list[Key]]:
+    """Return all cells in groups of one position, those to shed last first.
+
+    Positions are a quarter octave apart, so that small differences between views change few of them.
+    """
+    requested: dict[str, float] = {}
     for (_, tenant), cell in demand.items():
-        asked[tenant] = asked.get(tenant, 0.0) + cell.threads
-    places: dict[int, list[Key]] = {}
+        requested[tenant] = requested.get(tenant, 0.0) + cell.threads
+    groups: dict[int, list[Key]] = {}
     for key, cell in demand.items():
-        over = max(asked[key[1]] / part[key[1]], 1.0) if part.get(key[1]) else 1.0
-        places.setdefault(round(APART * math.log2(max(cell.density, 1e-9) / over**OVER)), []).append(key)
-    return [sorted(places[place]) for place in sorted(places, reverse=True)]
+        tenant = key[1]
+        excess = max(requested[tenant] / quotas[tenant], 1.0) if quotas.get(tenant) else 1.0
+        priority = max(cell.density, 1e-9) / excess**EXCESS_POWER
+        groups.setdefault(round(POSITIONS_PER_OCTAVE * math.log2(priority)), []).append(key)
+    return [sorted(groups[position]) for position in sorted(groups, reverse=True)]
 
 
 def admitted_fractions(
@@ -55,49 +61,66 @@
     capacity: float,
     guard: float,
 ) -> dict[Key, float]:
-    """The part of each cell that is taken, so that all together are `capacity` threads."""
-    part = tenant_quotas(demand, fractions, capacity)
-    line = shedding_order(demand, part)
-    taken = admit(demand, line, dict.fromkeys(demand, 0.0), capacity * (1 - guard))
-    got, left = dict.fromkeys(part, 0.0), dict.fromkeys(part, 0.0)
+    """Return the admitted fraction of each cell, `capacity` threads in total.
+
+    The fraction `guard` of the capacity is the reserve for tenants below their quota.
+    """
+    quotas = tenant_quotas(demand, fractions, capacity)
+    groups = shedding_order(demand, quotas)
+    admitted = admit(demand, groups, dict.fromkeys(demand, 0.0), capacity * (1 - guard))
+    shortfall = _shortfall(demand, quotas, admitted)
+    total_shortfall = sum(shortfall.values())
+    reserve = capacity * guard
+    used = 0.0
+    for tenant in quotas if total_shortfall else ():  # each gets the same fraction of its shortfall
+        threads = shortfall[tenant] * min(reserve / total_shortfall, 1.0)
+        own_groups = [[key for key in keys if key[1] == tenant] for keys in groups]
+        admitted = admit(demand, own_groups, admitted, threads)
+        used += threads
+    return admit(demand, groups, admitted, reserve - used)
+
+
+def _shortfall(
+    demand: Mapping[Key, Demand], quotas: Mapping[str, float], admitted: Mapping[Key, float]
+) -> dict[str, float]:
+    """Return for each tenant the threads that it requests and lacks below its quota."""
+    got = dict.fromkeys(quotas, 0.0)
+    left = dict.fromkeys(quotas, 0.0)
     for key, cell in demand.items():
-        if key[1] in part:
-            got[key[1]] += taken[key] * cell.threads
-            left[key[1]] += (1 - taken[key]) * cell.threads
-    lacking = {tenant: min(max(part[tenant] - got[tenant], 0.0), left[tenant]) for tenant in part}
-    short, kept, used = sum(lacking.values()), capacity * guard, 0.0
-    for tenant in part if short else ():  # to each the same part of what it lacks, its dearest cells first
-        room = lacking[tenant] * min(kept / short, 1.0)
-        mine = [[key for key in keys if key[1] == tenant] for keys in line]
-        taken, used = admit(demand, mine, taken, room), used + room
-    return admit(demand, line, taken, kept - used)
+        tenant = key[1]
+        if tenant in quotas:
+            got[tenant] += admitted[key] * cell.threads
+            left[tenant] += (1 - admitted[key]) * cell.threads
+    return {tenant: min(max(quotas[tenant] - got[tenant], 0.0), left[tenant]) for tenant in quotas}
 
 
 def admit(
     demand: Mapping[Key, Demand],
-    line: list[list[Key]],
-    taken: Mapping[Key, float],
-    room: float,
+    groups: list[list[Key]],
+    admitted: Mapping[Key, float],
+    capacity: float,
 ) -> dict[Key, float]:
-    """Take of the cells in turn what is not taken yet, until the room is used; of those together the same part."""
-    new = dict(taken)
-    for keys in line:
-        left = sum(demand[key].threads * (1 - new[key]) for key in keys)
-        part = min(max(room, 0.0) / left, 1.0) if left > 0 else 1.0
+    """Admit the groups in order until `capacity` threads are used, each cell of a group by the same fraction."""
+    result = dict(admitted)
+    for keys in groups:
+        left = sum(demand[key].threads * (1 - result[key]) for key in keys)
+        fraction = min(max(capacity, 0.0) / left, 1.0) if left > 0 else 1.0
         for key in keys:
-            new[key] += (1 - new[key]) * part
-        room -= left
-    return new
+            result[key] += (1 - result[key]) * fraction
+        capacity -= left
+    return result
 
 
 class SheddingThreshold:
-    """The level as this gateway holds it: it moves late and by steps, so that it does not flap, and gateways whose
-    records differ by little hold the same."""
+    """The threshold held by this gateway.
+
+    It moves late and in steps, so that it does not oscillate and gateways with similar records hold the same.
+    """
 
     def __init__(self) -> None:
         self.active = False
-        self.marks: dict[Key, int] = {}  # of each cell that is not taken whole: below which hash it is
-        self.admitted_share = 1.0  # the part of what is asked that lies above it: where it stands in the order
+        self.marks: dict[Key, int] = {}  # of each cell that is not admitted entirely
+        self.admitted_share = 1.0  # fraction of the demand above the threshold
         self.moves = 0
 
     def update(
@@ -106,33 +129,44 @@
         fractions: Mapping[str, float],
         capacity: float,
         guard: float,
-        full: float = 1.0,
+        usage: float = 1.0,
     ) -> None:
-        """`full`: threads held by all, against what they may: what is asked is an estimate, and turns nothing away
-        while engines stand idle."""
+        """Recompute the threshold.
+
+        `usage`: threads in use by the fleet over those configured. As demand is an estimate, nothing is shed while
+        engines are idle.
+        """
         total = sum(cell.threads for cell in demand.values())
-        if (
-            total <= capacity * (ENDS if self.active else BEGINS)
-            or total <= 0
-            or full < (IDLE if self.active else FULL)
-        ):
-            self.active, self.marks, self.admitted_share = False, {}, 1.0
+        if not self._is_overload(total, capacity, usage):
+            self.active = False
+            self.marks = {}
+            self.admitted_share = 1.0
             return
-        self.active, marks = True, {}
-        for key, part in admitted_fractions(demand, fractions, capacity, guard).items():
-            held = self.marks.get(key, HASH_RANGE) * STEPS / HASH_RANGE
-            step = held if abs(part * STEPS - held) <= BAND else round(part * STEPS)
-            if part <= 0:
-                step = 0
-            if step < STEPS:
-                marks[key] = round(step * HASH_RANGE / STEPS)
+        self.active = True
+        marks = self._next_marks(admitted_fractions(demand, fractions, capacity, guard))
         self.moves += marks != self.marks
         self.marks = marks
         above = sum(cell.threads * marks.get(key, HASH_RANGE) / HASH_RANGE for key, cell in demand.items())
         self.admitted_share = above / total
 
+    def _is_overload(self, total: float, capacity: float, usage: float) -> bool:
+        ratio = END_RATIO if self.active else BEGIN_RATIO
+        minimum_usage = END_USAGE if self.active else BEGIN_USAGE
+        return not (total <= capacity * ratio or total <= 0 or usage < minimum_usage)
+
+    def _next_marks(self, admitted: Mapping[Key, float]) -> dict[Key, int]:
+        marks = {}
+        for key, fraction in admitted.items():
+            held = self.marks.get(key, HASH_RANGE) * STEPS / HASH_RANGE
+            step = held if abs(fraction * STEPS - held) <= HYSTERESIS else round(fraction * STEPS)
+            if fraction <= 0:
+                step = 0
+            if step < STEPS:
+                marks[key] = round(step * HASH_RANGE / STEPS)
+        return marks
+
     def verdict(self, key: Key, statement: bytes) -> int:
-        """1: above the level, -1: below it, 0: there is none."""
+        """Return 1 above the threshold, -1 below it, 0 if it is not active."""
         if not self.active:
             return 0
         mark = self.marks.get(key, HASH_RANGE)
@@ -142,10 +176,10 @@
 
 
 def hash_seed(key: Key) -> int:
-    """What the hash of a cell's statements begins with."""
+    """Return the initial value of the hash of a cell's statements."""
     return zlib.crc32("\0".join((key[1], key[0], "")).encode())
 
 
 def statement_hash(statement: bytes, seed: int) -> int:
-    """Below `ALL`. CRC-32 of tenant, class and statement: the same in every process, and no library is needed."""
-    return (zlib.crc32(statement, seed) * SPREAD & 0xFFFFFFFF) >> 16
+    """Return the hash of tenant, class and statement below `HASH_RANGE`, the same in every process."""
+    return (zlib.crc32(statement, seed) * HASH_MULTIPLIER & 0xFFFFFFFF) >> 16
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -179,7 +179,7 @@
     assert not level.active and level.verdict(("a", "x"), b"") == 0
     level.update({("a", "x"): Demand(57, 1.0)}, {}, 50, 0.1)
     assert not level.active
-    level.update({("a", "x"): Demand(90, 1.0)}, {}, 50, 0.1, full=0.5)
+    level.update({("a", "x"): Demand(90, 1.0)}, {}, 50, 0.1, usage=0.5)
     assert not level.active  # an estimate turns nothing away while engines stand idle
 
 
