--- a/rackhub/fleet/overload/component.py
+++ b/rackhub/fleet/overload/component.py
@@ -1,11 +1,12 @@
-"""Overload handled as one, at one gateway: the core's hooks and a tick that posts the record and tells the module.
+"""The overload component of one gateway: hooks of the core, and a tick that posts records and applies allocations.
 
-Nothing per request but integer sums, a look-up and, in the cell at the level, one CRC-32. All else is reckoned once a
-tick from the records that the board holds.
+Per request it does integer sums, a look-up and, in the cell at the threshold, one CRC-32. All else is computed once a
+tick from the records on the gossip board.
 """
 
 import logging
 from collections.abc import Callable
+from functools import partial
 from typing import Protocol
 
 from rackhub import interface as t
@@ -22,32 +23,43 @@
 
 log = logging.getLogger(__name__)
 
-MS, SECOND = 1_000, 1_000_000
-TICK, POST, SOON = 200 * MS, 400 * MS, 50 * MS  # of the reckoning, of the record, of one that can't wait for it
-JUMP, JUMP_LEAST = 0.3, 4  # of its limit, and threads, that what is held must move by for a record before its time
-LATE = 2 * TICK  # a tick so late is made up for before the next request: after a pause the old word must not hold
-ASK = 1 * SECOND  # between own probes of an engine that others probe, where nobody's result is left
-MODULE_WORD = 5  # bytes of the module's word on an engine: the CRC-32 of its name, and a level
-SILENT = 100  # as a word's level: it does not answer
+MS = 1_000
+SECOND = 1_000_000
+TICK = 200 * MS
+POST_INTERVAL = 400 * MS  # between regular load records
+MINIMUM_POST_INTERVAL = 50 * MS  # before a load record about a recovery trial
+EARLY_POST_FRACTION = 0.3  # change of the threads in use, of the limit, that is posted at the next tick
+EARLY_POST_THREADS = 4  # minimum of that change
+LATE_TICK = 2 * TICK  # a tick so late is run before the next request, as the last decisions are out of date
+UNSCHEDULED_INTERVAL = 1 * SECOND  # between own health checks of an engine that other members check
+MODULE_REPORT_BYTES = 5  # the CRC-32 of the engine's name, and a level
+NO_ANSWER_LEVEL = 100
+MAXIMUM_WARNINGS = 1_000
 
 
 class Core(Protocol):
-    """What this part asks of `Coordinator`."""
+    """The functions of `Coordinator` that this component uses."""
 
     in_flight: dict[tuple[str, int], Attempt]
 
-    def apply_allocation(self, said: t.FleetAllocation) -> None: ...
+    def apply_allocation(self, allocation: t.FleetAllocation) -> None:
+        """Apply the allocation of this gateway."""
+
     def complete_health_check(
         self, engine: str, reason: str, elapsed: int, report: dict[str, float] | None = None
-    ) -> None: ...
-    def receive_gossip(self, peer: int, contents: bytes) -> None: ...
+    ) -> None:
+        """Report the result of a health check after `elapsed` microseconds."""
+
+    def receive_gossip(self, peer: int, contents: bytes) -> None:
+        """Receive the message of a peer."""
 
 
-Done = Callable[[str, int, dict[str, float]], None]  # GOOD, LATE or NOCONN; after how many microseconds; a load report
+# called with GOOD, LATE or NOCONN, elapsed microseconds and a load report
+Done = Callable[[str, int, dict[str, float]], None]
 
 
 class Overload:
-    """Implements `core.fleet.Guide` and `ports.Level`; `shed` is for the rule book."""
+    """Implements `core.fleet.FleetCoordinator` and `ports.Level`; `shed` is its part of the rule set."""
 
     name = "overload"
 
@@ -58,24 +70,29 @@
         limits: Limits,
         core: Core,
         probe: Callable[[str, Done], None],
-        told: FleetSettings,
+        fleet_settings: FleetSettings,
     ):
-        self.fleet, self.settings, self.core, self._probe = fleet, settings, core, probe
-        keep = max([cls.deadline for cls in settings.classes] or [0]) or limits.kill_capped
-        self.controller = LoadController(fleet.members.me, settings, told, keep, fleet.seed)
+        self.fleet = fleet
+        self.settings = settings
+        self.core = core
+        self._probe = probe
+        takeover_delay = max([cls.deadline for cls in settings.classes] or [0]) or limits.kill_capped
+        self.controller = LoadController(fleet.members.me, settings, fleet_settings, takeover_delay, fleet.seed)
         self.shed = self.controller.policy
-        self.health_checks, self.recovery = HealthCheckSchedule(fleet.members.me), RecoveryTrials(fleet.members.me)
+        self.health_checks = HealthCheckSchedule(fleet.members.me)
+        self.recovery = RecoveryTrials(fleet.members.me)
         self._entries: tuple[t.EngineEntry, ...] = ()
         self._loads: dict[ports.Name, tuple[tuple[int, int], records.Load | None]] = {}
         self._ticked = self._posted_at = fleet.clock.now()
         self._posted_threads = 0
-        self._requested_at: dict[str, int] = {}  # own probes out of turn, by engine, when
+        self._requested_at: dict[str, int] = {}  # time of own unscheduled health checks, by engine
         self._cancel: Callable[[], None] | None = None
         self._warned: set[tuple[ports.Name, int]] = set()
 
-    # ---- the part
+    # ---- the component
 
     def start(self) -> None:
+        """Follow records and members, and start the timer."""
         self.fleet.board.follow(records.LOAD, self._load_received)
         for page in range(PAGES):
             self.fleet.board.follow(f"{records.PROBES}{page}", self._health_received)
@@ -84,6 +101,7 @@
         self._cancel = self.fleet.later(TICK, self._timer_expired)
 
     def listed(self, listing: EndpointSnapshot) -> None:
+        """Apply a new list of engines."""
         self._entries = tuple(entry for entry in listing.entries if entry.state == "Ready")
         now = self.fleet.clock.now()
         self.health_checks.listed(entry.engine for entry in self._entries)
@@ -91,14 +109,16 @@
         self._apply_allocation(now)
 
     def drain(self) -> None:
-        """Others take what this gateway leaves; it keeps what it has in hand."""
+        """Offer the share of this gateway to the others, except for requests in flight."""
         self.controller.draining = True
 
     def stop(self) -> None:
+        """Stop the timer."""
         if self._cancel is not None:
             self._cancel()
 
     def figures(self) -> dict[str, float]:
+        """Return the gauges by name."""
         own = self.controller.metrics() | {
             "probes": len(self.health_checks.targets),
             "held": len(self.recovery.reserved),
@@ -108,57 +128,67 @@
     # ---- ports.Level
 
     def over(self) -> bool:
+        """Return whether requests are shed."""
         return self.controller.shedding
 
     def token(self) -> bool:
-        measure, taken = self.controller.measurement, self.controller.retry_budget.try_spend()
-        measure.retries_wanted += 1
-        measure.retries += taken
-        return taken
+        """Spend one retry; return False if there is none."""
+        spent = self.controller.retry_budget.try_spend()
+        self.controller.measurement.retries_wanted += 1
+        self.controller.measurement.retries += spent
+        return spent
 
-    # ---- core.fleet.Guide
+    # ---- core.fleet.FleetCoordinator
 
     def request_received(self, query: Query, now: int) -> int:
-        if now - self._ticked > LATE:
+        """Return the verdict: 1 above the threshold, -1 below it, 0 while nothing is shed."""
+        if now - self._ticked > LATE_TICK:
             self.tick()
         return self.controller.request_received(query.cls, query.tenant, query.statement, query.estimate)
 
     def attempt_sent(self, attempt: Attempt, now: int) -> None:
+        """Count an attempt that was sent."""
         self.controller.attempt_sent(attempt.query.cls, attempt.number > 0)
         if self.recovery.recoveries and self.recovery.attempt_sent(now, attempt.engine):
             self._trial_changed(now)
 
     def attempt_completed(self, attempt: Attempt, reason: str, now: int) -> None:
+        """Count the end of an attempt."""
         self.controller.attempt_completed(attempt.query.cls, reason, now - attempt.sent_at)
         if self.recovery.attempt_completed(now, attempt.engine, reason):
             self._trial_changed(now)
 
     def request_completed(self, query: Query, how: str, now: int) -> None:
+        """Count the outcome of a request."""
         self.controller.request_completed(query.cls, how, query.attempts)
 
     def check_health(self, engine: str) -> None:
+        """Report the known health of an engine, or check it if this gateway is to."""
         now = self.fleet.clock.now()
         if engine not in self.health_checks.targets:
             known = self.health_checks.latest(now, engine)
             if known is not None:
-                return self.core.complete_health_check(engine, known.reason, known.elapsed)
-            if now - self._requested_at.get(engine, -ASK) < ASK or engine not in self.health_checks.engines:
-                return self._tally("overload_probes_spared")
+                self.core.complete_health_check(engine, known.reason, known.elapsed)
+                return
+            if (
+                now - self._requested_at.get(engine, -UNSCHEDULED_INTERVAL) < UNSCHEDULED_INTERVAL
+                or engine not in self.health_checks.engines
+            ):
+                self._tally("overload_probes_spared")
+                return
             self._requested_at[engine] = now
         self._tally("overload_probes")
-        self._probe(
-            engine, lambda reason, elapsed, report: self._health_check_completed(engine, reason, elapsed, report)
-        )
+        self._probe(engine, partial(self._health_check_completed, engine))
 
     def send_gossip(self, peer: int, contents: bytes) -> None:
-        """The module's word on an engine goes to all, with the result that it is on; once, whoever it is for."""
-        known = len(contents) == MODULE_WORD and self.health_checks.set_module_report(
+        """Attach the module's report on an engine to the health check result, which is posted to all peers."""
+        known = len(contents) == MODULE_REPORT_BYTES and self.health_checks.set_module_report(
             int.from_bytes(contents[:4], "big"), contents[4]
         )
         if not known:
             self._tally("overload_words_dropped")
 
-    # ---- what comes
+    # ---- events
 
     def _health_check_completed(self, engine: str, reason: str, elapsed: int, report: dict[str, float]) -> None:
         now = self.fleet.clock.now()
@@ -176,19 +206,23 @@
             self._apply_allocation(now)
 
     def _health_received(self, record: ports.Record) -> None:
-        seen, now = records.unpack_seen(record.body), self.fleet.clock.now()
-        if seen is None:
-            return self._reject_record(record)
+        reports = records.unpack_seen(record.body)
+        now = self.fleet.clock.now()
+        if reports is None:
+            self._reject_record(record)
+            return
         peer = sorted(self.fleet.members.all()).index(record.owner) if record.owner in self.fleet.members.all() else -1
-        for engine, result in self.health_checks.receive(now, record.owner, record.age, seen):
-            word = result.module_report if result.module_report >= 0 else SILENT if result.reason != "GOOD" else -1
-            if word >= 0:
-                self.core.receive_gossip(peer, records.code(engine).to_bytes(4, "big") + bytes([word]))
+        for engine, result in self.health_checks.receive(now, record.owner, record.age, reports):
+            level = result.module_report
+            if level < 0 and result.reason != "GOOD":
+                level = NO_ANSWER_LEVEL
+            if level >= 0:
+                self.core.receive_gossip(peer, records.code(engine).to_bytes(4, "big") + bytes([level]))
             if result.reason == "NOCONN":
                 self.recovery.mark_down(now, engine)
 
     def _member_changed(self, member: ports.Member) -> None:
-        """A prober or the one that tries an engine may be gone: who is next is told at once, not at the next tick."""
+        """Reassign health checks and trials at once, as the member that ran them may be gone."""
         now = self.fleet.clock.now()
         self._apply_allocation(now)
 
@@ -203,7 +237,7 @@
 
     def _reject_record(self, record: ports.Record) -> None:
         self._tally("overload_nonsense")
-        if (record.owner, record.boot) not in self._warned and len(self._warned) < 1_000:
+        if (record.owner, record.boot) not in self._warned and len(self._warned) < MAXIMUM_WARNINGS:
             self._warned.add((record.owner, record.boot))
             log.warning(
                 "member %s tells what is no record of load, kind %s: it counts as silent", record.owner, record.kind
@@ -216,15 +250,18 @@
         self.tick()
 
     def tick(self) -> None:
-        """Reckon anew, post the record if it is time, and tell the module."""
-        now, own = self.fleet.clock.now(), self.controller
-        took, self._ticked = now - self._ticked, now
-        if took <= 0:
+        """Recompute the decisions, post the records that are due, and apply the allocation."""
+        now = self.fleet.clock.now()
+        own = self.controller
+        elapsed = now - self._ticked
+        self._ticked = now
+        if elapsed <= 0:
             return
         own.threads_in_use = sum(
             own.measurement.threads.get(attempt.query.cls, 1) for attempt in self.core.in_flight.values()
         )
-        members, held = self.fleet.members, self.fleet.board.read(records.LOAD)
+        members = self.fleet.members
+        held = self.fleet.board.read(records.LOAD)
         loads = {
             name: load
             for name, record in held.items()
@@ -232,30 +269,34 @@
         }
         self._loads = {name: self._loads[name] for name in held if name in self._loads}
         threads = told_threads(self._entries, self.settings, now)
-        own.tick(now, took, threads, members.living(), members.heard(), held, loads)
-        # after the reckoning: what this gateway counts by from now on is what the others are told
-        if now - self._posted_at >= POST - TICK // 2:
+        own.tick(now, elapsed, threads, members.living(), members.heard(), held, loads)
+        # posted after the computation, so that the record has the participants that this gateway now counts
+        if now - self._posted_at >= POST_INTERVAL - TICK // 2:
             self._post_load(now)
             for page, seen in enumerate(self.health_checks.pages(now)):
                 self.fleet.board.post(f"{records.PROBES}{page}", records.pack_seen(seen))
-        elif abs(own.threads_in_use - self._posted_threads) > max(JUMP * own.limit, JUMP_LEAST):
+        elif abs(own.threads_in_use - self._posted_threads) > max(EARLY_POST_FRACTION * own.limit, EARLY_POST_THREADS):
             self._post_load(now)
         self.health_checks.forget(now, members.all())
-        self._requested_at = {engine: at for engine, at in self._requested_at.items() if now - at < ASK}
+        self._requested_at = {
+            engine: at for engine, at in self._requested_at.items() if now - at < UNSCHEDULED_INTERVAL
+        }
         self._apply_allocation(now)
 
     def _post_load(self, now: int) -> None:
-        self._posted_at, self._posted_threads = now, self.controller.threads_in_use
+        self._posted_at = now
+        self._posted_threads = self.controller.threads_in_use
         self.fleet.board.post(records.LOAD, records.pack(self.controller.record(self.recovery.records(now))))
 
     def _trial_changed(self, now: int) -> None:
-        """A trial went out or ended: the module holds or frees the engine now, and the others soon."""
-        if now - self._posted_at >= SOON:
+        """Apply the start or end of a trial here now, and publish it soon."""
+        if now - self._posted_at >= MINIMUM_POST_INTERVAL:
             self._post_load(now)
         self._apply_allocation(now)
 
     def _apply_allocation(self, now: int) -> None:
-        own, heard = self.controller, self.fleet.members.heard() | {self.fleet.members.me}
+        own = self.controller
+        heard = self.fleet.members.heard() | {self.fleet.members.me}
         self.health_checks.update(now, heard)
         held = self.recovery.update(now, heard)
         if own.view is None:
--- a/rackhub/fleet/overload/load_controller.py
+++ b/rackhub/fleet/overload/load_controller.py
@@ -1,6 +1,6 @@
-"""What one gateway makes of the records that it holds: the level, its part of threads and attempts, its back-off.
+"""The overload decisions of one gateway: shedding threshold, share of threads and retries, backoff.
 
-A pure core: it is told of its own requests as they come, and once a tick of the members and their records.
+A pure controller: it is notified of its own requests, and once a tick of the members and their load records.
 """
 
 from collections.abc import Mapping
@@ -18,73 +18,86 @@
 from rackhub.fleet.ports import Name, Record
 from rackhub.fleet.settings import FleetSettings
 
-MS, SECOND = 1_000, 1_000_000
-HOLD = 1 * SECOND  # past the age at which a record counts, that needs are told by their worse end
-NEED = 2 * SECOND  # over which the own need is smoothed: what scatters is lost twice, to others and to itself
-FULL = 1 * SECOND  # over which the part of the threads that is held is smoothed for the level: a moment is no overload
-CHANCE = 5  # how soon a gateway's limit widens to twice the room for chance, as the fleet is not full, or loses it
+MS = 1_000
+SECOND = 1_000_000
+HOLD = 1 * SECOND  # beyond the maximum age of a record, over which the bounds of a need are published
+NEED_WINDOW = 2 * SECOND  # smoothing time of the own need: a need that scatters costs both lender and borrower
+USAGE_WINDOW = 1 * SECOND  # smoothing time of the usage: a short peak is no overload
+HEADROOM_SLOPE = 5  # how fast the headroom of a gateway changes with the idle fraction of the fleet
+MINIMUM_RETRY_RATE = 0.01  # wanted retries per second, below which none are wanted
 
 
 class LoadController:
-    """`keep`: for how long what a gateway that is gone sent may run, microseconds."""
-
-    def __init__(self, me: Name, settings: t.Settings, told: FleetSettings, keep: int, seed: int):
-        fresh = told.records_ms * MS
-        self.participants = Participants(me, settings.gateways, keep, fresh)
-        self.measurement, self.threshold, self.policy = (
-            LoadMeasurement(settings),
-            SheddingThreshold(),
-            SheddingPolicy(settings),
-        )
-        self.quota = Quota(fresh + HOLD)
-        self.retry_budget = RetryBudget(settings, fresh + HOLD, seed ^ records.code(me, "tokens"))
-        self.backoff = Backoff(settings.max_retry_after, seed ^ records.code(me, "back"))
-        self._codes, self._guard = Codes(settings), told.worth_guard
+    """The load controller of one gateway.
+
+    `takeover_delay` is how long the requests of a gateway that is gone may still run, microseconds.
+    """
+
+    def __init__(
+        self, local_name: Name, settings: t.Settings, fleet_settings: FleetSettings, takeover_delay: int, seed: int
+    ):
+        maximum_age = fleet_settings.records_ms * MS
+        self.participants = Participants(local_name, settings.gateways, takeover_delay, maximum_age)
+        self.measurement = LoadMeasurement(settings)
+        self.threshold = SheddingThreshold()
+        self.policy = SheddingPolicy(settings)
+        self.quota = Quota(maximum_age + HOLD)
+        self.retry_budget = RetryBudget(settings, maximum_age + HOLD, seed ^ records.code(local_name, "tokens"))
+        self.backoff = Backoff(settings.max_retry_after, seed ^ records.code(local_name, "back"))
+        self._codes = Codes(settings)
+        self._guard = fleet_settings.worth_guard
         self._fractions = {tenant.name: tenant.quota_fraction for tenant in settings.tenants}
         self.view: View | None = None
-        self.threads_in_use, self.thread_share = (
-            0,
-            0.0,
-        )  # threads held here; of what the fleet may run, this gateway's part
-        self.limit = self.threshold_limit = 0.0  # threads that it may hold; for the cell at the level
-        self.shedding = self.draining = False  # `on`: something is turned away
-        self._need = self._full = 0.0
+        self.threads_in_use = 0  # at this gateway
+        self.thread_share = 0.0  # this gateway's fraction of the threads of the fleet
+        self.limit = 0.0  # threads that this gateway may use
+        self.threshold_limit = 0.0  # threads past which requests of the cell at the threshold are rejected
+        self.shedding = False
+        self.draining = False
+        self._need = 0.0
+        self._usage = 0.0
 
     # ---- one request
 
     def request_received(self, cls: str, tenant: str, statement: bytes, estimate: int = 0) -> int:
-        """1 above the level, -1 below it or over this gateway's part, 0 no level holds. `estimate` in microseconds."""
+        """Return the verdict on a request with an estimate in microseconds.
+
+        1: above the threshold, -1: below it or beyond the limit of this gateway, 0: nothing is shed.
+        """
         if estimate and cls in self.measurement.classes:
             self.measurement.classes[cls].add_estimate(estimate)
-        row = self.measurement.counters.get((cls, tenant)) or self.measurement.counter(cls, tenant)
-        row.requested += 1
-        mark = row.mark
-        if mark < HASH_RANGE and (not mark or statement_hash(statement, row.seed) >= mark):
+        counter = self.measurement.counters.get((cls, tenant)) or self.measurement.counter(cls, tenant)
+        counter.requested += 1
+        mark = counter.mark
+        if mark < HASH_RANGE and (not mark or statement_hash(statement, counter.seed) >= mark):
             return -1
         if self.shedding and self.threads_in_use >= (self.limit if mark == HASH_RANGE else self.threshold_limit):
-            row.requested -= 1  # no more runs here than this gateway's part, and it may be taken elsewhere
-            row.over_limit += 1
+            counter.requested -= 1  # another gateway may still admit it
+            counter.over_limit += 1
             return -1
-        row.admitted_count += 1
+        counter.admitted_count += 1
         return 1 if self.shedding else 0
 
-    def attempt_sent(self, cls: str, further: bool) -> None:
+    def attempt_sent(self, cls: str, is_retry: bool) -> None:
+        """Count the threads of an attempt, and spend a retry for it if it is one."""
         self.threads_in_use += self.measurement.threads.get(cls, 1)
-        if further:
+        if is_retry:
             self.measurement.retries += 1
             self.measurement.retries_wanted += 1
             self.retry_budget.spend()
 
     def attempt_completed(self, cls: str, reason: str, elapsed: int) -> None:
+        """Release the threads of an attempt that ended after `elapsed` microseconds."""
         self.threads_in_use = max(self.threads_in_use - self.measurement.threads.get(cls, 1), 0)
         self.measurement.attempt_completed(cls, reason, elapsed)
 
-    def request_completed(self, cls: str, how: str, tries: int) -> None:
-        if how == "served":
+    def request_completed(self, cls: str, outcome: str, attempts: int) -> None:
+        """Count the outcome of a request after so many attempts."""
+        if outcome == "served":
             self.measurement.served += 1
-        elif how in ("refused", "failed"):
-            self.measurement.retries_wanted += tries > 0
-            if how == "refused":
+        elif outcome in ("refused", "failed"):
+            self.measurement.retries_wanted += attempts > 0
+            if outcome == "refused":
                 self.measurement.rejected += 1
                 self.backoff.add_rejected(self.view.work.get(cls, 0.0) if self.view else 0.0)
 
@@ -93,67 +106,91 @@
     def tick(
         self,
         now: int,
-        took: int,
+        elapsed: int,
         threads: float,
         living: frozenset[Name],
         heard: frozenset[Name],
         held: Mapping[Name, Record],
         loads: Mapping[Name, records.Load],
     ) -> None:
-        """`took` microseconds since the last; `threads`: what all told engines may run; `held`, `loads`: the others'
-        records, and what they say."""
-        who, full = (
-            self.participants,
-            self.view.threads_in_use / self.view.threads if self.view and self.view.threads else 0.0,
-        )
-        self.measurement.tick(took, self.shedding, full)
-        who.update(now, living, heard, {name: held[name] for name in loads})
-        fresh = {name: loads[name] for name in who.counted - who.silent - {who.local_name}}
-        ours = threads * who.equal_share * (len(fresh) + 1)  # the rest is of those that are not heard
-        self.view = seen = view(
-            [self.record(()), *fresh.values()], self._codes, self.measurement.classes, self.policy.worth, ours
+        """Recompute all decisions, `elapsed` microseconds after the last tick.
+
+        `threads` is the number that all listed engines may run; `held` and `loads` are the records of the other
+        gateways and their contents.
+        """
+        participants = self.participants
+        usage = self.view.threads_in_use / self.view.threads if self.view and self.view.threads else 0.0
+        self.measurement.tick(elapsed, self.shedding, usage)
+        participants.update(now, living, heard, {name: held[name] for name in loads})
+        reachable = participants.counted - participants.silent - {participants.local_name}
+        fresh = {name: loads[name] for name in reachable}
+        known_threads = threads * participants.equal_share * (len(fresh) + 1)  # the silent ones use the rest
+        fleet = view(
+            [self.record(()), *fresh.values()], self._codes, self.measurement.classes, self.policy.worth, known_threads
         )
-        self._full += (seen.threads_in_use / max(seen.threads, 1e-9) - self._full) * min(took / FULL, 1)
-        self.threshold.update(seen.demand, self._fractions, seen.capacity, self._guard, self._full)
+        self.view = fleet
+        usage = fleet.threads_in_use / max(fleet.threads, 1e-9)
+        self._usage += (usage - self._usage) * min(elapsed / USAGE_WINDOW, 1)
+        self.threshold.update(fleet.demand, self._fractions, fleet.capacity, self._guard, self._usage)
         self.shedding = bool(self.threshold.marks)
-        self._divide(now, took, threads, seen, fresh)
-        demand = sum(cell.threads for cell in seen.demand.values()) * self.threshold.admitted_share
-        self.backoff.tick(now, seen.retry_work, seen.capacity, demand)
-
-    def _divide(self, now: int, took: int, threads: float, seen: View, fresh: Mapping[Name, records.Load]) -> None:
-        """The own part of threads and of further attempts."""
-        who, wanted = self.participants, 0.0
-        for key, row in self.measurement.counters.items():
-            row.mark = self.threshold.marks.get(key, HASH_RANGE) if self.shedding else HASH_RANGE
-            wanted += row.rate * row.mark / HASH_RANGE * seen.work.get(key[0], 0.0)
-        same = [
-            fresh[name] if name in fresh and fresh[name].counted == who.digest else None
-            for name in sorted(who.counted - {who.local_name})
-        ]
+        comparable = self._comparable(fresh)
+        self._update_threads(now, elapsed, threads, fleet, fresh, comparable)
+        self._update_retries(now, elapsed, fleet, fresh, comparable)
+        demand = sum(cell.threads for cell in fleet.demand.values()) * self.threshold.admitted_share
+        self.backoff.tick(now, fleet.retry_work, fleet.capacity, demand)
+
+    def _comparable(self, fresh: Mapping[Name, records.Load]) -> list[records.Load | None]:
+        """Return the load of each other participant, None if it is silent or counts other participants."""
+        participants = self.participants
+        others = sorted(participants.counted - {participants.local_name})
+        loads = [fresh.get(name) for name in others]
+        return [load if load is not None and load.counted == participants.digest else None for load in loads]
+
+    def _update_threads(
+        self,
+        now: int,
+        elapsed: int,
+        threads: float,
+        fleet: View,
+        fresh: Mapping[Name, records.Load],
+        comparable: list[records.Load | None],
+    ) -> None:
+        wanted = 0.0
+        for key, counter in self.measurement.counters.items():
+            counter.mark = self.threshold.marks.get(key, HASH_RANGE) if self.shedding else HASH_RANGE
+            wanted += counter.rate * counter.mark / HASH_RANGE * fleet.work.get(key[0], 0.0)
+        equal_share = self.participants.equal_share
         need = (self.threads_in_use if self.draining else max(wanted, self.threads_in_use)) / max(threads, 1e-9)
-        self._need += (need - self._need) * min(took / NEED, 1)
-        lacking = any(Quota.wants_more(load.share, who.equal_share) for load in fresh.values())
-        self.quota.update_need(now, self._need, who.equal_share, who.digest, lacking)
-        self.thread_share = self.quota.share(
-            who.equal_share, [load.share if load is not None else None for load in same]
-        )
-        allowed = self.thread_share * threads * min(seen.capacity_factor, 1.0)
-        # room for chance, as the module's own, and less the more all hold together; least for the cell at the level
-        spare, chance = 1 - seen.threads_in_use / max(seen.threads, 1e-9), allowed**0.5
-        self.limit = allowed + chance * min(max(1 + CHANCE * spare, 0), 2)
-        self.threshold_limit = allowed + chance * min(max(2 * spare, 0), 1)
-        wished = self.measurement.rates["retries_wanted"]
-        lacking = any(Quota.wants_more(load.retry_share, who.equal_share) for load in fresh.values())
-        self.retry_budget.tick(now, took, seen.served, wished, who.equal_share, who.digest, lacking)
-        self.retry_budget.set_share(
-            self.retry_budget.quota.share(
-                who.equal_share, [load.retry_share if load is not None else None for load in same]
-            ),
-            wished > 0.01,
-        )
+        self._need += (need - self._need) * min(elapsed / NEED_WINDOW, 1)
+        lacking = any(Quota.wants_more(load.share, equal_share) for load in fresh.values())
+        self.quota.update_need(now, self._need, equal_share, self.participants.digest, lacking)
+        loans = [load.share if load is not None else None for load in comparable]
+        self.thread_share = self.quota.share(equal_share, loans)
+        allowed = self.thread_share * threads * min(fleet.capacity_factor, 1.0)
+        # headroom for random peaks, less the more threads the fleet uses; least for the cell at the threshold
+        idle = 1 - fleet.threads_in_use / max(fleet.threads, 1e-9)
+        headroom = allowed**0.5
+        self.limit = allowed + headroom * min(max(1 + HEADROOM_SLOPE * idle, 0), 2)
+        self.threshold_limit = allowed + headroom * min(max(2 * idle, 0), 1)
+
+    def _update_retries(
+        self,
+        now: int,
+        elapsed: int,
+        fleet: View,
+        fresh: Mapping[Name, records.Load],
+        comparable: list[records.Load | None],
+    ) -> None:
+        equal_share = self.participants.equal_share
+        wanted = self.measurement.rates["retries_wanted"]
+        lacking = any(Quota.wants_more(load.retry_share, equal_share) for load in fresh.values())
+        self.retry_budget.tick(now, elapsed, fleet.served, wanted, equal_share, self.participants.digest, lacking)
+        loans = [load.retry_share if load is not None else None for load in comparable]
+        share = self.retry_budget.quota.share(equal_share, loans)
+        self.retry_budget.set_share(share, wanted > MINIMUM_RETRY_RATE)
 
     def record(self, trials: tuple[records.Trial, ...]) -> records.Load:
-        """What this gateway tells the others."""
+        """Return the load record of this gateway."""
         cells, rest = self.measurement.cells()
         rates = {name: records.bounded(rate * 1000) for name, rate in self.measurement.rates.items()}
         return records.Load(
@@ -175,7 +212,8 @@
         )
 
     def metrics(self) -> dict[str, float]:
-        seen = self.view
+        """Return the gauges by name."""
+        fleet = self.view
         return {
             "on": float(self.threshold.active),
             "place": self.threshold.admitted_share,
@@ -185,9 +223,9 @@
             "counted": float(len(self.participants.counted)),
             "silent": float(len(self.participants.silent)),
             "majority": float(self.participants.majority),
-            "capacity": seen.capacity if seen else 0.0,
-            "hand": seen.threads_in_use if seen else 0.0,
-            "demand": sum(cell.threads for cell in seen.demand.values()) if seen else 0.0,
+            "capacity": fleet.capacity if fleet else 0.0,
+            "hand": fleet.threads_in_use if fleet else 0.0,
+            "demand": sum(cell.threads for cell in fleet.demand.values()) if fleet else 0.0,
             "room": self.measurement.capacity_factor,
             "tokens": self.retry_budget.available,
             "tokens_rate": self.retry_budget.rate,
