--- a/rackhub/fleet/overload/component.py
+++ b/rackhub/fleet/overload/component.py
@@ -17,7 +17,7 @@
 from rackhub.fleet.overload.load_controller import LoadController
 from rackhub.fleet.overload.probing import PAGES, HealthCheckSchedule
 from rackhub.fleet.overload.recovery_trials import RecoveryTrials
-from rackhub.fleet.overload.view import told_threads
+from rackhub.fleet.overload.view import listed_threads
 from rackhub.fleet.settings import FleetSettings
 from rackhub.limits import Limits
 
@@ -268,7 +268,7 @@
             if name != members.me and (load := self._decode(record)) is not None
         }
         self._loads = {name: self._loads[name] for name in held if name in self._loads}
-        threads = told_threads(self._entries, self.settings, now)
+        threads = listed_threads(self._entries, self.settings, now)
         own.tick(now, elapsed, threads, members.living(), members.heard(), held, loads)
         # posted after the computation, so that the record has the participants that this gateway now counts
         if now - self._posted_at >= POST_INTERVAL - TICK // 2:
