--- a/rackhub/fleet/overload/prober.py
+++ b/rackhub/fleet/overload/prober.py
@@ -1,6 +1,7 @@
-"""Probes over RESP: `there TAG` on one kept connection to each engine that this gateway probes; `TAG alive` comes back.
+"""Health checks over RESP: `there TAG` on one persistent connection to each engine, answered by `TAG alive`.
 
-A connection apart from those that carry attempts: a probe must not wait behind pages, nor be lost with one that breaks.
+The connection is separate from those of attempts, so that a check neither waits behind result pages nor is lost with a
+connection that breaks.
 """
 
 from collections.abc import Callable
@@ -15,51 +16,60 @@
 from rackhub.net.resp_words import command
 
 MS = 1_000
-OPEN = 64  # connections at most, and probes without an answer
-PATIENCE = 300 * MS  # for the answer, the dial too: below the module's own time for a probe
-IDLE = 5_000 * MS  # not asked for so long, a connection closes
-MOST = 256  # bytes unread: an answer is 30
+MAXIMUM_CONNECTIONS = 64
+TIMEOUT = 300 * MS  # of connect and answer together: below the decision module's own timeout
+IDLE_TIMEOUT = 5_000 * MS  # of a connection without checks
+MAXIMUM_BUFFER = 256  # unread bytes; an answer has 30
 Done = Callable[[str, int, dict[str, float]], None]
 
 
 class Probe(Protocol):
-    """One connection to one engine, and the probe that waits on it; there is one at most."""
+    """One connection to one engine, with at most one check in flight."""
 
     transport: Any
 
     def __init__(self, prober: "Prober", engine: str, address: Address):
-        self.prober, self.engine, self.address = prober, engine, address
-        self.up = self.closed = False
-        self._buffer, self._tag, self._sent, self.last_used = b"", 0, 0, prober.clock.now()
+        self.prober = prober
+        self.engine = engine
+        self.address = address
+        self.up = False
+        self.closed = False
+        self._buffer = b""
+        self._tag = 0
+        self._sent = 0
+        self.last_used = prober.clock.now()
         self._done: Done | None = None
         self._late: Any = None
 
     def send(self, done: Done) -> None:
-        """A second one while the first waits is not sent: the first one's end tells as much."""
+        """Start a check; while one is in flight it is not started, as that one's result is enough."""
         if self._done is not None:
             return
-        self._done, self._sent = done, self.prober.clock.now()
+        self._done = done
+        self._sent = self.prober.clock.now()
         self.last_used = self._sent
-        self._late = self.prober.reactor.callLater(PATIENCE / 1e6, self._too_late)
+        self._late = self.prober.reactor.callLater(TIMEOUT / 1e6, self._too_late)
         if self.up:
             self._write()
 
     def drop(self, reason: str = "") -> None:
-        """End it. Let go of for its own sake, not the engine's, it says nothing of the engine: its probe has no end."""
+        """Close the connection; without a reason the check in flight has no result."""
         self.closed = True
         if self.up:
             self.transport.abortConnection()
         self.complete(reason)
 
     def complete(self, reason: str) -> None:
-        done, self._done = self._done, None
+        """End the check in flight, with a result if there is a reason."""
+        done = self._done
+        self._done = None
         if self._late is not None and self._late.active():
             self._late.cancel()
         if done is not None and reason:
             done(reason, self.prober.clock.now() - self._sent, {})
 
     def _too_late(self) -> None:
-        """Nothing came: what still may come on this connection is of no more use, and the next probe dials anew."""
+        """Close the connection after a timeout; the next check connects anew."""
         self.prober.remove(self)
         self.drop("LATE")
 
@@ -67,25 +77,29 @@
         self._tag += 1
         self.transport.writeSequence(command(b"there", b"%d" % self._tag))
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Send the check that waits for the connection."""
         if self.closed:
-            return self.drop()
+            self.drop()
+            return
         self.up = True
         self.transport.setTcpNoDelay(True)
         if self._done is not None:
             self._write()
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Complete the check if the answer is whole, drop the connection if it is invalid."""
         self._buffer += data
         answer = b"".join(command(b"%d" % self._tag, b"alive"))
         if self._buffer == answer:
             self._buffer = b""
             self.complete("GOOD")
-        elif len(self._buffer) > MOST or not answer.startswith(self._buffer):
-            self.prober.remove(self)  # whatever speaks here is no engine of this protocol
+        elif len(self._buffer) > MAXIMUM_BUFFER or not answer.startswith(self._buffer):
+            self.prober.remove(self)  # the peer does not speak this protocol
             self.drop("NOCONN")
 
-    def connectionLost(self, reason: object = None) -> None:
+    def connectionLost(self, reason: object = None) -> None:  # noqa: N802 - Twisted's name
+        """Complete the check in flight as failed."""
         self.up = False
         self.prober.remove(self)
         if not self.closed:
@@ -94,15 +108,17 @@
 
 
 class Prober:
-    """Called with an engine and who gets the result: GOOD, LATE or NOCONN, microseconds, and an empty load report."""
+    """Checks engines; the callback gets GOOD, LATE or NOCONN, microseconds, and an empty load report."""
 
     def __init__(self, reactor: Any, clock: Clock, limits: Limits):
-        self.reactor, self.clock, self._limits = reactor, clock, limits
+        self.reactor = reactor
+        self.clock = clock
+        self._limits = limits
         self._addresses: dict[str, Address] = {}
         self._probes: dict[str, Probe] = {}
 
     def listed(self, listing: EndpointSnapshot) -> None:
-        """An engine that is gone from the list, or has another address, is let go of."""
+        """Apply a new list: drop connections to engines that are gone or have another address."""
         self._addresses = dict(listing.addresses)
         for engine, probe in list(self._probes.items()):
             if self._addresses.get(engine) != probe.address:
@@ -110,15 +126,14 @@
                 probe.drop()
 
     def __call__(self, engine: str, done: Done) -> None:
-        edge = self.clock.now() - IDLE
-        for other in [other for other in self._probes.values() if other.last_used < edge]:  # others probe it now
-            self.remove(other)
-            other.drop()
-        probe, address = self._probes.get(engine), self._addresses.get(engine)
+        """Check an engine; an unlisted one has no result."""
+        self._drop_idle()
+        probe = self._probes.get(engine)
+        address = self._addresses.get(engine)
         if address is None:
             return
         if probe is None:
-            if len(self._probes) >= OPEN:  # the one that was asked first makes way
+            if len(self._probes) >= MAXIMUM_CONNECTIONS:  # the oldest is dropped
                 self._probes.pop(next(iter(self._probes))).drop()
             probe = self._probes[engine] = Probe(self, engine, address)
             probe.send(done)
@@ -128,11 +143,19 @@
         else:
             probe.send(done)
 
+    def _drop_idle(self) -> None:
+        edge = self.clock.now() - IDLE_TIMEOUT
+        for probe in [probe for probe in self._probes.values() if probe.last_used < edge]:
+            self.remove(probe)
+            probe.drop()
+
     def remove(self, probe: Probe) -> None:
+        """Forget a connection."""
         if self._probes.get(probe.engine) is probe:
             del self._probes[probe.engine]
 
     def stop(self) -> None:
+        """Close all connections."""
         for probe in list(self._probes.values()):
             probe.drop()
         self._probes.clear()
--- a/rackhub/fleet/overload/recovery_trials.py
+++ b/rackhub/fleet/overload/recovery_trials.py
@@ -1,10 +1,10 @@
-"""The first request to an engine that was out goes out from one gateway; the rest hold it until that one's word.
+"""Recovery trials: the first request to an engine that was down goes out from one gateway, the others wait for it.
 
-Out is an engine that is newly listed, has come up anew, or fails: two connections refused or reset in a row at one
-gateway, or a probe that found no one. Who tries goes by `rendezvous` over those whom this gateway hears. It sends one
-attempt and holds the engine itself until that has ended. One that fails gives the turn to the next in line, a rest
-later. No word within `BOUND`, and the rest go on, the next in line first; after `ROUNDS` that failed they go on too. So
-one that lies, or is gone, holds an engine for a bounded time and no longer.
+An engine counts as down when it is newly listed, has restarted, or fails: two connections refused or reset in a row at
+one gateway, or a health check that could not connect. The gateway that runs the trial is chosen by rendezvous hashing
+over those that this gateway can reach. It sends one attempt and reserves the engine until that has ended. After a
+failure the next in the ranking takes over, a pause later. Without a result within `BOUND` the others go on, in the
+order of the ranking; so they do after `ROUNDS` failures. A false report thus reserves an engine for a bounded time.
 """
 
 from collections.abc import Iterable
@@ -13,137 +13,175 @@
 from rackhub.fleet.overload.rendezvous import ranked
 from rackhub.fleet.ports import Name
 
-MS, SECOND = 1_000, 1_000_000
-BOUND = 3 * SECOND  # from the moment that a gateway holds an engine; after it, it does not hold it
-APART, APARTS = 100 * MS, 10  # the second in line goes on so long before the third, and so on for so many
-ROUNDS = 5  # trials that failed, after which no more are waited for
-REST = 1 * SECOND  # after a trial that failed, before the next
-ROWED = 2  # failures in a row that put an engine out
-PART = 0.5  # of the engines that may be held at once: with more held there would be no place to send to
-AGAIN = 10 * SECOND  # an engine is held no sooner after its bound ran out
-TRYING, SOUND, BAD = 1, 2, 3
+MS = 1_000
+SECOND = 1_000_000
+BOUND = 3 * SECOND  # maximum time for which a gateway reserves an engine
+RELEASE_INTERVAL = 100 * MS  # between the gateways that go on after the bound, in the order of the ranking
+MAXIMUM_RELEASE_INTERVALS = 10
+ROUNDS = 5  # failed trials, after which no further ones are waited for
+PAUSE = 1 * SECOND  # between a failed trial and the next
+FAILURE_THRESHOLD = 2  # failures in a row after which an engine counts as down
+MAXIMUM_RESERVED_FRACTION = 0.5  # of the engines, so that some remain to send to
+COOLDOWN = 10 * SECOND  # after the bound, before the engine is reserved again
+
+# states of a trial on the wire
+PENDING = 0
+TRYING = 1
+SOUND = 2
+BAD = 3
 
 
 class Recovery:
-    """One engine that was out, as this gateway holds it."""
+    """The recovery of one engine as this gateway sees it."""
 
     __slots__ = ("began", "since", "turn", "sent", "state", "at", "round")
 
     def __init__(self, now: int, since: int):
-        self.began = now  # of the holding, or of the trial's present round
-        self.since = since  # the word of an answer before then is of what was before
-        self.turn: Name | None = None
-        self.sent = False  # the own trial is out
-        self.state, self.at, self.round = 0, now, 0
+        self.began = now  # of the reservation, or of the present round
+        self.since = since  # an answer before then is from before the failure
+        self.turn: Name | None = None  # the member that runs the trial
+        self.sent = False  # the own trial is in flight
+        self.state = PENDING
+        self.at = now  # of the last change of state
+        self.round = 0
 
 
 class RecoveryTrials:
-    def __init__(self, me: Name, bound: int = BOUND):
-        self.local_name, self._bound = me, bound
-        self._started_at: dict[str, int] = {}  # each listed engine, and when it came up
+    """The recoveries that this gateway knows of, and the engines reserved for them."""
+
+    def __init__(self, local_name: Name, bound: int = BOUND):
+        self.local_name = local_name
+        self._bound = bound
+        self._started_at: dict[str, int] = {}  # of each listed engine
         self._names: dict[int, str] = {}
         self._consecutive_failures: dict[str, int] = {}
-        self._not_before: dict[str, int] = {}  # not held again before then
+        self._not_before: dict[str, int] = {}  # time of the next reservation at the earliest
         self.recoveries: dict[str, Recovery] = {}
-        self._reachable: frozenset[Name] = frozenset((me,))
+        self._reachable: frozenset[Name] = frozenset((local_name,))
         self.reserved: frozenset[str] = frozenset()
 
     def listed(self, now: int, engines: Iterable[tuple[str, int]]) -> None:
-        """The list, with when each came up; all of the first list are taken as known, or nothing could be served."""
-        before, self._started_at = self._started_at, dict(engines)
+        """Apply a list of engines and their start times; those of the first list count as sound."""
+        before = self._started_at
+        self._started_at = dict(engines)
         self._names = {code(engine): engine for engine in self._started_at}
-        for kept in (self.recoveries, self._consecutive_failures, self._not_before):
-            for engine in [engine for engine in kept if engine not in self._started_at]:
-                del kept[engine]
-        for engine, up in self._started_at.items():
-            if before and (engine not in before or up > before[engine]):
-                self.mark_down(now, engine, anew=True)
-
-    def mark_down(self, now: int, engine: str, anew: bool = False) -> None:
-        """It is out: nothing goes there until its trial. `anew`: its process is another one than that before."""
-        case = self.recoveries.get(engine)
-        known = case is not None and case.state != SOUND or now < self._not_before.get(engine, 0)
-        if engine not in self._started_at or known and not anew:
+        for by_engine in (self.recoveries, self._consecutive_failures, self._not_before):
+            for engine in [engine for engine in by_engine if engine not in self._started_at]:
+                del by_engine[engine]
+        for engine, started_at in self._started_at.items():
+            if before and (engine not in before or started_at > before[engine]):
+                self.mark_down(now, engine, restarted=True)
+
+    def mark_down(self, now: int, engine: str, restarted: bool = False) -> None:
+        """Reserve an engine until its trial; `restarted`: its process is a new one."""
+        recovery = self.recoveries.get(engine)
+        in_recovery = recovery is not None and recovery.state != SOUND
+        if engine not in self._started_at:
+            return
+        if not restarted and (in_recovery or now < self._not_before.get(engine, 0)):
             return
         if len(self.recoveries) < self._maximum_reserved():
-            self.recoveries[engine] = Recovery(now, now - self._bound * anew)  # others may have had the list sooner
+            since = now - self._bound * restarted  # other members may have received the list earlier
+            self.recoveries[engine] = Recovery(now, since)
             self._consecutive_failures.pop(engine, None)
 
     def update(self, now: int, heard: frozenset[Name]) -> frozenset[str]:
-        """The engines that get nothing from this gateway for now."""
+        """Return the engines that this gateway must not use now; `heard` are the reachable members and this one."""
         self._reachable = heard
-        held = set()
-        for engine, case in list(self.recoveries.items()):
-            line = ranked(f"trial {case.round} {engine}", heard)
-            late = case.began + self._bound + min(line.index(self.local_name), APARTS) * APART
-            out = case.sent and now - case.at < self._bound  # longer, and its end may have passed unseen
-            if now >= late and not out or case.state == SOUND:
-                if case.state != SOUND:
-                    self._not_before[engine] = now + AGAIN
-                elif now - case.at < self._bound:  # its word is still to be told
-                    continue
-                del self.recoveries[engine]
-                continue
-            case.turn = line[0]
-            if case.state == BAD and now - case.at >= REST and not case.sent:
-                case.state = 0
-            if case.turn != self.local_name or case.sent or case.state == BAD:
-                held.add(engine)
-        if len(held) > self._maximum_reserved():  # the list has shrunk
-            held = set(sorted(held, key=lambda engine: self.recoveries[engine].began)[: self._maximum_reserved()])
-        self.reserved = frozenset(held)
+        reserved = set()
+        for engine, recovery in list(self.recoveries.items()):
+            if self._update_recovery(now, engine, recovery):
+                reserved.add(engine)
+        if len(reserved) > self._maximum_reserved():  # the list has become shorter
+            oldest = sorted(reserved, key=lambda engine: self.recoveries[engine].began)
+            reserved = set(oldest[: self._maximum_reserved()])
+        self.reserved = frozenset(reserved)
         return self.reserved
 
+    def _update_recovery(self, now: int, engine: str, recovery: Recovery) -> bool:
+        """Advance one recovery, drop it if it is over; return whether the engine is reserved."""
+        ranking = ranked(f"trial {recovery.round} {engine}", self._reachable)
+        position = min(ranking.index(self.local_name), MAXIMUM_RELEASE_INTERVALS)
+        release_at = recovery.began + self._bound + position * RELEASE_INTERVAL
+        in_flight = recovery.sent and now - recovery.at < self._bound  # past the bound its end may have been missed
+        if recovery.state == SOUND:
+            if now - recovery.at >= self._bound:  # until then the result is published
+                del self.recoveries[engine]
+            return False
+        if now >= release_at and not in_flight:
+            self._not_before[engine] = now + COOLDOWN
+            del self.recoveries[engine]
+            return False
+        recovery.turn = ranking[0]
+        if recovery.state == BAD and now - recovery.at >= PAUSE and not recovery.sent:
+            recovery.state = PENDING
+        return recovery.turn != self.local_name or recovery.sent or recovery.state == BAD
+
     def _maximum_reserved(self) -> int:
-        return max(int(len(self._started_at) * PART), 1) if len(self._started_at) > 1 else 0
+        engines = len(self._started_at)
+        return max(int(engines * MAXIMUM_RESERVED_FRACTION), 1) if engines > 1 else 0
 
     def attempt_sent(self, now: int, engine: str) -> bool:
-        """An own attempt goes there; whether that changes what is held."""
-        case = self.recoveries.get(engine)
-        if case is None or case.state == SOUND or case.sent:
+        """Count an own attempt; return whether it is a trial, which changes the reserved engines."""
+        recovery = self.recoveries.get(engine)
+        if recovery is None or recovery.state == SOUND or recovery.sent:
             return False
-        case.sent, case.state, case.at = True, TRYING, now
+        recovery.sent = True
+        recovery.state = TRYING
+        recovery.at = now
         self.reserved |= {engine}
         return True
 
     def attempt_completed(self, now: int, engine: str, reason: str) -> bool:
-        """An own attempt there has ended; whether that changes what is held."""
-        failed = reason in ("NOCONN", "RST")
-        case = self.recoveries.get(engine)
-        if case is not None and case.sent and case.state == TRYING:
-            case.sent, case.at = False, now
-            if reason in ("GOOD", "BAD", "FULL"):  # it answers
-                case.state = SOUND
-            elif reason == "CXL":  # says nothing: another attempt may
-                case.state = 0
-            else:
-                self._trial_failed(case, now)
+        """Count the end of an own attempt; return whether the reserved engines change."""
+        recovery = self.recoveries.get(engine)
+        if recovery is not None and recovery.sent and recovery.state == TRYING:
+            self._complete_trial(recovery, now, reason)
             return True
-        rowed = self._consecutive_failures[engine] = self._consecutive_failures.get(engine, 0) + 1 if failed else 0
-        if rowed >= ROWED:
+        failed = reason in ("NOCONN", "RST")
+        failures = self._consecutive_failures.get(engine, 0) + 1 if failed else 0
+        self._consecutive_failures[engine] = failures
+        if failures >= FAILURE_THRESHOLD:
             self.mark_down(now, engine)
-        return rowed == ROWED
+        return failures == FAILURE_THRESHOLD
+
+    def _complete_trial(self, recovery: Recovery, now: int, reason: str) -> None:
+        recovery.sent = False
+        recovery.at = now
+        if reason in ("GOOD", "BAD", "FULL"):  # the engine answers
+            recovery.state = SOUND
+        elif reason == "CXL":  # canceled: another attempt may be the trial
+            recovery.state = PENDING
+        else:
+            self._trial_failed(recovery, now)
 
     def records(self, now: int) -> tuple[Trial, ...]:
-        """The own word on engines that it tries, or has tried."""
+        """Return the trials that this gateway runs or has run, for its load record."""
         return tuple(
-            Trial(code(engine), case.state, bounded((now - case.at) // MS))
-            for engine, case in sorted(self.recoveries.items())
-            if case.state
+            Trial(code(engine), recovery.state, bounded((now - recovery.at) // MS))
+            for engine, recovery in sorted(self.recoveries.items())
+            if recovery.state
         )[:TRIALS]
 
-    def receive(self, now: int, owner: Name, age: int, told: Iterable[Trial]) -> None:
-        """Another's word, in a record so old: one that answered is free from here, with no other way to hold it."""
-        for one in told:
-            engine, at = self._names.get(one.engine), now - age - one.age * MS
-            case = self.recoveries.get(engine) if engine is not None else None
-            if engine is None or now - at > self._bound:
+    def receive(self, now: int, owner: Name, age: int, trials: Iterable[Trial]) -> None:
+        """Apply the trials in a record of another member, `age` microseconds old.
+
+        An engine that answered is released; a failure counts only from the member that was to run the trial.
+        """
+        for trial in trials:
+            engine = self._names.get(trial.engine)
+            at = now - age - trial.age * MS
+            recovery = self.recoveries.get(engine) if engine is not None else None
+            if engine is None or recovery is None or now - at > self._bound:
                 continue
-            if one.state == SOUND and case is not None and at > case.since and case.state != SOUND and not case.sent:
+            if trial.state == SOUND and at > recovery.since and recovery.state != SOUND and not recovery.sent:
                 del self.recoveries[engine]
-            elif one.state == BAD and case is not None and owner == case.turn and at > case.at + MS:
-                self._trial_failed(case, at)
-
-    def _trial_failed(self, case: Recovery, at: int) -> None:
-        case.state, case.at, case.round = BAD, at, case.round + 1
-        case.began = max(case.began, at) if case.round < ROUNDS else case.began
+            elif trial.state == BAD and owner == recovery.turn and at > recovery.at + MS:
+                self._trial_failed(recovery, at)
+
+    def _trial_failed(self, recovery: Recovery, at: int) -> None:
+        recovery.state = BAD
+        recovery.at = at
+        recovery.round += 1
+        if recovery.round < ROUNDS:
+            recovery.began = max(recovery.began, at)
