--- a/rackhub/fleet/overload/backoff.py
+++ b/rackhub/fleet/overload/backoff.py
@@ -37,13 +37,13 @@
 
         `retry_work` is in thread-seconds over all gateways, `capacity` and `demand` are in threads.
         """
-        self._update_own_work(now)
+        self._expire_retry_work(now)
         free = max(capacity - demand, MINIMUM_FREE_FRACTION * capacity, 1e-6)
         wait = retry_work / free * SECOND
         drawn = wait * self._random.uniform(1 - JITTER, 1 + JITTER)
         self.retry_after = int(min(max(drawn, 0), self._maximum)) if retry_work > 0 else 0
 
-    def _update_own_work(self, now: int) -> None:
+    def _expire_retry_work(self, now: int) -> None:
         """Add what was rejected since the last tick and drop what is due back."""
         if self._rejected:
             self._retry_due.append((now + max(self.retry_after, MINIMUM_DELAY), self._rejected))
--- a/rackhub/fleet/overload/component.py
+++ b/rackhub/fleet/overload/component.py
@@ -83,8 +83,8 @@
         self.recovery = RecoveryTrials(fleet.members.me)
         self._entries: tuple[t.EngineEntry, ...] = ()
         self._loads: dict[ports.Name, tuple[tuple[int, int], records.Load | None]] = {}
-        self._ticked = self._posted_at = fleet.clock.now()
-        self._posted_threads = 0
+        self._ticked = self._published_at = fleet.clock.now()
+        self._published_threads = 0
         self._requested_at: dict[str, int] = {}  # time of own unscheduled health checks, by engine
         self._cancel: Callable[[], None] | None = None
         self._warned: set[tuple[ports.Name, int]] = set()
@@ -271,34 +271,36 @@
         threads = listed_threads(self._entries, self.settings, now)
         own.tick(now, elapsed, threads, members.living(), members.heard(), held, loads)
         # posted after the computation, so that the record has the participants that this gateway now counts
-        if now - self._posted_at >= POST_INTERVAL - TICK // 2:
-            self._post_load(now)
+        if now - self._published_at >= POST_INTERVAL - TICK // 2:
+            self._publish_load(now)
             for page, seen in enumerate(self.health_checks.pages(now)):
                 self.fleet.board.post(f"{records.PROBES}{page}", records.pack_seen(seen))
-        elif abs(own.threads_in_use - self._posted_threads) > max(EARLY_POST_FRACTION * own.limit, EARLY_POST_THREADS):
-            self._post_load(now)
+        elif abs(own.threads_in_use - self._published_threads) > max(
+            EARLY_POST_FRACTION * own.limit, EARLY_POST_THREADS
+        ):
+            self._publish_load(now)
         self.health_checks.forget(now, members.all())
         self._requested_at = {
             engine: at for engine, at in self._requested_at.items() if now - at < UNSCHEDULED_INTERVAL
         }
         self._apply_allocation(now)
 
-    def _post_load(self, now: int) -> None:
-        self._posted_at = now
-        self._posted_threads = self.controller.threads_in_use
+    def _publish_load(self, now: int) -> None:
+        self._published_at = now
+        self._published_threads = self.controller.threads_in_use
         self.fleet.board.post(records.LOAD, records.pack(self.controller.record(self.recovery.records(now))))
 
     def _trial_changed(self, now: int) -> None:
         """Apply the start or end of a trial here now, and publish it soon."""
-        if now - self._posted_at >= MINIMUM_POST_INTERVAL:
-            self._post_load(now)
+        if now - self._published_at >= MINIMUM_POST_INTERVAL:
+            self._publish_load(now)
         self._apply_allocation(now)
 
     def _apply_allocation(self, now: int) -> None:
         own = self.controller
-        heard = self.fleet.members.heard() | {self.fleet.members.me}
-        self.health_checks.update(now, heard)
-        held = self.recovery.update(now, heard)
+        reachable = self.fleet.members.heard() | {self.fleet.members.me}
+        self.health_checks.update(now, reachable)
+        held = self.recovery.update(now, reachable)
         if own.view is None:
             return
         self.core.apply_allocation(
--- a/rackhub/fleet/overload/load_controller.py
+++ b/rackhub/fleet/overload/load_controller.py
@@ -109,24 +109,28 @@
         elapsed: int,
         threads: float,
         living: frozenset[Name],
-        heard: frozenset[Name],
-        held: Mapping[Name, Record],
+        reachable: frozenset[Name],
+        load_records: Mapping[Name, Record],
         loads: Mapping[Name, records.Load],
     ) -> None:
         """Recompute all decisions, `elapsed` microseconds after the last tick.
 
-        `threads` is the number that all listed engines may run; `held` and `loads` are the records of the other
+        `threads` is the number that all listed engines may run; `load_records` and `loads` are the records of the other
         gateways and their contents.
         """
         participants = self.participants
         usage = self.view.threads_in_use / self.view.threads if self.view and self.view.threads else 0.0
         self.measurement.tick(elapsed, self.shedding, usage)
-        participants.update(now, living, heard, {name: held[name] for name in loads})
-        reachable = participants.counted - participants.silent - {participants.local_name}
-        fresh = {name: loads[name] for name in reachable}
+        participants.update(now, living, reachable, {name: load_records[name] for name in loads})
+        active = participants.counted - participants.silent - {participants.local_name}
+        fresh = {name: loads[name] for name in active}
         known_threads = threads * participants.equal_share * (len(fresh) + 1)  # the silent ones use the rest
         fleet = view(
-            [self.record(()), *fresh.values()], self._codes, self.measurement.classes, self.policy.worth, known_threads
+            [self.record(()), *fresh.values()],
+            self._codes,
+            self.measurement.classes,
+            self.policy.multipliers,
+            known_threads,
         )
         self.view = fleet
         usage = fleet.threads_in_use / max(fleet.threads, 1e-9)
--- a/rackhub/fleet/overload/participants.py
+++ b/rackhub/fleet/overload/participants.py
@@ -27,10 +27,12 @@
         self.majority = False
         self.digest = code(local_name)  # of `counted`: only gateways that count the same members exchange loans
 
-    def update(self, now: int, living: frozenset[Name], heard: frozenset[Name], records: Mapping[Name, Record]) -> None:
+    def update(
+        self, now: int, living: frozenset[Name], reachable: frozenset[Name], records: Mapping[Name, Record]
+    ) -> None:
         """Recompute the participants from the membership and the load records held now."""
         self._update_counted(now, living)
-        fresh = {name for name, record in records.items() if record.age <= self.maximum_age and name in heard}
+        fresh = {name for name, record in records.items() if record.age <= self.maximum_age and name in reachable}
         self.silent = self.counted - fresh - {self.local_name}
         self._update_equal_share(now)
 
--- a/rackhub/fleet/overload/probing.py
+++ b/rackhub/fleet/overload/probing.py
@@ -51,12 +51,12 @@
         self._since = {}
         self._reachable = frozenset()
 
-    def update(self, now: int, heard: frozenset[Name]) -> None:
-        """Recompute the targets; `heard` are the reachable members and this one."""
-        if heard != self._reachable:
-            self._reachable = heard
+    def update(self, now: int, reachable: frozenset[Name]) -> None:
+        """Recompute the targets; `reachable` are the reachable members and this one."""
+        if reachable != self._reachable:
+            self._reachable = reachable
             for engine in self.engines:
-                ranking = ranked(engine, heard)[: MAXIMUM_PROBERS + 1]
+                ranking = ranked(engine, reachable)[: MAXIMUM_PROBERS + 1]
                 if self._ranking.get(engine) != ranking:
                     self._ranking[engine] = ranking
                     self._since[engine] = now
--- a/rackhub/fleet/overload/quota.py
+++ b/rackhub/fleet/overload/quota.py
@@ -86,15 +86,15 @@
             min(math.ceil(maximum_wanted * PART), PART),
         )
 
-    def share(self, equal_share: float, others: Iterable[Loan | None]) -> float:
+    def share(self, equal_share: float, peer_loans: Iterable[Loan | None]) -> float:
         """Return the share of this gateway.
 
-        `others` has the loan of each other counted member, None if it is silent or counts other participants.
+        `peer_loans` has the loan of each other counted member, None if it is silent or counts other participants.
         """
         own = self.loan()
         keep = max(equal_share - own.maximum_offered / PART, 0.0)
         pool, wants = own.minimum_offered, own.minimum_wanted
-        for other in others:
+        for other in peer_loans:
             pool += other.minimum_offered if other is not None else 0
             wants += other.maximum_wanted if other is not None else PART
         return keep + (pool / PART) * own.minimum_wanted / wants if wants else keep
--- a/rackhub/fleet/overload/recovery_trials.py
+++ b/rackhub/fleet/overload/recovery_trials.py
@@ -34,12 +34,12 @@
 class Recovery:
     """The recovery of one engine as this gateway sees it."""
 
-    __slots__ = ("began", "since", "turn", "sent", "state", "at", "round")
+    __slots__ = ("began", "since", "assigned_to", "sent", "state", "at", "round")
 
     def __init__(self, now: int, since: int):
         self.began = now  # of the reservation, or of the present round
         self.since = since  # an answer before then is from before the failure
-        self.turn: Name | None = None  # the member that runs the trial
+        self.assigned_to: Name | None = None  # the member that runs the trial
         self.sent = False  # the own trial is in flight
         self.state = PENDING
         self.at = now  # of the last change of state
@@ -85,9 +85,9 @@
             self.recoveries[engine] = Recovery(now, since)
             self._consecutive_failures.pop(engine, None)
 
-    def update(self, now: int, heard: frozenset[Name]) -> frozenset[str]:
-        """Return the engines that this gateway must not use now; `heard` are the reachable members and this one."""
-        self._reachable = heard
+    def update(self, now: int, reachable: frozenset[Name]) -> frozenset[str]:
+        """Return the engines that this gateway must not use now; `reachable` are the reachable members and this one."""
+        self._reachable = reachable
         reserved = set()
         for engine, recovery in list(self.recoveries.items()):
             if self._update_recovery(now, engine, recovery):
@@ -112,10 +112,10 @@
             self._not_before[engine] = now + COOLDOWN
             del self.recoveries[engine]
             return False
-        recovery.turn = ranking[0]
+        recovery.assigned_to = ranking[0]
         if recovery.state == BAD and now - recovery.at >= PAUSE and not recovery.sent:
             recovery.state = PENDING
-        return recovery.turn != self.local_name or recovery.sent or recovery.state == BAD
+        return recovery.assigned_to != self.local_name or recovery.sent or recovery.state == BAD
 
     def _maximum_reserved(self) -> int:
         engines = len(self._started_at)
@@ -176,7 +176,7 @@
                 continue
             if trial.state == SOUND and at > recovery.since and recovery.state != SOUND and not recovery.sent:
                 del self.recoveries[engine]
-            elif trial.state == BAD and owner == recovery.turn and at > recovery.at + MS:
+            elif trial.state == BAD and owner == recovery.assigned_to and at > recovery.at + MS:
                 self._trial_failed(recovery, at)
 
     def _trial_failed(self, recovery: Recovery, at: int) -> None:
--- a/rackhub/fleet/overload/shed.py
+++ b/rackhub/fleet/overload/shed.py
@@ -36,7 +36,7 @@
     def __init__(self, settings: t.Settings):
         self._classes = [cls.name for cls in settings.classes]
         self._tenants = [tenant.name for tenant in settings.tenants] or [""]
-        self.worth: dict[Key, float] = {}  # multipliers of the cells that any rule applies to
+        self.multipliers: dict[Key, float] = {}  # of the cells that any rule applies to
         self.version = 0
 
     def check(self, part: Mapping[str, Any] | None) -> None:
@@ -45,12 +45,12 @@
 
     def hold(self, part: Mapping[str, Any] | None, version: int) -> None:
         """Apply the table of a rule set version; raise `ValueError` if it is invalid."""
-        worth: dict[Key, float] = {}
+        multipliers: dict[Key, float] = {}
         for entry in self._read(part):
             for cls in [entry.cls] if entry.cls else self._classes:
                 for tenant in [entry.tenant] if entry.tenant else self._tenants:
-                    worth[cls, tenant] = worth.get((cls, tenant), 1.0) * entry.multiplier
-        self.worth = worth
+                    multipliers[cls, tenant] = multipliers.get((cls, tenant), 1.0) * entry.multiplier
+        self.multipliers = multipliers
         self.version = version
 
     def _read(self, part: Mapping[str, Any] | None) -> tuple[SheddingRule, ...]:
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -531,12 +531,12 @@
 def test_a_bad_order_of_shedding_is_named_and_what_held_goes_on(part, named):
     shed = SheddingPolicy(SITE)
     shed.hold({"order": [{"tenant": "night", "worth": 0.5}, {"class": "report", "worth": 4.0}]}, 7)
-    held = dict(shed.worth)
+    held = dict(shed.multipliers)
     with pytest.raises(ValueError, match=named):
         shed.check(part)
-    assert shed.worth == held and shed.worth["report", "night"] == 2.0 and shed.version == 7
+    assert shed.multipliers == held and shed.multipliers["report", "night"] == 2.0 and shed.version == 7
     shed.hold(None, 8)
-    assert shed.worth == {} and shed.version == 8
+    assert shed.multipliers == {} and shed.version == 8
 
 
 def test_a_member_that_tells_nonsense_counts_as_silent_and_is_counted():
