--- /dev/null
+++ b/rackhub/fleet/overload/retry_budget.py
@@ -0,0 +1,76 @@
+"""The retry budget of the fleet: a fraction of the served requests and a floor, divided by need.
+
+The shares are divided like threads (see `quota`), so their sum never exceeds one. A gateway accrues its share for a
+short time. A fraction of one retry is decided by a random draw, so that a small share is neither lost nor rounded up at
+each of many gateways.
+"""
+
+import random
+
+from rackhub import interface as t
+from rackhub.fleet.overload.quota import Quota
+
+SECOND = 1_000_000
+# defaults where the site configures no budget
+RATIO = 0.1  # retries per served request
+FLOOR = 3.0  # retries in each window
+WINDOW = 10 * SECOND
+RETAINED = 0.1  # fraction of the equal share that an idle gateway keeps: a late retry costs less than a rejection
+ACCRUAL_TIME = SECOND  # of its share that a gateway accumulates at most
+NEED_MARGIN = 1.5  # need per recently wanted retry
+MAXIMUM_DEBT = 2.0  # retries: two callers may spend at the same moment
+
+
+class RetryBudget:
+    """The retries of one gateway."""
+
+    def __init__(self, settings: t.Settings, hold: int, seed: int):
+        configured = settings.retry_budget_ratio is not None or settings.retry_budget_minimum is not None
+        self._ratio = (settings.retry_budget_ratio or 0.0) if configured else RATIO
+        self._floor = (settings.retry_budget_minimum or 0.0) if configured else FLOOR
+        self._over = settings.retry_budget_window or WINDOW
+        self._random = random.Random(seed)
+        self.quota = Quota(hold, RETAINED)
+        self.budget = self.rate = 0.0  # a second: the fleet's, and this gateway's part of it
+        self._accrued = 0.0  # less than a whole one
+        self.available = 0.0  # whole ones that may be spent now
+
+    def tick(
+        self, now: int, took: int, served: float, wanted: float, equal_share: float, digest: int, lacking: bool = True
+    ) -> None:
+        """Update the budget and accrue this gateway's share.
+
+        `served` is the rate of all reachable gateways and `wanted` the retries this gateway wants, both per second;
+        `took` is in microseconds. The others are those of `Quota.update_need`.
+        """
+        self.budget = self._ratio * served + self._floor * SECOND / self._over
+        need = wanted * NEED_MARGIN / self.budget if self.budget else 0.0
+        self.quota.update_need(now, need, equal_share, digest, lacking)
+        self._accrued += self.rate * took / SECOND
+
+    def set_share(self, share: float, wanting: bool) -> None:
+        """Set this gateway's share of the budget.
+
+        With `wanting` (retries are wanted) an accrued fraction is decided by a draw.
+        """
+        self.rate = self.budget * share
+        maximum = self.rate * ACCRUAL_TIME / SECOND
+        capacity = max(maximum, 1.0) - max(self.available, 0.0)
+        self._accrued = min(self._accrued, max(capacity, 0.0), max(maximum, 0.0))
+        whole = int(self._accrued)
+        if wanting and self.available < 1 and not whole:  # the fraction is used up by the draw, won or lost
+            self.available += self._random.random() < self._accrued
+            self._accrued = 0.0
+        self._accrued -= whole
+        self.available += whole
+
+    def spend(self) -> None:
+        """Spend one retry, on credit if none is available."""
+        self.available = max(self.available - 1, -MAXIMUM_DEBT)
+
+    def try_spend(self) -> bool:
+        """Spend one retry if one is available; return whether it was."""
+        if self.available < 1:
+            return False
+        self.spend()
+        return True
--- a/rackhub/trials/processes/torture.py
+++ b/rackhub/trials/processes/torture.py
@@ -38,10 +38,10 @@
 
 
 def there(need: str) -> bool:
-    """Whether the daemon can run that part: its module is there."""
+    """Whether this program has the package."""
     name = f"rackhub.{need}" if need == "gather" else f"rackhub.fleet.{need}"
     try:
-        return find_spec(f"{name}.part") is not None
+        return find_spec(name) is not None
     except ModuleNotFoundError:
         return False
 
