--- a/rackhub/logs.py
+++ b/rackhub/logs.py
@@ -12,6 +12,7 @@
 import os
 import sys
 import time
+from collections.abc import MutableMapping
 from typing import Any
 
 import structlog
@@ -26,14 +27,15 @@
     return LEVELS.get(os.environ.get(LEVEL_VARIABLE, "").lower(), logging.INFO)
 
 
-def _add_monotonic_time(_: Any, __: str, event: dict[str, Any]) -> dict[str, Any]:
+def _add_monotonic_time(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     event["at"] = round(time.monotonic(), 4)
     return event
 
 
-def _render(_: Any, __: str, event: dict[str, Any]) -> str:
+def _render(_: Any, __: str, event: MutableMapping[str, Any]) -> str:
     """The event's name, then its fields in the order of the call."""
-    name, trace = event.pop("event"), event.pop("exception", "")
+    name = event.pop("event")
+    trace = event.pop("exception", "")
     line = " ".join([str(name), *(f"{field}={value}" for field, value in event.items())])
     return f"{line}\n{trace}" if trace else line
 
