--- a/rackhub/config.py
+++ b/rackhub/config.py
@@ -353,9 +353,9 @@
         memory_mb=resources.memory_mb,
         client_connections=clients,
         engine_links=resources.sockets - RESERVED_DESCRIPTORS - clients,
-        held_requests=max(spare_bytes // MEMORY_PER_HELD_REQUEST, MINIMUM_HELD_REQUESTS),
-        held_bytes=spare_bytes // 4,
-        request_line=min(max(spare_bytes // 4 // clients, MINIMUM_REQUEST_LINE), MAXIMUM_REQUEST_LINE),
+        max_open_requests=max(spare_bytes // MEMORY_PER_HELD_REQUEST, MINIMUM_HELD_REQUESTS),
+        max_statement_bytes=spare_bytes // 4,
+        request_bytes=min(max(spare_bytes // 4 // clients, MINIMUM_REQUEST_LINE), MAXIMUM_REQUEST_LINE),
         **site_limits,
     )
 
@@ -376,4 +376,4 @@
     """How often each gateway polls the endpoint list, in microseconds: all together keep to `Limits.fleet_polls`."""
     defaults = Limits()
     interval = int(gateways * SECOND / defaults.fleet_polls)
-    return min(max(interval, defaults.poll), defaults.poll_again_most)
+    return min(max(interval, defaults.poll), defaults.max_poll_retry_interval)
--- a/rackhub/core/admission.py
+++ b/rackhub/core/admission.py
@@ -54,8 +54,8 @@
         """Reject a request that can't be admitted. A subrequest belongs to a request that was admitted before."""
         state = self._state
         full = (
-            len(state.queries) >= state.limits.held_requests
-            or state.statement_bytes + len(query.statement) > state.limits.held_bytes
+            len(state.queries) >= state.limits.max_open_requests
+            or state.statement_bytes + len(query.statement) > state.limits.max_statement_bytes
         )
         if not state.accepting and not query.is_subrequest:
             self._reject(query, "refused_ending", self._drain_backoff)
@@ -79,7 +79,7 @@
         An answer given at the deadline would be late on the wire by some iterations of the event loop.
         """
         state = self._state
-        margin = state.limits.margin + 2 * state.loop_delay
+        margin = state.limits.deadline_margin + 2 * state.loop_delay
         return min(margin, (query.deadline - state.clock.now()) // LARGEST_MARGIN_DIVISOR)
 
     def _gathered(self, query: Query) -> bool:
--- a/rackhub/core/attempts.py
+++ b/rackhub/core/attempts.py
@@ -63,7 +63,7 @@
         self._register(attempt, now)
         if hedge_after and now + hedge_after < attempt.deadline:
             state.timers.at(now + hedge_after, self._offer_hedge, attempt)
-        tolerated_delay = -1 if query.reply.stale else state.limits.unread_turn
+        tolerated_delay = -1 if query.reply.stale else state.limits.late_iteration
         state.timers.call_after_reads(tolerated_delay, self.begin, attempt)
 
     def begin(self, attempt: Attempt) -> None:
@@ -208,7 +208,7 @@
             return
         if query.possibly_executed:
             window = settings.idempotency_window
-            margin = max(window // WINDOW_MARGIN_DIVISOR, self._state.limits.handover)
+            margin = max(window // WINDOW_MARGIN_DIVISOR, self._state.limits.cancellation_delay)
             latest = min(query.possibly_executed.values()) + window - margin
             attempt.send_by = min(attempt.send_by or latest, latest)
         query.possibly_executed[attempt.number] = now
@@ -265,7 +265,7 @@
         return policy.retry_decision(query.terms, outcome, query.attempts, now)
 
     def _cancellation_sent(self, attempt: Attempt, outcome: str) -> None:
-        completes_at = self._state.clock.now() + self._state.limits.handover
+        completes_at = self._state.clock.now() + self._state.limits.cancellation_delay
         self._state.timers.at(completes_at, self.complete, attempt, outcome)
 
     def _offer_hedge(self, attempt: Attempt) -> None:
--- a/rackhub/core/deadline_monitor.py
+++ b/rackhub/core/deadline_monitor.py
@@ -31,7 +31,7 @@
         self._attempts.gate.update_ineligible(now)
         self._attempts.gate.resume_if_settled()
         self._fail_expired_requests(now)
-        self._next_sweep_at = now + self._state.limits.sweep
+        self._next_sweep_at = now + self._state.limits.deadline_check_interval
         self._state.timers.at(self._next_sweep_at, self.sweep)
 
     def _measure_loop_delay(self, now: int) -> None:
@@ -42,7 +42,7 @@
         """
         state = self._state
         delay = now - self._next_sweep_at
-        state.loop_overloaded = delay > state.limits.behind
+        state.loop_overloaded = delay > state.limits.max_event_loop_delay
         state.loop_delay = max(delay, state.loop_delay - state.loop_delay // DELAY_DECAY_DIVISOR)
         if state.loop_overloaded:
             log.debug("event_loop_late", late_us=delay)
@@ -54,7 +54,7 @@
 
     def _fail_expired_requests(self, now: int) -> None:
         # A sweep that is late comes before the policy's own timers of the time since it was due.
-        latest_deadline = min(now, self._next_sweep_at) - self._state.limits.backstop
+        latest_deadline = min(now, self._next_sweep_at) - self._state.limits.deadline_grace
         expired = [query for query in self._state.queries.values() if query.deadline <= latest_deadline]
         for query in expired:
             log.debug("request_failed", request=query.id, reason="backstop: deadline passed")
--- a/rackhub/core/lease.py
+++ b/rackhub/core/lease.py
@@ -30,9 +30,9 @@
     def __init__(self, limits: Limits, grace: int, now: int) -> None:
         """`grace` is how long a draining engine still accepts requests after gateways are notified."""
         self._grace = grace - limits.lease_margin
-        self._prompt = limits.told_prompt + self._grace
-        self._longest = limits.told_longest + self._grace
-        self._answer_timeout = limits.answer_patience
+        self._prompt = limits.notification_time + self._grace
+        self._longest = limits.max_notification_time + self._grace
+        self._answer_timeout = limits.poll_answer_timeout
         self._confirmed_at = now
         self._last_poll_at = now
         self._waiting_since: int | None = None  # polling without an answer since then; None: the last was answered
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -184,7 +184,7 @@
         gc.collect()
         gc.freeze()
         gc.disable()
-        LoopingCall(gc.collect).start(self.config.limits.collect / SECOND, now=False)
+        LoopingCall(gc.collect).start(self.config.limits.garbage_collection_interval / SECOND, now=False)
 
     def _endpoints_received(self, listing: EndpointSnapshot) -> None:
         self._publish_endpoints(listing)
@@ -311,7 +311,7 @@
         for _, factory in self.listeners:
             factory.end()
         self.engines.close_all()
-        self._wait_for_clients(self.config.limits.linger)
+        self._wait_for_clients(self.config.limits.linger_timeout)
 
     def _wait_for_clients(self, remaining: int) -> None:
         """Stop the reactor once clients have closed their connections, after `remaining` microseconds at the latest."""
--- a/rackhub/net/client.py
+++ b/rackhub/net/client.py
@@ -117,8 +117,8 @@
             return
         now = self.core.clock.now()
         penalised = now < self.penalty_until  # then its timer is running
-        doubled = self.front.limits.penance << min(excess - 1, MAX_PENALTY_DOUBLINGS)
-        self.penalty_until = now + min(doubled, self.front.limits.penance_most)
+        doubled = self.front.limits.fault_pause << min(excess - 1, MAX_PENALTY_DOUBLINGS)
+        self.penalty_until = now + min(doubled, self.front.limits.max_fault_pause)
         if not penalised:
             self.counters.add("clients_slowed")
             self.core.timers.at(self.penalty_until, self._check_penalty)
@@ -155,4 +155,4 @@
         One answer that fills the buffer stops the reading for an event-loop iteration, which does not count.
         """
         stopped_for = self.core.clock.now() - self._reading_changed_at
-        return self.reading_stopped and stopped_for > self.front.limits.unread_turn
+        return self.reading_stopped and stopped_for > self.front.limits.late_iteration
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -53,12 +53,12 @@
         self.connections: set[Client] = set()
         self._aborted: set[Client] = set()  # their descriptors are not free yet
         self.succeeded = False  # whether the process ends while another one serves on the same address
-        core.timers.at(core.clock.now() + limits.look, self.check_timeouts)
+        core.timers.at(core.clock.now() + limits.client_check_interval, self.check_timeouts)
 
     def buildProtocol(self, addr: object) -> protocol.Protocol | None:  # noqa: N802
         """Accept a connection, or close it at once: descriptors for engines are kept free (Twisted)."""
         full = len(self.connections) >= self._max_connections
-        if full and (len(self._aborted) >= self.limits.leaving or not self._evict_client()):
+        if full and (len(self._aborted) >= self.limits.max_aborted_connections or not self._evict_client()):
             self.counters.add("clients_refused")
             log.debug("client_rejected", reason="no descriptor is left for it")
             return None
@@ -102,14 +102,14 @@
         may be just what was waited for.
         """
         now = self.core.clock.now()
-        self.core.timers.at(now + self.limits.look, self.check_timeouts)
+        self.core.timers.at(now + self.limits.client_check_interval, self.check_timeouts)
         self.core.timers.at(now, self._end_timed_out, now)
 
     def _end_timed_out(self, now: int) -> None:
         """Half of the connections are kept free of idle clients, for many may connect at once."""
         excess = sum(not client.ending for client in self.connections) - self._max_connections // 2
         for client in sorted(self.connections, key=lambda client: client.used):
-            idle_timeout = self.limits.idle_crowded if excess > 0 else self._timeouts.idle
+            idle_timeout = self.limits.crowded_idle_timeout if excess > 0 else self._timeouts.idle
             if self._end_if_timed_out(client, now, idle_timeout):
                 excess -= 1
 
@@ -117,7 +117,7 @@
         timeouts = self._timeouts
         if client.write_blocked_since and now - client.write_blocked_since >= timeouts.unread:
             self._abort(client, "clients_unread")
-        elif client.closed_at and now - client.closed_at >= self.limits.linger:
+        elif client.closed_at and now - client.closed_at >= self.limits.linger_timeout:
             self._abort(client, "clients_lingering")
         elif client.ending:
             return False
--- a/rackhub/net/jsonrpc.py
+++ b/rackhub/net/jsonrpc.py
@@ -111,7 +111,7 @@
             complete = data.rfind(b"\n") + 1
             self.record_received(complete > 0, complete < len(data))
         *lines, self._buffer = (self._buffer + data).split(b"\n")
-        max_length = self.front.limits.request_line
+        max_length = self.front.limits.request_bytes
         self._processing = True
         for line in lines:
             if self.ending:
@@ -136,7 +136,7 @@
         cancels have to be seen.
         """
         if self.ending:
-            return self._discarded > self.front.limits.dropped
+            return self._discarded > self.front.limits.max_discarded_bytes
         return super().should_stop_reading()
 
     def update_reading(self) -> None:
@@ -339,5 +339,7 @@
 
 def jsonrpc_front(core: Coordinator, limits: Limits, counters: Counters) -> Front:
     """Return the listening side of the JSON-RPC front."""
-    timeouts = ClientTimeouts(limits.first_message, limits.half_message, limits.client_idle, limits.unread)
+    timeouts = ClientTimeouts(
+        limits.first_message_timeout, limits.message_timeout, limits.client_idle_timeout, limits.write_timeout
+    )
     return Front(JsonRpcConnection, core, limits, counters, limits.client_connections, timeouts)
--- a/rackhub/net/poll_schedule.py
+++ b/rackhub/net/poll_schedule.py
@@ -32,9 +32,9 @@
 
     def poll_sent(self) -> int:
         """Record a poll and return the delay until the next one, unless a good answer comes before."""
-        backoff = self._limits.poll_again << min(self._unanswered, MAX_BACKOFF_DOUBLINGS)
+        backoff = self._limits.poll_retry_interval << min(self._unanswered, MAX_BACKOFF_DOUBLINGS)
         self._unanswered += 1
-        return self._with_jitter(min(backoff, self._limits.poll_again_most))
+        return self._with_jitter(min(backoff, self._limits.max_poll_retry_interval))
 
     def needs_new_socket(self) -> bool:
         """Whether the next poll should go out from a new socket.
@@ -45,11 +45,11 @@
 
     def silence_limit(self) -> int:
         """Return the longest time from the first unanswered poll to the first one from a new socket."""
-        return self._limits.poll_again * ((1 << self._limits.polls_silent) - 1)
+        return self._limits.poll_retry_interval * ((1 << self._limits.polls_silent) - 1)
 
     def server_changed(self) -> None:
         """Start anew with another resolver: that the old one did not answer says nothing about it."""
         self._unanswered = 0
 
     def _with_jitter(self, delay: int) -> int:
-        return int(delay * (1 - self._limits.poll_spread * self._random()))
+        return int(delay * (1 - self._limits.poll_jitter * self._random()))
--- a/rackhub/net/pool.py
+++ b/rackhub/net/pool.py
@@ -209,7 +209,9 @@
 
     def _should_add_link(self, pool: EnginePool, best: EngineLink) -> bool:
         """Whether one more connection is worth a descriptor, though the `best` one could accept an attempt."""
-        crowded = best.load() >= self._limits.few and len(pool.links) < self._limits.spread
+        crowded = (
+            best.load() >= self._limits.attempts_before_spread and len(pool.links) < self._limits.max_spread_connections
+        )
         return crowded and len(self._all_links()) < self._limits.engine_links * 3 // 4
 
     def _all_pools(self) -> Iterable[EnginePool]:
@@ -225,7 +227,9 @@
             return True
         self._counters.add("over_engine_links")
         idle = [link for link in links if not link.load() and not link.closed]
-        if not idle or sum(link.closed for link in links) >= self._limits.leaving:  # these hold a descriptor still
+        if (
+            not idle or sum(link.closed for link in links) >= self._limits.max_aborted_connections
+        ):  # these hold a descriptor still
             return False
         link = min(idle, key=lambda link: link.idle_since())
         if not any(pool.cancel_dial(link) for pool in self._all_pools()):
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -65,7 +65,7 @@
 
     def is_blocked(self) -> bool:
         """Whether the engine does not read what was sent to it."""
-        late = self._queued_since() < self.clock.now() - self.limits.unread_turn
+        late = self._queued_since() < self.clock.now() - self.limits.late_iteration
         return self.up and (late or not self._out.has_sent(self._last_sent_end))
 
     def _queued_since(self) -> int:
@@ -96,7 +96,7 @@
         """
         waited = self.clock.now() - cancelled.sent_at
         nothing_received = self.last_received <= cancelled.sent_at
-        if nothing_received and waited >= self.limits.silence and not self.unresponsive:
+        if nothing_received and waited >= self.limits.silence_timeout and not self.unresponsive:
             self.unresponsive = True
             self.counters.add("silent_connections")
 
@@ -135,15 +135,15 @@
 
         Also one whose engine does not read the last bytes; and return what could not be sent in time.
         """
-        if self.closed and now - self.used > self.limits.linger:
+        if self.closed and now - self.used > self.limits.linger_timeout:
             self.drop()
         if self.up and not self.closed:
             self._return_timed_out(now)
             # what the kernel holds for an engine that does not read would reach it whenever it reads again
-            retired_long = self.retired and now - self._retired_at >= self.limits.retired_send
+            retired_long = self.retired and now - self._retired_at >= self.limits.retired_send_timeout
             if retired_long and self._has_unacknowledged():
                 self._abort("the engine takes nothing new and has not taken what was sent")
-        if self.incomplete_since and now - self.incomplete_since > self.limits.half_frame and not self.closed:
+        if self.incomplete_since and now - self.incomplete_since > self.limits.frame_timeout and not self.closed:
             self.malformed(InvalidFrameError("a frame that stops half way"))
 
     def connect_failed(self) -> None:
@@ -163,7 +163,7 @@
     def _return_timed_out(self, now: int) -> None:
         """Return what the socket did not accept for too long, as after a dial that times out."""
         for id, since in list(self._queued.items()):
-            if id in self._queued and now - since >= self.limits.unwritable:
+            if id in self._queued and now - since >= self.limits.unwritable_timeout:
                 self._return_unsent(id, "the engine takes no bytes")
 
     def _has_unacknowledged(self) -> bool:
@@ -199,8 +199,8 @@
 
     def _writable(self) -> None:
         """Send what is queued; after a late event-loop iteration only after reading, as a client may have left."""
-        if self.clock.now() - self._queued_since() > self.limits.unread_turn:
-            self.core.timers.call_after_reads(self.limits.unread_turn, self._send_queued)
+        if self.clock.now() - self._queued_since() > self.limits.late_iteration:
+            self.core.timers.call_after_reads(self.limits.late_iteration, self._send_queued)
         else:
             self._send_queued()
 
@@ -259,7 +259,7 @@
             if why := attempt.send_blocked_by(self.last_received, self.core.lease):  # it waited too long for this
                 self._return_blocked(id, attempt, why)
         stale = any(attempt.query.reply.stale for attempt in self.open.values())
-        self.core.timers.call_after_reads(-1 if stale else self.limits.unread_turn, self._opened)
+        self.core.timers.call_after_reads(-1 if stale else self.limits.late_iteration, self._opened)
 
     def _opened(self) -> None:
         if self.closed:  # lost meanwhile, or what came on it was no answer
--- a/rackhub/net/resp_answers.py
+++ b/rackhub/net/resp_answers.py
@@ -90,7 +90,7 @@
         self.failed_ids[id] = self.clock.now()
 
     def _expire_failed_ids(self) -> None:
-        oldest_kept = self.clock.now() - self.limits.stale
+        oldest_kept = self.clock.now() - self.limits.failed_id_retention
         while self.failed_ids and (oldest := next(iter(self.failed_ids))) and self.failed_ids[oldest] < oldest_kept:
             del self.failed_ids[oldest]
 
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -134,7 +134,7 @@
         self.state = State.CANCELLING
         self.write(codec.message(codec.ATTENTION, b""))
         # without an acknowledgement the host is unreachable, and the connection only holds a descriptor
-        self.core.timers.at(self.clock.now() + self.limits.silence, self._check_acknowledged)
+        self.core.timers.at(self.clock.now() + self.limits.silence_timeout, self._check_acknowledged)
 
     def _check_acknowledged(self) -> None:
         if self.state == State.CANCELLING:
@@ -177,7 +177,7 @@
         """
         if self._attempt is None:
             return
-        if self.state == State.READY and now - self._waiting_since >= self.limits.unwritable:
+        if self.state == State.READY and now - self._waiting_since >= self.limits.unwritable_timeout:
             self._end("NOCONN")
         elif self._is_unsent_on_retired(now):
             self.counters.add("engine_cuts")
@@ -185,7 +185,7 @@
 
     def _is_unsent_on_retired(self, now: int) -> bool:
         """Whether the call of a retired connection has stayed in the transport's buffer for the time limit."""
-        if self.state != State.BUSY or not self.retired or now - self._retired_at < self.limits.retired_send:
+        if self.state != State.BUSY or not self.retired or now - self._retired_at < self.limits.retired_send_timeout:
             return False
         return self._call_start >= self._out.bytes_written - self._out.unacknowledged_bytes()
 
@@ -236,9 +236,9 @@
 
     def _writable(self) -> None:
         """The socket is writable. After a long event-loop iteration a cancel may be unread: read before sending."""
-        late = self.clock.now() - self._waiting_since > self.limits.unread_turn
+        late = self.clock.now() - self._waiting_since > self.limits.late_iteration
         if late:
-            self.core.timers.call_after_reads(self.limits.unread_turn, self._call)
+            self.core.timers.call_after_reads(self.limits.late_iteration, self._call)
         else:
             self._call()
 
--- a/rackhub/ops/listener.py
+++ b/rackhub/ops/listener.py
@@ -54,7 +54,7 @@
     def __init__(self, listener: "OperatorListener"):
         self._listener = listener
         self._answered = False
-        self.MAX_LENGTH = listener.limits.ops_line
+        self.MAX_LENGTH = listener.limits.ops_request_bytes
         self._answer_timer: DelayedCall | None = None
         self._abort_timer: DelayedCall | None = None
 
--- a/rackhub/timings/rig.py
+++ b/rackhub/timings/rig.py
@@ -171,7 +171,7 @@
             seed,
             self.world,
             Timers(self.world, self.world),
-            Limits(held_requests=100_000, held_bytes=1 << 40),
+            Limits(max_open_requests=100_000, max_statement_bytes=1 << 40),
             self.counters,
         )
         if routes is not None:
--- a/rackhub/trials/fleet/overload_world.py
+++ b/rackhub/trials/fleet/overload_world.py
@@ -78,7 +78,7 @@
         self._made = (number, count, led)
         settings = site(count, number)
         # no process of this rig is short of memory or of its one core: what is turned away is so by decision
-        limits = Limits(held_requests=100_000, held_bytes=2**30, margin=0)
+        limits = Limits(max_open_requests=100_000, max_statement_bytes=2**30, deadline_margin=0)
         timers = Timers(world.time, Waker(world.time))
         self.core = Coordinator(settings, number + world.seed * 1_000, world.time, timers, limits, Counters())
         self.part: Overload | None = None
--- a/rackhub/trials/scale/page_data.py
+++ b/rackhub/trials/scale/page_data.py
@@ -68,7 +68,7 @@
         """Between two questions of one coordinator for the list, at the target: as `rackhub.config` sets it."""
         limits = Limits()
         shared = self.target["coordinators"] / limits.fleet_polls
-        return min(max(shared, limits.poll / SECOND), limits.poll_again_most / SECOND)
+        return min(max(shared, limits.poll / SECOND), limits.max_poll_retry_interval / SECOND)
 
 
 def read(folder: Path = FOLDER) -> PageData:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -78,8 +78,11 @@
     here = config.parse(json.dumps(told(limits={"memory_mb": memory_mb, "sockets": sockets})).encode()).limits
     assert here.client_connections + here.engine_links + config.RESERVED_DESCRIPTORS <= sockets
     assert here.client_connections >= sockets // 3  # clients are promised as many
-    assert here.held_bytes + here.client_connections * here.request_line <= (memory_mb - config.IDLE_MEMORY_MB) << 20
-    assert here.held_requests >= 64 and here.request_line >= 16_384
+    assert (
+        here.max_statement_bytes + here.client_connections * here.request_bytes
+        <= (memory_mb - config.IDLE_MEMORY_MB) << 20
+    )
+    assert here.max_open_requests >= 64 and here.request_bytes >= 16_384
     both = config.share_descriptors(
         here, config.load_operator(Path(__file__).parent.parent / "deploy" / "operator.toml")
     )
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -101,7 +101,7 @@
 def test_a_module_that_forgets_a_request_does_not_keep_its_client_waiting():
     here = Core(Scripted())
     here.ask(budget=900 * MS)
-    here.clock.advance(900 * MS + LIMITS.backstop + LIMITS.sweep)
+    here.clock.advance(900 * MS + LIMITS.deadline_grace + LIMITS.deadline_check_interval)
     assert [kind for kind, *_ in here.port.answers] == ["failed"] and here.counters["backstop_answers"] == 1
     assert isinstance(here.core.decisions.control.events[-1], t.ClientDisconnected)
 
@@ -145,7 +145,7 @@
     module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0", 200 * MS)]
     here = Core(module)
     here.ask(budget=9 * S)
-    here.clock.advance(200 * MS + LIMITS.sweep + LIMITS.handover)
+    here.clock.advance(200 * MS + LIMITS.deadline_check_interval + LIMITS.cancellation_delay)
     assert here.port.given_up == here.port.sent
     assert [event.outcome for event in module.events if isinstance(event, t.AttemptCompleted)] == ["LATE"]
 
@@ -171,7 +171,7 @@
     here.core.decisions.timer_fired(1)
     here.core.complete_attempt(here.port.sent[0], "GOOD")  # crossed the give-up: it is none of ours any more
     assert here.port.given_up == here.port.sent == list(query.in_flight.values()) and here.port.answers == []
-    here.clock.advance(LIMITS.handover)
+    here.clock.advance(LIMITS.cancellation_delay)
     assert [attempt.engine for attempt in here.port.sent] == ["e0", "e1"]
 
 
@@ -201,14 +201,14 @@
 
 
 def test_memory_is_bounded_by_refusing_at_once():
-    here = Core(limits=msgspec.structs.replace(LIMITS, held_requests=2))
+    here = Core(limits=msgspec.structs.replace(LIMITS, max_open_requests=2))
     for _ in range(3):
         here.ask()
     assert [kind for kind, *_ in here.port.answers] == ["refused"] and here.counters["over_held"] == 1
 
 
 def test_a_few_long_statements_are_bounded_as_many_short_ones_are():
-    here = Core(limits=msgspec.structs.replace(LIMITS, held_bytes=2))
+    here = Core(limits=msgspec.structs.replace(LIMITS, max_statement_bytes=2))
     first = here.ask()
     here.core.disconnect_client(first)
     for _ in range(3):
@@ -219,11 +219,13 @@
 def test_a_loop_behind_its_time_refuses_at_once_until_it_has_caught_up():
     """On a scored day the one core was too slow for what came: turns grew until answers were 10 s late."""
     here = Core()
-    here.clock.time += LIMITS.sweep + LIMITS.behind + 1  # the loop was busy: its timers come late
+    here.clock.time += (
+        LIMITS.deadline_check_interval + LIMITS.max_event_loop_delay + 1
+    )  # the loop was busy: its timers come late
     here.clock.advance(0)
     here.ask()
     assert [kind for kind, *_ in here.port.answers] == ["refused"] and here.counters["over_behind"] == 1
-    here.clock.advance(LIMITS.sweep)
+    here.clock.advance(LIMITS.deadline_check_interval)
     here.ask()
     assert len(here.port.answers) == 1 and len(here.port.sent) == 1
 
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -163,7 +163,7 @@
     client = here.client()
     client.send(ALIVE)
     spin(client.answers)
-    here.clock.advance(LIMITS.client_idle + LIMITS.look)
+    here.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval)
     assert here.counters["clients_idle"] == 1 and client.served_by.ending
     client.send(ask(1), b'{"half')
     assert client.until_ended() == "closed" and len(client.answers()) == 1
@@ -213,11 +213,11 @@
 def test_who_does_not_close_after_the_half_close_is_cut(site):
     here = site()
     client = here.client()
-    here.clock.advance(LIMITS.first_message + LIMITS.look)
+    here.clock.advance(LIMITS.first_message_timeout + LIMITS.client_check_interval)
     assert client.until_ended() == "closed"
-    here.clock.advance(LIMITS.linger - 2 * LIMITS.look)
+    here.clock.advance(LIMITS.linger_timeout - 2 * LIMITS.client_check_interval)
     assert client.served_by in here.fronts[0].connections
-    here.clock.advance(3 * LIMITS.look)
+    here.clock.advance(3 * LIMITS.client_check_interval)
     spin(lambda: here.counters["clients_closed"] == 1)
     assert here.counters["clients_lingering"] == 1 and not here.fronts[0].connections
 
@@ -250,7 +250,7 @@
             pass
         reactor.iterate(0)
     assert len(client.served_by._buffer) <= 1_000 and client.served_by._discarded < 50_000 + (1 << 17)
-    here.clock.advance(LIMITS.linger + LIMITS.look)
+    here.clock.advance(LIMITS.linger_timeout + LIMITS.client_check_interval)
     spin(lambda: not here.fronts[0].connections)
 
 
@@ -267,7 +267,7 @@
         client.send(ALIVE)
         spin(client.answers)
     client.send(ask(1))
-    here.clock.advance(LIMITS.client_idle + LIMITS.look)
+    here.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval)
     spin(lambda: any(said["id"] == 1 for said in client.answers()) or client.end)
     assert "result" in client.answers()[-1] and not client.end
 
@@ -277,9 +277,9 @@
     client = here.client()
     client.send(b'{"jsonrpc":"2.0",')
     spin(lambda: client.served_by.incomplete_since)
-    here.clock.advance(LIMITS.half_message)
+    here.clock.advance(LIMITS.message_timeout)
     client.send(b'"id":950,"method":"alive"}\n')
-    here.clock.advance(LIMITS.look)
+    here.clock.advance(LIMITS.client_check_interval)
     spin(client.answers)
     assert "result" in client.answers()[0] and not client.end
 
@@ -291,12 +291,12 @@
     client = here.client()
     client.send(ask(1, "report", budget=19_000))
     spin(lambda: stand.wants())
-    here.clock.advance(LIMITS.client_idle + LIMITS.look - MS)
+    here.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval - MS)
     stand.connections[0].say(stand.wants()[0][1], b"200", b"chunks=1", ROWS)
     spin(client.answers)
     here.clock.advance(2 * MS)  # the look is due in just this moment
     assert not client.served_by.ending
-    here.clock.advance(LIMITS.client_idle + LIMITS.look)
+    here.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval)
     assert client.until_ended() == "closed" and "result" in client.answers()[0]
 
 
@@ -347,7 +347,7 @@
     client.send(b'{"jsonrpc"')
     spin(lambda: client.served_by.incomplete_since)
     here.fronts[0].drain()
-    here.clock.advance(LIMITS.half_message + LIMITS.look)
+    here.clock.advance(LIMITS.message_timeout + LIMITS.client_check_interval)
     assert client.until_ended() == "closed" and here.counters["clients_half"] == 1
     assert [said["error"]["code"] for said in client.answers()] == [-32600]
 
@@ -391,10 +391,10 @@
     spin(lambda: here.counters["requests_in"] == 2)
     assert client.served_by.reading_stopped and not client.served_by.reading_paused
     assert here.counters["clients_slowed"] == 1
-    here.clock.advance(LIMITS.unread_turn + 1)
+    here.clock.advance(LIMITS.late_iteration + 1)
     assert client.served_by.reading_paused
     client.socket.close()
-    here.clock.advance(LIMITS.penance)
+    here.clock.advance(LIMITS.fault_pause)
     spin(lambda: not here.core.queries)
     assert here.counters["left"] == 2
 
@@ -422,7 +422,7 @@
         here.clock.advance(100 * MS)
         held.append(len(client.served_by._buffer))
         assert here.clock.now() < 1_000_000 * S + 15 * S
-    assert max(held) <= here.core.limits.request_line
+    assert max(held) <= here.core.limits.request_bytes
     assert not here.core.queries and here.counters["left"] == 20 and here.counters["clients_slowed"]
     spin(lambda: sum(words[0] == b"never_mind" for words in stand.heard) == 20)
     assert len(stand.wants()) == 20
@@ -443,7 +443,7 @@
     client.send(*[ask(number) for number in range(1, 9)])
     spin(lambda: here.counters["served"] == 8)
     assert client.served_by.write_blocked_since
-    here.clock.advance(LIMITS.unread_turn + 1)
+    here.clock.advance(LIMITS.late_iteration + 1)
     assert client.served_by.reading_paused
     spin(lambda: client.read() or client.got.count(b"\n") == 8)
     assert len(client.answers()) == 8
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -266,7 +266,7 @@
     """All are in the kernel with the reset before the loop reads any, more of them than one read takes. Where something
     is to be written as well, the reset shows with the first read."""
     here = make(1, settings=replace(FRAGILE, kind_cores={"std": 64.0}))
-    here.pools._limits = limits_with(LIMITS, spread=1)
+    here.pools._limits = limits_with(LIMITS, max_spread_connections=1)
     link = rest(here)
     (engine,) = here.stands[0].connections
     queries = [here.ask() for _ in range(count)]
@@ -351,7 +351,7 @@
         reactor.iterate(0)
     here.told("Ready", "Ready")
     if how == "takes nothing":
-        here.clock.advance(LIMITS.unwritable)
+        here.clock.advance(LIMITS.unwritable_timeout)
         here.pools.sweep()
     else:
         here.told("Terminating" if how == "drains" else None, "Ready")
@@ -452,7 +452,7 @@
     first = one_out(query)
     under_way(here)
     here.core.attempts.cancel(t.Cancel(query.id, 0))
-    here.clock.advance(2 * LIMITS.handover)
+    here.clock.advance(2 * LIMITS.cancellation_delay)
     second = one_out(query)
     assert second.engine != first.engine
     spin(lambda: query.closed)
@@ -467,10 +467,10 @@
 
 def test_connections_that_dial_or_close_make_no_room_twice(make):
     """Each holds a descriptor until it has ended. What dials with nothing to carry any more is called off."""
-    here = make(8, limits=limits_with(LIMITS, engine_links=3, leaving=2))
+    here = make(8, limits=limits_with(LIMITS, engine_links=3, max_aborted_connections=2))
     while len(here.links()) < 3:
         here.core.disconnect_client(here.ask())
-    here.clock.advance(2 * LIMITS.handover)
+    here.clock.advance(2 * LIMITS.cancellation_delay)
     for _ in range(20):
         here.ask()
         assert len(here.links()) <= 3 + 2
@@ -491,7 +491,7 @@
         here.pools.sweep()
         reactor.iterate(0)
     assert here.links() == [link]  # it has its time
-    here.clock.advance(LIMITS.linger + 1)
+    here.clock.advance(LIMITS.linger_timeout + 1)
     here.pools.sweep()
     spin(lambda: not here.links())
 
@@ -501,7 +501,7 @@
 
 def shared(here, count=3):
     """Requests that share one connection, each with its attempt at the engine."""
-    here.pools._limits = limits_with(LIMITS, spread=1)
+    here.pools._limits = limits_with(LIMITS, max_spread_connections=1)
     queries = [here.ask() for _ in range(count)]
     spin(lambda: all(here.wants(query) for query in queries))
     assert len({query.in_flight[0].connection for query in queries}) == 1
@@ -557,7 +557,7 @@
     if lost:
         reset(engine)
     spin(lambda: queries[1].closed and (lost or queries[0].in_flight[0].connection.incomplete_since))
-    here.clock.advance(LIMITS.half_frame + 1)
+    here.clock.advance(LIMITS.frame_timeout + 1)
     here.pools.sweep()
     spin(lambda: all(query.closed for query in queries))
     assert [query.reply.came for query in queries] == [[("failed", b"")], [("served", ROWS)], [("failed", b"")]]
@@ -596,7 +596,7 @@
     here.core.attempts.cancel(t.Cancel(query.id, 0))
     if planted:
         first.connection.failed_ids.clear()
-    here.clock.advance(2 * LIMITS.handover)
+    here.clock.advance(2 * LIMITS.cancellation_delay)
     second = one_out(query)
     assert second is not first and (second.connection is first.connection) == planted
     if planted:  # the first copy is read before the second attempt is sent; a further one is not
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -59,7 +59,7 @@
     max_retry_after=500 * MS,
 )
 GONE_FOR = 100 * MS  # after its client's end no attempt may begin
-SLACK = LIMITS.backstop + 2 * LIMITS.sweep  # after a deadline, with a loop in time
+SLACK = LIMITS.deadline_grace + 2 * LIMITS.deadline_check_interval  # after a deadline, with a loop in time
 NEVER_RAN = (b"503", b"504")
 STEPS = settings(
     derandomize=True,
@@ -315,7 +315,9 @@
     def begun(self, asked, link):
         now, told = self.clock.time, next(told for told in CLASSES if told.name == asked.cls)
         assert asked.out is None, "two attempts are out"
-        assert not asked.given_up or now >= asked.given_up + LIMITS.handover, "an attempt overtakes the give-up"
+        assert not asked.given_up or now >= asked.given_up + LIMITS.cancellation_delay, (
+            "an attempt overtakes the give-up"
+        )
         assert not asked.answers, "an attempt after the answer"
         assert not asked.went or now <= asked.went + GONE_FOR, "an attempt for a client that has gone"
         assert self.states[link.pool.name] == "Ready", "an attempt to an engine that drains"
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -292,7 +292,7 @@
     )
     client.ask(1)
     spin(lambda: held.waiting)
-    site.clock.advance(200 * MS + LIMITS.sweep)
+    site.clock.advance(200 * MS + LIMITS.deadline_check_interval)
     assert [event.outcome for event in module.events if isinstance(event, t.AttemptCompleted)] == ["NOCONN"]
     site.stands[1].act = answers
     first, second = held.release(), held.release()
@@ -437,7 +437,7 @@
     module.acts[t.AttemptCompleted] = lambda event: [] if event.settled else [t.Send(event.query, "e1")]
     query = here.ask(budget=2 * S)
     (attempt,) = here.port.sent
-    here.clock.advance(200 * MS + LIMITS.sweep)
+    here.clock.advance(200 * MS + LIMITS.deadline_check_interval)
     assert attempt.state is AttemptState.CANCELLING
     return query, attempt
 
@@ -457,13 +457,13 @@
     elif event == "time-out again":
         here.core.attempts.give_up(attempt, "LATE")
     elif event == "backstop":
-        query.deadline = here.clock.now() - LIMITS.backstop - LIMITS.sweep
+        query.deadline = here.clock.now() - LIMITS.deadline_grace - LIMITS.deadline_check_interval
         here.core.deadline_monitor.sweep()
     else:
         here.core.completion.reject(t.Reject(query.id, 5))
         here.core.completion.fail(t.Fail(query.id))
     assert list(here.core.in_flight.values()) == [attempt] and here.port.given_up == [attempt]
-    here.clock.advance(LIMITS.handover + MS)
+    here.clock.advance(LIMITS.cancellation_delay + MS)
     over = event in ("leaves", "backstop", "refused")
     assert [sent.engine for sent in here.port.sent] == ["e0"] if over else ["e0", "e1"]
     assert here.counters["out_late"] == 1 and not here.counters["out_good"] and not here.counters["out_rst"]
@@ -491,10 +491,10 @@
         spin(lambda: not site.core.queries)
         late(site)
     else:
-        site.clock.advance(200 * MS + LIMITS.sweep)
+        site.clock.advance(200 * MS + LIMITS.deadline_check_interval)
         answer(id, b"200", b"chunks=1", ROWS)  # it crosses the give-up
         spin(lambda: site.counters["engine_strays"])
-        site.clock.advance(LIMITS.handover + MS)
+        site.clock.advance(LIMITS.cancellation_delay + MS)
     answer(id, b"200", b"chunks=1", ROWS)  # and a second one
     spin(lambda: site.counters["engine_strays"] == 1 + (first == "time-out"))
     turns(site)
@@ -539,7 +539,7 @@
 
 
 def test_a_request_that_is_turned_back_has_one_end_and_its_id_is_not_new():
-    here = Core(limits=replace(LIMITS, held_requests=0))
+    here = Core(limits=replace(LIMITS, max_open_requests=0))
     query = here.ask()
     here.core.disconnect_client(query)  # its client goes in the same turn
     assert here.core.is_known_id(query.id) and [kind for kind, *_ in here.port.answers] == ["refused"]
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -133,7 +133,7 @@
         assert watch.heard() == 0
     desk.silent, desk.rev, desk.engines = False, 4, (A, DRAINS)
     desk.deaf = set(desk.senders())
-    watch.pass_by(LIMITS.poll + 7 * LIMITS.poll_again + 10 * MS, desk)
+    watch.pass_by(LIMITS.poll + 7 * LIMITS.poll_retry_interval + 10 * MS, desk)
     spin(lambda: watch.lists and watch.lists[-1].revision == 4)
     assert {entry.engine: entry.state for entry in watch.lists[-1].entries} == {"a": "Ready", "b": "Terminating"}
     spin(lambda: len(watch.open()) == 1)  # the one before is closed
@@ -149,7 +149,7 @@
     assert 20 <= len(desk.asked) - before <= 60
     assert 5 <= watch.counters["dns_sockets"] - sockets <= 20 and len(watch.open()) == LIMITS.resolver_sockets
     desk.silent, desk.rev, desk.engines = False, 9, (A, DRAINS)  # and the first list of the one that is back counts
-    watch.pass_by(LIMITS.poll_again_most + 20 * MS, desk, step=20 * MS)
+    watch.pass_by(LIMITS.max_poll_retry_interval + 20 * MS, desk, step=20 * MS)
     spin(lambda: [listing.revision for listing in watch.lists] == [9] and len(watch.open()) == 1)
 
 
@@ -179,7 +179,7 @@
         if watch.counters["dns_sockets"] == sockets:
             watch.pass_by(20 * MS, desk, step=20 * MS)
     first = len(desk.asked) - 1
-    watch.pass_by(LIMITS.poll_again_most + 200 * MS, desk, step=20 * MS)
+    watch.pass_by(LIMITS.max_poll_retry_interval + 200 * MS, desk, step=20 * MS)
     assert len(desk.asked) > first + 1 > calls and watch.counters["dns_sockets"] == sockets + 1
     desk.say(first, rev=5)
     spin(lambda: [listing.revision for listing in watch.lists] == [5])
@@ -192,7 +192,7 @@
     watch.pass_by(3_000 * MS, desk, step=20 * MS)
     assert len(watch.time.ports) == 1 and len(desk.senders()) == 1
     desk.silent, desk.rev = False, 7
-    watch.pass_by(LIMITS.poll_again_most + 20 * MS, desk, step=20 * MS)
+    watch.pass_by(LIMITS.max_poll_retry_interval + 20 * MS, desk, step=20 * MS)
     spin(lambda: [listing.revision for listing in watch.lists] == [7])
 
 
@@ -289,7 +289,7 @@
     watch = watches(desk, told=lambda listing: core.update_endpoints(listing.entries, listing.revision))
     watch.pass_by(5_000 * MS, desk, step=20 * MS)
     desk.silent, desk.rev, desk.engines = False, 8, (A, DRAINS)
-    watch.pass_by(LIMITS.poll_again_most + 20 * MS, desk, step=20 * MS)
+    watch.pass_by(LIMITS.max_poll_retry_interval + 20 * MS, desk, step=20 * MS)
     spin(lambda: core.counters["lists_told"] == 1)
     from rackhub.core.request import Query
 
@@ -316,9 +316,9 @@
         while not asking.needs_new_socket():
             spent, calls = spent + asking.poll_sent(), calls + 1
         assert calls == polls and spent == limits.poll + sum(
-            min(limits.poll_again << turn, limits.poll_again_most) for turn in range(polls)
+            min(limits.poll_retry_interval << turn, limits.max_poll_retry_interval) for turn in range(polls)
         )
-    assert LIMITS.poll + 7 * LIMITS.poll_again < 700 * MS
+    assert LIMITS.poll + 7 * LIMITS.poll_retry_interval < 700 * MS
 
 
 # ---- planted mistakes: each of these tests can fail
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,8 +9,8 @@
 MS, S = 1_000, 1_000_000
 LIMITS = replace(Limits(), lease_margin=100 * MS)
 GRACE = S
-PROMPT = LIMITS.told_prompt + GRACE - LIMITS.lease_margin
-LONGEST = LIMITS.told_longest + GRACE - LIMITS.lease_margin
+PROMPT = LIMITS.notification_time + GRACE - LIMITS.lease_margin
+LONGEST = LIMITS.max_notification_time + GRACE - LIMITS.lease_margin
 
 
 def lease(asked_from=None, until=0):
@@ -26,8 +26,8 @@
     [
         (None, 0, PROMPT, Standing.CONFIRMED),
         (None, 0, PROMPT + 1, Standing.UNCONFIRMED),  # it stood still, and has yet to ask
-        (PROMPT, S * 9, PROMPT + LIMITS.answer_patience - 1, Standing.UNCONFIRMED),  # an answer is on its way
-        (PROMPT, S * 9, PROMPT + LIMITS.answer_patience, Standing.CONFIRMED),  # nothing answers
+        (PROMPT, S * 9, PROMPT + LIMITS.poll_answer_timeout - 1, Standing.UNCONFIRMED),  # an answer is on its way
+        (PROMPT, S * 9, PROMPT + LIMITS.poll_answer_timeout, Standing.CONFIRMED),  # nothing answers
         (250 * MS, PROMPT, PROMPT + 1, Standing.CONFIRMED),  # it has asked all the time
         (250 * MS, 300 * MS, PROMPT + 1, Standing.UNCONFIRMED),  # it stood still after a question
         (250 * MS, LONGEST, LONGEST, Standing.CONFIRMED),
@@ -55,9 +55,9 @@
 
 def test_without_a_grace_it_is_over_when_the_drain_counts_as_told():
     here = EndpointLease(LIMITS, 0, 0)
-    for at in range(250 * MS, LIMITS.told_longest, 400 * MS):
+    for at in range(250 * MS, LIMITS.max_notification_time, 400 * MS):
         here.poll_started(at)
-    assert here.standing(LIMITS.told_longest) is Standing.EXPIRED
+    assert here.standing(LIMITS.max_notification_time) is Standing.EXPIRED
 
 
 @pytest.mark.parametrize(
@@ -67,8 +67,8 @@
         (None, None, PROMPT + 1, False),  # nothing tells that it does not drain
         (2 * S, None, 2 * S + GRACE - LIMITS.lease_margin, True),
         (2 * S, None, 2 * S + GRACE, False),
-        (None, S, LIMITS.answer_patience, True),  # the list is fresh: it was full
-        (None, S, LIMITS.answer_patience + 300 * MS, False),
+        (None, S, LIMITS.poll_answer_timeout, True),  # the list is fresh: it was full
+        (None, S, LIMITS.poll_answer_timeout + 300 * MS, False),
         (S, S + MS, PROMPT, False),
         (S + MS, S, PROMPT, True),  # it has taken one since
     ],
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -124,7 +124,7 @@
     here = Asked()
     first = here.number
     for turn in range(5):
-        here.clock.advance((LIMITS.poll_again << turn) / 1e6)
+        here.clock.advance((LIMITS.poll_retry_interval << turn) / 1e6)
     assert len(here.sent) == 6 and here.server == ("127.0.0.9", 53)
     assert len(here.hear(answer(first, 4, A))) == 1
 
@@ -132,16 +132,16 @@
 def test_it_asks_seldom_once_it_is_answered_and_soon_where_the_answer_was_none():
     here = Asked()
     here.hear(answer(here.number, 4, A))
-    here.clock.advance(LIMITS.poll_again / 1e6)
+    here.clock.advance(LIMITS.poll_retry_interval / 1e6)
     assert len(here.sent) == 1
     here.clock.advance(LIMITS.poll / 1e6)
     assert len(here.sent) == 2
     here.hear(answer(here.number, 5, A, rcode=2))
     here.hear(answer(here.number, 3, A))  # from a server that is behind
-    here.clock.advance(LIMITS.poll_again / 1e6)
+    here.clock.advance(LIMITS.poll_retry_interval / 1e6)
     assert len(here.sent) == 3
     here.hear(answer(here.number, 4, A))
-    here.clock.advance(LIMITS.poll_again / 1e6)
+    here.clock.advance(LIMITS.poll_retry_interval / 1e6)
     assert len(here.sent) == 3
 
 
@@ -169,7 +169,7 @@
     for _ in range(10):
         here.clock.advance(0.06)
     before = len(here.sent)
-    here.clock.advance(LIMITS.poll_again_most / 1e6)
+    here.clock.advance(LIMITS.max_poll_retry_interval / 1e6)
     assert len(here.sent) > before  # each call may now be answered: at most half a second after it can be
 
 
@@ -214,7 +214,7 @@
     before = len(here.sent)
     for _ in range(10):
         here.clock.advance(LIMITS.poll / 1e6)
-    assert len(here.sent) - before <= 10 * LIMITS.poll / LIMITS.poll_again_most * 1.25 + 4  # one chain, not two
+    assert len(here.sent) - before <= 10 * LIMITS.poll / LIMITS.max_poll_retry_interval * 1.25 + 4  # one chain, not two
 
 
 def test_what_was_not_asked_for_is_older_or_the_same_changes_nothing():
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -748,7 +748,7 @@
         now = self.here.clock.now()
         for query in self.asked:
             assert len(query.in_flight) <= (2 if self.copies else 1)
-            assert query.closed or now <= query.deadline + LIMITS.backstop + LIMITS.sweep
+            assert query.closed or now <= query.deadline + LIMITS.deadline_grace + LIMITS.deadline_check_interval
             if query.terms is not None:
                 assert query.terms.terms is self.terms[query.id]
         live = sum(not query.closed for query in self.asked)
--- a/tests/test_two_fronts.py
+++ b/tests/test_two_fronts.py
@@ -62,7 +62,7 @@
     assert [kind for kind, _ in client.answers[1]] == [codec.DONE]
     assert client.answers[1][0][1].status == codec.DONE_ATTN
     spin(lambda: any(words[0] == b"shut" for words in stand.heard))
-    here.clock.advance(LIMITS.handover)
+    here.clock.advance(LIMITS.cancellation_delay)
     assert not here.core.queries and not here.core.in_flight
     client.call("SELECT short FROM r_3.t")
     spin(lambda: len(client.answers) == 3)
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -165,7 +165,7 @@
             self.stopped_at = self.now if self.stopped_at is None else self.stopped_at
         elif self.stopped_at is not None:
             resumed_at = max(self.stopped_at, self.unchoked_at, min(self.held, self.now))
-            if resumed_at - self.stopped_at > LIMITS.unread_turn:
+            if resumed_at - self.stopped_at > LIMITS.late_iteration:
                 self.unread_since = self.unread_since or self.stopped_at
             self.stopped_at = None
 
@@ -192,8 +192,8 @@
         for _ in range(sum(answer.get("error", {}).get("code", 0) < -32500 for answer in said)):
             self.faults += 1
             if self.faults > LIMITS.free_faults:
-                wait = LIMITS.penance * 2 ** min(self.faults - LIMITS.free_faults - 1, 10)
-                self.held = self.now + min(wait, LIMITS.penance_most)
+                wait = LIMITS.fault_pause * 2 ** min(self.faults - LIMITS.free_faults - 1, 10)
+                self.held = self.now + min(wait, LIMITS.max_fault_pause)
         return said
 
     def ask(self, id, rid, method="lookup", **params):
@@ -331,22 +331,33 @@
         if self.lost:
             return
         closed = self.connection.closed_at
-        if closed and self.now - closed >= LIMITS.linger + LIMITS.look or self.wire.aborted and closed:
-            assert self.wire.aborted and self.now - closed >= min(LIMITS.linger, LIMITS.unread - (closed - self.choked))
+        if (
+            closed
+            and self.now - closed >= LIMITS.linger_timeout + LIMITS.client_check_interval
+            or self.wire.aborted
+            and closed
+        ):
+            assert self.wire.aborted and self.now - closed >= min(
+                LIMITS.linger_timeout, LIMITS.write_timeout - (closed - self.choked)
+            )
             assert len(self.heard()) == (self.taking and (self.half > 0 or not self.spoke))  # it was told why
             return self.lose(0)
-        if self.choked and self.now - self.choked >= LIMITS.unread + LIMITS.look or self.wire.aborted:
-            assert self.wire.aborted and self.now - self.choked >= LIMITS.unread
+        if (
+            self.choked
+            and self.now - self.choked >= LIMITS.write_timeout + LIMITS.client_check_interval
+            or self.wire.aborted
+        ):
+            assert self.wire.aborted and self.now - self.choked >= LIMITS.write_timeout
             return self.lose(0)
         patience = (
-            self.half + LIMITS.half_message
+            self.half + LIMITS.message_timeout
             if self.half
             else self.now + S
             if self.open
-            else self.used + (LIMITS.client_idle if self.spoke else LIMITS.first_message)
+            else self.used + (LIMITS.client_idle_timeout if self.spoke else LIMITS.first_message_timeout)
         )
         if self.taking:
-            self.taking = self.now < patience + LIMITS.look and not self.connection.ending
+            self.taking = self.now < patience + LIMITS.client_check_interval and not self.connection.ending
             assert self.connection.ending != self.taking and (self.taking or self.now >= patience)
             assert len(self.heard()) == (not self.taking and (self.half > 0 or not self.spoke))  # it is told why
 
@@ -354,7 +365,7 @@
     @rule(how=st.integers(0, 9))
     def stop_taking(self, how):
         if how == 0:
-            assert self.say(b"x" * (LIMITS.request_line + 1), [], raw=True)[0]["error"]["code"] == -32600
+            assert self.say(b"x" * (LIMITS.request_bytes + 1), [], raw=True)[0]["error"]["code"] == -32600
         elif how == 1:
             self.connection.end()
         self.taking = how > 1
@@ -441,7 +452,7 @@
 
     def blocked(self):
         waits = [self.since[id] for id in self.attempts if id in self.since and id not in self.ends]
-        late = waits and min(waits) < self.core.clock.now() - LIMITS.unread_turn
+        late = waits and min(waits) < self.core.clock.now() - LIMITS.late_iteration
         return self.state == "up" and (self.wire.gone < self.last_end or late)
 
     def sent(self):
@@ -575,7 +586,7 @@
         now = self.core.clock.now()
         self.connection.check_timeouts(now)
         for id in list(self.attempts) if self.state == "up" else ():
-            if id not in self.ends and now - self.since[id] >= LIMITS.unwritable:
+            if id not in self.ends and now - self.since[id] >= LIMITS.unwritable_timeout:
                 self.over(id, "NOCONN")  # the socket does not take it: it goes elsewhere
 
     @precondition(lambda self: self.state == "up")
@@ -587,7 +598,7 @@
         frame = b"".join(command(b"1" * 16, b"status", b"-", b""))
         self.heard = self.core.clock.now()
         feed(self.connection, frame[:part], cuts)
-        self.core.clock.advance(LIMITS.half_frame)
+        self.core.clock.advance(LIMITS.frame_timeout)
         self.look()
         assert not self.wire.aborted
         if whole:
@@ -622,7 +633,7 @@
         elif sent:
             self.stale.add(id)
             now = self.core.clock.now()
-            self.silent |= self.heard <= attempt.sent_at and now - attempt.sent_at >= LIMITS.silence
+            self.silent |= self.heard <= attempt.sent_at and now - attempt.sent_at >= LIMITS.silence_timeout
             assert not self.connection.accepts(attempt)  # an answer that crossed would pass for a later attempt's
 
     @precondition(lambda self: self.state == "up" and self.stale)
@@ -669,7 +680,7 @@
     @rule(span=st.sampled_from([MS, S, 31 * S]))
     def time(self, span):
         self.core.clock.advance(span)
-        if span > LIMITS.stale:
+        if span > LIMITS.failed_id_retention:
             self.stale.clear()
 
     @invariant()
@@ -863,7 +874,9 @@
 
     def __init__(self):
         self.core, self.counters = PlayedCore(), Counters()
-        self.front = jsonrpc_front(self.core, replace(LIMITS, client_connections=4, leaving=2), self.counters)
+        self.front = jsonrpc_front(
+            self.core, replace(LIMITS, client_connections=4, max_aborted_connections=2), self.counters
+        )
 
     def join(self, said=b""):
         connection = self.front.buildProtocol(None)
@@ -896,10 +909,10 @@
 def test_half_of_the_room_is_kept_free_of_idlers():
     here = Crowd()
     first = [here.join(ALIVE) for _ in range(3)]
-    here.core.clock.advance(LIMITS.idle_crowded + LIMITS.look)
+    here.core.clock.advance(LIMITS.crowded_idle_timeout + LIMITS.client_check_interval)
     assert [client.transport.disconnecting for client in first] == [True, False, False]
     first[0].connectionLost()
-    here.core.clock.advance(LIMITS.client_idle)
+    here.core.clock.advance(LIMITS.client_idle_timeout)
     assert all(client.transport.disconnecting for client in first) and here.counters["clients_idle"] == 3
 
 
@@ -945,13 +958,15 @@
     place = ("127.0.0.1", 5050)
     pools.update_endpoints({"e0": place})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
-    for number in range(LIMITS.few * LIMITS.spread + 8):
+    for number in range(LIMITS.attempts_before_spread * LIMITS.max_spread_connections + 8):
         pools.send(Attempt(query, number, "e0", 0))
-    assert [link.load() for link in made] == [5] * LIMITS.spread
+    assert [link.load() for link in made] == [5] * LIMITS.max_spread_connections
     pools.update_endpoints({"e1": place})
     pools.send(Attempt(query, 99, "e0", 0))
     pools.send(Attempt(query, 99, "e1", 0))
-    assert core.ends[-1][1] == "NOCONN" and made[-1].pool.name == "e1" and len(made) == LIMITS.spread + 1
+    assert (
+        core.ends[-1][1] == "NOCONN" and made[-1].pool.name == "e1" and len(made) == LIMITS.max_spread_connections + 1
+    )
     for link in made:
         link.open.clear()
         link.close_if_idle()
