--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -146,7 +146,7 @@
 
 def test_the_error_of_a_line_too_long_reaches_a_client_that_has_sent_on(site):
     """The rest of the line lay unread at the close: the reset that this makes eats the error before it."""
-    here = site(request_line=1_000)
+    here = site(request_bytes=1_000)
     client = here.client()
     client.served_by.transport.bufferSize = 2_000  # what one read of its socket takes
     client.send(b"x" * 20_000)
@@ -175,7 +175,7 @@
 def test_an_answer_before_a_close_reaches_a_client_that_sends_on(site):
     """A breach with a request open: its answer is owed, the close follows it, and what comes meanwhile is dropped."""
     stand = Stand()
-    here = site(stand, request_line=1_000)
+    here = site(stand, request_bytes=1_000)
     client = here.client()
     client.send(ask(1), b"x" * 1_500 + b"\n", ask(2))
     spin(lambda: stand.wants())
@@ -195,7 +195,7 @@
 def test_who_goes_from_a_connection_that_ends_is_heard(site, how):
     """Such a connection was not read from: a close or cancel did not show until the answer was written."""
     stand = Stand()
-    here = site(stand, request_line=1_000)
+    here = site(stand, request_bytes=1_000)
     client = here.client()
     client.send(ask(1), b"x" * 1_500 + b"\n")
     spin(lambda: stand.wants() and here.counters["too_long"])
@@ -237,7 +237,7 @@
 
 
 def test_a_flood_on_a_connection_that_ends_is_read_up_to_a_bound(site):
-    here = site(request_line=1_000, dropped=50_000)
+    here = site(request_bytes=1_000, max_discarded_bytes=50_000)
     client = here.client()
     client.send(b"x" * 1_500)
     spin(lambda: client.read())
@@ -261,7 +261,7 @@
 def test_a_request_that_lay_unread_when_the_close_was_decided_is_served(site, rested):
     """The loop was late: the request came before the time was up, and is no crossing of a close."""
     stand = Stand(act=answer)
-    here = site(stand, loop=True, behind=60 * S)
+    here = site(stand, loop=True, max_event_loop_delay=60 * S)
     client = here.client()
     if rested:
         client.send(ALIVE)
--- a/tests/test_incident_drain.py
+++ b/tests/test_incident_drain.py
@@ -138,8 +138,8 @@
 SHORT = """
 import rackhub.limits as limits
 class Short(limits.Limits, frozen=True, kw_only=True):
-    told_longest: int = 1_500_000
-    told_prompt: int = 700_000
+    max_notification_time: int = 1_500_000
+    notification_time: int = 700_000
 limits.Limits = Short
 """
 
