--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -272,7 +272,7 @@
         """Direct new connections to the successor, and close each client's connection with its next answer."""
         handed_over = [port.hand_over() for port in self._ports]
         for _, factory in self.listeners:
-            factory.succeeded = True
+            factory.replaced = True
         log.info(
             "the process that replaces this one serves%s",
             " and receives all new connections" if all(handed_over) else "",
--- a/rackhub/fleet/overload/prober.py
+++ b/rackhub/fleet/overload/prober.py
@@ -13,7 +13,7 @@
 from rackhub.core.timers import Clock
 from rackhub.limits import Limits
 from rackhub.net.dial import SingleConnectionFactory
-from rackhub.net.resp_protocol import command
+from rackhub.net.resp_protocol import encode_command
 
 MS = 1_000
 MAXIMUM_CONNECTIONS = 64
@@ -75,7 +75,7 @@
 
     def _write(self) -> None:
         self._tag += 1
-        self.transport.writeSequence(command(b"there", b"%d" % self._tag))
+        self.transport.writeSequence(encode_command(b"there", b"%d" % self._tag))
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         """Send the check that waits for the connection."""
@@ -90,7 +90,7 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         """Complete the check if the answer is whole, drop the connection if it is invalid."""
         self._buffer += data
-        answer = b"".join(command(b"%d" % self._tag, b"alive"))
+        answer = b"".join(encode_command(b"%d" % self._tag, b"alive"))
         if self._buffer == answer:
             self._buffer = b""
             self.complete("GOOD")
--- a/rackhub/net/client.py
+++ b/rackhub/net/client.py
@@ -29,7 +29,7 @@
         self.front = front
         self.core = front.core
         self.counters = front.counters
-        self.used = front.core.clock.now()  # when it connected, or last sent or received a complete message
+        self.last_used = front.core.clock.now()  # when it connected, or last sent or received a complete message
         self.incomplete_since = 0
         self.write_blocked_since = 0
         self.penalty_until = 0  # not read from before then
@@ -42,7 +42,7 @@
         self.ending = False
         self.faults = 0  # invalid messages received
 
-    def busy(self) -> bool:
+    def has_open_request(self) -> bool:
         """Whether a request is open on it."""
         raise NotImplementedError
 
@@ -66,7 +66,7 @@
         now = self.core.clock.now()
         if complete:
             self.has_sent_message = True
-            self.used = now
+            self.last_used = now
         if not begun:
             self.incomplete_since = 0
         elif complete or not self.incomplete_since:
--- a/rackhub/net/dns_protocol.py
+++ b/rackhub/net/dns_protocol.py
@@ -20,7 +20,7 @@
     """A packet that is no complete answer to the query."""
 
 
-def question(number: int) -> bytes:
+def encode_query(number: int) -> bytes:
     """Return a query with this id for the SRV records of the service."""
     labels = b"".join(bytes([len(label)]) + label for label in SERVICE.split(b"."))
     header = struct.pack(">6H", number, RECURSION_DESIRED, 1, 0, 0, 0)
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -52,7 +52,7 @@
         self.counters = counters
         self.connections: set[Client] = set()
         self._aborted: set[Client] = set()  # their descriptors are not free yet
-        self.succeeded = False  # whether the process ends while another one serves on the same address
+        self.replaced = False  # whether the process ends while another one serves on the same address
         core.timers.at(core.clock.now() + limits.client_check_interval, self.check_timeouts)
 
     def buildProtocol(self, addr: object) -> protocol.Protocol | None:  # noqa: N802
@@ -69,16 +69,16 @@
 
         First one that is closed on this side, then one that never sent a message, then the one that idled longest.
         """
-        candidates = [client for client in self.connections if not client.busy()]
+        candidates = [client for client in self.connections if not client.has_open_request()]
         if not candidates:
             return False
-        evicted = min(candidates, key=lambda client: (not client.closed_at, client.has_sent_message, client.used))
+        evicted = min(candidates, key=lambda client: (not client.closed_at, client.has_sent_message, client.last_used))
         self._abort(evicted, "clients_evicted")
         return True
 
     def _abort(self, client: Client, counter: str) -> None:
         self.counters.add(counter)
-        log.debug("client_aborted", client=client, reason=counter, busy=client.busy())
+        log.debug("client_aborted", client=client, reason=counter, busy=client.has_open_request())
         self.connections.discard(client)
         self._aborted.add(client)
         client.abort()
@@ -108,7 +108,7 @@
     def _end_timed_out(self, now: int) -> None:
         """Half of the connections are kept free of idle clients, for many may connect at once."""
         excess = sum(not client.ending for client in self.connections) - self._max_connections // 2
-        for client in sorted(self.connections, key=lambda client: client.used):
+        for client in sorted(self.connections, key=lambda client: client.last_used):
             idle_timeout = self.limits.crowded_idle_timeout if excess > 0 else self._timeouts.idle
             if self._end_if_timed_out(client, now, idle_timeout):
                 excess -= 1
@@ -126,12 +126,12 @@
                 return False
             self._count_ended(client, "clients_half")
             client.end_with_error("the message did not come whole in time")
-        elif client.busy():
+        elif client.has_open_request():
             return False
-        elif not client.has_sent_message and now - client.used >= timeouts.first:
+        elif not client.has_sent_message and now - client.last_used >= timeouts.first:
             self._count_ended(client, "clients_silent")
             client.end_with_error("nothing came in time")
-        elif now - client.used >= idle_timeout:
+        elif now - client.last_used >= idle_timeout:
             self._count_ended(client, "clients_idle")
             client.end()
         else:
--- a/rackhub/net/jsonrpc.py
+++ b/rackhub/net/jsonrpc.py
@@ -144,7 +144,7 @@
         if not self._processing:
             super().update_reading()
 
-    def busy(self) -> bool:
+    def has_open_request(self) -> bool:
         """Whether a request is open on it."""
         return bool(self.open)
 
@@ -295,9 +295,9 @@
 
     def _answer(self, query: Query, *pieces: bytes) -> None:
         if self.open.pop(query.tag, None) is not None:
-            self.used = self.core.clock.now()
+            self.last_used = self.core.clock.now()
             self._write(query.tag, *pieces)
-            if self.front.succeeded and not self.open:
+            if self.front.replaced and not self.open:
                 self.drain()  # the close after its answer makes the client reconnect: no request crosses it
             self._end_if_done()
 
--- a/rackhub/net/listen.py
+++ b/rackhub/net/listen.py
@@ -39,19 +39,19 @@
     """
 
     MIN_SHORTAGE_S = 0.1  # before new connections are closed, as they would wait in vain
-    OVER = 1.0  # seconds without a shortage after which the next one counts as another
+    SHORTAGE_GAP_S = 1.0  # seconds without a shortage after which the next one counts as another
 
     def __init__(self, spare: Any, seconds: Callable[[], float] = time.monotonic):
         """`spare` is Twisted's reservation, `seconds` a monotonic clock."""
         self._spare = spare
         self._seconds = seconds
-        self._shortage_began = -self.OVER
-        self._last_shortage = -self.OVER
+        self._shortage_began = -self.SHORTAGE_GAP_S
+        self._last_shortage = -self.SHORTAGE_GAP_S
 
     def available(self) -> bool:
         """Whether to give the spare descriptor up. Called each time that accept finds none."""
         now = self._seconds()
-        if now - self._last_shortage > self.OVER:
+        if now - self._last_shortage > self.SHORTAGE_GAP_S:
             self._shortage_began = now
         self._last_shortage = now
         return now - self._shortage_began >= self.MIN_SHORTAGE_S and bool(self._spare.available())
--- a/rackhub/net/outgoing.py
+++ b/rackhub/net/outgoing.py
@@ -20,7 +20,7 @@
 MAX_NOT_SENT_BYTES = 1  # the kernel then holds one request that the engine does not read, not many
 
 
-class Outgoing:
+class SocketWriter:
     """Sends on one connection and counts the bytes since its start. `writable` is called once per `request_write`."""
 
     def __init__(self, transport: Any, writable: Callable[[], None]):
--- a/rackhub/net/resolver.py
+++ b/rackhub/net/resolver.py
@@ -16,7 +16,7 @@
 from rackhub.core.source import Address, EndpointPollObserver, EndpointSnapshot
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.dns_protocol import InvalidAnswerError, parse_answer, question
+from rackhub.net.dns_protocol import InvalidAnswerError, encode_query, parse_answer
 from rackhub.net.poll_schedule import PollSchedule
 
 log = logs.logger(__name__)
@@ -122,7 +122,7 @@
         self._pending[number] = PendingPoll(self._reactor.seconds(), lease_time)
         self._counters.add("dns_sent")
         try:
-            self.transport.write(question(number), self._server)
+            self.transport.write(encode_query(number), self._server)
         except OSError as fault:  # the next one may get through
             log.warning("resolver_unreachable", reason=str(fault))
         log.debug("poll_sent", number=number)
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -13,10 +13,10 @@
 from rackhub.core.timers import ALWAYS_DEFER, Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.outgoing import Outgoing
+from rackhub.net.outgoing import SocketWriter
 from rackhub.net.pool import EngineDialer, EnginePool, EnginePools
 from rackhub.net.resp_answers import AnswerReader, ByteRange
-from rackhub.net.resp_protocol import InvalidFrameError, command
+from rackhub.net.resp_protocol import InvalidFrameError, encode_command
 
 log = logs.logger(__name__)
 
@@ -82,7 +82,7 @@
             if not self._out.has_sent(sent_range.end):  # its rest would be sent some time, and start what is cancelled
                 self._abort("a request given up that has left in part")
                 return
-            self._out.write(command(b"shut" if id in self.partial_results else b"never_mind", id))
+            self._out.write(encode_command(b"shut" if id in self.partial_results else b"never_mind", id))
             self._attempt_failed(id)
             self._check_responsive(attempt)
         self.partial_results.pop(id, None)
@@ -104,7 +104,7 @@
         """Notify the engine of an attempt's new priority, if it is sent and has no result yet."""
         id = attempt.query.id.encode()
         if self.up and not self.closed and id in self._sent_ranges and id not in self.partial_results:
-            self._out.write(command(b"promote", id, b"%d" % attempt.query.priority))
+            self._out.write(encode_command(b"promote", id, b"%d" % attempt.query.priority))
 
     def close_if_idle(self) -> None:
         """Close the connection if no attempt is open on it."""
@@ -242,7 +242,7 @@
         if query.idempotency_key:
             fields += b",replay=" + query.idempotency_key.encode()
         begin = self._out.bytes_written
-        if not self._out.send(b"".join(command(b"want", id, fields, query.statement))):
+        if not self._out.send(b"".join(encode_command(b"want", id, fields, query.statement))):
             return False
         del self._queued[id]
         attempt.state = AttemptState.IN_FLIGHT
@@ -266,7 +266,7 @@
         self.last_received = self.clock.now()
         log.debug("engine_connected", engine=self.pool.name, waiting=len(self.open))
         self.transport.setTcpNoDelay(True)
-        self._out = Outgoing(self.transport, self._writable)
+        self._out = SocketWriter(self.transport, self._writable)
         for id, attempt in list(self.open.items()):
             if why := attempt.send_blocked_by(self.last_received, self.core.lease):  # it waited too long for this
                 self._return_blocked(id, attempt, why)
--- a/rackhub/net/resp_answers.py
+++ b/rackhub/net/resp_answers.py
@@ -13,12 +13,12 @@
 from rackhub.core.timers import Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.outgoing import Outgoing
+from rackhub.net.outgoing import SocketWriter
 from rackhub.net.pool import EnginePool
 from rackhub.net.resp_protocol import (
     PROGRESS_TOPICS,
     InvalidFrameError,
-    command,
+    encode_command,
     is_valid_page,
     parse_fields,
     parse_load_report,
@@ -54,7 +54,7 @@
 class AnswerReader(RespReader):
     """Handles the answers to the attempts that are open on a connection."""
 
-    _out: Outgoing  # from the time on that the connection is established
+    _out: SocketWriter  # from the time on that the connection is established
 
     def __init__(self, pool: EnginePool, clock: Clock, limits: Limits, counters: Counters, core: Coordinator):
         super().__init__(clock, limits)
@@ -164,7 +164,7 @@
             return
         pieces = []
         for page in range(1, count):
-            pieces += command(b"turn", id, b"%d" % page)
+            pieces += encode_command(b"turn", id, b"%d" % page)
         self._out.write(pieces)
 
     def _page(self, id: bytes, attempt: Attempt, fields: dict[bytes, bytes], body: bytes) -> None:
--- a/rackhub/net/resp_protocol.py
+++ b/rackhub/net/resp_protocol.py
@@ -23,7 +23,7 @@
     """Bytes that no engine of this protocol sends: nothing after them on the connection can be trusted."""
 
 
-def command(*strings: bytes) -> list[bytes]:
+def encode_command(*strings: bytes) -> list[bytes]:
     """Return the pieces of one array of bulk strings, for a gathered write."""
     pieces = [b"*%d\r\n" % len(strings)]
     for string in strings:
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -24,7 +24,7 @@
 from rackhub.core.timers import ALWAYS_DEFER, Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.outgoing import Outgoing
+from rackhub.net.outgoing import SocketWriter
 from rackhub.net.pool import EngineDialer, EnginePool, EnginePools
 from rackhub.net.resp_protocol import parse_load_report
 from rackhub.net.tds import codec
@@ -62,7 +62,7 @@
 class TdsEngineConnection(TdsStream):
     """One connection to an engine; up to READY an unsent attempt may wait in `_attempt`."""
 
-    _out: Outgoing  # from `made` on
+    _out: SocketWriter  # from `made` on
 
     def __init__(
         self,
@@ -203,7 +203,7 @@
     def made(self) -> None:
         """Start the login."""
         self.state = State.PRELOGIN
-        self._out = Outgoing(self.transport, self._writable)
+        self._out = SocketWriter(self.transport, self._writable)
         self.write(codec.message(codec.PRELOGIN, codec.prelogin()))
 
     def write(self, pieces: Iterable[bytes]) -> None:
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -134,7 +134,7 @@
         """Whether it is not to be read from now: also while rows are written Attention and the end have to show."""
         return not self.ending and self.is_penalised()
 
-    def busy(self) -> bool:
+    def has_open_request(self) -> bool:
         """Whether a request is running or its result is being written."""
         return self.state in (State.BUSY, State.ROWS)
 
@@ -397,7 +397,7 @@
     def _finish(self, pieces: Sequence[bytes]) -> None:
         self.write(self._packetizer.end(pieces))
         self.write_blocked_since = 0
-        self.used = self.core.clock.now()
+        self.last_used = self.core.clock.now()
         self._done = codec.DONE
         if self.state in (State.BUSY, State.ROWS):
             self.state = State.READY
--- a/rackhub/trials/scale/engines.py
+++ b/rackhub/trials/scale/engines.py
@@ -8,7 +8,7 @@
 
 from rackhub import interface
 from rackhub.limits import Limits
-from rackhub.net.dns_protocol import parse_answer, question
+from rackhub.net.dns_protocol import encode_query, parse_answer
 from rackhub.trials.processes.resolver import MOST as ANSWER_BYTES
 from rackhub.trials.processes.resolver import answer
 from rackhub.trials.processes.site import Engine
@@ -157,7 +157,7 @@
 
 def answer_packet(engines: int) -> bytes | None:
     """The answer with the whole list; None where the limit cuts it."""
-    packet = answer(question(QUERY_ID), 1, listed_engines(engines))
+    packet = answer(encode_query(QUERY_ID), 1, listed_engines(engines))
     if packet is None or packet[2] & 0x02:  # the header's bit that says that it is cut
         return None
     return packet
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -18,7 +18,7 @@
 import test_distribution_voter
 import test_fleet_register
 import test_state
-from stands import S
+from harness import S
 
 from rackhub.core.request import Query
 from rackhub.fleet.rules.messages import EditRequest, Trial
--- a/tests/stands.py
+++ b/tests/harness.py
@@ -1,7 +1,7 @@
 """Stand-ins and a clock for the tests of the wires, from the public protocols; nothing here sleeps.
 
-`Site` is a whole coordinator: fronts, core and engine client on real loopback sockets, with the core's time
-in the test's hands. `spin` turns the reactor until something has come about.
+`CoordinatorTestBed` is a whole coordinator: fronts, core and engine client on real loopback sockets, with the time
+of the core in the test's hands. `spin` turns the reactor until something has come about.
 """
 
 from twisted.internet import reactor
@@ -15,7 +15,7 @@
 from rackhub.limits import Limits
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.resp import resp_pools
-from rackhub.net.resp_protocol import command
+from rackhub.net.resp_protocol import encode_command
 from rackhub.net.tds import codec
 from rackhub.net.tds.engine import tds_pools
 from rackhub.net.tds.front import tds_front
@@ -101,7 +101,7 @@
 
 
 class RespEngine(LineReceiver):
-    """An engine over RESP: notes every command, answers what the test's `act` says."""
+    """An engine over RESP: notes every command, answers what the test's `on_command` says."""
 
     def __init__(self, stand):
         self.stand, self.words, self.need, self.due = stand, [], 0, 0
@@ -122,12 +122,12 @@
         self.words.append(word)
         self.due -= 1
         if not self.due:
-            self.stand.heard.append(tuple(self.words))
-            self.stand.act(self, *self.words)
+            self.stand.received.append(tuple(self.words))
+            self.stand.on_command(self, *self.words)
         self.setLineMode(rest)
 
-    def say(self, id, word, fields=b"-", body=b""):
-        self.transport.writeSequence(command(id, word, fields, body))
+    def respond(self, id, word, fields=b"-", body=b""):
+        self.transport.writeSequence(encode_command(id, word, fields, body))
 
 
 class TdsEngine(Protocol):
@@ -148,20 +148,20 @@
                     else codec.notice(codec.ERROR, 18456, 1, 14, "no", "stand") + codec.done(codec.DONE_ERROR)
                 )
             elif kind == codec.ATTENTION:
-                self.stand.heard.append((b"never_mind",))
+                self.stand.received.append((b"never_mind",))
                 self.tell(codec.done(codec.DONE_ATTN))
             else:
                 given = codec.call_of(body).arguments
                 fields = f"profile={given['@class']},max={given['@budget_ms']},level={given['@level']}"
                 fields += f",replay={given['@key']}" if "@key" in given else ""
                 words = b"want", given["@id"].encode(), fields.encode(), given["@statement"].encode()
-                self.stand.heard.append(words)
-                self.stand.act(self, *words)
+                self.stand.received.append(words)
+                self.stand.on_command(self, *words)
 
     def tell(self, body):
         self.transport.writeSequence(codec.message(codec.REPLY, body))
 
-    def say(self, id, word, fields=b"-", body=b""):
+    def respond(self, id, word, fields=b"-", body=b""):
         if word == b"200":
             rows = [line.split("\t") for line in body.decode().splitlines()]
             load = codec.notice(codec.INFO, 51010, 1, 0, fields.decode().partition("report=")[2], "stand")
@@ -176,12 +176,12 @@
             self.tell(codec.notice(codec.ERROR, number, 1, 16, "no", "stand") + codec.done(codec.DONE_ERROR))
 
 
-class Stand:
-    """A listening engine and all that it heard. `act(connection, *command)` answers."""
+class EngineServer:
+    """A listening engine and all that it heard. `on_command(connection, *command)` answers."""
 
-    def __init__(self, protocol=RespEngine, act=None):
-        self.heard, self.connections = [], []
-        self.act = act or (lambda *_: None)
+    def __init__(self, protocol=RespEngine, on_command=None):
+        self.received, self.connections = [], []
+        self.on_command = on_command or (lambda *_: None)
 
         def build():
             self.connections.append(protocol(self))
@@ -192,7 +192,7 @@
         self.port = reactor.listenTCP(0, self.factory, interface="127.0.0.1")
 
     def wants(self):
-        return [words for words in self.heard if words[0] == b"want"]
+        return [words for words in self.received if words[0] == b"want"]
 
 
 class JsonClient(LineOnlyReceiver):
@@ -241,11 +241,11 @@
         self.ask(codec.RPC, codec.rpc("rackhub_query", given))
 
 
-class Site:
+class CoordinatorTestBed:
     """A coordinator on loopback with stand-in engines e0, e1, ... and a clock of the test's."""
 
     def __init__(self, *stands, tds_engines=False, settings=SETTINGS, limits=LIMITS, ids=None):
-        self.clock, self.counters, self.stands = FakeClock(), Counters(), stands
+        self.clock, self.counters, self.engines = FakeClock(), Counters(), stands
         self.core = Coordinator(settings, 7, self.clock, Timers(self.clock, self.clock), limits, self.counters)
         shared = self.clock, limits, self.counters, self.core
         self.pools = (
@@ -273,12 +273,12 @@
 
     def close(self):
         """End it all and wait until it has ended, so that tests do not meet in the reactor."""
-        for port in (*self.ports, *(stand.port for stand in self.stands)):
+        for port in (*self.ports, *(stand.port for stand in self.engines)):
             port.stopListening()
         for front in self.fronts:
             for connection in list(front.connections):
                 connection.transport.abortConnection()
-        for stand in self.stands:
+        for stand in self.engines:
             for connection in stand.connections:
                 connection.transport.abortConnection()
         spin(
--- a/tests/replacing.py
+++ b/tests/replacing.py
@@ -16,8 +16,8 @@
 import sys
 import time
 
+from harness import EngineServer, RespEngine
 from real_process import READY, ResolverStandIn
-from stands import RespEngine, Stand
 from test_config import SETTINGS, endpoint, notice, told
 from twisted.internet import reactor
 from twisted.internet.protocol import ClientFactory
@@ -133,7 +133,7 @@
                 call.cancel()
 
 
-class Engine(Stand):
+class Engine(EngineServer):
     """A stand-in that answers each query after a while and notes when it took each."""
 
     def __init__(self, pause):
@@ -143,7 +143,7 @@
     def answer(self, connection, word, id, *rest):
         if word == b"want":
             self.taken.append(id)
-            reactor.callLater(self.pause, connection.say, id, b"200", b"chunks=1", ROWS)
+            reactor.callLater(self.pause, connection.respond, id, b"200", b"chunks=1", ROWS)
 
 
 def free_ports(count):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from stands import CLASSES, LIMITS, MS, SETTINGS, FakeClock, S
+from harness import CLASSES, LIMITS, MS, SETTINGS, FakeClock, S
 
 from rackhub import interface as t
 from rackhub.core.coordinator import Coordinator
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -12,11 +12,11 @@
 import sys
 import threading
 
+import harness
 import pytest
-import stands
+from harness import LIMITS, MS, CoordinatorTestBed, EngineServer, FakeClock, S, spin
 from msgspec.structs import replace
 from replacing import Engine, Process, free_ports, resolver_of, until
-from stands import LIMITS, MS, FakeClock, S, Site, Stand, spin
 from test_config import SETTINGS, endpoint, notice, told
 from test_listen import Adopting
 from twisted.internet import reactor
@@ -99,8 +99,8 @@
 
     def make(*engines, loop=False, **limits):
         if loop:
-            monkeypatch.setattr(stands, "FakeClock", LoopClock)
-        here = Site(*engines, limits=replace(LIMITS, **limits))
+            monkeypatch.setattr(harness, "FakeClock", LoopClock)
+        here = CoordinatorTestBed(*engines, limits=replace(LIMITS, **limits))
         made.append(here)
 
         def client():
@@ -132,7 +132,7 @@
 
 def answer(engine, word, id, *rest):
     if word == b"want":
-        engine.say(id, b"200", b"chunks=1", ROWS)
+        engine.respond(id, b"200", b"chunks=1", ROWS)
 
 
 def gone(client):
@@ -158,7 +158,7 @@
 
 def test_a_request_that_crosses_the_idle_close_is_dropped_and_its_client_hears_of_a_close(site):
     """A resting client sends at the moment of the close: it is to send again, and its request must not be sent on."""
-    stand = Stand(act=answer)
+    stand = EngineServer(on_command=answer)
     here = site(stand)
     client = here.client()
     client.send(ALIVE)
@@ -169,12 +169,12 @@
     assert client.until_ended() == "closed" and len(client.answers()) == 1
     spin(lambda: here.counters["lines_dropped"] == 1)
     gone(client)
-    assert here.counters["requests_in"] == 0 and not stand.heard and here.counters["halves_dropped"] == 1
+    assert here.counters["requests_in"] == 0 and not stand.received and here.counters["halves_dropped"] == 1
 
 
 def test_an_answer_before_a_close_reaches_a_client_that_sends_on(site):
     """A breach with a request open: its answer is owed, the close follows it, and what comes meanwhile is dropped."""
-    stand = Stand()
+    stand = EngineServer()
     here = site(stand, request_bytes=1_000)
     client = here.client()
     client.send(ask(1), b"x" * 1_500 + b"\n", ask(2))
@@ -182,7 +182,7 @@
     client.send(ask(3), ask(4))
     spin(lambda: here.counters["lines_dropped"] == 3)
     (id,) = (words[1] for words in stand.wants())
-    stand.connections[0].say(id, b"200", b"chunks=1", ROWS)
+    stand.connections[0].respond(id, b"200", b"chunks=1", ROWS)
     spin(lambda: client.served_by.closed_at)
     client.send(ask(5))
     assert client.until_ended() == "closed"
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize("how", ["goes", "cancels"])
 def test_who_goes_from_a_connection_that_ends_is_heard(site, how):
     """Such a connection was not read from: a close or cancel did not show until the answer was written."""
-    stand = Stand()
+    stand = EngineServer()
     here = site(stand, request_bytes=1_000)
     client = here.client()
     client.send(ask(1), b"x" * 1_500 + b"\n")
@@ -205,7 +205,7 @@
         client.send(cancel(1))
     spin(lambda: not here.core.queries)
     assert here.counters["left"] == 1
-    spin(lambda: any(words[0] == b"never_mind" for words in stand.heard))
+    spin(lambda: any(words[0] == b"never_mind" for words in stand.received))
     if how == "cancels":
         assert client.until_ended() == "closed" and [said["id"] for said in client.answers()] == [None]
 
@@ -260,7 +260,7 @@
 @pytest.mark.parametrize("rested", [True, False])
 def test_a_request_that_lay_unread_when_the_close_was_decided_is_served(site, rested):
     """The loop was late: the request came before the time was up, and is no crossing of a close."""
-    stand = Stand(act=answer)
+    stand = EngineServer(on_command=answer)
     here = site(stand, loop=True, max_event_loop_delay=60 * S)
     client = here.client()
     if rested:
@@ -286,13 +286,13 @@
 
 def test_an_answer_and_an_idle_close_in_one_turn(site):
     """The answer counts as the client's last word with the coordinator: the close comes a whole idle time later."""
-    stand = Stand()
+    stand = EngineServer()
     here = site(stand)
     client = here.client()
     client.send(ask(1, "report", budget=19_000))
     spin(lambda: stand.wants())
     here.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval - MS)
-    stand.connections[0].say(stand.wants()[0][1], b"200", b"chunks=1", ROWS)
+    stand.connections[0].respond(stand.wants()[0][1], b"200", b"chunks=1", ROWS)
     spin(client.answers)
     here.clock.advance(2 * MS)  # the look is due in just this moment
     assert not client.served_by.ending
@@ -303,7 +303,7 @@
 def test_what_lay_unread_when_the_last_answer_of_a_drain_was_written_is_taken(site):
     """Pipelined requests: one is read only after the answer to the one before has been written. A close then would
     have turned it back, though it had come long before."""
-    stand = Stand(act=answer)
+    stand = EngineServer(on_command=answer)
     here = site(stand, loop=True)
     client = here.client()
     client.send(ask(1))
@@ -323,7 +323,7 @@
 
 
 def test_half_a_message_at_the_end_of_a_drain_is_dropped_and_counted(site):
-    stand = Stand(act=answer)
+    stand = EngineServer(on_command=answer)
     here = site(stand, loop=True)
     client = here.client()
     whole = json.dumps(ask(1)).encode() + b"\n"
@@ -338,7 +338,7 @@
     assert client.until_ended() == "closed" and not client.answers()
     spin(lambda: here.counters["lines_dropped"] == 1)
     gone(client)
-    assert not stand.heard and here.counters["requests_in"] == 0
+    assert not stand.received and here.counters["requests_in"] == 0
 
 
 def test_half_a_message_at_a_drain_does_not_hold_its_connection_beyond_its_time(site):
@@ -357,7 +357,7 @@
 
 @pytest.mark.parametrize("how", ["closes", "resets"])
 def test_a_client_that_closes_with_a_request_open_has_gone(site, how):
-    stand = Stand()
+    stand = EngineServer()
     here = site(stand)
     client = here.client()
     client.send(ask(1), ask(2))
@@ -368,7 +368,7 @@
     else:
         client.socket.shutdown(socket.SHUT_WR)  # its own half-close: no answer is read any more
     spin(lambda: not here.core.queries)
-    spin(lambda: sum(words[0] == b"never_mind" for words in stand.heard) == 2)
+    spin(lambda: sum(words[0] == b"never_mind" for words in stand.received) == 2)
     assert here.counters["left"] == 2 and not here.fronts[0].connections
 
 
@@ -382,7 +382,7 @@
 
 def test_a_client_is_told_as_deaf_to_while_it_is_not_read_from(site):
     """Its close and its cancels don't show then, so nothing new may begin for it."""
-    here = site(Stand())
+    here = site(EngineServer())
     client = here.client()
     client.send(ask(1))
     spin(lambda: here.core.queries)
@@ -402,7 +402,7 @@
 def test_a_client_that_sends_much_at_once_and_goes_is_given_up_whole(site):
     """Its faults have it read from slowly, so that its close shows late: nothing is held without bound meanwhile, and
     as it shows all is given up."""
-    stand = Stand()
+    stand = EngineServer()
     here = site(stand)
     client = here.client()
     client.send(*[ask(number, "report", budget=19_000) for number in range(1, 21)])
@@ -424,7 +424,7 @@
         assert here.clock.now() < 1_000_000 * S + 15 * S
     assert max(held) <= here.core.limits.request_bytes
     assert not here.core.queries and here.counters["left"] == 20 and here.counters["clients_slowed"]
-    spin(lambda: sum(words[0] == b"never_mind" for words in stand.heard) == 20)
+    spin(lambda: sum(words[0] == b"never_mind" for words in stand.received) == 20)
     assert len(stand.wants()) == 20
 
 
@@ -434,9 +434,9 @@
     def act(engine, word, id, *rest):
         if word in (b"want", b"turn"):
             at = int(rest[0]) if word == b"turn" else 0
-            engine.say(id, *((b"chunk", b"at=%d" % at) if at else (b"200", b"chunks=10")), big)
+            engine.respond(id, *((b"chunk", b"at=%d" % at) if at else (b"200", b"chunks=10")), big)
 
-    here = site(Stand(act=act), Stand(act=act))
+    here = site(EngineServer(on_command=act), EngineServer(on_command=act))
     client = here.client()
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     client.served_by.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
@@ -466,7 +466,7 @@
 def test_a_request_read_after_the_end_began_is_refused_and_never_sent_on(site):
     """It was taken where it could be answered by SIGKILL. What was taken before is served, also what waits for a
     dial just then."""
-    stand = Stand(act=answer)
+    stand = EngineServer(on_command=answer)
     here = site(stand)
     client, late = here.client(), here.client()
     dials, connect = [], reactor.connectTCP
@@ -1015,9 +1015,9 @@
     inner = JsonRpcConnection._answer
 
     def forgets(self, *given):
-        used = self.used
+        used = self.last_used
         inner(self, *given)
-        self.used = used
+        self.last_used = used
 
     monkeypatch.setattr(JsonRpcConnection, "_answer", forgets)
     with pytest.raises(AssertionError):
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -10,8 +10,8 @@
 from functools import partial
 
 import pytest
+from harness import CLASSES, LIMITS, MS, SETTINGS, CoordinatorTestBed, EngineServer, RespEngine, S, TdsEngine, spin
 from msgspec.structs import replace as limits_with
-from stands import CLASSES, LIMITS, MS, SETTINGS, RespEngine, S, Site, Stand, TdsEngine, spin
 from twisted.internet import reactor
 from twisted.internet.main import CONNECTION_LOST
 from twisted.internet.protocol import Protocol
@@ -19,7 +19,7 @@
 from rackhub import interface as t
 from rackhub.core.request import Query
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_protocol import command
+from rackhub.net.resp_protocol import encode_command
 from rackhub.net.tds.engine import EngineConnectionState
 
 TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -46,7 +46,7 @@
         self.came.append(("failed", b""))
 
 
-class Here(Site):
+class Here(CoordinatorTestBed):
     """A site that is asked without a client's connection, with its engines' commands in the test's sight."""
 
     def __init__(self, *stands, **more):
@@ -70,7 +70,7 @@
     def wants(self, query=None):
         """The `want` of each attempt that reached an engine."""
         return [
-            words for stand in self.stands for words in stand.wants() if query is None or words[1] == query.id.encode()
+            words for stand in self.engines for words in stand.wants() if query is None or words[1] == query.id.encode()
         ]
 
     def told(self, *states):
@@ -79,7 +79,7 @@
         self.rev += 1
         self.core.update_endpoints(entries, self.rev)  # the order of `Daemon._tell_list`
         self.pools.update_endpoints(
-            {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(self.stands) if states[i]},
+            {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(self.engines) if states[i]},
             entries,
         )
 
@@ -91,9 +91,13 @@
 def make(request):
     made = []
 
-    def build(count=2, *, tds=False, act=None, **more):
+    def build(count=2, *, tds=False, on_command=None, **more):
         made.append(
-            Here(*(Stand(TdsEngine if tds else RespEngine, act) for _ in range(count)), tds_engines=tds, **more)
+            Here(
+                *(EngineServer(TdsEngine if tds else RespEngine, on_command) for _ in range(count)),
+                tds_engines=tds,
+                **more,
+            )
         )
         return made[-1]
 
@@ -105,7 +109,7 @@
 def answer(connection, word, id, *_):
     """An engine that serves at once."""
     if word == b"want":
-        connection.say(id, b"200", b"chunks=1", ROWS)
+        connection.respond(id, b"200", b"chunks=1", ROWS)
 
 
 # ---- the window for repeats
@@ -165,10 +169,10 @@
 @pytest.mark.parametrize("tds", [False, True])
 def test_nothing_leaves_for_a_client_that_went_while_the_dial_was_under_way(make, tds, cancel):
     """Also where the site allows no cancel, and so the module calls nothing off."""
-    here = make(1, tds=tds, settings=replace(SETTINGS, cancel=cancel), act=answer)
+    here = make(1, tds=tds, settings=replace(SETTINGS, cancel=cancel), on_command=answer)
     gone = here.ask()
     here.core.disconnect_client(gone)
-    spin(lambda: here.stands[0].connections)
+    spin(lambda: here.engines[0].connections)
     stays = here.ask()
     spin(lambda: stays.closed)
     assert [words[1] for words in here.wants()] == [stays.id.encode()] and gone.reply.came == []
@@ -180,10 +184,10 @@
 
 def rest(here):
     """A connection to the one engine on which nothing is open."""
-    here.stands[0].act = answer
+    here.engines[0].on_command = answer
     first = here.ask("report")
     spin(lambda: first.closed)
-    here.stands[0].act = lambda *_: None
+    here.engines[0].on_command = lambda *_: None
     (link,) = here.links()
     assert link.up and not link.open
     return link
@@ -211,11 +215,11 @@
         query = here.ask()
         if [attempt.connection for attempt in query.in_flight.values()] == [link]:
             break
-    end(here.stands[0].connections[0])
-    here.stands[1].act = answer
+    end(here.engines[0].connections[0])
+    here.engines[1].on_command = answer
     spin(lambda: query.closed)
     assert query.reply.came == [("served", ROWS)]  # of a class that is tried again only on proof
-    assert here.wants(query) == here.stands[1].wants()[-len(here.wants(query)) :]
+    assert here.wants(query) == here.engines[1].wants()[-len(here.wants(query)) :]
 
 
 def test_of_the_attempts_on_a_lost_connection_each_is_told_by_what_has_left_of_it(make):
@@ -230,7 +234,7 @@
     )
     queued = here.ask()
     assert len({attempt.connection for query in (ran, queued) for attempt in query.in_flight.values()}) == 1
-    reset(here.stands[0].connections[0])
+    reset(here.engines[0].connections[0])
     spin(lambda: ran.closed)
     assert ends[:2] == [(ran, "RST"), (queued, "NOCONN")]
     assert ran.reply.came == [("failed", b"")]
@@ -240,8 +244,8 @@
     """An engine that reads nothing: what the kernel takes is gone, and what it took a part of can't be read."""
     here = make(1, settings=FRAGILE)
     link = rest(here)
-    here.stands[0].connections[0].transport.pauseProducing()
-    here.stands[0].connections[0].transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+    here.engines[0].connections[0].transport.pauseProducing()
+    here.engines[0].connections[0].transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     link.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     whole, ends, told = [here.ask()], [], here.core.complete_attempt
     here.core.complete_attempt = lambda attempt, how, *more: (
@@ -254,7 +258,7 @@
         spin(lambda: not link._queued)
     part = whole.pop()
     assert whole and 0 < link._out.buffered_bytes() < 40_000
-    reset(here.stands[0].connections[0])
+    reset(here.engines[0].connections[0])
     spin(lambda: any(query is part for query, _ in ends))
     assert (part, "NOCONN") in ends and not any((query, "NOCONN") in ends for query in whole)
     assert all((query, "RST") in ends for query in whole)
@@ -268,12 +272,12 @@
     here = make(1, settings=replace(FRAGILE, kind_cores={"std": 64.0}))
     here.pools._limits = limits_with(LIMITS, max_spread_connections=1)
     link = rest(here)
-    (engine,) = here.stands[0].connections
+    (engine,) = here.engines[0].connections
     queries = [here.ask() for _ in range(count)]
     assert {attempt.connection for query in queries for attempt in query.in_flight.values()} == {link}
     spin(lambda: all(here.wants(query) for query in queries))
     body = b"a\tb\t" + b"c" * 5_900 + b"\n"
-    said = b"".join(b"".join(command(query.id.encode(), b"200", b"chunks=1", body)) for query in queries)
+    said = b"".join(b"".join(encode_command(query.id.encode(), b"200", b"chunks=1", body)) for query in queries)
     assert writing or len(said) > 2 * 65_536
     link.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
     engine.transport.socket.sendall(said)
@@ -306,20 +310,20 @@
 @pytest.mark.parametrize("begun", [lambda here: None, under_way], ids=["dialling", "connected"])
 @pytest.mark.parametrize("state", ["Terminating", None])
 def test_what_waits_for_a_dial_of_an_engine_that_drains_or_goes_is_sent_elsewhere_at_once(make, tds, begun, state):
-    here = make(2, tds=tds, act=answer, settings=FRAGILE)
+    here = make(2, tds=tds, on_command=answer, settings=FRAGILE)
     queries = [here.ask() for _ in range(6)]
     begun(here)
     here.told(state, "Ready")
     assert {one_out(query).engine for query in queries} == {"e1"}  # before any turn of the loop
     spin(lambda: all(query.closed for query in queries))
     assert [query.reply.came for query in queries] == [[("served", ROWS)]] * len(queries)
-    assert not here.stands[0].wants()
+    assert not here.engines[0].wants()
     spin(lambda: not here.pools.retired or not any(pool.links for pool in here.pools.retired))
 
 
 def test_what_waits_for_the_login_at_an_engine_that_drains_is_sent_elsewhere_at_once(make):
     """Over TDS the dial is not the whole way."""
-    here = make(2, tds=True, act=answer, settings=FRAGILE)
+    here = make(2, tds=True, on_command=answer, settings=FRAGILE)
     queries = [here.ask() for _ in range(6)]
     held = []
 
@@ -327,7 +331,7 @@
         def connectionMade(self):
             held.append(self)
 
-    here.stands[0].factory.buildProtocol = lambda addr: Held()
+    here.engines[0].factory.buildProtocol = lambda addr: Held()
     spin(lambda: held and all(link.state != EngineConnectionState.DIALLING for link in here.links()))
     here.told("Terminating", "Ready")
     spin(lambda: all(query.closed for query in queries))
@@ -338,7 +342,7 @@
 @pytest.mark.parametrize("how", ["drains", "goes", "takes nothing"])
 def test_what_waits_for_the_socket_of_an_engine_is_sent_elsewhere(make, tds, how):
     """Its connection stands, and the socket takes nothing. What had been put on it left when it took bytes again."""
-    here = make(2, tds=tds, act=answer, settings=FRAGILE)
+    here = make(2, tds=tds, on_command=answer, settings=FRAGILE)
     here.told("Ready", None)
     first = here.ask()
     spin(lambda: first.closed)
@@ -358,12 +362,12 @@
     del link._out.send
     spin(lambda: query.closed)
     assert query.reply.came == [("served", ROWS)]
-    assert here.stands[1].wants() and not here.wants(query)[1:]
+    assert here.engines[1].wants() and not here.wants(query)[1:]
 
 
 def test_a_connection_opened_late_writes_nothing_to_an_engine_that_has_drained_meanwhile(make):
     """It came up in a late turn, so that what waited for it was held for three turns; the list came in between."""
-    here = make(2, act=answer, settings=FRAGILE)
+    here = make(2, on_command=answer, settings=FRAGILE)
     here.told("Ready", None)
     held, call_after_reads = [], here.core.timers.call_after_reads
     here.core.timers.call_after_reads = lambda late, call, *args: (
@@ -375,11 +379,11 @@
     here.told("Terminating", "Ready")
     held[0]()
     spin(lambda: query.closed)
-    assert query.reply.came == [("served", ROWS)] and not here.stands[0].wants()
+    assert query.reply.came == [("served", ROWS)] and not here.engines[0].wants()
 
 
 def test_of_a_list_the_new_engines_are_there_before_what_waited_for_the_old_ones_is_sent_on(make):
-    here = make(2, act=answer, settings=FRAGILE)
+    here = make(2, on_command=answer, settings=FRAGILE)
     here.told("Ready", None)
     query = here.ask()
     here.told(None, "Ready")
@@ -392,10 +396,10 @@
     query = here.ask()
     spin(lambda: here.wants(query))
     here.told("Terminating")
-    (engine,) = here.stands[0].connections
-    engine.say(query.id.encode(), b"200", b"chunks=2", ROWS)
-    spin(lambda: here.stands[0].heard[-1][0] == b"turn")
-    engine.say(query.id.encode(), b"chunk", b"at=1", ROWS)
+    (engine,) = here.engines[0].connections
+    engine.respond(query.id.encode(), b"200", b"chunks=2", ROWS)
+    spin(lambda: here.engines[0].received[-1][0] == b"turn")
+    engine.respond(query.id.encode(), b"chunk", b"at=1", ROWS)
     spin(lambda: query.closed)
     assert query.reply.came == [("served", 2 * ROWS)]
     spin(lambda: not here.links())
@@ -421,11 +425,11 @@
 def test_an_engine_that_comes_back_under_its_id_gets_nothing_on_connections_of_before(make, tds, moved):
     """It has a new start and its old address, or another one: what rests is closed, what dials is called off, what is
     open ends on its own."""
-    here = make(2, tds=tds, act=answer)
+    here = make(2, tds=tds, on_command=answer)
     here.told("Ready", None)
     first = here.ask()
     spin(lambda: first.closed)
-    here.stands[0].act = lambda *_: None
+    here.engines[0].on_command = lambda *_: None
     runs = here.ask()
     spin(lambda: len(here.wants()) == 2)
     old, waits = here.links(), here.ask()
@@ -433,21 +437,21 @@
         waits = here.ask()
     entry = t.EngineEntry("e0", "z", "std", started_at=here.clock.now())
     here.core.update_endpoints([entry], 9)
-    here.pools.update_endpoints({"e0": ("127.0.0.1", here.stands[moved].port.getHost().port)}, [entry])
-    before = sum(len(stand.connections) for stand in here.stands)
-    for stand in here.stands:
-        stand.act = answer
+    here.pools.update_endpoints({"e0": ("127.0.0.1", here.engines[moved].port.getHost().port)}, [entry])
+    before = sum(len(stand.connections) for stand in here.engines)
+    for stand in here.engines:
+        stand.on_command = answer
     assert not runs.closed
     spin(lambda: waits.closed)
     assert waits.reply.came == [("served", ROWS)]
     assert not any(link in old for pool in here.pools.pools.values() for link in pool.links)
-    assert sum(len(stand.connections) for stand in here.stands) > before
+    assert sum(len(stand.connections) for stand in here.engines) > before
     here.core.disconnect_client(runs)
     spin(lambda: not any(link in old for link in here.links()))
 
 
 def test_a_dial_that_ends_after_its_attempt_was_moved_is_kept_and_not_used_for_it(make):
-    here = make(2, act=answer)
+    here = make(2, on_command=answer)
     query = here.ask()
     first = one_out(query)
     under_way(here)
@@ -457,7 +461,7 @@
     assert second.engine != first.engine
     spin(lambda: query.closed)
     spin(lambda: first.connection.up)
-    spin(lambda: all(stand.connections for stand in here.stands))
+    spin(lambda: all(stand.connections for stand in here.engines))
     assert [words[1] for words in here.wants()] == [query.id.encode()] and query.reply.came == [("served", ROWS)]
     while (later := here.ask()).in_flight[0].connection is not first.connection:
         pass
@@ -480,10 +484,10 @@
     """The close waits for the last bytes to leave, and they never do: its descriptor would be held for good."""
     here = make(1)
     link = rest(here)
-    here.stands[0].connections[0].transport.pauseProducing()
+    here.engines[0].connections[0].transport.pauseProducing()
     link.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     while not link._out.buffered_bytes():  # no request stays behind a full socket, but what calls requests off does
-        link._out.write(command(b"never_mind", b"%016x" % 99) * 5_000)
+        link._out.write(encode_command(b"never_mind", b"%016x" % 99) * 5_000)
         reactor.iterate(0)
     here.told("Terminating")
     assert link.closed and link.transport.disconnecting
@@ -513,7 +517,7 @@
     return b"*%d\r\n" % count + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in (id, *more))
 
 
-GOOD = b"".join(command(b"2".zfill(16), b"200", b"chunks=1", ROWS))  # of the second of those that share
+GOOD = b"".join(encode_command(b"2".zfill(16), b"200", b"chunks=1", ROWS))  # of the second of those that share
 SPOILT = {
     "a number with no end": written(b"1".zfill(16), b"200", b"chunks=1") + b"$" + b"1" * 1_000,
     "a number beyond its bound": written(b"1".zfill(16), b"200", b"chunks=1") + b"$999999\r\n",
@@ -531,7 +535,7 @@
     """Nothing that follows it is credited, also not where it would make an answer."""
     here = make(1, settings=FRAGILE)
     queries = shared(here)
-    here.stands[0].connections[0].transport.write(said + GOOD)
+    here.engines[0].connections[0].transport.write(said + GOOD)
     spin(lambda: all(query.closed for query in queries))
     assert [query.reply.came for query in queries] == [[("failed", b"")]] * 3
     assert here.counters["engine_bad_frames"] == 1 and here.counters["out_rst"] == 3
@@ -552,7 +556,7 @@
     """The connection is lost, or nothing more comes on it; what came whole before it is passed on."""
     here = make(1, settings=FRAGILE)
     queries = shared(here)
-    (engine,) = here.stands[0].connections
+    (engine,) = here.engines[0].connections
     engine.transport.socket.sendall(GOOD + said)
     if lost:
         reset(engine)
@@ -567,16 +571,16 @@
 def test_a_result_of_more_pages_than_one_may_have_costs_nothing_and_ends_one_attempt(make, count):
     here = make(1, settings=FRAGILE)
     queries = shared(here)
-    (engine,) = here.stands[0].connections
+    (engine,) = here.engines[0].connections
     tracemalloc.start()
-    engine.say(queries[0].id.encode(), b"200", b"chunks=%d" % count, ROWS)
+    engine.respond(queries[0].id.encode(), b"200", b"chunks=%d" % count, ROWS)
     spin(lambda: queries[0].closed)
     most = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     assert most < 10_000_000 and queries[0].reply.came == [("failed", b"")]
-    spin(lambda: here.stands[0].heard[-1] == (b"shut", queries[0].id.encode()))
+    spin(lambda: here.engines[0].received[-1] == (b"shut", queries[0].id.encode()))
     for query in queries[1:]:
-        engine.say(query.id.encode(), b"200", b"chunks=1", ROWS)
+        engine.respond(query.id.encode(), b"200", b"chunks=1", ROWS)
     spin(lambda: all(query.closed for query in queries))
     assert [query.reply.came for query in queries[1:]] == [[("served", ROWS)]] * 2
 
@@ -591,8 +595,8 @@
     query = here.ask()
     spin(lambda: here.wants(query))
     first, id = one_out(query), query.id.encode()
-    (engine,) = here.stands[0].connections
-    engine.transport.socket.sendall(b"".join(command(id, b"200", b"chunks=1", b"old\told\told\n")))
+    (engine,) = here.engines[0].connections
+    engine.transport.socket.sendall(b"".join(encode_command(id, b"200", b"chunks=1", b"old\told\told\n")))
     here.core.attempts.cancel(t.Cancel(query.id, 0))
     if planted:
         first.connection.failed_ids.clear()
@@ -601,15 +605,15 @@
     assert second is not first and (second.connection is first.connection) == planted
     if planted:  # the first copy is read before the second attempt is sent; a further one is not
         spin(lambda: here.counters["engine_strays"] and len(here.wants(query)) == 2)
-        engine.say(id, b"200", b"chunks=1", b"old\told\told\n")
+        engine.respond(id, b"200", b"chunks=1", b"old\told\told\n")
         spin(lambda: query.closed)
         assert query.reply.came == [("served", b"old\told\told\n")]
         return
     spin(lambda: here.counters["engine_strays"] and len(here.wants(query)) == 2)
-    engine.say(id, b"200", b"chunks=1", b"old\told\told\n")  # and a second copy of it
+    engine.respond(id, b"200", b"chunks=1", b"old\told\told\n")  # and a second copy of it
     spin(lambda: here.counters["engine_strays"] == 2)
     assert not query.closed
-    here.stands[0].connections[1].say(id, b"200", b"chunks=1", ROWS)
+    here.engines[0].connections[1].respond(id, b"200", b"chunks=1", ROWS)
     spin(lambda: query.closed)
     assert query.reply.came == [("served", ROWS)]
 
@@ -621,8 +625,8 @@
     query = here.ask()
     spin(lambda: here.wants(query))
     attempt = one_out(query)
-    engine = next(connection for stand in here.stands for connection in stand.connections if stand.wants())
-    engine.transport.socket.sendall(b"".join(command(query.id.encode(), b"200", b"chunks=1", ROWS)))
+    engine = next(connection for stand in here.engines for connection in stand.connections if stand.wants())
+    engine.transport.socket.sendall(b"".join(encode_command(query.id.encode(), b"200", b"chunks=1", ROWS)))
     if answer_first:
         reactor.iterate(0.01)
         spin(lambda: query.closed)
@@ -638,12 +642,12 @@
     """It comes under an id that is over, beside one of a request that is open."""
     here = make(1)
     queries = shared(here, 2)
-    (engine,) = here.stands[0].connections
+    (engine,) = here.engines[0].connections
     for _ in range(2):
-        engine.say(queries[0].id.encode(), b"200", b"chunks=1", ROWS)
+        engine.respond(queries[0].id.encode(), b"200", b"chunks=1", ROWS)
     spin(lambda: here.counters["engine_strays"])
     assert queries[0].reply.came == [("served", ROWS)] and not queries[1].closed
-    engine.say(queries[1].id.encode(), b"200", b"chunks=1", ROWS)
+    engine.respond(queries[1].id.encode(), b"200", b"chunks=1", ROWS)
     spin(lambda: queries[1].closed)
     assert queries[1].reply.came == [("served", ROWS)]
 
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -14,11 +14,11 @@
 from types import SimpleNamespace
 
 import pytest
+from harness import LIMITS, MS, FakeClock, S
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
 from model_reach import reaching
-from stands import LIMITS, MS, FakeClock, S
 from test_wire_models import Transport
 
 from rackhub import interface as t
@@ -33,7 +33,7 @@
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.pool import EnginePool, EnginePools
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_protocol import command
+from rackhub.net.resp_protocol import encode_command
 from rackhub.policy import lifecycle, retries
 
 WINDOW = 300 * MS
@@ -467,7 +467,7 @@
         out = [asked for asked in self.asked.values() if asked.out]
         asked = out[which % len(out)]
         spoilt, word = word == b"spoilt", word if word != b"spoilt" else b"200"
-        answer = b"".join(command(asked.rid.encode(), word, b"chunks=1", b"spoilt" if spoilt else ROWS))
+        answer = b"".join(encode_command(asked.rid.encode(), word, b"chunks=1", b"spoilt" if spoilt else ROWS))
         socket, asked.out = self.links[asked.out], None
         socket.send(answer * (1 + twice))
         if word in NEVER_RAN:
@@ -477,7 +477,7 @@
     @rule()
     def answers_what_is_answered(self):
         asked = next(asked for asked in self.asked.values() if asked.out and asked.answers)
-        self.links[asked.out].send(b"".join(command(asked.rid.encode(), b"200", b"chunks=1", ROWS)))
+        self.links[asked.out].send(b"".join(encode_command(asked.rid.encode(), b"200", b"chunks=1", ROWS)))
         asked.out = None
 
     @precondition(lambda self: self.links)
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -7,8 +7,8 @@
 from types import SimpleNamespace
 
 import pytest
+from harness import LIMITS, MS, SETTINGS, CoordinatorTestBed, EngineServer, S, spin
 from msgspec.structs import replace
-from stands import LIMITS, MS, SETTINGS, S, Site, Stand, spin
 from test_core import Core, Scripted
 from twisted.internet import reactor
 
@@ -22,7 +22,7 @@
 
 def answers(connection, word, id, *_):
     if word == b"want":
-        connection.say(id, b"200", b"chunks=1", ROWS)
+        connection.respond(id, b"200", b"chunks=1", ROWS)
 
 
 class Raw:
@@ -94,7 +94,7 @@
 @pytest.fixture
 def site(request):
     """A coordinator with two engines that answer nothing unless told to. Indirect parameters: further arguments."""
-    here = Site(Stand(), Stand(), **getattr(request, "param", {}))
+    here = CoordinatorTestBed(EngineServer(), EngineServer(), **getattr(request, "param", {}))
     here.raw = []
     yield here
     for client in here.raw:
@@ -133,7 +133,7 @@
 
 
 def wants(site):
-    return [words for stand in site.stands for words in stand.wants()]
+    return [words for stand in site.engines for words in stand.wants()]
 
 
 def empty(site):
@@ -149,13 +149,13 @@
 
 def warm(site):
     """A connection to e0 is up, and all is at rest."""
-    site.stands[0].act = answers
+    site.engines[0].on_command = answers
     client = Raw(site)
     script(site, lambda event: [t.Send(event.query, "e0")])
     client.ask(0xFFF)
     spin(lambda: empty(site) and wants(site))
-    site.stands[0].act = lambda *_: None
-    site.stands[0].heard.clear()
+    site.engines[0].on_command = lambda *_: None
+    site.engines[0].received.clear()
 
 
 def script(site, arrived, **acts):
@@ -182,7 +182,7 @@
     )
     client.ask(1)
     spin(lambda: wants(site))
-    site.stands[0].connections[0].say(f"{1:016x}".encode(), b"503")
+    site.engines[0].connections[0].respond(f"{1:016x}".encode(), b"503")
     spin(lambda: site.counters["out_full"])
     client.go(1, how)
     late(site)
@@ -220,7 +220,7 @@
     client.ask(1)
     spin(lambda: wants(site))
     client.served_by.transport.stopReading()  # the turn's events were fetched before the client's end came
-    site.stands[0].connections[0].say(f"{1:016x}".encode(), b"503")
+    site.engines[0].connections[0].respond(f"{1:016x}".encode(), b"503")
     client.socket.close()
     late(site)
     for _ in range(100):
@@ -252,7 +252,7 @@
         late(site, 60 * MS)
         turn(site)
     assert len(wants(site)) == 1
-    site.stands[0].connections[0].say(f"{1:016x}".encode(), b"200", b"chunks=1", ROWS)
+    site.engines[0].connections[0].respond(f"{1:016x}".encode(), b"200", b"chunks=1", ROWS)
     spin(lambda: empty(site))
 
 
@@ -294,10 +294,10 @@
     spin(lambda: held.waiting)
     site.clock.advance(200 * MS + LIMITS.deadline_check_interval)
     assert [event.outcome for event in module.events if isinstance(event, t.AttemptCompleted)] == ["NOCONN"]
-    site.stands[1].act = answers
+    site.engines[1].on_command = answers
     first, second = held.release(), held.release()
     spin(lambda: first.up and second.up and empty(site))
-    assert not site.stands[0].wants() and len(site.stands[1].wants()) == 1
+    assert not site.engines[0].wants() and len(site.engines[1].wants()) == 1
 
 
 def test_an_attempt_that_waits_for_its_dial_leaves_an_engine_that_begins_to_drain(site):
@@ -306,17 +306,17 @@
     client.ask(1)
     spin(lambda: held.waiting)
     drains(site)
-    site.stands[1].act = answers
+    site.engines[1].on_command = answers
     second = held.release()
     spin(lambda: second.up and empty(site))
-    assert not held.waiting and not site.stands[0].wants() and len(site.stands[1].wants()) == 1
+    assert not held.waiting and not site.engines[0].wants() and len(site.engines[1].wants()) == 1
 
 
 def drains(site):
     """e0, told as the program tells it."""
     entries = [t.EngineEntry("e0", "z", "std", state="Draining"), t.EngineEntry("e1", "z", "std")]
     site.core.update_endpoints(entries, 2)
-    addresses = {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(site.stands)}
+    addresses = {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(site.engines)}
     site.pools.update_endpoints(addresses, entries)
 
 
@@ -333,7 +333,7 @@
     drains(site)
     turns(site)
     spin(lambda: wants(site))
-    assert not site.stands[0].wants() and len(site.stands[1].wants()) == 1
+    assert not site.engines[0].wants() and len(site.engines[1].wants()) == 1
 
 
 # ---- a client that is not read from
@@ -485,7 +485,7 @@
     )
     id = client.ask(1).encode()
     spin(lambda: wants(site))
-    answer = site.stands[0].connections[0].say
+    answer = site.engines[0].connections[0].respond
     if first == "answer":
         answer(id, b"200", b"chunks=1", ROWS)
         spin(lambda: not site.core.queries)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -9,8 +9,8 @@
 from types import SimpleNamespace
 
 import pytest
+from harness import LIMITS, MS, SETTINGS, FakeClock, spin
 from msgspec.structs import replace as limits_with
-from stands import LIMITS, MS, SETTINGS, FakeClock, spin
 from test_resolver import answer
 from twisted.internet import reactor
 from twisted.internet.error import CannotListenError
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -5,9 +5,9 @@
 
 import msgspec
 import pytest
+from harness import MS, FakeClock, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stands import MS, FakeClock, S
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from rackhub import interface as t
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -3,7 +3,7 @@
 import logging
 
 import pytest
-from stands import SETTINGS, Site, Stand, spin
+from harness import SETTINGS, CoordinatorTestBed, EngineServer, spin
 
 from rackhub import logs
 from rackhub.core import admission, attempts, request_completion
@@ -56,8 +56,10 @@
     level("debug")
     for module in (admission, attempts, request_completion, resp):
         monkeypatch.setattr(module, "log", logs.logger(module.__name__))
-    full = Stand(act=lambda engine, word, id, *rest: engine.say(id, b"503") if word == b"want" else None)
-    site = Site(full, settings=SETTINGS)
+    full = EngineServer(
+        on_command=lambda engine, word, id, *rest: engine.respond(id, b"503") if word == b"want" else None
+    )
+    site = CoordinatorTestBed(full, settings=SETTINGS)
     try:
         with caplog.at_level("DEBUG", logger="rackhub"):
             client = site.json_client()
--- a/tests/test_momentary_faults.py
+++ b/tests/test_momentary_faults.py
@@ -52,6 +52,6 @@
     now = [0.0]
     reservation = DelayedReservation(Spare(), lambda: now[0])
     told = []
-    for now[0] in (10.0, 10.05, 10.25, 10.5, 10.75 + DelayedReservation.OVER):
+    for now[0] in (10.0, 10.05, 10.25, 10.5, 10.75 + DelayedReservation.SHORTAGE_GAP_S):
         told.append(reservation.available())
     assert told == [False, False, True, True, False]
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -3,15 +3,15 @@
 import random
 
 import pytest
+from harness import LIMITS
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stands import LIMITS
 from twisted.internet.task import Clock
 from twisted.names import dns
 
 from rackhub.core.source import EndpointSnapshot
 from rackhub.counters import Counters
-from rackhub.net.dns_protocol import SERVICE, InvalidAnswerError, parse_answer, question
+from rackhub.net.dns_protocol import SERVICE, InvalidAnswerError, encode_query, parse_answer
 from rackhub.net.poll_schedule import PollSchedule
 from rackhub.net.resolver import Resolver
 
@@ -64,7 +64,7 @@
 
 def test_the_question_is_one_that_a_resolver_reads():
     message = dns.Message()
-    message.fromStr(question(513))
+    message.fromStr(encode_query(513))
     assert message.id == 513 and message.recDes and len(message.queries) == 1
     assert (message.queries[0].name.name, message.queries[0].type) == (SERVICE, dns.SRV)
 
@@ -97,7 +97,7 @@
         answer(1, 41, A, drop=(dns.A,)),
         answer(1, 41, A, drop=(dns.TXT,)),
         answer(1, 41, ("a", "127.0.0.1", 7, 0)),
-        question(1),
+        encode_query(1),
         b"",
         b"\0" * 12,
     ],
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -19,7 +19,7 @@
 from rackhub.fleet.link import frames
 from rackhub.fleet.overload import records
 from rackhub.fleet.register import messages as register_messages
-from rackhub.net.dns_protocol import parse_answer, question
+from rackhub.net.dns_protocol import encode_query, parse_answer
 from rackhub.trials.processes import bound, forger, probes, rows, schedule, torture
 from rackhub.trials.processes.arrivals import Arrival, Load
 from rackhub.trials.processes.attempts import Attempts, Sent
@@ -375,13 +375,13 @@
         )
         for number in range(count)
     ]
-    told = parse_answer(answer(question(7), 41, engines))
+    told = parse_answer(answer(encode_query(7), 41, engines))
     assert told.revision == 41 and told.addresses == {each.name: each.address for each in engines}
     assert {entry.engine: (entry.zone, entry.state, entry.started_at) for entry in told.entries} == {
         each.name: (each.site, "Terminating" if each.status == "draining" else "Ready", each.since_ms * 1_000)
         for each in engines
     }
-    assert answer(question(7)[:20], 41, engines) is None
+    assert answer(encode_query(7)[:20], 41, engines) is None
 
 
 def test_the_judge_of_gathers_finds_partial_answers_that_pass_as_whole():
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -10,7 +10,7 @@
 
 import msgspec
 import pytest
-from stands import CLASSES, LIMITS, SETTINGS, FakeClock, S
+from harness import CLASSES, LIMITS, SETTINGS, FakeClock, S
 from test_config import notice, told
 from twisted.internet import reactor
 from twisted.internet.task import Clock
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -14,12 +14,12 @@
 import msgspec
 import pytest
 from bad_timings import BAD, COPIES, GOOD, SITE, part
+from harness import CLASSES, LIMITS, EngineServer, FakeClock, RespEngine, TdsEngine, dial, spin
+from harness import CoordinatorTestBed as Loopback
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from model_reach import reaching
-from stands import CLASSES, LIMITS, FakeClock, RespEngine, Stand, TdsEngine, dial, spin
-from stands import Site as Loopback
 from test_config import SETTINGS as PLATFORM
 from test_config import told
 from test_core import Scripted
@@ -570,7 +570,7 @@
 
 @pytest.mark.parametrize("tds", [False, True])
 def test_a_repeat_whose_window_ends_while_its_connection_is_made_is_not_sent(tds):
-    stands = [Stand(TdsEngine if tds else RespEngine) for _ in range(2)]
+    stands = [EngineServer(TdsEngine if tds else RespEngine) for _ in range(2)]
     here = Loopback(*stands, tds_engines=tds)
     try:
         here.core.request_policy = Desk(
@@ -792,7 +792,11 @@
 def test_both_fronts_get_the_same_terms():
     outcomes = []
     for tds in (False, True):
-        here = Loopback(Stand(act=lambda engine, word, id, *rest: engine.say(id, b"500") if word == b"want" else None))
+        here = Loopback(
+            EngineServer(
+                on_command=lambda engine, word, id, *rest: engine.respond(id, b"500") if word == b"want" else None
+            )
+        )
         try:
             here.core.request_policy = Desk(
                 Table([Route(cls="lookup", attempts=1, priority=3)], here.core.settings), {}, 3, here.counters.add
@@ -814,7 +818,7 @@
                     ).encode()
                 )
                 spin(lambda c=client: len(c.lines) == 1)
-            (want,) = here.stands[0].wants()
+            (want,) = here.engines[0].wants()
             outcomes.append((here.counters["attempts"], here.counters["refused"], b"level=3" in want[2]))
         finally:
             here.close()
@@ -907,9 +911,9 @@
 
 
 def test_a_good_file_loads_by_sighup_under_traffic_and_a_bad_one_changes_nothing(files, tmp_path):
-    stand = Stand(
-        act=lambda engine, word, id, *rest: (
-            engine.say(id, b"200", b"chunks=1", b"a\tb\tc\n") if word == b"want" else None
+    stand = EngineServer(
+        on_command=lambda engine, word, id, *rest: (
+            engine.respond(id, b"200", b"chunks=1", b"a\tb\tc\n") if word == b"want" else None
         )
     )
     with socket.socket() as one:
@@ -936,7 +940,7 @@
                 return line
         raise AssertionError(f"it never said {what!r}")
 
-    from stands import JsonClient
+    from harness import JsonClient
 
     try:
         until("serves on")
--- a/tests/test_two_fronts.py
+++ b/tests/test_two_fronts.py
@@ -7,7 +7,7 @@
 
 import pytds
 import pytest
-from stands import CLASSES, LIMITS, MS, RespEngine, S, Site, Stand, TdsEngine, spin
+from harness import CLASSES, LIMITS, MS, CoordinatorTestBed, EngineServer, RespEngine, S, TdsEngine, spin
 
 from rackhub.net.tds import codec
 from rackhub.net.tds import front as tds
@@ -21,7 +21,7 @@
     made = []
 
     def make(*stands, **more):
-        made.append(Site(*stands, **more))
+        made.append(CoordinatorTestBed(*stands, **more))
         return made[-1]
 
     yield make
@@ -46,13 +46,13 @@
 def test_attention_halfway_through_a_report_frees_the_work_and_the_connection_goes_on(site):
     def act(engine, word, id, *rest):
         if word == b"want" and b"long" in rest[1]:
-            engine.say(id, b"200", b"chunks=4", ROWS)
+            engine.respond(id, b"200", b"chunks=4", ROWS)
         elif word == b"want":
-            engine.say(id, b"200", b"chunks=1", ROWS)
+            engine.respond(id, b"200", b"chunks=1", ROWS)
         elif word == b"turn" and rest[0] == b"1":
-            engine.say(id, b"chunk", b"at=1", ROWS)  # and no further page: the report is halfway in
+            engine.respond(id, b"chunk", b"at=1", ROWS)  # and no further page: the report is halfway in
 
-    stand = Stand(act=act)
+    stand = EngineServer(on_command=act)
     here = site(stand)
     client = here.tds_client()
     client.call("SELECT long FROM r_3.t", **{"class": "report"})
@@ -61,7 +61,7 @@
     spin(lambda: len(client.answers) == 2)
     assert [kind for kind, _ in client.answers[1]] == [codec.DONE]
     assert client.answers[1][0][1].status == codec.DONE_ATTN
-    spin(lambda: any(words[0] == b"shut" for words in stand.heard))
+    spin(lambda: any(words[0] == b"shut" for words in stand.received))
     here.clock.advance(LIMITS.cancellation_delay)
     assert not here.core.queries and not here.core.in_flight
     client.call("SELECT short FROM r_3.t")
@@ -81,9 +81,9 @@
             seen.add(key)
             effects.append(rest[1])
         else:
-            engine.say(id, b"200", b"chunks=1", ROWS)
+            engine.respond(id, b"200", b"chunks=1", ROWS)
 
-    here = site(Stand(TdsEngine, act) if tds_engines else Stand(act=act), tds_engines=tds_engines)
+    here = site(EngineServer(TdsEngine, act) if tds_engines else EngineServer(on_command=act), tds_engines=tds_engines)
     first, second = here.tds_client(), here.json_client()
     first.call("INSERT INTO r_5.t", **{"class": "depot-load", "key": "k1", "budget_ms": 900})
     spin(lambda: effects)
@@ -94,7 +94,7 @@
     ask(second, 9, "depot-load", b"INSERT INTO r_5.t", token="k1")
     spin(lambda: second.lines)
     assert base64.b64decode(json.loads(second.lines[0])["result"]["body"]) == ROWS
-    assert effects == [b"INSERT INTO r_5.t"] and len(here.stands[0].wants()) == 2
+    assert effects == [b"INSERT INTO r_5.t"] and len(here.engines[0].wants()) == 2
 
 
 def scripted(engine, word, id, *rest):
@@ -106,9 +106,9 @@
     said = statement.split(b" in ")[0].split(b" ")[1:]
     how = said[min(tries, len(said)) - 1]
     if how == b"ok":
-        engine.say(id, b"200", b"chunks=1,report=inflight:3;queue:0", ROWS)
+        engine.respond(id, b"200", b"chunks=1,report=inflight:3;queue:0", ROWS)
     elif how in (b"503", b"500", b"504"):
-        engine.say(id, how)
+        engine.respond(id, how)
     elif how == b"reset":
         engine.transport.abortConnection()
 
@@ -124,10 +124,10 @@
 
 def replay(site, front, tds_engines):
     """The traffic through one front: what each engine was told, in order, and each outcome."""
-    stands = [Stand(TdsEngine if tds_engines else RespEngine, scripted) for _ in range(3)]
+    stands = [EngineServer(TdsEngine if tds_engines else RespEngine, scripted) for _ in range(3)]
     told, tries = [], {}
     for stand in stands:
-        stand.heard, stand.tries = told, tries
+        stand.received, stand.tries = told, tries
     numbers = itertools.count(1)
     here = site(*stands, tds_engines=tds_engines, ids=lambda: f"{next(numbers):016x}")
     client = here.json_client() if front == "json" else here.tds_client()
@@ -201,9 +201,9 @@
 
     def act(engine, word, id, *rest):
         if word == b"want":
-            engine.say(id, b"500") if b"bad" in rest[1] else engine.say(id, b"200", b"chunks=1", ROWS)
+            engine.respond(id, b"500") if b"bad" in rest[1] else engine.respond(id, b"200", b"chunks=1", ROWS)
 
-    here, found = site(Stand(act=act)), {}
+    here, found = site(EngineServer(on_command=act)), {}
     port = here.ports[1].getHost().port
 
     def drive():
--- a/tests/test_unread_clients.py
+++ b/tests/test_unread_clients.py
@@ -9,7 +9,7 @@
 import socket
 
 import pytest
-from stands import LIMITS, MS, RespEngine, S, Site, Stand, TdsEngine, spin
+from harness import LIMITS, MS, CoordinatorTestBed, EngineServer, RespEngine, S, TdsEngine, spin
 from test_core import Core
 from test_crossings_requests import Raw, answers, empty, script, turn, turns, wants, warm
 from test_gather import Client as GatherClient
@@ -17,7 +17,7 @@
 
 from rackhub import interface as t
 from rackhub.core.request import AttemptState, Query
-from rackhub.net.outgoing import Outgoing
+from rackhub.net.outgoing import SocketWriter
 
 GONE_FOR = 100 * MS  # after its client's end no attempt may begin
 BIG_PAGE = b"".join(b"%040d\tb\tc\n" % number for number in range(100))
@@ -30,7 +30,7 @@
 def site(request):
     more = getattr(request, "param", {})
     protocol = TdsEngine if more.get("tds_engines") else RespEngine
-    here = Site(Stand(protocol), Stand(protocol), **more)
+    here = CoordinatorTestBed(EngineServer(protocol), EngineServer(protocol), **more)
     here.raw = []
     yield here
     for client in here.raw:
@@ -74,7 +74,7 @@
     spin(lambda: site.core.queries if next_attempt == "first" else wants(site))
     stop_over_unread_bytes(site, client)
     if next_attempt != "first":
-        site.stands[1].connections[0].say(f"{1:016x}".encode(), b"503")
+        site.engines[1].connections[0].respond(f"{1:016x}".encode(), b"503")
         spin(lambda: site.counters["out_full"])
     site.clock.advance(5 * MS)
     turns(site)
@@ -104,7 +104,7 @@
         site.clock.advance(quiet)
         turns(site)
     client.served_by.pauseProducing()
-    site.stands[0].connections[0].say(f"{1:016x}".encode(), b"503")
+    site.engines[0].connections[0].respond(f"{1:016x}".encode(), b"503")
     spin(lambda: len(wants(site)) == 2)
 
 
@@ -133,20 +133,20 @@
     """Connections to an engine whose socket takes nothing until the test says so."""
 
     def __init__(self, monkeypatch):
-        self.full, send = True, Outgoing.send
-        monkeypatch.setattr(Outgoing, "send", lambda out, data: not self.full and send(out, data))
+        self.full, send = True, SocketWriter.send
+        monkeypatch.setattr(SocketWriter, "send", lambda out, data: not self.full and send(out, data))
 
 
 # Guards against an attempt that waits for its socket and leaves as reading goes on, before the client's end is read.
 @pytest.mark.parametrize("site", [{}, {"tds_engines": True}], ids=["resp", "tds"], indirect=True)
 @pytest.mark.parametrize("goes", [True, False])
 def test_an_attempt_behind_a_full_socket_waits_until_its_client_is_read_again(site, monkeypatch, goes):
-    site.stands[0].act = answers
+    site.engines[0].on_command = answers
     script(site, lambda event: [t.Send(event.query, "e0")])
     Raw(site).ask(0xFFF)  # so that a connection is up
     spin(lambda: site.counters["served"] == 1)
-    site.stands[0].act = lambda *_: None
-    site.stands[0].heard.clear()
+    site.engines[0].on_command = lambda *_: None
+    site.engines[0].received.clear()
     client, socket_state = Raw(site), FullSocket(monkeypatch)
     client.ask(1)
     spin(lambda: turn(site) or site.core.in_flight)
@@ -217,8 +217,8 @@
     def __init__(self, site, seed):
         self.site, self.random = site, random.Random(seed)
         self.begun, self.gone_at = [], {}
-        for stand in site.stands:
-            stand.act = self.engine
+        for stand in site.engines:
+            stand.on_command = self.engine
         self.client = Raw(site)
         self.client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
         self.client.served_by.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
@@ -251,7 +251,7 @@
 
     def engine(self, connection, word, id, *rest):
         if word == b"turn":
-            connection.say(id, b"chunk", b"at=%d" % int(rest[0]), BIG_PAGE)
+            connection.respond(id, b"chunk", b"at=%d" % int(rest[0]), BIG_PAGE)
         elif word == b"want":
             self.begun.append((int(id, 16), self.site.clock.now()))
             self.delayed.append((connection, id))
@@ -259,9 +259,9 @@
     def answer_one(self):
         connection, id = self.delayed.pop(self.random.randrange(len(self.delayed)))
         if self.random.random() < 0.4:
-            connection.say(id, b"503")
+            connection.respond(id, b"503")
         else:
-            connection.say(id, b"200", b"chunks=%d" % self.pages, BIG_PAGE)
+            connection.respond(id, b"200", b"chunks=%d" % self.pages, BIG_PAGE)
 
     def sip(self):
         if not self.gone_at.get("close"):
@@ -324,7 +324,7 @@
 def test_no_attempt_begins_for_a_gone_slow_reader_in_random_orders(first_seed):
     resumed = 0
     for seed in range(first_seed, first_seed + 25):
-        here = Site(Stand(), Stand())
+        here = CoordinatorTestBed(EngineServer(), EngineServer())
         here.raw = []
         try:
             run = SlowReader(here, seed)
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -8,12 +8,12 @@
 from types import SimpleNamespace
 
 import pytest
+from harness import CLASSES, LIMITS, LOGIN, MS, TDS, FakeClock, S, TdsClient
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from model_reach import reaching
 from msgspec.structs import replace
-from stands import CLASSES, LIMITS, LOGIN, MS, TDS, FakeClock, S, TdsClient
 from twisted.internet.testing import StringTransport
 
 from rackhub.core.request import Attempt, Query
@@ -22,7 +22,7 @@
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.pool import EnginePool, EnginePools
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_protocol import command
+from rackhub.net.resp_protocol import encode_command
 from rackhub.net.tds import codec
 from rackhub.net.tds import front as tds
 
@@ -436,7 +436,7 @@
 
     def say(self, *words, cuts=()):
         self.heard = self.core.clock.now()
-        feed(self.connection, b"".join(command(*words)), cuts)
+        feed(self.connection, b"".join(encode_command(*words)), cuts)
 
     def pick(self, data, where):
         return data.draw(st.sampled_from(sorted(where)))
@@ -499,7 +499,7 @@
                 break
             left = max((self.attempts[id].query.deadline - self.core.clock.now()) // MS, 1)
             fields = b"profile=depot-load,max=%d,level=1,replay=key" % left
-            want = b"".join(command(b"want", id.encode(), fields, b"INSERT"))
+            want = b"".join(encode_command(b"want", id.encode(), fields, b"INSERT"))
             assert said.startswith(want)
             said = said[len(want) :]
             self.ends[id] = self.last_end = self.wire.written - len(said)
@@ -515,7 +515,7 @@
         if id in self.pages:
             return
         self.say(id.encode(), b"200", b"chunks=%d,report=inflight:7;queue:2" % count, b"p0\t\t\n", cuts=cuts)
-        asked = b"".join(b"".join(command(b"turn", id.encode(), b"%d" % page)) for page in range(1, count))
+        asked = b"".join(b"".join(encode_command(b"turn", id.encode(), b"%d" % page)) for page in range(1, count))
         assert self.wire.take() == asked  # success waits for all pages
         if count == 1:
             self.over(id, "GOOD", b"p0\t\t\n")
@@ -606,7 +606,7 @@
         """What stands behind such a frame waited for its deadline."""
         if seldom:
             return
-        frame = b"".join(command(b"1" * 16, b"status", b"-", b""))
+        frame = b"".join(encode_command(b"1" * 16, b"status", b"-", b""))
         self.heard = self.core.clock.now()
         feed(self.connection, frame[:part], cuts)
         self.core.clock.advance(LIMITS.frame_timeout)
@@ -637,7 +637,7 @@
         self.pages.pop(id, None)
         sent, left = id in self.ends, self.ends.get(id, 0) <= self.wire.gone
         self.connection.give_up(attempt)
-        assert self.wire.take() == (b"".join(command(word, id.encode())) if sent and left else b"")
+        assert self.wire.take() == (b"".join(encode_command(word, id.encode())) if sent and left else b"")
         if sent and not left:  # its rest must not leave any more, and nothing else can follow it
             assert self.wire.aborted and self.counters["engine_cuts"] == 1
             self.lose()
@@ -659,7 +659,7 @@
         id = self.pick(data, self.attempts)
         self.connection.promote(self.attempts[id])
         heard = id in self.ends and id not in self.pages
-        assert self.wire.take() == (b"".join(command(b"promote", id.encode(), b"1")) if heard else b"")
+        assert self.wire.take() == (b"".join(encode_command(b"promote", id.encode(), b"1")) if heard else b"")
 
     @precondition(lambda self: self.state == "up")
     @rule(
@@ -674,9 +674,9 @@
                 b"*4\r\n$999999\r\n",
                 b"*1\r\n$1\r\nabc",
                 b"*4" + b"4" * 99,
-                b"".join(command(b"1", b"999", b"-", b"")),
-                b"".join(command(b"1", b"200", b"chunks", b"")),
-                b"".join(command(b"1", b"200", b"-")),
+                b"".join(encode_command(b"1", b"999", b"-", b"")),
+                b"".join(encode_command(b"1", b"200", b"chunks", b"")),
+                b"".join(encode_command(b"1", b"200", b"-")),
             ]
         ),
     )
