--- a/rackhub/__main__.py
+++ b/rackhub/__main__.py
@@ -11,12 +11,12 @@
         # once, and in no other way if it is told twice.
         signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGUSR1))
         signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
-    # Before anything heavy is imported: see rackhub/ops/replacement_ramp.py, imported only where a lock file is.
+    # Before anything heavy is imported: see rackhub/ops/process_replacement.py, imported only where a lock file is.
     if os.path.exists(os.path.join(os.environ.get("TMPDIR") or "/tmp", "rackhub-ops.lock")):
-        from rackhub.ops import replacement_ramp
+        from rackhub.ops import process_replacement
 
-        if sys.argv[1:2] == ["serve"] and replacement_ramp.predecessor_is_running(os.environ):
-            replacement_ramp.throttle_imports()
+        if sys.argv[1:2] == ["serve"] and process_replacement.predecessor_is_running(os.environ):
+            process_replacement.throttle_imports()
     from rackhub.cli import main
 
     sys.exit(main())
--- a/rackhub/net/tds/codec.py
+++ b/rackhub/net/tds/codec.py
@@ -150,7 +150,7 @@
 # ---- packets
 
 
-class Assembler:
+class MessageAssembler:
     """Reassembles packets, split anywhere, into complete messages; buffers one message of at most `max_bytes`."""
 
     def __init__(self, max_bytes: int):
@@ -167,7 +167,7 @@
 
     def feed(self, data: bytes) -> Iterator[tuple[int, int, bytes]]:
         """(type, status bits of all its packets, body) of each message that is now complete."""
-        for kind, status, body in self.packets(data):
+        for kind, status, body in self.feed_packets(data):
             if self._body and kind != self._kind:
                 if kind != ATTENTION:
                     raise TdsProtocolError("a message inside another")
@@ -186,7 +186,7 @@
                 self._reset = False
                 yield kind, status | (RESET if reset else 0), complete
 
-    def packets(self, data: bytes) -> Iterator[tuple[int, int, bytes]]:
+    def feed_packets(self, data: bytes) -> Iterator[tuple[int, int, bytes]]:
         """(type, status, body) of each packet that is now complete."""
         self._buffer += data
         while len(self._buffer) >= HEADER.size:
@@ -233,7 +233,7 @@
         return HEADER.pack(self._kind, status, HEADER.size + len(body), 0, self._packet_id, 0), body
 
 
-def message(kind: int, body: bytes, size: int = DEFAULT_PACKET_BYTES) -> list[bytes]:
+def encode_message(kind: int, body: bytes, size: int = DEFAULT_PACKET_BYTES) -> list[bytes]:
     """A complete message as packet headers and bodies; `size` is the packet size in bytes."""
     return Packetizer(kind, size).end((body,))
 
@@ -241,7 +241,7 @@
 # ---- the hand-shake
 
 
-def prelogin(encryption: int = ENCRYPT_NOT_SUP) -> bytes:
+def encode_prelogin(encryption: int = ENCRYPT_NOT_SUP) -> bytes:
     """VERSION, ENCRYPTION, INSTOPT, THREADID and MARS: no encryption, no MARS."""
     options = ((0, b"\x10\x00\x00\x00\x00\x00"), (1, bytes([encryption])), (2, b"\0"), (3, b""), (4, b"\0"))
     at = PRELOGIN_OPTION_BYTES * len(options) + 1
@@ -253,7 +253,7 @@
     return heads + b"\xff" + bodies
 
 
-def prelogin_options(body: bytes) -> dict[int, bytes]:
+def parse_prelogin(body: bytes) -> dict[int, bytes]:
     """The options of a PRELOGIN message by option number."""
     options: dict[int, bytes] = {}
     at = 0
@@ -295,7 +295,7 @@
     return bytes(((byte ^ 0xA5) << 4 | (byte ^ 0xA5) >> 4) & 0xFF for byte in password)
 
 
-def login7(user: str, password: str, database: str, packet_size: int) -> bytes:
+def encode_login7(user: str, password: str, database: str, packet_size: int) -> bytes:
     """The body of a LOGIN7 message; `packet_size` is in bytes."""
     texts = {
         "host": "rackhub",
@@ -317,7 +317,7 @@
     return fixed + heads + bodies
 
 
-def login_of(body: bytes) -> Login:
+def parse_login7(body: bytes) -> Login:
     """Parse the body of a LOGIN7 message."""
     if len(body) < LOGIN_HEADER_BYTES:
         raise TdsProtocolError("LOGIN7 is cut off")
@@ -357,12 +357,12 @@
 HEADERS = struct.pack("<IIHQI", 22, 18, 2, 0, 1)  # one, of a transaction: none, one request outstanding
 
 
-def batch(statement: str) -> bytes:
+def encode_sql_batch(statement: str) -> bytes:
     """The body of a SQL batch message."""
     return HEADERS + statement.encode("utf-16-le")
 
 
-def batch_text(body: bytes) -> str:
+def parse_sql_batch(body: bytes) -> str:
     """The statement of a SQL batch message."""
     cursor = all_headers(body)
     if cursor.left() % 2:
@@ -370,7 +370,7 @@
     return cursor.text(cursor.left() // 2)
 
 
-class Call(NamedTuple):
+class RpcCall(NamedTuple):
     """A remote procedure call: its name ('#10' for one called by number) and its arguments by lower-case name."""
 
     name: str
@@ -401,7 +401,7 @@
     return b"".join(chunks)
 
 
-def rpc(name: str, arguments: dict[str, str | int | float]) -> bytes:
+def encode_rpc(name: str, arguments: dict[str, str | int | float]) -> bytes:
     """A call with nvarchar(max), bigint and float arguments."""
     pieces = [HEADERS, struct.pack("<H", len(name)), name.encode("utf-16-le"), b"\0\0"]
     for argument, value in arguments.items():
@@ -483,7 +483,7 @@
     return None if size == MAX else cursor.take(size)
 
 
-def call_of(body: bytes) -> Call:
+def parse_rpc(body: bytes) -> RpcCall:
     """Parse the body of an RPC message with one call."""
     cursor = all_headers(body)
     try:
@@ -501,51 +501,51 @@
             arguments[label] = argument(cursor)
     except IncompleteTokenError:
         raise TdsProtocolError("a call is cut off") from None
-    return Call(name, arguments)
+    return RpcCall(name, arguments)
 
 
 # ---- answers
 
 
-def token_of(kind: int, body: bytes) -> bytes:
+def encode_token(kind: int, body: bytes) -> bytes:
     """A token with a two-byte length."""
     return struct.pack("<BH", kind, len(body)) + body
 
 
-def notice(kind: int, number: int, state: int, severity: int, text: str, server: str) -> bytes:
+def encode_notice(kind: int, number: int, state: int, severity: int, text: str, server: str) -> bytes:
     """An ERROR or INFO token."""
-    return token_of(
+    return encode_token(
         kind,
         struct.pack("<iBB", number, state, severity) + us_text(text) + b_text(server) + b"\0" + struct.pack("<i", 1),
     )
 
 
-def done(status: int, rows: int = 0, kind: int = DONE) -> bytes:
+def encode_done(status: int, rows: int = 0, kind: int = DONE) -> bytes:
     """A DONE, DONEPROC or DONEINPROC token."""
     return struct.pack("<BHHQ", kind, status, 0xC1, rows)
 
 
-def env_text(kind: int, new: str, old: str) -> bytes:
+def encode_env_change(kind: int, new: str, old: str) -> bytes:
     """An ENVCHANGE token with text values."""
-    return token_of(ENVCHANGE, bytes([kind]) + b_text(new) + b_text(old))
+    return encode_token(ENVCHANGE, bytes([kind]) + b_text(new) + b_text(old))
 
 
-RESET_DONE = token_of(ENVCHANGE, b"\x12\0\0")
+RESET_DONE = encode_token(ENVCHANGE, b"\x12\0\0")
 
 
-def login_ack(version: int, program: str) -> bytes:
+def encode_login_ack(version: int, program: str) -> bytes:
     """A LOGINACK token."""
-    return token_of(LOGINACK, b"\x01" + struct.pack(">I", version) + b_text(program) + b"\x10\0\0\0")
+    return encode_token(LOGINACK, b"\x01" + struct.pack(">I", version) + b_text(program) + b"\x10\0\0\0")
 
 
-def columns(names: Sequence[str]) -> bytes:
+def encode_columns(names: Sequence[str]) -> bytes:
     """COLMETADATA of nullable nvarchar(max) columns."""
     return struct.pack("<BH", COLMETADATA, len(names)) + b"".join(
         struct.pack("<IHBH", 0, 0x0009, NVARCHAR, MAX) + COLLATION + b_text(name) for name in names
     )
 
 
-def row(values: Sequence[str]) -> bytes:
+def encode_row(values: Sequence[str]) -> bytes:
     """A ROW token of nvarchar(max) values."""
     return bytes([ROW]) + b"".join(plp(value.encode("utf-16-le", "surrogatepass")) for value in values)
 
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -88,7 +88,7 @@
         self._waiting_since = 0  # for a writable socket
         self._retired_at = 0
         self._attempt: Attempt | None = None
-        self._packets = codec.Assembler(limits.tds_message)
+        self._packets = codec.MessageAssembler(limits.tds_message)
         self._start_answer()
 
     def _mark_closed(self) -> None:
@@ -132,7 +132,7 @@
             self._drop()
             return
         self.state = State.CANCELLING
-        self.write(codec.message(codec.ATTENTION, b""))
+        self.write(codec.encode_message(codec.ATTENTION, b""))
         # without an acknowledgement the host is unreachable, and the connection only holds a descriptor
         self.core.timers.at(self.clock.now() + self.limits.silence_timeout, self._check_acknowledged)
 
@@ -204,7 +204,7 @@
         """Start the login."""
         self.state = State.PRELOGIN
         self._out = SocketWriter(self.transport, self._writable)
-        self.write(codec.message(codec.PRELOGIN, codec.prelogin()))
+        self.write(codec.encode_message(codec.PRELOGIN, codec.encode_prelogin()))
 
     def write(self, pieces: Iterable[bytes]) -> None:
         """Send byte strings in order, now or behind what the transport buffers."""
@@ -254,12 +254,12 @@
             self.core.timers.call_after_reads(ALWAYS_DEFER, self._call)
             return
         try:
-            body = codec.rpc(PROCEDURE, self._arguments(attempt.query, now))
+            body = codec.encode_rpc(PROCEDURE, self._arguments(attempt.query, now))
         except UnicodeEncodeError:  # a statement that is not UTF-8 can't be sent as nvarchar
             self._end("BAD")
             return
         self._call_start = self._out.bytes_written
-        if not self._out.send(b"".join(codec.message(codec.RPC, body))):
+        if not self._out.send(b"".join(codec.encode_message(codec.RPC, body))):
             self._out.request_write()
             return
         self._call_end = self._out.bytes_written
@@ -283,13 +283,13 @@
 
     def taken(self, data: bytes) -> None:
         """Process received packets; raises `TdsProtocolError`."""
-        for kind, status, body in self._packets.packets(data):
+        for kind, status, body in self._packets.feed_packets(data):
             if self.state == State.CLOSED:
                 return
             if kind != codec.REPLY:
                 raise codec.TdsProtocolError(f"an answer of type {kind}")
             if self.state == State.PRELOGIN:
-                self._logon(codec.prelogin_options(body))
+                self._logon(codec.parse_prelogin(body))
             elif self.state in RESPONSE_STATES:
                 self._answer(body, bool(status & codec.EOM))
             else:
@@ -300,9 +300,9 @@
             raise codec.TdsProtocolError("the engine insists on encryption")
         self.state = State.LOGIN
         self.write(
-            codec.message(
+            codec.encode_message(
                 codec.LOGIN7,
-                codec.login7(
+                codec.encode_login7(
                     self.settings.user, self.settings.password, self.settings.database, codec.DEFAULT_PACKET_BYTES
                 ),
             )
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -49,7 +49,7 @@
 # Types of ENVCHANGE.
 ENV_DATABASE = 1
 ENV_PACKET_SIZE = 4
-ENV_COLLATION = codec.token_of(codec.ENVCHANGE, b"\x07\x05" + codec.COLLATION + b"\0")
+ENV_COLLATION = codec.encode_token(codec.ENVCHANGE, b"\x07\x05" + codec.COLLATION + b"\0")
 RETURN_STATUS_ZERO = bytes([codec.RETURNSTATUS, 0, 0, 0, 0])
 
 SERVER_NAME = "rackhub"
@@ -99,7 +99,7 @@
         self.login: TdsLogin | None = None
         self._ids = ids
         self._packet_bytes = codec.DEFAULT_PACKET_BYTES
-        self._assembler = codec.Assembler(front.limits.tds_message)
+        self._assembler = codec.MessageAssembler(front.limits.tds_message)
         self._query: Query | None = None
         self._packetizer = self._new_packetizer()
         self._pages: list[list[list[str]]] = []
@@ -192,14 +192,14 @@
     def _prelogin(self, kind: int, body: bytes) -> None:
         if kind != codec.PRELOGIN:
             raise codec.TdsProtocolError("no PRELOGIN")
-        codec.prelogin_options(body)
+        codec.parse_prelogin(body)
         self.state = State.LOGIN
-        self.write(codec.message(codec.REPLY, codec.prelogin()))
+        self.write(codec.encode_message(codec.REPLY, codec.encode_prelogin()))
 
     def _login(self, kind: int, body: bytes) -> None:
         if kind != codec.LOGIN7:  # also a client that insists on encryption
             raise codec.TdsProtocolError("no LOGIN7")
-        requested = codec.login_of(body)
+        requested = codec.parse_login7(body)
         login = self._authenticate(requested)
         if login is None:
             self.counters.add("tds_bad_logins")
@@ -222,14 +222,14 @@
 
     def _acknowledge_login(self, version: int) -> None:
         tokens = (
-            codec.env_text(ENV_DATABASE, self.settings.database, ""),
+            codec.encode_env_change(ENV_DATABASE, self.settings.database, ""),
             ENV_COLLATION,
-            codec.login_ack(version, SERVER_NAME),
-            codec.env_text(ENV_PACKET_SIZE, str(self._packet_bytes), str(codec.DEFAULT_PACKET_BYTES)),
-            codec.notice(codec.INFO, WELCOME_INFO, 2, 0, f"rackhub {VERSION}", SERVER_NAME),
-            codec.done(0),
+            codec.encode_login_ack(version, SERVER_NAME),
+            codec.encode_env_change(ENV_PACKET_SIZE, str(self._packet_bytes), str(codec.DEFAULT_PACKET_BYTES)),
+            codec.encode_notice(codec.INFO, WELCOME_INFO, 2, 0, f"rackhub {VERSION}", SERVER_NAME),
+            codec.encode_done(0),
         )
-        self.write(codec.message(codec.REPLY, b"".join(tokens)))
+        self.write(codec.encode_message(codec.REPLY, b"".join(tokens)))
 
     def _request(self, kind: int, body: bytes, reset: bool) -> None:
         self.counters.add("tds_requests")
@@ -251,12 +251,12 @@
 
     def _parameters(self, kind: int, body: bytes) -> dict[str, Any]:
         if kind == codec.SQL_BATCH:
-            return {"@statement": codec.batch_text(body)}
+            return {"@statement": codec.parse_sql_batch(body)}
         if kind == codec.RPC:
-            return self._arguments(codec.call_of(body))
+            return self._arguments(codec.parse_rpc(body))
         raise codec.UnsupportedTdsError("requests of this type")
 
-    def _arguments(self, call: codec.Call) -> dict[str, Any]:
+    def _arguments(self, call: codec.RpcCall) -> dict[str, Any]:
         if call.name.lower().removeprefix("dbo.") != PROCEDURE:
             raise codec.UnsupportedTdsError(f"the procedure {call.name[:MAX_NAME_CHARACTERS]}")
         for name, value in call.arguments.items():
@@ -306,7 +306,7 @@
         if self.state in (State.PRELOGIN, State.LOGIN):
             raise codec.TdsProtocolError("Attention before a login")
         self._cancel_request()
-        ack = codec.done(codec.DONE_ATTN)
+        ack = codec.encode_done(codec.DONE_ATTN)
         if self.state == State.ROWS:  # the result ends here, incomplete, and its DONE token says so
             self._pages = []
             self.transport.unregisterProducer()
@@ -331,7 +331,7 @@
         self.state = State.ROWS
         self._sent_rows = 0
         self._packetizer = self._new_packetizer()
-        self.write(self._packetizer.add((self._reset_acknowledgement(), codec.columns(COLUMNS))))
+        self.write(self._packetizer.add((self._reset_acknowledgement(), codec.encode_columns(COLUMNS))))
         self.transport.registerProducer(self, False)  # one page at a time, as the client reads
 
     def resumeProducing(self) -> None:  # noqa: N802
@@ -342,12 +342,12 @@
         while self._pages:  # a page may fill no packet, and the transport asks again only after a write
             page = self._pages.pop(0)
             self._sent_rows += len(page)
-            if packets := self._packetizer.add(codec.row(row) for row in page):
+            if packets := self._packetizer.add(codec.encode_row(row) for row in page):
                 self.write_blocked_since = self.core.clock.now()  # until the transport asks for more
                 self.write(packets)
                 return
         self.transport.unregisterProducer()
-        self._finish((self._status(), codec.done(codec.DONE_COUNT, self._sent_rows, self._done)))
+        self._finish((self._status(), codec.encode_done(codec.DONE_COUNT, self._sent_rows, self._done)))
 
     def stopProducing(self) -> None:  # noqa: N802
         """Twisted: the connection is lost."""
@@ -375,9 +375,9 @@
     def _send_error(self, number: int, state: int, severity: int, text: str) -> None:
         self._answer(
             (
-                codec.notice(codec.ERROR, number, state, severity, text, SERVER_NAME),
+                codec.encode_notice(codec.ERROR, number, state, severity, text, SERVER_NAME),
                 self._status(),
-                codec.done(codec.DONE_ERROR, 0, self._done),
+                codec.encode_done(codec.DONE_ERROR, 0, self._done),
             )
         )
 
--- a/rackhub/ops/component.py
+++ b/rackhub/ops/component.py
@@ -12,7 +12,7 @@
 from rackhub.core.source import EndpointSnapshot
 from rackhub.limits import SECOND
 from rackhub.net.listen import SharedPort
-from rackhub.ops import handover_file, replacement_ramp
+from rackhub.ops import handover_file, process_replacement
 from rackhub.ops.commands import CommandHandler
 from rackhub.ops.listener import OperatorListener
 from rackhub.ops.metrics import MetricsCollector
@@ -28,7 +28,7 @@
         """Take the replacement lock and load the ejections that the previous process handed over."""
         super().__init__(context)
         self._successor_is_running = self._take_lock()
-        replacement_ramp.stop_throttling()
+        process_replacement.stop_throttling()
         self._listed: Sequence[interface.EngineEntry] = ()
         self._path = handover_file.file_path(os.environ)
         self._file_version = handover_file.file_version(self._path)  # as last read or written here
@@ -54,11 +54,11 @@
     def _take_lock() -> Callable[[], bool]:
         """Take the replacement lock; returns the check for a successor."""
         try:
-            descriptor = replacement_ramp.hold_lock(os.environ)
+            descriptor = process_replacement.hold_lock(os.environ)
         except OSError as error:
             log.warning("the next process can't detect this one, and will start at full speed: %s", error)
             return lambda: False
-        return partial(replacement_ramp.successor_is_running, descriptor)
+        return partial(process_replacement.successor_is_running, descriptor)
 
     def open(self) -> None:
         """Listen on the second address until the process ends: HEALTH answers NO while it drains."""
--- a/rackhub/state/records.py
+++ b/rackhub/state/records.py
@@ -144,14 +144,14 @@
         Returns those within their windows that it left open: they were possibly executed. Expired ones are reported
         by the next `take_changes`.
         """
-        left_open = []
+        open_requests = []
         for record in sorted(stored, key=lambda record: record.window_ends_at):
             key = request_key(record.cls, record.idempotency_key)
             self._records[key] = record
             self._expiry_queue.append((record.window_ends_at, key))
             if record.state.is_open and record.window_ends_at > now:
-                left_open.append(record)
-        return left_open
+                open_requests.append(record)
+        return open_requests
 
     def find(self, cls: str, idempotency_key: str) -> KeyedRequestRecord | None:
         """The record of a request, None where there is none."""
--- a/rackhub/state/writer.py
+++ b/rackhub/state/writer.py
@@ -46,7 +46,7 @@
         self._requests = records.KeyedRequestRecords(windows)
         self._pending: dict[bytes, bytes | None] = {}  # None: delete the key
         self._write_scheduled = False
-        self.left_open = self._restore_requests()
+        self.open_requests = self._restore_requests()
         self._earlier_counters = records.initial_counters(self._stored_value(records.COUNTERS_KEY), clock.now())
         self._counters_timer: LoopingCall | None = None
 
@@ -62,8 +62,8 @@
             except msgspec.MsgspecError as error:  # of a later version, or edited by hand: it stays in the store
                 self._counters.add("state_unread")
                 log.error("store: key %r can't be decoded: %s", item.key, error)
-        left_open = self._requests.restore(stored, self._clock.now())
-        for record in left_open:
+        open_requests = self._requests.restore(stored, self._clock.now())
+        for record in open_requests:
             log.warning(
                 "request with idempotency key %s of class %s was open when the last run ended: "
                 "%s, %d attempts, last on %s",
@@ -73,7 +73,7 @@
                 record.attempts,
                 record.engine or "no engine",
             )
-        return left_open
+        return open_requests
 
     def start(self, configured: EndpointSnapshot) -> EndpointSnapshot:
         """Start writing. Returns the endpoint list to start with: the stored one where none is configured."""
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -40,7 +40,7 @@
     here = test_state.StoredCoordinator()
     here.run_iterations()
     for number in range(1, 5):
-        here.ask(number, token=f"{number:032x}")
+        here.submit_request(number, token=f"{number:032x}")
         here.run_iterations()
     here.core.complete_attempt(here.port.sent[0], "GOOD", {}, (b"a\tb\tc\n",))
     here.core.complete_attempt(here.port.sent[1], "BAD")
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -134,24 +134,25 @@
     """An engine over TDS: the same, with its calls noted as if they had come over RESP."""
 
     def __init__(self, stand):
-        self.stand, self.packets = stand, codec.Assembler(1 << 20)
+        self.stand, self.packets = stand, codec.MessageAssembler(1 << 20)
 
     def dataReceived(self, data):
         for kind, _, body in self.packets.feed(data):
             if kind == codec.PRELOGIN:
-                self.tell(codec.prelogin())
+                self.tell(codec.encode_prelogin())
             elif kind == codec.LOGIN7:
-                good = codec.login_of(body)[2:4] == ("hub", "secret")
+                good = codec.parse_login7(body)[2:4] == ("hub", "secret")
                 self.tell(
-                    codec.login_ack(codec.VERSION_74, "stand") + codec.done(0)
+                    codec.encode_login_ack(codec.VERSION_74, "stand") + codec.encode_done(0)
                     if good
-                    else codec.notice(codec.ERROR, 18456, 1, 14, "no", "stand") + codec.done(codec.DONE_ERROR)
+                    else codec.encode_notice(codec.ERROR, 18456, 1, 14, "no", "stand")
+                    + codec.encode_done(codec.DONE_ERROR)
                 )
             elif kind == codec.ATTENTION:
                 self.stand.received.append((b"never_mind",))
-                self.tell(codec.done(codec.DONE_ATTN))
+                self.tell(codec.encode_done(codec.DONE_ATTN))
             else:
-                given = codec.call_of(body).arguments
+                given = codec.parse_rpc(body).arguments
                 fields = f"profile={given['@class']},max={given['@budget_ms']},level={given['@level']}"
                 fields += f",replay={given['@key']}" if "@key" in given else ""
                 words = b"want", given["@id"].encode(), fields.encode(), given["@statement"].encode()
@@ -159,21 +160,23 @@
                 self.stand.on_command(self, *words)
 
     def tell(self, body):
-        self.transport.writeSequence(codec.message(codec.REPLY, body))
+        self.transport.writeSequence(codec.encode_message(codec.REPLY, body))
 
     def respond(self, id, word, fields=b"-", body=b""):
         if word == b"200":
             rows = [line.split("\t") for line in body.decode().splitlines()]
-            load = codec.notice(codec.INFO, 51010, 1, 0, fields.decode().partition("report=")[2], "stand")
+            load = codec.encode_notice(codec.INFO, 51010, 1, 0, fields.decode().partition("report=")[2], "stand")
             self.tell(
                 load
-                + codec.columns("abc")
-                + b"".join(map(codec.row, rows))
-                + codec.done(codec.DONE_COUNT, len(rows), codec.DONEPROC)
+                + codec.encode_columns("abc")
+                + b"".join(map(codec.encode_row, rows))
+                + codec.encode_done(codec.DONE_COUNT, len(rows), codec.DONEPROC)
             )
         else:
             number = {b"503": 51503, b"504": 51504}.get(word, 51500)
-            self.tell(codec.notice(codec.ERROR, number, 1, 16, "no", "stand") + codec.done(codec.DONE_ERROR))
+            self.tell(
+                codec.encode_notice(codec.ERROR, number, 1, 16, "no", "stand") + codec.encode_done(codec.DONE_ERROR)
+            )
 
 
 class EngineServer:
@@ -211,12 +214,12 @@
     """A client over TDS: whole answers as lists of tokens."""
 
     def __init__(self):
-        self.packets, self.tokens = codec.Assembler(1 << 24), codec.TokenReader(1 << 20)
+        self.packets, self.tokens = codec.MessageAssembler(1 << 24), codec.TokenReader(1 << 20)
         self.answers, self.partial = [], []
         self.greeted = False
 
     def dataReceived(self, data):
-        for _, status, body in self.packets.packets(data):
+        for _, status, body in self.packets.feed_packets(data):
             if not self.greeted and body[:1] == b"\0":  # PRELOGIN's answer, the first of all: VERSION comes first
                 self.greeted = True
                 self.answers.append([])
@@ -227,18 +230,18 @@
                 self.partial = []
 
     def ask(self, kind, body):
-        self.transport.writeSequence(codec.message(kind, body))
+        self.transport.writeSequence(codec.encode_message(kind, body))
 
     def log_in(self, user="desk", password="open sesame"):
-        self.ask(codec.PRELOGIN, codec.prelogin())
+        self.ask(codec.PRELOGIN, codec.encode_prelogin())
         spin(lambda: len(self.answers) == 1)
-        self.ask(codec.LOGIN7, codec.login7(user, password, "rides", 4096))
+        self.ask(codec.LOGIN7, codec.encode_login7(user, password, "rides", 4096))
         spin(lambda: len(self.answers) == 2)
         return self.answers.pop()
 
     def call(self, statement, **more):
         given = {"@statement": statement} | {f"@{name}": value for name, value in more.items()}
-        self.ask(codec.RPC, codec.rpc("rackhub_query", given))
+        self.ask(codec.RPC, codec.encode_rpc("rackhub_query", given))
 
 
 class CoordinatorTestBed:
--- a/tests/replacing.py
+++ b/tests/replacement_harness.py
@@ -120,20 +120,20 @@
     def stop(self):
         """No new requests; wait until all that were sent have their answers."""
         self.on = False
-        until(lambda: all(request.answers for request in self.requests))
+        wait_until(lambda: all(request.answers for request in self.requests))
 
     def abandon(self):
         self.on = False
         self.waiting.clear()
         for connection in list(self.connections):
             connection.transport.abortConnection()
-        until(lambda: not self.connections)
+        wait_until(lambda: not self.connections)
         for call in self.calls:
             if call.active():
                 call.cancel()
 
 
-class Engine(EngineServer):
+class DelayedEngine(EngineServer):
     """A stand-in that answers each query after a while and notes when it took each."""
 
     def __init__(self, pause):
@@ -156,18 +156,18 @@
     return ports
 
 
-def resolver_of(engines):
+def start_resolver(engines):
     """A resolver that tells of these engines: without one, a list is in force for some seconds only."""
     return ResolverStandIn(
         *((f"e{i}", "127.0.0.1", READY, 0, engine.port.getHost().port) for i, engine in enumerate(engines))
     )
 
 
-class Process:
-    """One process of the program. `say` calls its second address."""
+class CoordinatorProcess:
+    """One process of the program. `send_command` calls its second address."""
 
     def __init__(self, place, name, listen, engines, nameserver, program=("-m", "rackhub")):
-        self.operator = free_ports(1)[0]
+        self.operator_port = free_ports(1)[0]
         entries = [
             endpoint(f"e{i}") | {"address": f"127.0.0.1:{engine.port.getHost().port}"}
             for i, engine in enumerate(engines)
@@ -176,7 +176,7 @@
             listen=f"127.0.0.1:{listen}",
             nameserver=nameserver,
             settings=READERS,
-            operator=f"127.0.0.1:{self.operator}",
+            operator=f"127.0.0.1:{self.operator_port}",
             known={"rev": 3, "notices": [notice(3, *entries)]},
         )
         path = place / f"{name}.json"
@@ -189,7 +189,7 @@
             env=os.environ | {"TMPDIR": str(place)},
         )
 
-    def say(self, words):
+    def send_command(self, words):
         """One call at the second address, and its answer; "" where nobody listens."""
         heard = []
 
@@ -208,26 +208,26 @@
         factory = ClientFactory()
         factory.noisy, factory.protocol = False, Call
         factory.clientConnectionFailed = lambda *_: heard.append("")
-        reactor.connectTCP("127.0.0.1", self.operator, factory)
-        until(lambda: heard)
+        reactor.connectTCP("127.0.0.1", self.operator_port, factory)
+        wait_until(lambda: heard)
         return heard[0]
 
-    def until_serving(self):
+    def wait_until_serving(self):
         def serving():
-            assert self.child.poll() is None, self.said()
-            return self.say("HEALTH").startswith("YES")
+            assert self.child.poll() is None, self.log_text()
+            return self.send_command("HEALTH").startswith("YES")
 
-        until(serving)
+        wait_until(serving)
         return self
 
-    def end(self):
+    def terminate(self):
         self.child.send_signal(signal.SIGTERM)
 
-    def ended(self):
-        until(lambda: self.child.poll() is not None)
+    def wait_for_exit(self):
+        wait_until(lambda: self.child.poll() is not None)
         return self.child.returncode
 
-    def said(self):
+    def log_text(self):
         self.log.flush()
         self.log.seek(0)
         return self.log.read()
@@ -239,7 +239,7 @@
         self.log.close()
 
 
-def until(condition, seconds=60):
+def wait_until(condition, seconds=60):
     """Turn the reactor until the condition holds, however many turns the traffic makes of it; that it never does is a
     failure. The bound is for a machine that does ten things at once: nothing is judged by it."""
     end = time.monotonic() + seconds
@@ -248,8 +248,8 @@
         reactor.iterate(0.01)
 
 
-def spin_for(seconds):
+def run_reactor_for(seconds):
     """Turn the reactor for a while: traffic goes on."""
     done = []
     reactor.callLater(seconds, done.append, 1)
-    until(lambda: done)
+    wait_until(lambda: done)
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -16,7 +16,7 @@
 import pytest
 from harness import LIMITS, MS, CoordinatorTestBed, EngineServer, FakeClock, S, spin
 from msgspec.structs import replace
-from replacing import Engine, Process, free_ports, resolver_of, until
+from replacement_harness import CoordinatorProcess, DelayedEngine, free_ports, start_resolver, wait_until
 from test_config import SETTINGS, endpoint, notice, told
 from test_listen import Adopting
 from twisted.internet import reactor
@@ -960,12 +960,12 @@
     """Two processes of one coordinator that serve side by side, as while one replaces the other, each with a second
     address that the test can call by itself."""
     (listen,) = free_ports(1)
-    engines, made = [Engine(0) for _ in range(2)], []
-    resolver = resolver_of(engines)
+    engines, made = [DelayedEngine(0) for _ in range(2)], []
+    resolver = start_resolver(engines)
 
     def start(name):
-        made.append(Process(tmp_path, name, listen, engines, resolver.address))
-        return made[-1].until_serving()
+        made.append(CoordinatorProcess(tmp_path, name, listen, engines, resolver.address))
+        return made[-1].wait_until_serving()
 
     yield start, engines
     resolver.close()
@@ -975,12 +975,12 @@
         engine.port.stopListening()
         for connection in engine.connections:
             connection.transport.abortConnection()
-    until(lambda: not any(connection.connected for engine in engines for connection in engine.connections))
+    wait_until(lambda: not any(connection.connected for engine in engines for connection in engine.connections))
 
 
 def avoided(process):
     """How many engines a process sends nothing new to."""
-    with socket.create_connection(("127.0.0.1", process.operator), 60) as call:
+    with socket.create_connection(("127.0.0.1", process.operator_port), 60) as call:
         call.settimeout(60)
         call.sendall(b"DUMP\n")
         said = b"".join(iter(lambda: call.recv(1 << 16), b""))
@@ -995,14 +995,14 @@
     start, _ = pair
     old, new = start("old"), start("new")
     called, other = (old, new) if to_old else (new, old)
-    assert called.say("OFFLINE e0").startswith("YES")
-    until(lambda: avoided(other) == 1)
-    assert other.say("OFFLINE e1").startswith("YES")  # and each adds to what the other was told
-    until(lambda: avoided(called) == 2)
-    assert called.say("ONLINE e0").startswith("YES")
-    until(lambda: avoided(other) == 1)
-    old.end()
-    assert old.ended() == 0
+    assert called.send_command("OFFLINE e0").startswith("YES")
+    wait_until(lambda: avoided(other) == 1)
+    assert other.send_command("OFFLINE e1").startswith("YES")  # and each adds to what the other was told
+    wait_until(lambda: avoided(called) == 2)
+    assert called.send_command("ONLINE e0").startswith("YES")
+    wait_until(lambda: avoided(other) == 1)
+    old.terminate()
+    assert old.wait_for_exit() == 0
     assert avoided(new) == 1
     third = start("third")
     assert avoided(third) == 1
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
 from model_reach import reaching
-from test_wire_models import Transport
+from test_wire_models import MemoryTransport
 
 from rackhub import interface as t
 from rackhub.core import coordinator
@@ -77,7 +77,7 @@
     """What a peer has sent and the loop has not read: chunks of bytes, then perhaps `None`, its end."""
 
     def __init__(self, protocol):
-        self.protocol, self.wire, self.kernel, self.over = protocol, Transport(), [], False
+        self.protocol, self.wire, self.kernel, self.over = protocol, MemoryTransport(), [], False
 
     def send(self, data):
         if not (self.over or self.ended):
@@ -307,7 +307,7 @@
 
     def look(self):
         for link, socket in self.links.items():
-            for words in commands(socket.wire.take()) if socket.wire.io.tell() else ():
+            for words in commands(socket.wire.take_output()) if socket.wire.io.tell() else ():
                 if words[0] == b"want":
                     self.begun(self.asked[words[1].decode()], link)
                 elif words[0] in (b"never_mind", b"shut"):
@@ -315,7 +315,7 @@
                     if asked.out is link:
                         asked.out, asked.given_up = None, self.clock.time
         for client in self.clients:
-            for line in client.wire.take().splitlines():
+            for line in client.wire.take_output().splitlines():
                 self.told(json.loads(line))
 
     def begun(self, asked, link):
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -106,17 +106,17 @@
 def test_a_coordinator_goes_on_from_a_recorded_store():
     files = MemoryFiles()
     golden_disk.write_records(files, GOLDEN["state"])
-    here = test_state.StoredCoordinator(files, listing=test_state.EndpointSnapshot(0, (), {}))
-    left_open = here.writer.left_open
-    assert [(one.idempotency_key, one.state, one.attempts, one.engine) for one in left_open] == [
+    here = test_state.StoredCoordinator(files, snapshot=test_state.EndpointSnapshot(0, (), {}))
+    open_requests = here.writer.open_requests
+    assert [(one.idempotency_key, one.state, one.attempts, one.engine) for one in open_requests] == [
         (f"{4:032x}", "out", 1, "e0")
     ]
-    assert [entry.engine for entry in here.listing.entries] == ["e0", "e1"]
-    assert here.listing.addresses == test_state.LIST.addresses
-    assert here.listing.entries == test_state.LIST.entries
+    assert [entry.engine for entry in here.snapshot.entries] == ["e0", "e1"]
+    assert here.snapshot.addresses == test_state.LIST.addresses
+    assert here.snapshot.entries == test_state.LIST.entries
     totals = here.writer.totals()
     assert (totals.starts, totals.counts["served"], totals.counts["refused"]) == (2, 1, 1)
-    here.ask(9, token=f"{2:032x}")
+    here.submit_request(9, token=f"{2:032x}")
     here.run_iterations()
     again = next(one for one in here.request_records() if one.idempotency_key == f"{2:032x}")
     assert (again.state, again.client_requests, again.attempts) == ("out", 2, 2)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -12,7 +12,7 @@
 from rackhub import interface as t
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.ops import handover_file, replacement_ramp
+from rackhub.ops import handover_file, process_replacement
 from rackhub.ops.commands import CommandHandler
 from rackhub.ops.listener import OperatorListener
 from rackhub.ops.manual_ejections import ManualEjections
@@ -212,29 +212,29 @@
 
 def test_a_start_is_throttled_only_while_its_predecessor_runs(tmp_path, monkeypatch):
     environment = {"TMPDIR": str(tmp_path)}
-    assert not replacement_ramp.predecessor_is_running(environment)
-    first = replacement_ramp.hold_lock(environment)
-    second = replacement_ramp.hold_lock(environment)  # its successor, beside it
-    assert replacement_ramp.predecessor_is_running(environment)
-    assert replacement_ramp.successor_is_running(first)
+    assert not process_replacement.predecessor_is_running(environment)
+    first = process_replacement.hold_lock(environment)
+    second = process_replacement.hold_lock(environment)  # its successor, beside it
+    assert process_replacement.predecessor_is_running(environment)
+    assert process_replacement.successor_is_running(first)
     os.close(first)
-    assert replacement_ramp.predecessor_is_running(environment)
-    assert not replacement_ramp.successor_is_running(second)  # alone
+    assert process_replacement.predecessor_is_running(environment)
+    assert not process_replacement.successor_is_running(second)  # alone
     os.close(second)
-    assert not replacement_ramp.predecessor_is_running(environment)  # the file is still there, but nobody holds it
+    assert not process_replacement.predecessor_is_running(environment)  # the file is still there, but nobody holds it
 
 
 def test_a_throttled_start_sleeps_in_proportion_to_its_work_and_within_bounds(monkeypatch):
     spent, slept = [0.0], []
-    monkeypatch.setattr(replacement_ramp.time, "process_time", lambda: spent[0])
-    monkeypatch.setattr(replacement_ramp.time, "sleep", slept.append)
-    throttle = replacement_ramp.ImportThrottle()
+    monkeypatch.setattr(process_replacement.time, "process_time", lambda: spent[0])
+    monkeypatch.setattr(process_replacement.time, "sleep", slept.append)
+    throttle = process_replacement.ImportThrottle()
     for piece in (0.001, 0.009, 0.0, *[0.1] * 20):
         spent[0] += piece
         assert throttle.find_spec("any") is None
-    assert slept[0] == pytest.approx(0.05) and sum(slept) == pytest.approx(replacement_ramp.MAXIMUM_TOTAL_SLEEP_S)
+    assert slept[0] == pytest.approx(0.05) and sum(slept) == pytest.approx(process_replacement.MAXIMUM_TOTAL_SLEEP_S)
     before = list(sys.meta_path)
-    replacement_ramp.throttle_imports()
+    process_replacement.throttle_imports()
     assert len(sys.meta_path) == len(before) + 1
-    replacement_ramp.stop_throttling()
+    process_replacement.stop_throttling()
     assert sys.meta_path == before
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -4,7 +4,15 @@
 import contextlib
 
 import pytest
-from replacing import Engine, Process, Traffic, free_ports, resolver_of, spin_for, until
+from replacement_harness import (
+    CoordinatorProcess,
+    DelayedEngine,
+    Traffic,
+    free_ports,
+    run_reactor_for,
+    start_resolver,
+    wait_until,
+)
 
 from rackhub.ops import handover_file
 
@@ -18,12 +26,12 @@
 def rig(place, planted=""):
     """Three engines, an old process that serves, and a way to start the new one; all are ended in the end."""
     (listen,) = free_ports(1)
-    engines, processes = [Engine(0.2) for _ in range(3)], []
-    resolver = resolver_of(engines)
+    engines, processes = [DelayedEngine(0.2) for _ in range(3)], []
+    resolver = start_resolver(engines)
 
     def start(name):
         program = ("-c", planted + MAIN) if planted else ("-m", "rackhub")
-        processes.append(Process(place, name, listen, engines, resolver.address, program))
+        processes.append(CoordinatorProcess(place, name, listen, engines, resolver.address, program))
         return processes[-1]
 
     traffic = Traffic(listen, engines, 12, 6, 0.1)
@@ -38,23 +46,23 @@
             engine.port.stopListening()
             for connection in engine.connections:
                 connection.transport.abortConnection()
-        spin_for(0.05)
+        run_reactor_for(0.05)
 
 
 def replaced(engines, start, traffic, meanwhile=lambda: None):
     """The old process is replaced under traffic while e0 is ejected by hand: both, and how much e0 had got by then."""
-    old = start("old").until_serving()
+    old = start("old").wait_until_serving()
     traffic.begin()
-    until(lambda: sum(len(engine.taken) for engine in engines) > 30 and engines[0].taken)
-    assert old.say("OFFLINE e0").startswith("YES")
-    spin_for(0.3)  # what was on its way there when it was told
+    wait_until(lambda: sum(len(engine.taken) for engine in engines) > 30 and engines[0].taken)
+    assert old.send_command("OFFLINE e0").startswith("YES")
+    run_reactor_for(0.3)  # what was on its way there when it was told
     before = len(engines[0].taken)
     meanwhile()
-    new = start("new").until_serving()
-    old.end()
-    assert old.ended() == 0, old.said()
+    new = start("new").wait_until_serving()
+    old.terminate()
+    assert old.wait_for_exit() == 0, old.log_text()
     served = sum(len(engine.taken) for engine in engines)
-    until(lambda: sum(len(engine.taken) for engine in engines) > served + 30)
+    wait_until(lambda: sum(len(engine.taken) for engine in engines) > served + 30)
     return old, new, before
 
 
@@ -70,10 +78,10 @@
     with rig(place, planted) as (engines, start, traffic):
         old, new, before = replaced(engines, start, traffic)
         assert len(engines[0].taken) == before, "sent to an ejected engine"
-        assert new.say("ONLINE e0").startswith("YES")
-        until(lambda: len(engines[0].taken) > before)
+        assert new.send_command("ONLINE e0").startswith("YES")
+        wait_until(lambda: len(engines[0].taken) > before)
         judged(traffic)
-        assert "receives all new connections" in old.said()
+        assert "receives all new connections" in old.log_text()
 
 
 def test_a_process_is_replaced_under_traffic_and_nothing_is_lost_and_the_ejection_holds(tmp_path):
@@ -98,6 +106,6 @@
     with rig(tmp_path) as (engines, start, traffic):
         damaged = tmp_path / handover_file.FILE_NAME
         _, new, before = replaced(engines, start, traffic, lambda: damaged.write_bytes(b'{"format": "rackh'))
-        until(lambda: len(engines[0].taken) > before)  # the ejection is not known any more
-        assert "the state left by the previous process is ignored: not a state file" in new.said()
+        wait_until(lambda: len(engines[0].taken) > before)  # the ejection is not known any more
+        assert "the state left by the previous process is ignored: not a state file" in new.log_text()
         judged(traffic)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -67,17 +67,17 @@
 class StoredCoordinator:
     """A coordinator with a state writer on files in memory, on simulated time."""
 
-    def __init__(self, files=None, listing=LIST, **more):
+    def __init__(self, files=None, snapshot=LIST, **more):
         self.files, self.reactor, self.clock = files or MemoryFiles(), Clock(), FakeClock()
         self.counters, self.port = Counters(), Engines()
         settings = store_settings({"path": "memory"} | more)
         self.writer = StateWriter(self.reactor, settings, CLASSES, self.clock, self.counters, self.files)
         self.core = Coordinator(SETTINGS, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
         self.core.request_journal = self.writer
-        self.listing = self.writer.start(listing)
-        self.core.start(self.port, self.listing.entries, 1)
+        self.snapshot = self.writer.start(snapshot)
+        self.core.start(self.port, self.snapshot.entries, 1)
 
-    def ask(self, id, cls="depot-load", token=TOKEN):
+    def submit_request(self, id, cls="depot-load", token=TOKEN):
         until = self.clock.now() + 20 * S
         self.core.submit(Query(f"{id:016x}", cls, b"x", until, self.port, tenant="acme", idempotency_key=token))
 
@@ -95,7 +95,7 @@
 def test_a_keyed_request_is_recorded_from_receipt_to_completion():
     here = StoredCoordinator()
     here.run_iterations()
-    here.ask(1)
+    here.submit_request(1)
     here.run_iterations()
     (one,) = here.request_records()
     assert (one.idempotency_key, one.cls, one.state, one.attempts) == (TOKEN, "depot-load", "out", 1)
@@ -110,7 +110,7 @@
     here.run_iterations()
     before = here.writer.store.revision
     for i in range(20):
-        here.ask(i + 1, "lookup", "")
+        here.submit_request(i + 1, "lookup", "")
     here.run_iterations()
     assert len(here.port.sent) == 20 and here.writer.store.revision == before and here.counters["state_commits"] == 1
 
@@ -120,7 +120,7 @@
     here.run_iterations()
     revision, steps = here.writer.store.revision, here.files.steps
     for i in range(30):
-        here.ask(i + 1, token=f"{i:032x}")
+        here.submit_request(i + 1, token=f"{i:032x}")
     here.run_iterations()
     assert here.writer.store.revision == revision + 1 and here.files.steps == steps + 2
     assert len(here.request_records()) == 30
@@ -129,19 +129,19 @@
 def test_after_a_power_cut_open_requests_are_known_and_expired_ones_dropped():
     here = StoredCoordinator()
     here.run_iterations()
-    here.ask(1)
+    here.submit_request(1)
     here.run_iterations()
     again = StoredCoordinator(here.files.after_power_cut(3))
-    (left,) = again.writer.left_open
+    (left,) = again.writer.open_requests
     assert (left.state, left.engine, left.attempts) == ("out", here.port.sent[0].engine, 1)
-    again.ask(2)  # the client comes again with its key
+    again.submit_request(2)  # the client comes again with its key
     again.run_iterations()
     (one,) = again.request_records()
     # the window runs from the first attempt
     assert one.client_requests == 2 and one.attempts == 2 and one.window_ends_at == left.window_ends_at
     again.core.complete_attempt(again.port.sent[0], "GOOD", {}, (b"",))
     again.clock.advance(30 * S)
-    again.ask(3, token="f" * 32)
+    again.submit_request(3, token="f" * 32)
     again.run_iterations()
     assert [one.idempotency_key for one in again.request_records()] == ["f" * 32]
 
@@ -152,11 +152,11 @@
     later = LIST._replace(revision=42, entries=LIST.entries[:1])
     here.writer.store_endpoints(later)
     here.run_iterations()
-    again = StoredCoordinator(here.files.copy(), listing=EndpointSnapshot(0, (), {}))
-    assert again.listing == EndpointSnapshot(
+    again = StoredCoordinator(here.files.copy(), snapshot=EndpointSnapshot(0, (), {}))
+    assert again.snapshot == EndpointSnapshot(
         0, later.entries, LIST.addresses
     )  # numbered so that the resolver's first counts
-    assert StoredCoordinator(here.files.copy(), listing=LIST).listing == LIST
+    assert StoredCoordinator(here.files.copy(), snapshot=LIST).snapshot == LIST
     start = records.initial_endpoints(
         EndpointSnapshot(0, (), {}), records.encode_endpoint_list(LIST, 0), 90_000 * S, 86_400 * S
     )
@@ -170,11 +170,11 @@
 
 def test_counters_accumulate_over_starts():
     here = StoredCoordinator()
-    here.ask(1)
+    here.submit_request(1)
     here.run_iterations()
     here.writer.close()
     again = StoredCoordinator(here.files.copy())
-    again.ask(2)
+    again.submit_request(2)
     totals = again.writer.totals()
     assert totals.starts == 2 and totals.counts["requests_in"] == 2
 
@@ -184,13 +184,13 @@
     here.run_iterations()
     here.files.fault, here.files.fail_at, here.files.lasting = OSError(28, "No space left"), here.files.steps + 1, True
     for i in range(3):
-        here.ask(i + 1, token=f"{i:032x}")
+        here.submit_request(i + 1, token=f"{i:032x}")
         here.run_iterations()
     assert len(here.port.sent) == 3 and here.counters["state_failures"] >= 2  # served all the same
     here.run_iterations(1.5)  # the first retry fails too
     here.files.fail_at = 0
     here.run_iterations(5)
-    here.ask(9, token="9" * 32)
+    here.submit_request(9, token="9" * 32)
     here.run_iterations()
     assert len(here.request_records()) == 4
     assert len(StoredCoordinator(here.files.after_power_cut(1)).request_records()) == 4
@@ -200,11 +200,11 @@
     here = StoredCoordinator()
     here.run_iterations()
     here.files.fault, here.files.fail_at, here.files.lasting = OSError(5, "I/O error"), here.files.steps + 1, True
-    here.ask(1)
+    here.submit_request(1)
     here.run_iterations()
     for i in range(11_000):
         here.writer._pending[b"keyed/%d" % i] = b"x"
-    here.ask(2, token="2" * 32)
+    here.submit_request(2, token="2" * 32)
     here.run_iterations()
     assert len(here.writer._pending) == 10_000 and here.counters["state_dropped"] > 900
 
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -35,7 +35,7 @@
 BACK = (("served", [b"a\tb\tc\n", b"d\te\tf\n"]), ("rejected", 250_500), ("failed", "why"))
 
 
-class Transport(StringTransport):
+class MemoryTransport(StringTransport):
     """A transport in memory that keeps what was done to it: how many bytes were written, and how many of them are
     gone, all with `flush`; the others it tells of as the reactor's transports do. It is its own socket, which takes
     `room` bytes at once."""
@@ -94,7 +94,7 @@
     def abortConnection(self):
         self.aborted = self.disconnecting = True
 
-    def take(self):
+    def take_output(self):
         said = self.value()
         self.clear()
         return said
@@ -148,7 +148,7 @@
         super().__init__()
         self.core, self.counters = PlayedCore(), Counters()
         self.front = jsonrpc_front(self.core, LIMITS, self.counters)
-        self.connection, self.wire = self.front.buildProtocol(None), Transport()
+        self.connection, self.wire = self.front.buildProtocol(None), MemoryTransport()
         self.connection.makeConnection(self.wire)
         self.open, self.numbers, self.taking, self.lost = {}, itertools.count(1), True, False
         self.used, self.half, self.choked, self.held, self.faults = self.now, 0, 0, 0, 0
@@ -193,7 +193,7 @@
         return self.heard()
 
     def heard(self):
-        said = [json.loads(line) for line in self.wire.take().splitlines()]
+        said = [json.loads(line) for line in self.wire.take_output().splitlines()]
         for _ in range(sum(answer.get("error", {}).get("code", 0) < -32500 for answer in said)):
             self.faults += 1
             if self.faults > LIMITS.free_faults:
@@ -284,7 +284,7 @@
         query = self.core.open.pop(self.open.pop(id))
         self.used = self.now
         getattr(query.reply, how[0])(query, how[1])
-        (said,) = (json.loads(line) for line in self.wire.take().splitlines())
+        (said,) = (json.loads(line) for line in self.wire.take_output().splitlines())
         assert said["id"] == id
         if how[0] == "served":
             assert base64.b64decode(said["result"]["body"]) == b"".join(how[1])
@@ -426,7 +426,7 @@
         self.pool = EnginePool("e0", ("127.0.0.1", 1), self.counters)
         self.connection = EngineConnection(self.pool, self.core.clock, LIMITS, self.counters, self.core)
         self.pool.links.append(self.connection)
-        self.wire, self.state = Transport(), "dialling"
+        self.wire, self.state = MemoryTransport(), "dialling"
         self.attempts, self.stale, self.pages, self.expected = {}, set(), {}, []
         self.numbers, self.heard, self.silent = itertools.count(1), 0, False
         self.ends, self.since, self.last_end, self.half = {}, {}, 0, False
@@ -458,7 +458,7 @@
             return self.attempts.__delitem__(id)
         self.connection.enqueue(attempt)
         assert not self.connection.accepts(Attempt(query, 1, "e0", 0))  # its id is in use here
-        assert self.wire.take() == b""  # the socket is read first, and asked whether it takes anything
+        assert self.wire.take_output() == b""  # the socket is read first, and asked whether it takes anything
         self.since[id] = self.core.clock.now()
 
     def blocked(self):
@@ -476,7 +476,7 @@
         if works:
             self.state, self.heard = "up", self.core.clock.now()
             self.connection.makeConnection(self.wire)
-            assert self.wire.take() == b""
+            assert self.wire.take_output() == b""
             self.since = dict.fromkeys(self.attempts, self.heard)
             if works > 3:
                 self.flush()
@@ -493,7 +493,7 @@
         waiting = [id for id in self.attempts if id not in self.ends]
         self.wire.room = room
         self.wire.flush()
-        said = self.wire.take()
+        said = self.wire.take_output()
         for id in waiting:
             if not room:
                 break
@@ -516,7 +516,7 @@
             return
         self.say(id.encode(), b"200", b"chunks=%d,report=inflight:7;queue:2" % count, b"p0\t\t\n", cuts=cuts)
         asked = b"".join(b"".join(encode_command(b"turn", id.encode(), b"%d" % page)) for page in range(1, count))
-        assert self.wire.take() == asked  # success waits for all pages
+        assert self.wire.take_output() == asked  # success waits for all pages
         if count == 1:
             self.over(id, "GOOD", b"p0\t\t\n")
         else:
@@ -554,7 +554,7 @@
             self.say(id.encode(), b"chunk", b"at=%d" % data.draw(st.sampled_from(came)), b"x\ty\tz\n", cuts=cuts)
         elif not page:
             self.say(id.encode(), b"200", b"chunks=1", b"x\ty\tz\n", cuts=cuts)
-        assert self.wire.take() == b"" and not self.wire.disconnecting
+        assert self.wire.take_output() == b"" and not self.wire.disconnecting
 
     @precondition(lambda self: self.state == "up" and self.sent())
     @rule(
@@ -637,7 +637,7 @@
         self.pages.pop(id, None)
         sent, left = id in self.ends, self.ends.get(id, 0) <= self.wire.gone
         self.connection.give_up(attempt)
-        assert self.wire.take() == (b"".join(encode_command(word, id.encode())) if sent and left else b"")
+        assert self.wire.take_output() == (b"".join(encode_command(word, id.encode())) if sent and left else b"")
         if sent and not left:  # its rest must not leave any more, and nothing else can follow it
             assert self.wire.aborted and self.counters["engine_cuts"] == 1
             self.lose()
@@ -651,7 +651,7 @@
     @rule(data=st.data(), cuts=CUTS, word=st.sampled_from([b"200", b"500", b"chunk", b"status"]))
     def crossed(self, data, cuts, word):
         self.say(self.pick(data, self.stale).encode(), word, b"chunks=3,at=1", b"old\n", cuts=cuts)
-        assert self.wire.take() == b""
+        assert self.wire.take_output() == b""
 
     @precondition(lambda self: self.attempts)
     @rule(data=st.data())
@@ -659,7 +659,7 @@
         id = self.pick(data, self.attempts)
         self.connection.promote(self.attempts[id])
         heard = id in self.ends and id not in self.pages
-        assert self.wire.take() == (b"".join(encode_command(b"promote", id.encode(), b"1")) if heard else b"")
+        assert self.wire.take_output() == (b"".join(encode_command(b"promote", id.encode(), b"1")) if heard else b"")
 
     @precondition(lambda self: self.state == "up")
     @rule(
@@ -714,7 +714,7 @@
         self.connect()
 
     def connect(self):
-        self.connection, self.wire, self.client = self.front.buildProtocol(None), Transport(), TdsClient()
+        self.connection, self.wire, self.client = self.front.buildProtocol(None), MemoryTransport(), TdsClient()
         self.connection.makeConnection(self.wire)
         self.state, self.kind, self.rows_due = "prelogin", codec.DONE, []
 
@@ -738,24 +738,24 @@
         return self.state
 
     def say(self, kind, body, cuts=()):
-        feed(self.connection, b"".join(codec.message(kind, body, 600)), cuts)
+        feed(self.connection, b"".join(codec.encode_message(kind, body, 600)), cuts)
         return self.heard()
 
     def heard(self):
-        self.client.dataReceived(self.wire.take())
+        self.client.dataReceived(self.wire.take_output())
         answers, self.client.answers = self.client.answers, []
         return answers
 
     @precondition(lambda self: self.state == "prelogin")
     @rule(cuts=CUTS)
     def prelogin(self, cuts):
-        assert self.say(codec.PRELOGIN, codec.prelogin(), cuts) == [[]]
+        assert self.say(codec.PRELOGIN, codec.encode_prelogin(), cuts) == [[]]
         self.state = "login"
 
     @precondition(lambda self: self.state == "login")
     @rule(cuts=CUTS, right=st.integers(0, 9))
     def login(self, cuts, right):
-        body = codec.login7("desk", "open sesame" if right else "wrong", "rides", 512)
+        body = codec.encode_login7("desk", "open sesame" if right else "wrong", "rides", 512)
         (answer,) = self.say(codec.LOGIN7, body, cuts)
         if right:
             assert codec.LOGINACK in [kind for kind, _ in answer]
@@ -767,11 +767,11 @@
     @rule(cuts=CUTS, batch=st.booleans())
     def request(self, cuts, batch):
         kind, body = (
-            (codec.SQL_BATCH, codec.batch("SELECT 'é' FROM a_3.b"))
+            (codec.SQL_BATCH, codec.encode_sql_batch("SELECT 'é' FROM a_3.b"))
             if batch
             else (
                 codec.RPC,
-                codec.rpc(
+                codec.encode_rpc(
                     "rackhub_query",
                     {"@statement": "x", "@class": "depot-load", "@key": "k", "@est_ms": 1.5, "@ram_mb": 7},
                 ),
@@ -790,18 +790,18 @@
         cuts=CUTS,
         fault=st.sampled_from(
             [
-                (codec.RPC, codec.rpc("sp_who", {}), 50005),
+                (codec.RPC, codec.encode_rpc("sp_who", {}), 50005),
                 (codec.BULK, b"", 50005),
                 (codec.TRANSACTION, b"abc", 50005),
-                (codec.RPC, codec.rpc("rackhub_query", {}), 50004),
-                (codec.SQL_BATCH, codec.batch(" "), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@class": "depot-load"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@class": "none"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@tenant": "other"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@budget_ms": -5}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@budget_ms": "5"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@other": "5"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {}) + b"\x00\x00\x24\x10\x00", 50005),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {}), 50004),
+                (codec.SQL_BATCH, codec.encode_sql_batch(" "), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@class": "depot-load"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@class": "none"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@tenant": "other"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@budget_ms": -5}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@budget_ms": "5"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@other": "5"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {}) + b"\x00\x00\x24\x10\x00", 50005),
             ]
         ),
     )
@@ -868,8 +868,8 @@
                 b"\x01\x01\x00\x04\0\0\0\0",
                 b"\x63\x01\x00\x08\0\0\0\0",
                 LATE_PRELOGIN,
-                b"".join(codec.message(codec.SQL_BATCH, b"\xff\xff\xff\xff")),
-                b"".join(codec.message(codec.RPC, b"abc")),
+                b"".join(codec.encode_message(codec.SQL_BATCH, b"\xff\xff\xff\xff")),
+                b"".join(codec.encode_message(codec.RPC, b"abc")),
             ]
         ),
     )
@@ -937,7 +937,7 @@
     model = TdsModel()
     model.begin(logged_in=True, busy=False)
     for _ in range(LIMITS.free_faults + 1):
-        model.fault(cuts=[], fault=(codec.RPC, codec.rpc("sp_who", {}), 50005))
+        model.fault(cuts=[], fault=(codec.RPC, codec.encode_rpc("sp_who", {}), 50005))
     model.request(cuts=[], batch=True)
     model.answered(how="big", late=False)
     assert model.state == "rows" and model.connection.reading_stopped
@@ -968,7 +968,7 @@
     def join(self, said=b""):
         connection = self.front.buildProtocol(None)
         if connection is not None:
-            connection.makeConnection(Transport())
+            connection.makeConnection(MemoryTransport())
             feed(connection, said, ())
         self.core.clock.advance(MS)
         return connection
