--- a/rackhub/components.py
+++ b/rackhub/components.py
@@ -12,7 +12,7 @@
     "store": "rackhub.state.component:create_component",
     "timings": "rackhub.timings.part:part",
     "ops": "rackhub.ops.component:create_component",
-    "fleet": "rackhub.fleet.part:part",
+    "fleet": "rackhub.fleet.part:create_component",
     "gather": "rackhub.gather.component:part",
 }
 RELOADABLE = ("timings",)  # may be turned on by a reload; the others take a restart
--- a/rackhub/fleet/control/fleet_status.py
+++ b/rackhub/fleet/control/fleet_status.py
@@ -28,13 +28,15 @@
     """The response. Ages are milliseconds by this gateway's clock; in `hears`, None means not known."""
     members = membership.members
     now = membership.now()
-    living = sorted(members.living())
+    living = sorted(members.live())
     table = membership.core.table
     return {
-        "me": members.me,
+        "me": members.local_name,
         "members": {name: _describe_member(member, now) for name, member in sorted(members.all().items())},
-        "heard": sorted(members.heard()),
-        "hears": {one: {other: members.hears(one, other) for other in living if other != one} for one in living},
+        "heard": sorted(members.reachable()),
+        "hears": {
+            one: {other: members.receives_from(one, other) for other in living if other != one} for one in living
+        },
         "board": {
             kind: {record.owner: _describe_record(record) for record in records}
             for kind, records in _records_by_kind(membership).items()
@@ -50,11 +52,11 @@
     return {
         "state": member.state.value,
         "for_ms": (now - member.since) // MICROSECONDS_PER_MILLISECOND,
-        "boot": member.boot,
+        "boot": member.generation,
         "incarnation": member.incarnation,
         "address": "{}:{}".format(*member.address),
         "site": member.site,
-        "serves": "{}:{}".format(*member.serves) if member.serves else None,
+        "serves": "{}:{}".format(*member.client_address) if member.client_address else None,
     }
 
 
--- a/rackhub/fleet/distribution/applying.py
+++ b/rackhub/fleet/distribution/applying.py
@@ -10,7 +10,7 @@
 from rackhub.fleet.distribution.limits import FAULT_LETTERS
 from rackhub.fleet.distribution.messages import Entry, KeyFault
 from rackhub.fleet.distribution.rules import RuleKeyError, assemble, part_of
-from rackhub.fleet.ports import RulePart
+from rackhub.fleet.ports import RuleSection
 
 log = logging.getLogger(__name__)
 KNOWN_KEYS = 16_384  # whose parts are remembered
@@ -34,7 +34,7 @@
     """
 
     def __init__(self, wanted: Mapping[str, bytes], fallback: Mapping[str, bytes | None]):
-        self.parts: dict[str, RulePart] = {}
+        self.parts: dict[str, RuleSection] = {}
         self.wanted: Values = dict(wanted)
         self.in_force: Values = _changed(self.wanted, fallback)
         self.faults: dict[str, str] = {}
@@ -91,7 +91,7 @@
 
     def _hold(self, name: str, values: Values, revision: int) -> None:
         if name in self.parts:
-            self.parts[name].hold(assemble(values).get(name), revision)
+            self.parts[name].apply(assemble(values).get(name), revision)
 
     def _check(self, name: str, values: Values) -> None:
         """Raises `ValueError` where the part can't take these."""
--- a/rackhub/fleet/distribution/catching_up.py
+++ b/rackhub/fleet/distribution/catching_up.py
@@ -56,7 +56,7 @@
         self._wanted = max(self._wanted, wanted)
         if self._endpoint is not None:
             return
-        self._fleet.tally("distribution_catch_ups", 1)
+        self._fleet.add_count("distribution_catch_ups", 1)
         self._boot += 1
         learner = self._learner
         held = Held(learner.log, learner.revision, self._identity.scope, dict(learner.entries))
@@ -75,7 +75,7 @@
 
     def _too_late(self, sender: str, message: object) -> None:
         """The other voter has not noticed yet that nobody watches any more."""
-        self._fleet.tally("distribution_late_catch_up", 1)
+        self._fleet.add_count("distribution_late_catch_up", 1)
 
     def _perform(self, effect: Effect) -> None:
         match effect:
--- a/rackhub/fleet/distribution/coordinator.py
+++ b/rackhub/fleet/distribution/coordinator.py
@@ -11,7 +11,7 @@
 from rackhub.fleet.distribution.state import in_scope
 from rackhub.fleet.distribution.store import HeldStore
 from rackhub.fleet.distribution.watcher import Watcher
-from rackhub.fleet.ports import Fleet, KeyedDisk, RulePart
+from rackhub.fleet.ports import Fleet, KeyedDisk, RuleSection
 
 FROM_UPSTREAM = (Update, SnapshotPart, Heartbeat, Unavailable, Check)
 
@@ -21,7 +21,7 @@
 
     def __init__(self, fleet: Fleet, identity: Identity, disk: KeyedDisk, limits: Limits):
         self._fleet, self._identity = fleet, identity
-        self._store = HeldStore(disk, identity.scope, fleet.tally)
+        self._store = HeldStore(disk, identity.scope, fleet.add_count)
         self._watcher = Watcher(identity, self._store.held, limits, fleet.clock.now())
         entries = in_scope(self._store.held.entries.values(), identity.scope)
         wanted = {entry.key: entry.value for entry in entries if entry.value is not None}
@@ -56,7 +56,7 @@
         """What of the disk could not be read; empty where all could."""
         return self._store.damage
 
-    def part(self, name: str, part: RulePart) -> None:
+    def add_section(self, name: str, part: RuleSection) -> None:
         """Register the component that takes the rules of this name; before `start`."""
         self._keys.parts[name] = part
 
@@ -108,7 +108,7 @@
         faults = self._keys.apply(effect.entries, effect.snapshot, effect.revision)
         self._unapplied = {key: newest for key, newest in self._unapplied.items() if newest > effect.revision}
         if faults:
-            self._fleet.tally("distribution_not_taken", 1)
+            self._fleet.add_count("distribution_not_taken", 1)
         self._endpoint.hand(Applied(effect.revision, faults[:FAULT_KEYS]))
 
     def _check(self, wanted: CheckWanted) -> None:
--- a/rackhub/fleet/distribution/endpoint.py
+++ b/rackhub/fleet/distribution/endpoint.py
@@ -48,13 +48,13 @@
         self._takers |= dict.fromkeys(types, take)
 
     def start(self) -> None:
-        self._fleet.mail.take(KIND, self._mailed)
+        self._fleet.messenger.subscribe(KIND, self._mailed)
 
     def send(self, to: Name, message: AnyMessage) -> None:
-        self._fleet.mail.send(to, KIND, encode(message))
+        self._fleet.messenger.send(to, KIND, encode(message))
 
     def count(self, name: str, sender: Name = "") -> None:
-        self._fleet.tally(name, 1)
+        self._fleet.add_count(name, 1)
         if sender:
             self.sender_counts.add(name, sender)
 
@@ -126,7 +126,7 @@
             return
         self._cancel()
         self._wakes_at = at
-        self._cancel = self._fleet.later(at - now, self._tick)
+        self._cancel = self._fleet.call_later(at - now, self._tick)
 
     def _tick(self) -> None:
         self._wakes_at = -1
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -17,7 +17,7 @@
 from rackhub.fleet.distribution.service import offer
 from rackhub.fleet.distribution.voter import Voter
 from rackhub.fleet.link.mail_link import MailLink
-from rackhub.fleet.ports import Control, Fleet, KeyedDisk, RulePart
+from rackhub.fleet.ports import Control, Fleet, KeyedDisk, RuleSection
 from rackhub.fleet.settings import FleetSettings
 
 log = logging.getLogger(__name__)
@@ -33,9 +33,9 @@
         self, reactor: Any, fleet: Fleet, settings: FleetSettings, control: Control | None, disk: KeyedDisk | None
     ):
         self._settings, self._control = settings, control
-        self._boot = fleet.members.all()[fleet.members.me].boot
+        self._boot = fleet.members.all()[fleet.members.local_name].generation
         self._link = _mail_link(reactor, fleet, settings, self._boot)
-        self._fleet = fleet._replace(mail=self._link)
+        self._fleet = fleet._replace(messenger=self._link)
         self.shell = self._shell(disk)
         self._cancel: Callable[[], None] = lambda: None
         self._waits_for_address = False
@@ -46,9 +46,9 @@
         """The revision that is in force, or held where nothing of it is put in force."""
         return self.shell.version
 
-    def part(self, name: str, part: RulePart) -> None:
+    def add_section(self, name: str, part: RuleSection) -> None:
         if not isinstance(self.shell, RelayShell):
-            self.shell.part(name, part)
+            self.shell.add_section(name, part)
 
     def start(self) -> None:
         """Raises `OSError` where the address can't be had; one that is taken is tried again until it is free."""
@@ -105,7 +105,7 @@
             if not self._waits_for_address:
                 log.warning("fleet: watch: %s: tried again until it is free", bad)
             self._waits_for_address = True
-            self._cancel = self._fleet.later(ADDRESS_AGAIN, self._open_link)
+            self._cancel = self._fleet.call_later(ADDRESS_AGAIN, self._open_link)
 
 
 def _mail_link(reactor: Any, fleet: Fleet, settings: FleetSettings, boot: int) -> MailLink:
--- a/rackhub/fleet/distribution/relay_shell.py
+++ b/rackhub/fleet/distribution/relay_shell.py
@@ -68,7 +68,7 @@
 
     def _count_members(self) -> None:
         """Tell the core where the number of coordinators has changed. The relay itself is among its nodes."""
-        living = len(self._fleet.members.living() - self._nodes)
+        living = len(self._fleet.members.live() - self._nodes)
         if living != self._living and not self._ended:
             self._living = living
             self._endpoint.hand(MembersChanged(living))
--- a/rackhub/fleet/distribution/replication.py
+++ b/rackhub/fleet/distribution/replication.py
@@ -167,7 +167,7 @@
         self._look_for_unfinished()
         if not self._learner.log:
             self._begin_log()
-        self._cancel = self._fleet.later(TICK, self._tick)
+        self._cancel = self._fleet.call_later(TICK, self._tick)
 
     def _look_for_unfinished(self) -> None:
         """An editor's voter may have ended between accept and answer: what the own register voter then holds may be
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -39,7 +39,7 @@
 from rackhub.fleet.distribution.source import Source
 from rackhub.fleet.distribution.store import DAMAGED, HeldStore
 from rackhub.fleet.distribution.voting import REGISTER
-from rackhub.fleet.ports import Fleet, KeyedDisk, Name, RulePart
+from rackhub.fleet.ports import Fleet, KeyedDisk, Name, RuleSection
 from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.proposer import Proposer
 
@@ -55,7 +55,7 @@
 
     def __init__(self, fleet: Fleet, identity: Identity, voters: tuple[Name, ...], disk: KeyedDisk, limits: Limits):
         self._fleet = fleet
-        self._store = HeldStore(disk, EVERYTHING, fleet.tally)
+        self._store = HeldStore(disk, EVERYTHING, fleet.add_count)
         held = self._store.held
         self._move_misplaced_history()
         self._source = Source(identity, held, limits, fleet.clock.now())
@@ -65,7 +65,7 @@
         self.inbox.route((Report,), self._reported)
         self.history = History(disk, held.revision)
         self.learner = Learner(
-            self._store, self.history, self._endpoint.hand, self._learned, self._catch_up, fleet.tally
+            self._store, self.history, self._endpoint.hand, self._learned, self._catch_up, fleet.add_count
         )
         self._keys = RuleKeys(self.learner.values(), self._store.fallback)
         self._catching_up = self._new_catch_up(identity, voters, limits)
@@ -109,7 +109,7 @@
         """What of the disk could not be read, and is fetched anew from the other voters."""
         return "; ".join(filter(None, (self._store.damage, self.history.damage, self.register_voter.damage)))
 
-    def part(self, name: str, part: RulePart) -> None:
+    def add_section(self, name: str, part: RuleSection) -> None:
         """Register the component that takes the rules of this name; before `start`."""
         self._keys.parts[name] = part
 
@@ -179,7 +179,7 @@
             recovered = recover_misplaced(misplaced, held)
         except msgspec.MsgspecError as bad:
             log.error("fleet: the history of revision %d can't be read, and is dropped: %s", held.revision, bad)
-            self._fleet.tally(DAMAGED, 1)
+            self._fleet.add_count(DAMAGED, 1)
             recovered = {}
         log.warning("fleet: %d misplaced history records are removed, %d recovered", len(misplaced), len(recovered))
         self._store.persist(Persist(held.log, held.revision, (), False), lambda: None, also=recovered)
--- a/rackhub/fleet/distribution/voting.py
+++ b/rackhub/fleet/distribution/voting.py
@@ -38,13 +38,13 @@
 
     def __init__(self, fleet: Fleet, voters: tuple[Name, ...], take: Callable[[Name, VoterMessage], None]):
         self._fleet, self._take = fleet, take
-        self._others = tuple(name for name in voters if name != fleet.members.me)
+        self._others = tuple(name for name in voters if name != fleet.members.local_name)
 
     def start(self) -> None:
-        self._fleet.mail.take(KIND, self._mailed)
+        self._fleet.messenger.subscribe(KIND, self._mailed)
 
     def send(self, to: Name, message: VoterMessage) -> None:
-        self._fleet.mail.send(to, KIND, _encode(message))
+        self._fleet.messenger.send(to, KIND, _encode(message))
 
     def send_all(self, message: VoterMessage) -> None:
         for name in self._others:
@@ -52,10 +52,10 @@
 
     def _mailed(self, sender: Name, body: bytes) -> None:
         if sender not in self._others:
-            return self._fleet.tally("distribution_foreign_voters", 1)
+            return self._fleet.add_count("distribution_foreign_voters", 1)
         try:
             message = _decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError):
             log.warning("fleet: mail of voter %s can't be read", sender)
-            return self._fleet.tally("distribution_unreadable", 1)
+            return self._fleet.add_count("distribution_unreadable", 1)
         self._take(sender, message)
--- a/rackhub/fleet/distribution/waiting.py
+++ b/rackhub/fleet/distribution/waiting.py
@@ -25,7 +25,7 @@
         now = fleet.clock.now()
         status, refused = voter.status(edit.revision), _refused_of(voter, edit.revision)
         if not _everywhere(status) and now < until:
-            fleet.later(POLL, look)
+            fleet.call_later(POLL, look)
             return
         told = fleet_rows(status) | {
             "id": request.id,
--- a/rackhub/fleet/link/association.py
+++ b/rackhub/fleet/link/association.py
@@ -20,7 +20,7 @@
 from rackhub.fleet.link.remotes import Remote, Remotes, WaitingMail
 from rackhub.fleet.members.events import Came, Send, Tick
 from rackhub.fleet.members.here import Mailed, Out
-from rackhub.fleet.ports import MAIL, Address, Name
+from rackhub.fleet.ports import MAX_MESSAGE_BYTES, Address, Name
 
 GRAIN = 1_000  # microseconds between two ticks at the least
 KIND_BYTES = 32  # most bytes of a kind of mail
@@ -103,8 +103,8 @@
     # ---- what goes out
 
     def _send(self, to: Name, kind: str, body: bytes) -> None:
-        if len(body) > MAIL:
-            raise ValueError(f"mail of {len(body)} bytes, more than {MAIL}")
+        if len(body) > MAX_MESSAGE_BYTES:
+            raise ValueError(f"mail of {len(body)} bytes, more than {MAX_MESSAGE_BYTES}")
         if not 0 < len(kind.encode()) <= KIND_BYTES:
             raise ValueError(f"{kind!r} is not a kind of 1 to {KIND_BYTES} bytes")
         if to == self.name:
--- a/rackhub/fleet/link/frames.py
+++ b/rackhub/fleet/link/frames.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from rackhub.fleet.ports import DATAGRAM, RECORD
+from rackhub.fleet.ports import DATAGRAM_LIMIT_BYTES, MAX_RECORD_BYTES
 
 VERSION = 1
 Name = Annotated[str, Meta(min_length=1, max_length=63)]
@@ -85,7 +85,7 @@
     boot: Count
     number: Count
     age: Count
-    body: Annotated[bytes, Meta(max_length=RECORD)]
+    body: Annotated[bytes, Meta(max_length=MAX_RECORD_BYTES)]
 
 
 class Line(msgspec.Struct, frozen=True, array_like=True):
@@ -179,7 +179,7 @@
 
 def read(data: bytes) -> Packet:
     """Raises `Damaged`."""
-    if not 5 <= len(data) < DATAGRAM or zlib.crc32(data[4:]) != int.from_bytes(data[:4], "big"):
+    if not 5 <= len(data) < DATAGRAM_LIMIT_BYTES or zlib.crc32(data[4:]) != int.from_bytes(data[:4], "big"):
         raise Damaged("damaged")
     try:
         if _version.decode(data[4:]).version != VERSION:
--- a/rackhub/fleet/link/inbox.py
+++ b/rackhub/fleet/link/inbox.py
@@ -9,7 +9,7 @@
 
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.link.limits import Limits
-from rackhub.fleet.ports import MAIL
+from rackhub.fleet.ports import MAX_MESSAGE_BYTES
 
 
 class Part:
@@ -34,7 +34,7 @@
         if page.id <= self._floor or page.id in self._done:
             self._count("pages_double")
             return f.Got(page.id, b"", True), None
-        most = -(-MAIL // self._limits.chunk)
+        most = -(-MAX_MESSAGE_BYTES // self._limits.chunk)
         part = self._parts.get(page.id)
         if (
             not 0 < page.count <= most
--- a/rackhub/fleet/link/mail_link.py
+++ b/rackhub/fleet/link/mail_link.py
@@ -42,7 +42,7 @@
 
 
 class MailLink:
-    """`rackhub.fleet.ports.Mail` on an association of its own. `told`: the address where others reach this process.
+    """`fleet.ports.Messenger` on an association of its own. `told`: the address where others reach this process.
 
     `start` opens the socket and raises `OSError`; `stop` closes it. Both are safe to call twice.
     """
@@ -87,13 +87,13 @@
             self._timer.cancel()
         return self.port.close()
 
-    # ---- ports.Mail
+    # ---- ports.Messenger
 
     def send(self, to: Name, kind: str, body: bytes) -> None:
-        """At most `MAIL` bytes; to one that is not known it is dropped and counted."""
+        """At most `MAX_MESSAGE_BYTES` bytes; to one that is not known it is dropped and counted."""
         self._step(Send(to, kind, body))
 
-    def take(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
+    def subscribe(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
         """Who gets the mail of that kind, with its sender."""
         self._takers[kind] = call
 
--- a/rackhub/fleet/link/packing.py
+++ b/rackhub/fleet/link/packing.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from rackhub.fleet.link import frames as f
-from rackhub.fleet.ports import DATAGRAM
+from rackhub.fleet.ports import DATAGRAM_LIMIT_BYTES
 
 HEAD = 56  # bytes of a packet without its names: checksum, numbers at their widest, heads of the arrays
 
@@ -15,7 +15,7 @@
 
     def __init__(self, cluster: str, name: str, to: str):
         self._names = (cluster, name, to)
-        self._left = DATAGRAM - 1 - HEAD - sum(len(text.encode()) + 2 for text in self._names)
+        self._left = DATAGRAM_LIMIT_BYTES - 1 - HEAD - sum(len(text.encode()) + 2 for text in self._names)
         self._raws: list[msgspec.Raw] = []
 
     @property
--- a/rackhub/fleet/link/port.py
+++ b/rackhub/fleet/link/port.py
@@ -7,7 +7,7 @@
 from twisted.internet import error
 from twisted.internet.protocol import DatagramProtocol
 
-from rackhub.fleet.ports import DATAGRAM, Address
+from rackhub.fleet.ports import DATAGRAM_LIMIT_BYTES, Address
 
 BUFFER = 1 << 20  # asked of the system for what comes in; it may give less
 
@@ -24,7 +24,9 @@
     def open(self) -> None:
         """Raises `OSError` where the address can't be had."""
         try:
-            self._port = self._reactor.listenUDP(self._bind[1], self, interface=self._bind[0], maxPacketSize=DATAGRAM)
+            self._port = self._reactor.listenUDP(
+                self._bind[1], self, interface=self._bind[0], maxPacketSize=DATAGRAM_LIMIT_BYTES
+            )
         except error.CannotListenError as bad:
             told = bad.socketError
             why = getattr(told, "strerror", None) or told
--- a/rackhub/fleet/members/core.py
+++ b/rackhub/fleet/members/core.py
@@ -20,7 +20,7 @@
 from rackhub.fleet.members.table import Table
 from rackhub.fleet.members.talk import Talk
 from rackhub.fleet.members.timing import SECOND, Timing
-from rackhub.fleet.ports import MAIL, Name
+from rackhub.fleet.ports import MAX_MESSAGE_BYTES, Name
 
 ALONE = 1 * SECOND  # between two calls to all seeds while nobody else is known to live
 GRAIN = 1_000  # microseconds between two ticks at the least
@@ -175,8 +175,8 @@
         self.news.put(NOTE, self.here.me, kind)
 
     def _send(self, to: Name, kind: str, body: bytes) -> None:
-        if len(body) > MAIL:
-            raise ValueError(f"mail of {len(body)} bytes, more than {MAIL}")
+        if len(body) > MAX_MESSAGE_BYTES:
+            raise ValueError(f"mail of {len(body)} bytes, more than {MAX_MESSAGE_BYTES}")
         if not 0 < len(kind.encode()) <= 32:
             raise ValueError(f"{kind!r} is not a kind of 1 to 32 bytes")
         if to == self.here.me:
--- a/rackhub/fleet/members/own.py
+++ b/rackhub/fleet/members/own.py
@@ -9,7 +9,7 @@
 
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.members.here import Booted, Here, Named
-from rackhub.fleet.ports import Address, Member, State
+from rackhub.fleet.ports import Address, Member, MemberState
 
 FRESH = 10_000_000  # microseconds after a new boot number in which each packet says whose it is
 
@@ -51,7 +51,7 @@
             self.address,
             self.boot,
             self.incarnation,
-            State.LEFT if self.leaving else State.ALIVE,
+            MemberState.LEFT if self.leaving else MemberState.ALIVE,
             self.since,
             self.serves,
             self.site,
--- a/rackhub/fleet/members/part.py
+++ b/rackhub/fleet/members/part.py
@@ -54,7 +54,7 @@
         start = Start(
             settings.cluster,
             settings.name,
-            settings.told,
+            settings.advertised_address,
             boots.first(settings.state),
             serves,
             settings.site,
@@ -65,7 +65,7 @@
         self.members = MembersView(self.core)
         self.board = BoardView(self.core, self)
         self.mail = MailView(self, self.core.here.count)
-        self.port = UdpPort(reactor, settings.bind, self._came, self.core.here.count)
+        self.port = UdpPort(reactor, settings.listen_address, self._came, self.core.here.count)
         self._timer: Any = None
         self._on = False
         self._waits: Callable[[], None] | None = None  # cancels the next try of an address that is taken
@@ -133,7 +133,7 @@
                     self._safe(self.members.changed, effect)
                 case Posted():
                     self._safe(self.board.posted, effect)
-                case Mailed(sender) if sender == self.members.me:
+                case Mailed(sender) if sender == self.members.local_name:
                     self.later(0, lambda effect=effect: self._safe(self.mail.mailed, effect))  # type: ignore[misc]
                 case Mailed():
                     self._safe(self.mail.mailed, effect)
--- a/rackhub/fleet/members/peer.py
+++ b/rackhub/fleet/members/peer.py
@@ -4,9 +4,9 @@
 from rackhub.fleet.link.bucket import Bucket
 from rackhub.fleet.link.inbox import Inbox
 from rackhub.fleet.members.suspicion import Suspicion
-from rackhub.fleet.ports import Address, Member, State
+from rackhub.fleet.ports import Address, Member, MemberState
 
-SHOWN = {f.ALIVE: State.ALIVE, f.SUSPECT: State.SUSPECT, f.GONE: State.GONE, f.LEFT: State.LEFT}
+SHOWN = {f.ALIVE: MemberState.ALIVE, f.SUSPECT: MemberState.SUSPECT, f.GONE: MemberState.GONE, f.LEFT: MemberState.LEFT}
 
 
 class Peer:
@@ -37,7 +37,7 @@
         self.name = claim.name
         self.rate: Bucket | None = None
         self.answers: Bucket | None = None
-        self.shown: tuple[State, int, int] | None = None  # what was last said of it
+        self.shown: tuple[MemberState, int, int] | None = None  # what was last said of it
         self.begin(claim, now)
 
     def begin(self, claim: f.Claim, now: int) -> None:
@@ -70,9 +70,9 @@
     def cut(self, after: int) -> bool:
         return self.misses >= after
 
-    def state(self, after: int) -> State:
+    def state(self, after: int) -> MemberState:
         if self.rank == f.ALIVE and self.cut(after):
-            return State.CUT
+            return MemberState.CUT
         return SHOWN[self.rank]
 
     def member(self, after: int) -> Member:
--- a/rackhub/fleet/members/reach.py
+++ b/rackhub/fleet/members/reach.py
@@ -53,7 +53,7 @@
         if record is None:
             self._read.pop(one, None)
             return None
-        version = (record.boot, record.number)
+        version = (record.generation, record.number)
         if one not in self._read or self._read[one][0] != version:
             try:
                 told: Reach | None = msgspec.msgpack.decode(record.body, type=Reach)
--- a/rackhub/fleet/members/records.py
+++ b/rackhub/fleet/members/records.py
@@ -8,7 +8,7 @@
 
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.members.here import Here, Posted
-from rackhub.fleet.ports import RECORD, Name, Record
+from rackhub.fleet.ports import MAX_RECORD_BYTES, Name, Record
 
 
 class Entry:
@@ -26,8 +26,8 @@
     def post(self, boot: int, kind: str, body: bytes) -> None:
         """Raises `ValueError` for what no board takes."""
         own = self._owners.setdefault(self._here.me, {})
-        if len(body) > RECORD:
-            raise ValueError(f"a record of {len(body)} bytes, more than {RECORD}")
+        if len(body) > MAX_RECORD_BYTES:
+            raise ValueError(f"a record of {len(body)} bytes, more than {MAX_RECORD_BYTES}")
         if not 0 < len(kind.encode()) <= 32:
             raise ValueError(f"{kind!r} is not a kind of 1 to 32 bytes")
         if kind not in own and len(own) >= self._here.limits.kinds:
--- a/rackhub/fleet/members/subset.py
+++ b/rackhub/fleet/members/subset.py
@@ -9,21 +9,21 @@
     """`ports.Members` as another one tells of them, with `names` left out; the own name stays."""
 
     def __init__(self, members: Members, names: frozenset[Name]):
-        self.me = members.me
+        self.local_name = members.local_name
         self._members = members
-        self._names = names - {members.me}
+        self._names = names - {members.local_name}
 
     def all(self) -> Mapping[Name, Member]:
         return {name: member for name, member in self._members.all().items() if name not in self._names}
 
-    def living(self) -> frozenset[Name]:
-        return self._members.living() - self._names
+    def live(self) -> frozenset[Name]:
+        return self._members.live() - self._names
 
-    def heard(self) -> frozenset[Name]:
-        return self._members.heard() - self._names
+    def reachable(self) -> frozenset[Name]:
+        return self._members.reachable() - self._names
 
-    def hears(self, one: Name, other: Name) -> bool | None:
-        return None if self._names & {one, other} else self._members.hears(one, other)
+    def receives_from(self, one: Name, other: Name) -> bool | None:
+        return None if self._names & {one, other} else self._members.receives_from(one, other)
 
     def follow(self, call: Callable[[Member], None]) -> None:
         def followed(member: Member) -> None:
--- a/rackhub/fleet/members/table.py
+++ b/rackhub/fleet/members/table.py
@@ -14,7 +14,7 @@
 from rackhub.fleet.members.peer import Peer, order
 from rackhub.fleet.members.records import Records
 from rackhub.fleet.members.suspicion import Suspicion
-from rackhub.fleet.ports import Member, Name, State
+from rackhub.fleet.ports import Member, MemberState, Name
 
 
 class Table:
@@ -28,7 +28,7 @@
         self.nonsense: dict[Name, int] = {}
         self.version = 0  # another one whenever something may look different
         self._touched: set[Name] = set()
-        self._own_shown: tuple[State, int, int] | None = None
+        self._own_shown: tuple[MemberState, int, int] | None = None
         self._size: int | None = None
 
     # ---- what is known
@@ -70,8 +70,8 @@
                 peer.shown, said = shown, True
                 self._here.do(Changed(peer.member(after)))
         own = self.own.member()
-        if (own.state, own.boot, own.incarnation) != self._own_shown:
-            self._own_shown, said = (own.state, own.boot, own.incarnation), True
+        if (own.state, own.generation, own.incarnation) != self._own_shown:
+            self._own_shown, said = (own.state, own.generation, own.incarnation), True
             self.version += 1
             self._here.do(Changed(own))
         return said
--- a/rackhub/fleet/members/views.py
+++ b/rackhub/fleet/members/views.py
@@ -6,9 +6,9 @@
 from rackhub.fleet.members.core import Core
 from rackhub.fleet.members.events import Event, Post, Send
 from rackhub.fleet.members.here import Changed, Mailed, Posted
-from rackhub.fleet.ports import Member, Name, Record, State
+from rackhub.fleet.ports import Member, MemberState, Name, Record
 
-LIVING = (State.ALIVE, State.SUSPECT, State.CUT)
+LIVING = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.CUT)
 
 
 class Host(Protocol):
@@ -20,7 +20,7 @@
 
 class MembersView:
     def __init__(self, core: Core):
-        self._core, self.me = core, core.here.me
+        self._core, self.local_name = core, core.here.me
         self._follow: list[Callable[[Member], None]] = []
         self._all: Mapping[Name, Member] = {}
         self._version = -1
@@ -32,22 +32,26 @@
             self._version = self._core.table.version
             peers, after = self._core.table.peers, self._core.here.timing.cut_after
             self._all = self._core.table.members()
-            self._living = frozenset(name for name, member in self._all.items() if member.state in LIVING) | {self.me}
-            self._heard = frozenset(name for name in self._living if name == self.me or not peers[name].cut(after))
+            self._living = frozenset(name for name, member in self._all.items() if member.state in LIVING) | {
+                self.local_name
+            }
+            self._heard = frozenset(
+                name for name in self._living if name == self.local_name or not peers[name].cut(after)
+            )
         return self._all
 
     def all(self) -> Mapping[Name, Member]:
         return self._fresh()
 
-    def living(self) -> frozenset[Name]:
+    def live(self) -> frozenset[Name]:
         self._fresh()
         return self._living
 
-    def heard(self) -> frozenset[Name]:
+    def reachable(self) -> frozenset[Name]:
         self._fresh()
         return self._heard
 
-    def hears(self, one: Name, other: Name) -> bool | None:
+    def receives_from(self, one: Name, other: Name) -> bool | None:
         return self._core.hears(one, other)
 
     def follow(self, call: Callable[[Member], None]) -> None:
@@ -63,7 +67,7 @@
         self._core, self._host = core, host
         self._follow: dict[str, list[Callable[[Record], None]]] = {}
 
-    def post(self, kind: str, body: bytes) -> None:
+    def publish(self, kind: str, body: bytes) -> None:
         self._host.step(Post(kind, body))
 
     def read(self, kind: str) -> Mapping[Name, Record]:
@@ -86,7 +90,7 @@
     def send(self, to: Name, kind: str, body: bytes) -> None:
         self._host.step(Send(to, kind, body))
 
-    def take(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
+    def subscribe(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
         if kind in self._takers:
             raise ValueError(f"mail of kind {kind!r} is taken already")
         self._takers[kind] = call
--- a/rackhub/fleet/overload/component.py
+++ b/rackhub/fleet/overload/component.py
@@ -59,7 +59,7 @@
 
 
 class Overload:
-    """Implements `core.fleet.FleetCoordinator` and `ports.Level`; `shed` is its part of the rule set."""
+    """Implements `core.fleet.FleetCoordinator` and `ports.OverloadStatus`; `shed` is its part of the rule set."""
 
     name = "overload"
 
@@ -77,10 +77,10 @@
         self.core = core
         self._probe = probe
         takeover_delay = max([cls.deadline for cls in settings.classes] or [0]) or limits.kill_capped
-        self.controller = LoadController(fleet.members.me, settings, fleet_settings, takeover_delay, fleet.seed)
+        self.controller = LoadController(fleet.members.local_name, settings, fleet_settings, takeover_delay, fleet.seed)
         self.shed = self.controller.policy
-        self.health_checks = HealthCheckSchedule(fleet.members.me)
-        self.recovery = RecoveryTrials(fleet.members.me)
+        self.health_checks = HealthCheckSchedule(fleet.members.local_name)
+        self.recovery = RecoveryTrials(fleet.members.local_name)
         self._entries: tuple[t.EngineEntry, ...] = ()
         self._loads: dict[ports.Name, tuple[tuple[int, int], records.Load | None]] = {}
         self._ticked = self._published_at = fleet.clock.now()
@@ -93,14 +93,14 @@
 
     def start(self) -> None:
         """Follow records and members, and start the timer."""
-        self.fleet.board.follow(records.LOAD, self._load_received)
+        self.fleet.gossip_state.follow(records.LOAD_KIND, self._load_received)
         for page in range(PAGES):
-            self.fleet.board.follow(f"{records.PROBES}{page}", self._health_received)
+            self.fleet.gossip_state.follow(f"{records.HEALTH_KIND}{page}", self._health_received)
         self.fleet.members.follow(self._member_changed)
         self._ticked = self.fleet.clock.now()
-        self._cancel = self.fleet.later(TICK, self._timer_expired)
+        self._cancel = self.fleet.call_later(TICK, self._timer_expired)
 
-    def listed(self, listing: EndpointSnapshot) -> None:
+    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
         """Apply a new list of engines."""
         self._entries = tuple(entry for entry in listing.entries if entry.state == "Ready")
         now = self.fleet.clock.now()
@@ -125,13 +125,13 @@
         }
         return {f"overload_{name}": float(value) for name, value in own.items()}
 
-    # ---- ports.Level
+    # ---- ports.OverloadStatus
 
-    def over(self) -> bool:
+    def is_shedding(self) -> bool:
         """Return whether requests are shed."""
         return self.controller.shedding
 
-    def token(self) -> bool:
+    def try_spend_retry(self) -> bool:
         """Spend one retry; return False if there is none."""
         spent = self.controller.retry_budget.try_spend()
         self.controller.measurement.retries_wanted += 1
@@ -206,7 +206,7 @@
             self._apply_allocation(now)
 
     def _health_received(self, record: ports.Record) -> None:
-        reports = records.unpack_seen(record.body)
+        reports = records.unpack_health(record.body)
         now = self.fleet.clock.now()
         if reports is None:
             self._reject_record(record)
@@ -228,17 +228,17 @@
 
     def _decode(self, record: ports.Record) -> records.Load | None:
         known = self._loads.get(record.owner)
-        if known is None or known[0] != (record.boot, record.number):
+        if known is None or known[0] != (record.generation, record.number):
             load = records.unpack(record.body)
             if load is None:
                 self._reject_record(record)
-            known = self._loads[record.owner] = (record.boot, record.number), load
+            known = self._loads[record.owner] = (record.generation, record.number), load
         return known[1]
 
     def _reject_record(self, record: ports.Record) -> None:
         self._tally("overload_nonsense")
-        if (record.owner, record.boot) not in self._warned and len(self._warned) < MAXIMUM_WARNINGS:
-            self._warned.add((record.owner, record.boot))
+        if (record.owner, record.generation) not in self._warned and len(self._warned) < MAXIMUM_WARNINGS:
+            self._warned.add((record.owner, record.generation))
             log.warning(
                 "member %s tells what is no record of load, kind %s: it counts as silent", record.owner, record.kind
             )
@@ -246,7 +246,7 @@
     # ---- the tick
 
     def _timer_expired(self) -> None:
-        self._cancel = self.fleet.later(TICK, self._timer_expired)
+        self._cancel = self.fleet.call_later(TICK, self._timer_expired)
         self.tick()
 
     def tick(self) -> None:
@@ -261,20 +261,20 @@
             own.measurement.threads.get(attempt.query.cls, 1) for attempt in self.core.in_flight.values()
         )
         members = self.fleet.members
-        held = self.fleet.board.read(records.LOAD)
+        held = self.fleet.gossip_state.read(records.LOAD_KIND)
         loads = {
             name: load
             for name, record in held.items()
-            if name != members.me and (load := self._decode(record)) is not None
+            if name != members.local_name and (load := self._decode(record)) is not None
         }
         self._loads = {name: self._loads[name] for name in held if name in self._loads}
         threads = listed_threads(self._entries, self.settings, now)
-        own.tick(now, elapsed, threads, members.living(), members.heard(), held, loads)
+        own.tick(now, elapsed, threads, members.live(), members.reachable(), held, loads)
         # posted after the computation, so that the record has the participants that this gateway now counts
         if now - self._published_at >= POST_INTERVAL - TICK // 2:
             self._publish_load(now)
             for page, seen in enumerate(self.health_checks.pages(now)):
-                self.fleet.board.post(f"{records.PROBES}{page}", records.pack_seen(seen))
+                self.fleet.gossip_state.publish(f"{records.HEALTH_KIND}{page}", records.pack_health(seen))
         elif abs(own.threads_in_use - self._published_threads) > max(
             EARLY_POST_FRACTION * own.limit, EARLY_POST_THREADS
         ):
@@ -288,7 +288,9 @@
     def _publish_load(self, now: int) -> None:
         self._published_at = now
         self._published_threads = self.controller.threads_in_use
-        self.fleet.board.post(records.LOAD, records.pack(self.controller.record(self.recovery.records(now))))
+        self.fleet.gossip_state.publish(
+            records.LOAD_KIND, records.pack(self.controller.record(self.recovery.records(now)))
+        )
 
     def _trial_changed(self, now: int) -> None:
         """Apply the start or end of a trial here now, and publish it soon."""
@@ -298,7 +300,7 @@
 
     def _apply_allocation(self, now: int) -> None:
         own = self.controller
-        reachable = self.fleet.members.heard() | {self.fleet.members.me}
+        reachable = self.fleet.members.reachable() | {self.fleet.members.local_name}
         self.health_checks.update(now, reachable)
         held = self.recovery.update(now, reachable)
         if own.view is None:
@@ -315,4 +317,4 @@
         )
 
     def _tally(self, name: str) -> None:
-        self.fleet.tally(name, 1)
+        self.fleet.add_count(name, 1)
--- a/rackhub/fleet/overload/load_controller.py
+++ b/rackhub/fleet/overload/load_controller.py
@@ -207,7 +207,7 @@
             records.bounded(self.backoff.retry_work * 1000),
             rates["retries"],
             rates["retries_wanted"],
-            records.bounded(self.measurement.capacity_factor * records.PART),
+            records.bounded(self.measurement.capacity_factor * records.FRACTION_ONE),
             self.quota.loan(),
             self.retry_budget.quota.loan(),
             trials,
--- a/rackhub/fleet/overload/quota.py
+++ b/rackhub/fleet/overload/quota.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from rackhub.fleet.overload.records import PART, Loan
+from rackhub.fleet.overload.records import FRACTION_ONE, Loan
 
 HEADROOM = 1.25  # retained per unit of need, as a need grows before the others learn of it
 RETAINED = 0.5  # fraction of the equal share that is never offered, so that first requests need not wait for gossip
@@ -73,17 +73,17 @@
     @staticmethod
     def wants_more(loan: Loan, equal_share: float) -> bool:
         """Return whether the gateway that published `loan` wants more than each does in any case."""
-        return loan.maximum_wanted > 1.5 * BASE * equal_share * PART
+        return loan.maximum_wanted > 1.5 * BASE * equal_share * FRACTION_ONE
 
     def loan(self) -> Loan:
         """Return the record to publish, rounded to the more cautious bound."""
         minimum_offered, maximum_offered = self.offered.bounds()
         minimum_wanted, maximum_wanted = self.wanted.bounds()
         return Loan(
-            int(minimum_offered * PART),
-            min(math.ceil(maximum_offered * PART), PART),
-            int(minimum_wanted * PART),
-            min(math.ceil(maximum_wanted * PART), PART),
+            int(minimum_offered * FRACTION_ONE),
+            min(math.ceil(maximum_offered * FRACTION_ONE), FRACTION_ONE),
+            int(minimum_wanted * FRACTION_ONE),
+            min(math.ceil(maximum_wanted * FRACTION_ONE), FRACTION_ONE),
         )
 
     def share(self, equal_share: float, peer_loans: Iterable[Loan | None]) -> float:
@@ -92,9 +92,9 @@
         `peer_loans` has the loan of each other counted member, None if it is silent or counts other participants.
         """
         own = self.loan()
-        keep = max(equal_share - own.maximum_offered / PART, 0.0)
+        keep = max(equal_share - own.maximum_offered / FRACTION_ONE, 0.0)
         pool, wants = own.minimum_offered, own.minimum_wanted
         for other in peer_loans:
             pool += other.minimum_offered if other is not None else 0
-            wants += other.maximum_wanted if other is not None else PART
-        return keep + (pool / PART) * own.minimum_wanted / wants if wants else keep
+            wants += other.maximum_wanted if other is not None else FRACTION_ONE
+        return keep + (pool / FRACTION_ONE) * own.minimum_wanted / wants if wants else keep
--- a/rackhub/fleet/overload/records.py
+++ b/rackhub/fleet/overload/records.py
@@ -9,18 +9,18 @@
 
 import msgspec
 
-from rackhub.fleet.ports import RECORD
+from rackhub.fleet.ports import MAX_RECORD_BYTES
 
-LOAD = "load"  # kind on the board
-PROBES = "probes"  # kind on the board, with the page number appended
+LOAD_KIND = "load"  # kind on the board
+HEALTH_KIND = "probes"  # kind on the board, with the page number appended
 CELLS = 32  # maximum in one record; further cells are summed
 CLASSES = 12
 TRIALS = 12
-PART = 65_536  # the encoding of the fraction 1
-MOST = 2**40  # maximum of every number
+FRACTION_ONE = 65_536  # the encoding of the fraction 1
+MAX_VALUE = 2**40  # maximum of every number
 
-Figure = Annotated[int, msgspec.Meta(ge=0, le=MOST)]
-Part = Annotated[int, msgspec.Meta(ge=0, le=PART)]
+Figure = Annotated[int, msgspec.Meta(ge=0, le=MAX_VALUE)]
+Part = Annotated[int, msgspec.Meta(ge=0, le=FRACTION_ONE)]
 
 
 def code(*names: str) -> int:
@@ -73,7 +73,7 @@
     retry_work: Figure = 0  # rejected work that may not have returned yet, thousandths of thread-seconds
     retries: Figure = 0  # attempts past the first
     retries_wanted: Figure = 0  # sent or not
-    capacity_factor: Figure = PART  # usable fraction of the configured threads, as this gateway measures it
+    capacity_factor: Figure = FRACTION_ONE  # usable fraction of the configured threads, as this gateway measures it
     share: Loan = Loan()
     retry_share: Loan = Loan()
     trials: Annotated[tuple[Trial, ...], msgspec.Meta(max_length=TRIALS)] = ()
@@ -101,12 +101,12 @@
 
 
 def bounded(value: float) -> int:
-    """Return `value` as an integer from 0 to `MOST`."""
-    return int(min(max(value, 0), MOST))
+    """Return `value` as an integer from 0 to `MAX_VALUE`."""
+    return int(min(max(value, 0), MAX_VALUE))
 
 
 def pack(load: Load) -> bytes:
-    """Encode a load record in at most `RECORD` bytes.
+    """Encode a load record in at most `MAX_RECORD_BYTES` bytes.
 
     The cells with the fewest requests are summed first, as the shedding threshold needs the large ones.
     """
@@ -123,7 +123,7 @@
                 trials=load.trials[:TRIALS],
             )
         )
-        if len(body) <= RECORD:
+        if len(body) <= MAX_RECORD_BYTES:
             return body
         listed = min(listed, len(cells)) - 2
 
@@ -141,12 +141,12 @@
     return load if ordered else None
 
 
-def pack_seen(seen: list[HealthReport]) -> bytes:
+def pack_health(seen: list[HealthReport]) -> bytes:
     """Encode one page of health check results."""
     return msgspec.msgpack.encode(seen)
 
 
-def unpack_seen(body: bytes) -> tuple[HealthReport, ...] | None:
+def unpack_health(body: bytes) -> tuple[HealthReport, ...] | None:
     """Decode one page of health check results; return None if it is invalid."""
     try:
         return _health_decoder.decode(body)
--- a/rackhub/fleet/overload/shed.py
+++ b/rackhub/fleet/overload/shed.py
@@ -31,7 +31,7 @@
 
 
 class SheddingPolicy:
-    """The multipliers in force; implements `ports.RulePart`."""
+    """The multipliers in force; implements `ports.RuleSection`."""
 
     def __init__(self, settings: t.Settings):
         self._classes = [cls.name for cls in settings.classes]
@@ -43,7 +43,7 @@
         """Raise `ValueError` that names each invalid key."""
         self._read(part)
 
-    def hold(self, part: Mapping[str, Any] | None, version: int) -> None:
+    def apply(self, part: Mapping[str, Any] | None, version: int) -> None:
         """Apply the table of a rule set version; raise `ValueError` if it is invalid."""
         multipliers: dict[Key, float] = {}
         for entry in self._read(part):
--- a/rackhub/fleet/overload/view.py
+++ b/rackhub/fleet/overload/view.py
@@ -8,7 +8,7 @@
 
 from rackhub import interface as t
 from rackhub.fleet.overload.load_measurement import ClassLoad
-from rackhub.fleet.overload.records import PART, Load, code
+from rackhub.fleet.overload.records import FRACTION_ONE, Load, code
 from rackhub.fleet.overload.shedding_threshold import Demand, Key
 
 THREADS_PER_CORE = 1.5  # as in the decision module
@@ -124,9 +124,9 @@
     """Return the mean capacity factor of the members, weighted by their threads in use."""
     weights = sum(in_use) + len(in_use)
     total = sum(
-        (threads + 1) * min(load.capacity_factor, 4 * PART) for threads, load in zip(in_use, loads, strict=True)
+        (threads + 1) * min(load.capacity_factor, 4 * FRACTION_ONE) for threads, load in zip(in_use, loads, strict=True)
     )
-    return total / PART / weights if weights else 1.0
+    return total / FRACTION_ONE / weights if weights else 1.0
 
 
 def listed_threads(entries: Iterable[t.EngineEntry], settings: t.Settings, now: int) -> float:
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -22,7 +22,7 @@
 from rackhub.fleet.overload.fault_barrier import FaultBarrier
 from rackhub.fleet.overload.prober import Prober
 from rackhub.fleet.overload.shed import SheddingPolicy
-from rackhub.fleet.ports import Fleet, RulePart
+from rackhub.fleet.ports import Fleet, RuleSection
 from rackhub.fleet.register.disk import StoreDisk
 from rackhub.fleet.roles import RELAY, VOTER, shares_overload
 from rackhub.fleet.rules.timings import TimingsSection
@@ -36,7 +36,7 @@
 log = logging.getLogger(__name__)
 
 
-class FleetPart(Component):
+class FleetComponent(Component):
     def __init__(self, host: ComponentContext):
         super().__init__(host)
         self.told: FleetSettings = fleet_settings(host.operator.fleet or {}, host.source.settings, host.config.name)
@@ -66,7 +66,7 @@
         self.timings = TimingsSection(lambda: host.source.settings, lambda: host.operator.timings, self._time)
         for name, part in self._rule_parts().items():
             if self.rules is not None:
-                self.rules.part(name, part)
+                self.rules.add_section(name, part)
 
     def _serving(self) -> Fleet:
         """The fleet as overload counts it: voters and relays are members of a zone, and take no part of its load."""
@@ -80,9 +80,9 @@
         """Whoever holds the rule book here: that of a fleet without relays, or what distribution brings."""
         return self.book if self.distribution is None else self.distribution
 
-    def _rule_parts(self) -> dict[str, RulePart]:
+    def _rule_parts(self) -> dict[str, RuleSection]:
         """Those that this part of the daemon has; gathers add theirs. A voter checks the order of shedding, too."""
-        parts: dict[str, RulePart] = {"timings": self.timings}
+        parts: dict[str, RuleSection] = {"timings": self.timings}
         if self.overload is not None:
             parts["shed"] = self.overload.shed
         elif self.told.role == VOTER:
@@ -152,7 +152,7 @@
             raise ComponentStartError(f"[fleet] {fault}") from None
         if self.overload is not None:
             self.overload.start()
-            self.overload.listed(self.context.source.start)
+            self.overload.endpoints_changed(self.context.source.start)
         self.prober.listed(self.context.source.start)
         if self.rules is not None:
             timed: Any = self.context.components.get("timings")
@@ -171,7 +171,7 @@
     def endpoints_changed(self, listing: EndpointSnapshot) -> None:
         self.prober.listed(listing)
         if self.overload is not None:
-            self.overload.listed(listing)
+            self.overload.endpoints_changed(listing)
 
     def drain(self) -> None:
         if self.overload is not None:
@@ -207,5 +207,5 @@
         return ["fleet: " + (" ".join(f"{name}={value:g}" for name, value in counted.items()) or "nothing")]
 
 
-def part(host: ComponentContext) -> FleetPart:
-    return FleetPart(host)
+def create_component(host: ComponentContext) -> FleetComponent:
+    return FleetComponent(host)
--- a/rackhub/fleet/ports.py
+++ b/rackhub/fleet/ports.py
@@ -15,9 +15,9 @@
 
 Name = str  # of a gateway: the configuration's `name`, the same after a restart
 
-DATAGRAM = 1_400  # bytes that no datagram may reach
-RECORD = 900  # most bytes of one record's body on the board
-MAIL = 262_144  # most bytes of one piece of mail
+DATAGRAM_LIMIT_BYTES = 1_400  # bytes that no datagram may reach
+MAX_RECORD_BYTES = 900  # most bytes of one record's body on the board
+MAX_MESSAGE_BYTES = 262_144  # most bytes of one piece of mail
 
 
 class Clock(Protocol):
@@ -25,7 +25,7 @@
         """Microseconds; only advances."""
 
 
-class State(Enum):
+class MemberState(Enum):
     """What this gateway holds of another one. `CUT`: it lives by others' word, and this one does not hear it or is not
     heard by it. `LEFT`: it said that it ends. `GONE`: nobody has heard of it for long enough."""
 
@@ -41,11 +41,11 @@
 
     name: Name
     address: Address
-    boot: int
+    generation: int
     incarnation: int
-    state: State
+    state: MemberState
     since: int  # when this state began, by the own clock
-    serves: Address | None = None  # where its clients connect
+    client_address: Address | None = None  # where its clients connect
     site: str = ""  # where it stands
 
 
@@ -54,7 +54,7 @@
 
     owner: Name
     kind: str
-    boot: int
+    generation: int
     number: int
     age: int
     body: bytes
@@ -63,29 +63,29 @@
 class Members(Protocol):
     """Who is in the fleet. The own gateway is always among them, alive."""
 
-    me: Name
+    local_name: Name
 
     def all(self) -> Mapping[Name, Member]: ...
 
-    def living(self) -> frozenset[Name]:
+    def live(self) -> frozenset[Name]:
         """All that live, the own one too, also those cut off from this one: alive, suspect or cut."""
 
-    def heard(self) -> frozenset[Name]:
+    def reachable(self) -> frozenset[Name]:
         """Those of the living that this one hears and is heard by, the own one too."""
 
-    def hears(self, one: Name, other: Name) -> bool | None:
+    def receives_from(self, one: Name, other: Name) -> bool | None:
         """Whether `one` hears `other`, as far as it is known here; None: not known."""
 
     def follow(self, call: Callable[[Member], None]) -> None:
         """Call back with each member whose state, boot number or incarnation changes, after the change."""
 
 
-class Board(Protocol):
+class GossipState(Protocol):
     """Small records, spread to all members with the probes. A record of a process before the present one of its owner
     goes when the new one is heard of; those of members gone for good go with them."""
 
-    def post(self, kind: str, body: bytes) -> None:
-        """This gateway's newest record of that kind, in place of the one before; at most `RECORD` bytes."""
+    def publish(self, kind: str, body: bytes) -> None:
+        """This gateway's newest record of that kind, in place of the one before; at most `MAX_RECORD_BYTES` bytes."""
 
     def read(self, kind: str) -> Mapping[Name, Record]:
         """The newest of each owner, the own one too."""
@@ -94,14 +94,14 @@
         """Call back with each newer record of that kind that others posted."""
 
 
-class Mail(Protocol):
+class Messenger(Protocol):
     """Messages between two members, at most once each and in no order: lost, late or twice sent is for the caller to
     bear. Paged by the link where they are larger than a datagram."""
 
     def send(self, to: Name, kind: str, body: bytes) -> None:
-        """At most `MAIL` bytes; to one that is not known it is dropped and counted."""
+        """At most `MAX_MESSAGE_BYTES` bytes; to one that is not known it is dropped and counted."""
 
-    def take(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
+    def subscribe(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
         """Who gets the mail of that kind, with its sender."""
 
 
@@ -141,21 +141,21 @@
     """What a part of the fleet is handed."""
 
     members: Members
-    board: Board
-    mail: Mail
+    gossip_state: GossipState
+    messenger: Messenger
     clock: Clock
-    tally: Callable[[str, int], None]  # adds to the fleet's counter of that name
-    later: Callable[[int, Callable[[], None]], Callable[[], None]]  # after so many microseconds; gives its cancel
+    add_count: Callable[[str, int], None]  # adds to the fleet's counter of that name
+    call_later: Callable[[int, Callable[[], None]], Callable[[], None]]  # after so many microseconds; gives its cancel
     seed: int  # of random streams: parts add a word of theirs
 
 
-class RulePart(Protocol):
+class RuleSection(Protocol):
     """Who a part of the rule book is for: `timings`, `gather` or `shed`."""
 
     def check(self, part: Mapping[str, Any] | None) -> None:
         """Raises `ValueError` that names each key at fault; None: the book has no such part. Changes nothing."""
 
-    def hold(self, part: Mapping[str, Any] | None, version: int) -> None:
+    def apply(self, part: Mapping[str, Any] | None, version: int) -> None:
         """It holds for requests that come from now on; open ones end under what they began with."""
 
 
@@ -164,15 +164,15 @@
 
     version: int  # 0: none yet, what the files say holds
 
-    def part(self, name: str, part: RulePart) -> None:
+    def add_section(self, name: str, part: RuleSection) -> None:
         """Says who a part is for, before the start."""
 
 
-class Level(Protocol):
+class OverloadStatus(Protocol):
     """What the fleet's overload means for work that can be left out: gathers leave `spare` parts out first."""
 
-    def over(self) -> bool:
+    def is_shedding(self) -> bool:
         """Whether the fleet is over its level at this moment."""
 
-    def token(self) -> bool:
+    def try_spend_retry(self) -> bool:
         """Take one further attempt from the fleet's budget; False: there is none left now."""
--- a/rackhub/fleet/register/acceptor_shell.py
+++ b/rackhub/fleet/register/acceptor_shell.py
@@ -82,7 +82,7 @@
     ):
         self._fleet = fleet
         self._disk = disk
-        self.local_name = fleet.members.me
+        self.local_name = fleet.members.local_name
         self._key = disk_key(register)
         self._request_kind = request_kind(register)
         self._reply_kind = reply_kind(register)
@@ -107,7 +107,7 @@
 
     def start(self) -> None:
         """Receive messages, and ask to join until this disk votes."""
-        self._fleet.mail.take(self._request_kind, self._receive_encoded)
+        self._fleet.messenger.subscribe(self._request_kind, self._receive_encoded)
         self._request_join()
 
     def stop(self) -> None:
@@ -118,10 +118,10 @@
     def receive(self, sender: Name, message: Message) -> None:
         """Handle one message, also of this gateway's own proposer."""
         if self._stopped or len(self._pending) >= MAX_PENDING_WRITES:
-            self._fleet.tally("register_dropped", 1)
+            self._fleet.add_count("register_dropped", 1)
             return
         if isinstance(message, JoinRequest | JoinAccepted | JoinRejected) and message.acceptor != sender:
-            self._fleet.tally("register_unread", 1)
+            self._fleet.add_count("register_unread", 1)
             return
         if isinstance(message, JoinRejected):
             self._handle_join_rejected(sender, message)
@@ -139,7 +139,7 @@
         try:
             message = decode(body)
         except msgspec.MsgspecError:
-            self._fleet.tally("register_unread", 1)
+            self._fleet.add_count("register_unread", 1)
             return
         self.receive(sender, message)
 
@@ -151,7 +151,7 @@
         request = JoinRequest(self.local_name, self.state.incarnation)
         peers = [name for name in self.state.acceptors if name != self.local_name]
         self._send_when_durable([_Envelope(name, request) for name in peers])
-        self._cancel_join = self._fleet.later(self._join_backoff, self._request_join)
+        self._cancel_join = self._fleet.call_later(self._join_backoff, self._request_join)
         self._join_backoff = min(self._join_backoff * 2, MAX_JOIN_BACKOFF_US)
 
     def _handle_join_rejected(self, sender: Name, message: JoinRejected) -> None:
@@ -161,7 +161,7 @@
         boot number with it.
         """
         incarnation = self.state.incarnation
-        boot_number = self._fleet.members.all()[self.local_name].boot
+        boot_number = self._fleet.members.all()[self.local_name].generation
         if message.requested != incarnation or self.state.voting:
             return
         if boot_number > incarnation.boot_number:
@@ -184,7 +184,7 @@
         except msgspec.MsgspecError as error:
             self.damage = f"{self._key} can't be read: {error}"
             log.error("fleet: %s; it is fetched anew from the other acceptors", self.damage)
-            self._fleet.tally("register_damaged", 1)
+            self._fleet.add_count("register_damaged", 1)
             return None
         if state.local_name != self.local_name or set(state.acceptors) != set(acceptors):
             raise ValueError(
@@ -218,4 +218,4 @@
                 self._receive_locally(message)
                 continue
             kind = self._reply_kind if isinstance(message, Vote) else self._request_kind
-            self._fleet.mail.send(recipient, kind, encode(message))
+            self._fleet.messenger.send(recipient, kind, encode(message))
--- a/rackhub/fleet/register/messages.py
+++ b/rackhub/fleet/register/messages.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from rackhub.fleet.ports import MAIL
+from rackhub.fleet.ports import MAX_MESSAGE_BYTES
 
 MESSAGE_OVERHEAD_BYTES = 4_096  # reserved for the other fields of a message that carries the value
-MAX_VALUE_BYTES = MAIL - MESSAGE_OVERHEAD_BYTES
+MAX_VALUE_BYTES = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES
 MAX_BALLOT_NUMBER = 1 << 48  # limits what a malformed message can do: no proposer gets there
 
 
--- a/rackhub/fleet/register/proposer.py
+++ b/rackhub/fleet/register/proposer.py
@@ -82,7 +82,7 @@
         register: str = DEFAULT_REGISTER,
     ):
         self._fleet = fleet
-        self._local_name = fleet.members.me
+        self._local_name = fleet.members.local_name
         self._acceptors = acceptors
         self._local_acceptor = local_acceptor
         self._request_kind = request_kind(register)
@@ -107,7 +107,7 @@
 
     def start(self) -> None:
         """Receive replies."""
-        self._fleet.mail.take(self._reply_kind, self._receive_encoded)
+        self._fleet.messenger.subscribe(self._reply_kind, self._receive_encoded)
 
     def stop(self) -> None:
         """End all changes: the outcome of one that acceptors may have accepted is unknown."""
@@ -179,7 +179,7 @@
         self._round = None
         longest = min(INITIAL_BACKOFF_US << min(self._rounds, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_US)
         delay = self._random.randint(longest // 4, longest)
-        self._cancel_timer = self._fleet.later(delay, self._start_round)
+        self._cancel_timer = self._fleet.call_later(delay, self._start_round)
 
     def _describe_missing_quorum(self) -> str:
         """Why there is no quorum, as far as it is known."""
@@ -215,15 +215,15 @@
         for name in self._acceptors:
             if name not in replied:
                 self._send(name, request)
-        self._cancel_timer = self._fleet.later(RESEND_INTERVAL_US, self._send_attempt)
+        self._cancel_timer = self._fleet.call_later(RESEND_INTERVAL_US, self._send_attempt)
 
     def _send(self, acceptor: Name, request: Prepare | Accept) -> None:
         if acceptor != self._local_name:
-            self._fleet.mail.send(acceptor, self._request_kind, encode(request))
+            self._fleet.messenger.send(acceptor, self._request_kind, encode(request))
             return
         local = self._local_acceptor
         if local is not None:
-            self._fleet.later(0, lambda: local.receive(local.local_name, request))
+            self._fleet.call_later(0, lambda: local.receive(local.local_name, request))
 
     # ---- replies
 
@@ -231,12 +231,12 @@
         try:
             message = decode(body)
         except msgspec.MsgspecError:
-            self._fleet.tally("register_unread", 1)
+            self._fleet.add_count("register_unread", 1)
             return
         if isinstance(message, Promise | Accepted | Rejected) and message.acceptor == sender:
             self._receive(message)
         else:
-            self._fleet.tally("register_unread", 1)
+            self._fleet.add_count("register_unread", 1)
 
     def _receive(self, reply: Message) -> None:
         if self._current is None or self._round is None or not isinstance(reply, Vote):
--- a/rackhub/fleet/rules/changes.py
+++ b/rackhub/fleet/rules/changes.py
@@ -126,7 +126,7 @@
             self._ending_trial = False
             if outcome.kind == "done":
                 log.warning("fleet: rule version %d is undone: %s", request.base_version, request.reason)
-                self._fleet.tally("rules_lapsed", 1)
+                self._fleet.add_count("rules_lapsed", 1)
 
         if not self._ending_trial:
             self._ending_trial = True
--- a/rackhub/fleet/rules/checks.py
+++ b/rackhub/fleet/rules/checks.py
@@ -42,14 +42,14 @@
 
     def check(self, content: Mapping[str, Any], done: Callable[[CheckOutcome], None]) -> None:
         """Call `done` once, within `CHECK_TIMEOUT`: on the first fault, or when all have answered."""
-        local = self._fleet.members.me
+        local = self._fleet.members.local_name
         fault = self._check_locally(content)
         if not fault and len(self._open) >= MAX_CONCURRENT_CHECKS:
             fault = f"{MAX_CONCURRENT_CHECKS} edits are being checked already"
         if fault:
             done(CheckOutcome({local: fault}, [], []))
             return
-        pending = set(self._fleet.members.living() - {local})
+        pending = set(self._fleet.members.live() - {local})
         if not pending:
             done(CheckOutcome({}, [], []))
             return
@@ -63,20 +63,20 @@
         if check is None:
             return
         remaining = check.deadline - self._fleet.clock.now()
-        all_cut_off = not check.pending & self._fleet.members.heard()
+        all_cut_off = not check.pending & self._fleet.members.reachable()
         if remaining <= 0 or (remaining < CHECK_TIMEOUT and all_cut_off):
             self._complete(request_id)
             return
         body = encode(CheckRequest(request_id, check.content))
         for name in sorted(check.pending):
-            self._fleet.mail.send(name, MESSAGE_KIND, body)
-        self._fleet.later(RESEND_INTERVAL, lambda: self._send(request_id))
+            self._fleet.messenger.send(name, MESSAGE_KIND, body)
+        self._fleet.call_later(RESEND_INTERVAL, lambda: self._send(request_id))
 
     def on_message(self, source: Name, message: CheckRequest | CheckResult) -> None:
         """Handle a message of another gateway."""
         if isinstance(message, CheckRequest):
             fault = self._check_locally(message.content)[:MAX_FAULT_LENGTH]
-            self._fleet.mail.send(source, MESSAGE_KIND, encode(CheckResult(message.request_id, fault)))
+            self._fleet.messenger.send(source, MESSAGE_KIND, encode(CheckResult(message.request_id, fault)))
         else:
             self._on_result(source, message)
 
@@ -92,8 +92,8 @@
 
     def _complete(self, request_id: int) -> None:
         check = self._open.pop(request_id)
-        reachable = self._fleet.members.heard()
-        living = self._fleet.members.living()
+        reachable = self._fleet.members.reachable()
+        living = self._fleet.members.live()
         unresponsive = sorted(check.pending & reachable)
         unreachable = sorted((check.pending - reachable) & living)
         check.done(CheckOutcome(check.faults, unresponsive, unreachable))
--- a/rackhub/fleet/rules/dissemination.py
+++ b/rackhub/fleet/rules/dissemination.py
@@ -35,8 +35,8 @@
         self._fleet = fleet
         self._tracker = tracker
         self._learn = learn
-        boot = fleet.members.all()[fleet.members.me].boot
-        self._random = random.Random(f"{fleet.seed} spread {fleet.members.me} {boot}")
+        boot = fleet.members.all()[fleet.members.local_name].generation
+        self._random = random.Random(f"{fleet.seed} spread {fleet.members.local_name} {boot}")
         self._request_id = self._random.getrandbits(48)
         self._open_fetches: dict[int, int] = {}  # request id -> when it was sent
         self._fetched_at: dict[Name, int] = {}
@@ -44,8 +44,8 @@
     def announce(self) -> None:
         """Tell all living gateways the number of the newest version here."""
         body = encode(NewestVersion(self._tracker.rule_set.newest_number))
-        for name in sorted(self._fleet.members.living() - {self._fleet.members.me}):
-            self._fleet.mail.send(name, MESSAGE_KIND, body)
+        for name in sorted(self._fleet.members.live() - {self._fleet.members.local_name}):
+            self._fleet.messenger.send(name, MESSAGE_KIND, body)
 
     def fetch_published(self) -> None:
         """Fetch from one of those that published the highest number, where that is above the local one."""
@@ -53,7 +53,7 @@
         ahead = {
             owner: status.newest
             for owner, status in gossiped_statuses(self._fleet).items()
-            if status.newest > newest and owner != self._fleet.members.me
+            if status.newest > newest and owner != self._fleet.members.local_name
         }
         if ahead:
             highest = max(ahead.values())
@@ -64,10 +64,10 @@
 
         This repairs announcements that were lost.
         """
-        peers = sorted(self._fleet.members.heard() - {self._fleet.members.me})
+        peers = sorted(self._fleet.members.reachable() - {self._fleet.members.local_name})
         if peers:
             body = encode(NewestVersion(self._tracker.rule_set.newest_number))
-            self._fleet.mail.send(self._random.choice(peers), MESSAGE_KIND, body)
+            self._fleet.messenger.send(self._random.choice(peers), MESSAGE_KIND, body)
 
     def fetch(self, source: Name) -> None:
         """Request what `source` has above the local versions, at most once in `FETCH_INTERVAL`."""
@@ -80,7 +80,7 @@
         while len(self._open_fetches) > MAX_OPEN_FETCHES:
             del self._open_fetches[next(iter(self._open_fetches))]
         request = FetchVersions(self._tracker.rule_set.newest_number, self._request_id)
-        self._fleet.mail.send(source, MESSAGE_KIND, encode(request))
+        self._fleet.messenger.send(source, MESSAGE_KIND, encode(request))
 
     def on_message(self, source: Name, message: NewestVersion | FetchVersions | VersionsSent) -> None:
         """Handle a message of another gateway."""
@@ -96,7 +96,7 @@
         if message.newest > newest:
             self.fetch(source)
         elif message.newest < newest:
-            self._fleet.mail.send(source, MESSAGE_KIND, encode(NewestVersion(newest)))
+            self._fleet.messenger.send(source, MESSAGE_KIND, encode(NewestVersion(newest)))
 
     def _on_fetch(self, source: Name, message: FetchVersions) -> None:
         rule_set = self._tracker.rule_set
@@ -105,12 +105,12 @@
         # the last known one is included: its content applies where the next one is not on trial
         newer = tuple(version for version in rule_set.versions if version.number >= message.known)
         age = self._tracker.trial_age(self._fleet.clock.now())
-        self._fleet.mail.send(source, MESSAGE_KIND, encode(VersionsSent(message.request_id, newer, age)))
+        self._fleet.messenger.send(source, MESSAGE_KIND, encode(VersionsSent(message.request_id, newer, age)))
 
     def _on_versions(self, source: Name, message: VersionsSent) -> None:
         requested_at = self._open_fetches.pop(message.request_id, None)
         if requested_at is None:  # of an earlier process, or dropped: a later fetch replaces it
-            self._fleet.tally("rules_unasked", 1)
+            self._fleet.add_count("rules_unasked", 1)
             return
         self._fetched_at.pop(source, None)
         elapsed = self._fleet.clock.now() - requested_at
@@ -120,12 +120,12 @@
 def gossiped_statuses(fleet: Fleet) -> dict[Name, GossipedStatus]:
     """Return what each living gateway published last; records that can't be decoded are counted and left out."""
     statuses = {}
-    living = fleet.members.living()
-    for owner, record in fleet.board.read(MESSAGE_KIND).items():
+    living = fleet.members.live()
+    for owner, record in fleet.gossip_state.read(MESSAGE_KIND).items():
         if owner not in living:
             continue
         try:
             statuses[owner] = msgspec.msgpack.decode(record.body, type=GossipedStatus)
         except msgspec.MsgspecError:
-            fleet.tally("rules_unread", 1)
+            fleet.add_count("rules_unread", 1)
     return statuses
--- a/rackhub/fleet/rules/propagation.py
+++ b/rackhub/fleet/rules/propagation.py
@@ -25,12 +25,12 @@
     def poll(self) -> None:
         """Answer if all have applied it or the time is over, else poll later."""
         statuses = gossiped_statuses(self._rules.fleet)
-        living = self._rules.fleet.members.living()
+        living = self._rules.fleet.members.live()
         applied = {name for name in living if self._has_applied(name, statuses.get(name))}
         missing = [self._missing(name, statuses.get(name)) for name in sorted(living - applied)]
         elapsed = self._rules.fleet.clock.now() - self._started_at
         if missing and elapsed < self._wait_ms * 1_000:
-            self._rules.fleet.later(POLL_INTERVAL, self.poll)
+            self._rules.fleet.call_later(POLL_INTERVAL, self.poll)
             return
         self._answer(self._result(sorted(applied), missing, elapsed // 1_000))
 
--- a/rackhub/fleet/rules/queries.py
+++ b/rackhub/fleet/rules/queries.py
@@ -95,8 +95,8 @@
     known = members.all().get(name)
     row: dict[str, Any] = {
         "name": name,
-        "lives": name in members.living(),
-        "heard": name in members.heard(),
+        "lives": name in members.live(),
+        "heard": name in members.reachable(),
         "state": known.state.value if known is not None else "unknown",
     }
     if status is None:
--- a/rackhub/fleet/rules/service.py
+++ b/rackhub/fleet/rules/service.py
@@ -104,12 +104,12 @@
         if not MIN_TRIAL_MS <= request.trial_ms <= MAX_TRIAL_MS:
             raise ValueError(f"trial: {request.trial_ms} ms is not from {MIN_TRIAL_MS} to {MAX_TRIAL_MS}")
         members = self._rules.fleet.members
-        living = len(members.living())
+        living = len(members.live())
         count = request.trial_gateways or max(living // DEFAULT_TRIAL_DIVISOR, 1)
         if not 0 < count < max(living, 2):
             raise ValueError(f"first: {count} of {living} gateways: at least one must stay off it, to compare with")
-        peers = sorted(members.heard() - {members.me})
-        return Trial(request.trial_ms, tuple(sorted([members.me, *peers[: count - 1]])))
+        peers = sorted(members.reachable() - {members.local_name})
+        return Trial(request.trial_ms, tuple(sorted([members.local_name, *peers[: count - 1]])))
 
     def _propose(self, edit: EditRequest, request: Request, answer: Answer, extra: Mapping[str, Any]) -> None:
         def complete(outcome: Outcome) -> None:
--- a/rackhub/fleet/rules/timings.py
+++ b/rackhub/fleet/rules/timings.py
@@ -44,7 +44,7 @@
         if section is not None:
             self._parse(section)
 
-    def hold(self, section: Section | None, version: int) -> None:
+    def apply(self, section: Section | None, version: int) -> None:
         """Apply a section, or the operator's file where there is none.
 
         Raises `ValueError`; what applied before stays then.
@@ -59,7 +59,7 @@
         Raises `ValueError` where the file's section, or that of the rules under the site's new settings, can't be
         used; what applied before stays.
         """
-        self.hold(self._section, self.version)
+        self.apply(self._section, self.version)
 
     def _parse(self, section: Section) -> Table:
         """Return the section's table.
--- a/rackhub/fleet/rules/trials.py
+++ b/rackhub/fleet/rules/trials.py
@@ -27,7 +27,7 @@
         self._tracker = tracker
         self._acceptors = acceptors
         self._end_trial = end_trial
-        self._random = random.Random(f"{fleet.seed} trials {fleet.members.me}")
+        self._random = random.Random(f"{fleet.seed} trials {fleet.members.local_name}")
         self._number = 0  # the version of the trial that is being watched; 0: none is
         self._deadline = 0
         self.counts = (GroupCounts(), GroupCounts())
@@ -51,7 +51,7 @@
             self._propose(version, "its time is over, and nobody confirmed it")
 
     def _may_end(self, version: Version, trial: Trial) -> bool:
-        local = self._fleet.members.me
+        local = self._fleet.members.local_name
         return local == version.gateway or local in self._acceptors or local in trial.gateways
 
     def _first_deadline(self, version: Version, trial: Trial) -> int:
@@ -59,7 +59,7 @@
         remaining = trial.duration_ms * 1_000  # a trial of unknown age may have begun just now
         if self._tracker.trial_age(now) >= 0:
             remaining = self._tracker.trial_remaining(now)
-        if self._fleet.members.me == version.gateway:
+        if self._fleet.members.local_name == version.gateway:
             return now + remaining
         return now + remaining + self._random.randint(MIN_FALLBACK_DELAY, MAX_FALLBACK_DELAY)
 
@@ -87,6 +87,6 @@
             reason=reason[:MAX_TEXT_LENGTH],
             id=f"lapse-{version.number}-{version.id}"[:MAX_TEXT_LENGTH],
             created_at=0,
-            gateway=self._fleet.members.me,
+            gateway=self._fleet.members.local_name,
         )
         self._end_trial(request)
--- a/rackhub/fleet/rules/versioned_rules.py
+++ b/rackhub/fleet/rules/versioned_rules.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from rackhub.fleet.ports import Control, Disk, Fleet, Name, RulePart
+from rackhub.fleet.ports import Control, Disk, Fleet, Name, RuleSection
 from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.proposer import Proposer
 from rackhub.fleet.rules.active_version import ActiveVersion, StoredRules, VersionTracker
@@ -61,12 +61,12 @@
         counts: Callable[[], RequestCounts],
     ):
         self.fleet = fleet
-        self.gateway = fleet.members.me
+        self.gateway = fleet.members.local_name
         self.acceptors = settings.keepers
         self._disk = disk
         self._counts = counts
-        boot = fleet.members.all()[self.gateway].boot
-        self.sections: dict[str, RulePart] = {}
+        boot = fleet.members.all()[self.gateway].generation
+        self.sections: dict[str, RuleSection] = {}
         self.damage = ""  # why the record on disk could not be read
         self.tracker = VersionTracker(self.gateway, self._load())
         self.acceptor: AcceptorShell | None = None
@@ -98,7 +98,7 @@
         """What requests meet at this gateway."""
         return self._active
 
-    def part(self, name: str, section: RulePart) -> None:
+    def add_section(self, name: str, section: RuleSection) -> None:
         """Set who applies the section of that name."""
         self.sections[name] = section
 
@@ -111,7 +111,7 @@
         except msgspec.MsgspecError as error:
             self.damage = f"{DISK_KEY} can't be read: {error}"
             log.error("fleet: %s; it is fetched from other gateways", self.damage)
-            self.fleet.tally("rules_damaged", 1)
+            self.fleet.add_count("rules_damaged", 1)
             return None
 
     def damage_report(self) -> str:
@@ -122,7 +122,7 @@
 
     def start(self) -> None:
         """Receive messages, answer calls, and apply the stored version."""
-        self.fleet.mail.take(MESSAGE_KIND, self._on_message)
+        self.fleet.messenger.subscribe(MESSAGE_KIND, self._on_message)
         self.proposer.start()
         if self.acceptor is not None:
             self.acceptor.start()
@@ -162,7 +162,7 @@
         result = self.tracker.learn(versions, trial_age, self.fleet.clock.now())
         if result.conflicts:
             log.error("fleet: two contents under rule versions %s: the register was lost or put back", result.conflicts)
-            self.fleet.tally("rules_two_contents", len(result.conflicts))
+            self.fleet.add_count("rules_two_contents", len(result.conflicts))
         if result.advanced:
             self._apply_target()
             self._publish()
@@ -187,7 +187,7 @@
                 self._report_fault(target)
             return
         if target.on_trial:
-            self.fleet.later(self.tracker.trial_remaining(now) + 1, self._apply_target)
+            self.fleet.call_later(self.tracker.trial_remaining(now) + 1, self._apply_target)
         if self._disk is None or target.version == self.tracker.applied_version:
             self._activate(target)
             return
@@ -201,7 +201,7 @@
             self._active.version,
             self.apply_fault,
         )
-        self.fleet.tally("rules_not_taken", 1)
+        self.fleet.add_count("rules_not_taken", 1)
         self._publish()
 
     def _activate(self, target: ActiveVersion) -> None:
@@ -212,11 +212,11 @@
             self._apply_target()
             return
         for name, section in self.sections.items():
-            section.hold(target.content.get(name), target.version)
+            section.apply(target.content.get(name), target.version)
         self._active = target
         made = self.tracker.rule_set.find(target.version)
         if made is not None and made.gateway != self.gateway:
-            self.fleet.mail.send(made.gateway, MESSAGE_KIND, encode(VersionApplied(target.version)))
+            self.fleet.messenger.send(made.gateway, MESSAGE_KIND, encode(VersionApplied(target.version)))
         trial = self.tracker.open_trial()
         if trial is not None:
             self._baseline = _TrialBaseline(trial.number, target.on_trial, self._counts())
@@ -256,7 +256,7 @@
         body = encode(status)
         if body != self._published:
             self._published = body
-            self.fleet.board.post(MESSAGE_KIND, body)
+            self.fleet.gossip_state.publish(MESSAGE_KIND, body)
 
     def _active_digest(self) -> str:
         version = self.tracker.rule_set.find(self._active.version)
@@ -293,16 +293,16 @@
         self.trials.check()
         if self.acceptor is not None:
             self.changes.settle(self.acceptor)
-        self._cancel_tick = self.fleet.later(TICK_INTERVAL, self._tick)
+        self._cancel_tick = self.fleet.call_later(TICK_INTERVAL, self._tick)
 
     def _on_message(self, source: Name, body: bytes) -> None:
         try:
             message = decode(body)
         except msgspec.MsgspecError:
-            self.fleet.tally("rules_unread", 1)
+            self.fleet.add_count("rules_unread", 1)
             return
         if isinstance(message, VersionApplied):
-            if source in self.fleet.members.living():
+            if source in self.fleet.members.live():
                 self.confirmed_versions[source] = message.version
         elif isinstance(message, CheckRequest | CheckResult):
             self.checks.on_message(source, message)
--- a/rackhub/fleet/settings.py
+++ b/rackhub/fleet/settings.py
@@ -40,13 +40,13 @@
     worth_guard: float = 0.1  # of the fleet's share, that is left to tenants below their part whatever they ask
 
     @property
-    def bind(self) -> tuple[str, int]:
+    def listen_address(self) -> tuple[str, int]:
         return address(self.listen, "listen")
 
     @property
-    def told(self) -> tuple[str, int]:
+    def advertised_address(self) -> tuple[str, int]:
         """Where the others find this gateway."""
-        return address(self.advertise, "advertise") if self.advertise else self.bind
+        return address(self.advertise, "advertise") if self.advertise else self.listen_address
 
     @property
     def zone_cluster(self) -> str:
--- a/rackhub/gather/component.py
+++ b/rackhub/gather/component.py
@@ -7,7 +7,7 @@
 from rackhub.config import gather_rules
 from rackhub.core.component import Component, ComponentContext
 from rackhub.core.source import EndpointSnapshot
-from rackhub.fleet.ports import Fleet, Level, Member
+from rackhub.fleet.ports import Fleet, Member, OverloadStatus
 from rackhub.gather.dispatcher import GatherDispatcher
 from rackhub.gather.remote_gateways import RemoteGateways
 from rackhub.gather.rules import GatherRules, Site
@@ -36,7 +36,7 @@
         )
         context.core.gather_port = self.dispatcher
 
-    def join_fleet(self, fleet: Fleet, level: Level | None) -> None:
+    def join_fleet(self, fleet: Fleet, level: OverloadStatus | None) -> None:
         """Use the fleet's membership for reachability, its overload level, and its budget of retries."""
         self._fleet = fleet
         self.dispatcher.level = level
@@ -53,8 +53,8 @@
         if self._fleet is None:
             return False
         members = self._fleet.members
-        heard = members.heard()
-        names_by_address = {member.serves: name for name, member in members.all().items()}
+        heard = members.reachable()
+        names_by_address = {member.client_address: name for name, member in members.all().items()}
         names = [names_by_address.get(address) for address in site.addresses]
         return all(name is not None and name not in heard for name in names)
 
@@ -64,7 +64,7 @@
         if fleet is not None:
             self.join_fleet(fleet.fleet, fleet.overload)
             if fleet.rules is not None:
-                fleet.rules.part("gather", self)
+                fleet.rules.add_section("gather", self)
         self.dispatcher.update_endpoints(listing)
         return listing
 
@@ -85,13 +85,13 @@
             return
         self.dispatcher.apply_rules(self._file_rules, 0)
 
-    # ---- as `fleet.ports.RulePart`
+    # ---- as `fleet.ports.RuleSection`
 
     def check(self, part: Mapping[str, Any] | None) -> None:
         """Raise `ValueError` for rules that can't be used."""
         gather_rules(dict(part or {}), self.context.source.settings)
 
-    def hold(self, part: Mapping[str, Any] | None, version: int) -> None:
+    def apply(self, part: Mapping[str, Any] | None, version: int) -> None:
         """Apply the rules of a version of the rule set; None: those of the file."""
         rules = self._file_rules if part is None else gather_rules(dict(part), self.context.source.settings)
         self.dispatcher.apply_rules(rules, version)
--- a/rackhub/gather/dispatcher.py
+++ b/rackhub/gather/dispatcher.py
@@ -12,7 +12,7 @@
 from rackhub.core.gather import Missing
 from rackhub.core.request import Query, Reply
 from rackhub.core.source import Address, EndpointSnapshot
-from rackhub.fleet.ports import Level
+from rackhub.fleet.ports import OverloadStatus
 from rackhub.gather import hop_count
 from rackhub.gather.latency import SiteLatencies
 from rackhub.gather.remote_gateways import RemoteGateways
@@ -123,7 +123,7 @@
         rules: GatherRules,
         remotes: RemoteGateways,
         seed: int,
-        level: Level | None = None,
+        level: OverloadStatus | None = None,
         gateways_unreachable: Callable[[Site], bool] = lambda site: False,
     ):
         self.core = core
@@ -182,7 +182,7 @@
         request = GatheredRequest(query, rule, rules.sites, hops + 1)
         request.state = self._new_state(query, rule, rules, now)
         self.requests[query.id] = request
-        overloaded = self.level is not None and self.level.over()
+        overloaded = self.level is not None and self.level.is_shedding()
         unreachable = lambda site: self._is_unreachable(rules.sites[site])  # noqa: E731
         self._apply(request, request.state.start(now, unreachable, overloaded))
         return True
@@ -209,7 +209,7 @@
             self._apply(request, request.state.cancel())
 
     def _take_retry_token(self) -> bool:
-        return self.level.token() if self.level is not None else True
+        return self.level.try_spend_retry() if self.level is not None else True
 
     # ---- results of subrequests
 
--- a/rackhub/trials/fleet/members_check.py
+++ b/rackhub/trials/fleet/members_check.py
@@ -3,11 +3,11 @@
 from collections import Counter
 
 from rackhub.fleet.members.here import Changed, Effect, Mailed, Posted
-from rackhub.fleet.ports import Name, State
+from rackhub.fleet.ports import MemberState, Name
 from rackhub.trials.fleet.members_wire import DRIFT, Gateway, Wire
 from rackhub.trials.fleet.twin import MS, SECOND
 
-RANKS = {State.ALIVE: 0, State.CUT: 0, State.SUSPECT: 1, State.GONE: 2, State.LEFT: 3}
+RANKS = {MemberState.ALIVE: 0, MemberState.CUT: 0, MemberState.SUSPECT: 1, MemberState.GONE: 2, MemberState.LEFT: 3}
 FRESH = 3 * SECOND  # the age at which a record of a gateway that posts twice a second must not stand
 KEPT = 50  # violations that are worded; all are counted
 
@@ -63,12 +63,20 @@
 
     def _changed(self, gateway: Gateway, effect: Changed) -> None:
         member = effect.member
-        key, new = (gateway.name, gateway.starts, member.name), (member.boot, member.incarnation, RANKS[member.state])
+        key, new = (
+            (gateway.name, gateway.starts, member.name),
+            (member.generation, member.incarnation, RANKS[member.state]),
+        )
         if self._order.get(key, new) > new:
             self.wrong("views_going_back", f"{gateway.name} of {member.name}: {self._order[key]} to {new}")
         self._order[key] = new
         other = self.wire.gateways[member.name]
-        if member.state is State.GONE and other.up and not other.paused and member.boot == other.core.own.boot:
+        if (
+            member.state is MemberState.GONE
+            and other.up
+            and not other.paused
+            and member.generation == other.core.own.boot
+        ):
             self.counts["given_up"] += 1
 
     def _noted(self, gateway: Gateway, effect: Posted) -> None:
@@ -119,10 +127,10 @@
                     continue
                 member = members.get(name)
                 if not other.up:
-                    if member is not None and member.state not in (State.GONE, State.LEFT):
+                    if member is not None and member.state not in (MemberState.GONE, MemberState.LEFT):
                         left.append(f"{one.name} holds {name} {member.state.value}, which is down")
                     continue
-                if member is None or (member.state, member.boot) != (State.ALIVE, other.core.own.boot):
+                if member is None or (member.state, member.generation) != (MemberState.ALIVE, other.core.own.boot):
                     left.append(f"{one.name} holds {name} {member.state.value if member else 'unknown'}")
                 elif one.core.hears(name, one.name) is not True:
                     left.append(f"{one.name} does not know that {name} hears it")
@@ -137,5 +145,5 @@
             members = one.core.table.members()
             for other in self.wire.running():
                 member = members.get(other.name)
-                lost += member is None or member.state in (State.GONE, State.LEFT)
+                lost += member is None or member.state in (MemberState.GONE, MemberState.LEFT)
         return lost
--- a/rackhub/trials/fleet/members_measure.py
+++ b/rackhub/trials/fleet/members_measure.py
@@ -33,7 +33,7 @@
 from docopt import docopt
 
 from rackhub.fleet.members.here import Changed, Effect
-from rackhub.fleet.ports import State
+from rackhub.fleet.ports import MemberState
 from rackhub.trials.fleet.members_wire import Gateway, Wire
 from rackhub.trials.fleet.twin import MS, SECOND
 
@@ -83,14 +83,14 @@
     def post() -> None:
         reactor.callLater(EACH / 1_000, post)
         for kind in KINDS:
-            part.board.post(kind, os.urandom(SIZE))
+            part.board.publish(kind, os.urandom(SIZE))
 
     def begin() -> None:
         kept.update({name: getattr(part.port, name) for name in NAMES}, cpu_ms=cpu())
 
     def end() -> None:
         told: dict[str, float] = {name: (getattr(part.port, name) - kept[name]) / seconds for name in NAMES}
-        told |= {"cpu_ms": (cpu() - kept["cpu_ms"]) / seconds, "heard": len(part.members.heard())}
+        told |= {"cpu_ms": (cpu() - kept["cpu_ms"]) / seconds, "heard": len(part.members.reachable())}
         print(json.dumps(told), flush=True)
         reactor.callLater(5, lambda: part.leave().addCallback(lambda _: reactor.stop()))  # the others are not ready yet
 
@@ -155,9 +155,9 @@
             return
         name, state = effect.member.name, effect.member.state
         if self.wire.gateways[name].up:
-            self.suspected += state is State.SUSPECT and gateway.core.table.peers[name].by == gateway.name
-            self.given_up += state is State.GONE
-        elif state is State.GONE:
+            self.suspected += state is MemberState.SUSPECT and gateway.core.table.peers[name].by == gateway.name
+            self.given_up += state is MemberState.GONE
+        elif state is MemberState.GONE:
             self.gone.setdefault(name, []).append(self.wire.time.now())
 
     def all_know(self, name: str, count: int) -> bool:
--- a/rackhub/trials/fleet/overload_world.py
+++ b/rackhub/trials/fleet/overload_world.py
@@ -17,7 +17,7 @@
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.fleet.overload.component import Overload
-from rackhub.fleet.ports import State
+from rackhub.fleet.ports import MemberState
 from rackhub.fleet.settings import FleetSettings
 from rackhub.limits import Limits
 from rackhub.trials.fleet.overload_engine import CORES, Engine
@@ -99,7 +99,7 @@
         )
         self.core.start(self, listing.entries, 1)
         if self.part is not None:
-            self.part.listed(listing)
+            self.part.endpoints_changed(listing)
             self.part.start()
 
     def kill(self, back: int) -> None:
@@ -110,18 +110,18 @@
         node.kill()
         for query in list(self.core.queries.values()):
             query.reply.broken()  # type: ignore[attr-defined]
-        self._learn(State.GONE, SECOND, 3 * SECOND)
+        self._learn(MemberState.GONE, SECOND, 3 * SECOND)
 
         def again() -> None:
             node.restart()
             world.gateways[world.gateways.index(self)] = Gateway(world, self._made[0], self.name, *self._made[1:])
-            self._learn(State.ALIVE, 200 * MS, SECOND)
+            self._learn(MemberState.ALIVE, 200 * MS, SECOND)
 
         world.time.later(back, again)
 
-    def _learn(self, state: State, least: int, most: int) -> None:
+    def _learn(self, state: MemberState, least: int, most: int) -> None:
         for node in self.world.net.nodes.values():
-            if node.me != self.name:
+            if node.local_name != self.name:
                 self.world.time.later(self.world.random.randrange(least, most), partial(node.say, self.name, state))
 
     # ---- the engine port
--- a/rackhub/trials/fleet/rules_torture.py
+++ b/rackhub/trials/fleet/rules_torture.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from rackhub.fleet.ports import Answer, State
+from rackhub.fleet.ports import Answer, MemberState
 from rackhub.fleet.register.disk import MemoryDisk
 from rackhub.fleet.register.proposer import Outcome
 from rackhub.fleet.rules.active_version import LearnResult
@@ -74,7 +74,7 @@
         if part is not None and not isinstance(part.get("level"), int):
             raise ValueError(f"shed.level = {part.get('level')!r}: is not a whole number")
 
-    def hold(self, part: Mapping[str, Any] | None, version: int) -> None:
+    def apply(self, part: Mapping[str, Any] | None, version: int) -> None:
         self._told(part, version)
 
 
@@ -106,7 +106,7 @@
         rules = VersionedRules(
             node.fleet(self.report.seed), settings, words, self.disks[name], lambda: self.counts[name]
         )
-        rules.part("shed", Shed(lambda part, version: self._holds(name, part, version)))
+        rules.add_section("shed", Shed(lambda part, version: self._holds(name, part, version)))
         learn, change = rules.tracker.learn, rules.changes.propose
 
         def learned(versions: tuple[Version, ...], trial_age: int, now: int) -> LearnResult:
@@ -179,8 +179,8 @@
             for other in self.names:
                 if other != name:
                     cut = {(name, other), (other, name)} & self.net.cuts or nodes[other].paused
-                    state = State.GONE if not nodes[other].up else State.CUT if cut else State.ALIVE
-                    if node._states.get(other, State.ALIVE) is not state:
+                    state = MemberState.GONE if not nodes[other].up else MemberState.CUT if cut else MemberState.ALIVE
+                    if node._states.get(other, MemberState.ALIVE) is not state:
                         node.say(other, state)
 
     def _look(self) -> None:
--- a/rackhub/trials/fleet/twin.py
+++ b/rackhub/trials/fleet/twin.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from rackhub.fleet.ports import MAIL, RECORD, Fleet, Member, Name, Record, State
+from rackhub.fleet.ports import MAX_MESSAGE_BYTES, MAX_RECORD_BYTES, Fleet, Member, MemberState, Name, Record
 
 MS, SECOND = 1_000, 1_000_000
 
@@ -83,11 +83,11 @@
     """One gateway's members, board and mail, and its timers."""
 
     def __init__(self, net: Net, name: Name):
-        self.net, self.me, self.up, self.paused, self.boot, self._number = net, name, True, False, 1, 0
+        self.net, self.local_name, self.up, self.paused, self.boot, self._number = net, name, True, False, 1, 0
         self.held: list[Callable[[], None]] = []
         self.counts = Counter[str]()
         self._seen: dict[tuple[Name, str], tuple[int, int, int, bytes]] = {}  # boot, number, when it was so old, body
-        self._states: dict[Name, State] = {}
+        self._states: dict[Name, MemberState] = {}
         self._takers: dict[str, Callable[[Name, bytes], None]] = {}
         self._board: dict[str, list[Callable[[Record], None]]] = {}
         self._members: list[Callable[[Member], None]] = []
@@ -130,7 +130,7 @@
     def restart(self) -> None:
         self.up, self.boot, self._number = True, self.boot + 1, 0
 
-    def say(self, name: Name, state: State) -> None:
+    def say(self, name: Name, state: MemberState) -> None:
         """What this node holds of another from now on; a failure detector's word, right or wrong."""
         self._states[name] = state
         for call in list(self._members):
@@ -141,24 +141,31 @@
     def all(self) -> Mapping[Name, Member]:
         return {
             name: Member(
-                name, ("127.0.0.1", 7_000 + i), self.net.nodes[name].boot, 0, self._states.get(name, State.ALIVE), 0
+                name,
+                ("127.0.0.1", 7_000 + i),
+                self.net.nodes[name].boot,
+                0,
+                self._states.get(name, MemberState.ALIVE),
+                0,
             )
             for i, name in enumerate(sorted(self.net.nodes))
         }
 
-    def living(self) -> frozenset[Name]:
+    def live(self) -> frozenset[Name]:
         return frozenset(
             name
             for name, member in self.all().items()
-            if member.state in (State.ALIVE, State.SUSPECT, State.CUT) or name == self.me
+            if member.state in (MemberState.ALIVE, MemberState.SUSPECT, MemberState.CUT) or name == self.local_name
         )
 
-    def heard(self) -> frozenset[Name]:
+    def reachable(self) -> frozenset[Name]:
         return frozenset(
-            name for name in self.living() if self._states.get(name, State.ALIVE) is not State.CUT or name == self.me
+            name
+            for name in self.live()
+            if self._states.get(name, MemberState.ALIVE) is not MemberState.CUT or name == self.local_name
         )
 
-    def hears(self, one: Name, other: Name) -> bool | None:
+    def receives_from(self, one: Name, other: Name) -> bool | None:
         return (other, one) not in self.net.cuts
 
     def follow(self, *words: object) -> None:
@@ -170,15 +177,17 @@
 
     # ---- board
 
-    def post(self, kind: str, body: bytes) -> None:
-        if len(body) > RECORD:
-            raise ValueError(f"a record of {len(body)} bytes, more than {RECORD}")
+    def publish(self, kind: str, body: bytes) -> None:
+        if len(body) > MAX_RECORD_BYTES:
+            raise ValueError(f"a record of {len(body)} bytes, more than {MAX_RECORD_BYTES}")
         self._number += 1
         boot, number, at = self.boot, self._number, self.now()
-        self._seen[self.me, kind] = (boot, number, at, body)
+        self._seen[self.local_name, kind] = (boot, number, at, body)
         for name in self.net.nodes:
-            if name != self.me:  # its age is what the way took: here the clock is one
-                self.net.carry(self.me, name, lambda node: node._posted(self.me, kind, boot, number, at, body))
+            if name != self.local_name:  # its age is what the way took: here the clock is one
+                self.net.carry(
+                    self.local_name, name, lambda node: node._posted(self.local_name, kind, boot, number, at, body)
+                )
 
     def _posted(self, owner: Name, kind: str, boot: int, number: int, at: int, body: bytes) -> None:
         known = self._seen.get((owner, kind))
@@ -201,13 +210,13 @@
     # ---- mail
 
     def send(self, to: Name, kind: str, body: bytes) -> None:
-        if len(body) > MAIL:
-            raise ValueError(f"mail of {len(body)} bytes, more than {MAIL}")
-        self.net.carry(self.me, to, lambda node: node._mailed(self.me, kind, body))
+        if len(body) > MAX_MESSAGE_BYTES:
+            raise ValueError(f"mail of {len(body)} bytes, more than {MAX_MESSAGE_BYTES}")
+        self.net.carry(self.local_name, to, lambda node: node._mailed(self.local_name, kind, body))
 
     def _mailed(self, source: Name, kind: str, body: bytes) -> None:
         if kind in self._takers:
             self._takers[kind](source, body)
 
-    def take(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
+    def subscribe(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
         self._takers[kind] = call
--- a/rackhub/trials/processes/forger.py
+++ b/rackhub/trials/processes/forger.py
@@ -11,7 +11,7 @@
 
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.overload import records
-from rackhub.fleet.ports import DATAGRAM
+from rackhub.fleet.ports import DATAGRAM_LIMIT_BYTES
 from rackhub.fleet.register.acceptor_shell import RULES_REPLY_KIND
 from rackhub.fleet.register.messages import Accepted, decode
 
@@ -37,20 +37,20 @@
         except f.Damaged:
             return packet
         made = f.datagram(msgspec.structs.replace(told, frames=frames))
-        return made if len(made) < DATAGRAM else None  # lost rather than true
+        return made if len(made) < DATAGRAM_LIMIT_BYTES else None  # lost rather than true
 
     def _frame(self, raw: msgspec.Raw) -> bytes:
         note = f.frame(raw)
         if not isinstance(note, f.Note) or note.owner != self.whom:
             return bytes(raw)
         chance = random.Random(f"{self._seed}/{note.kind}/{note.number}")
-        if note.kind == records.LOAD:
+        if note.kind == records.LOAD_KIND:
             way = chance.choice(self._ways)
             body = msgspec.msgpack.encode(load(way))
-        elif note.kind.startswith(records.PROBES):
+        elif note.kind.startswith(records.HEALTH_KIND):
             way, body = (
                 "all_engines_dead",
-                records.pack_seen(
+                records.pack_health(
                     [records.HealthReport(code, 0, 2, 1, 1 + chance.randrange(256)) for code in self._engines]
                 ),
             )
@@ -62,7 +62,7 @@
 
 def load(way: str) -> records.Load:
     """disordered: figures that no sound gateway tells. The others could be told, and are lies."""
-    most, part = records.MOST, records.PART
+    most, part = records.MAX_VALUE, records.FRACTION_ONE
     if way == "disordered":
         return records.Load(share=records.Loan(minimum_offered=part, maximum_offered=0))
     if way == "nothing":
--- a/rackhub/trials/scale/rule_changes.py
+++ b/rackhub/trials/scale/rule_changes.py
@@ -68,19 +68,19 @@
         self.stand.run(FORM)
 
     def _count_at(self, node: Node) -> None:
-        send, post = node.send, node.post
+        send, post = node.send, node.publish
 
         def counted_send(to: Name, kind: str, body: bytes) -> None:
-            self._carried(node.me, to, len(body))
+            self._carried(node.local_name, to, len(body))
             send(to, kind, body)
 
         def counted_post(kind: str, body: bytes) -> None:
             for name in self.stand.names:
-                if name != node.me:
-                    self._carried(node.me, name, len(body))
+                if name != node.local_name:
+                    self._carried(node.local_name, name, len(body))
             post(kind, body)
 
-        node.send, node.post = counted_send, counted_post  # type: ignore[method-assign]
+        node.send, node.publish = counted_send, counted_post  # type: ignore[method-assign]
 
     def _carried(self, source: Name, to: Name, size: int) -> None:
         self.traffic[source].add(size)
--- a/rackhub/trials/scale/station.py
+++ b/rackhub/trials/scale/station.py
@@ -10,7 +10,7 @@
 from rackhub.fleet.link.mail_link import MailLink, Monotonic
 from rackhub.fleet.link.port import UdpPort
 from rackhub.fleet.members.part import Membership
-from rackhub.fleet.ports import Address, Fleet, Member, Members, Name, State
+from rackhub.fleet.ports import Address, Fleet, Member, Members, MemberState, Name
 from rackhub.fleet.settings import FleetSettings
 from rackhub.trials.processes.places import text
 from rackhub.trials.scale.addresses import Addresses
@@ -149,19 +149,19 @@
     """`ports.Members` of a place that runs without a members' core: it knows of nobody else."""
 
     def __init__(self, me: Name, address: Address, boot: int):
-        self.me = me
-        self._all = {me: Member(me, address, boot, 0, State.ALIVE, 0)}
+        self.local_name = me
+        self._all = {me: Member(me, address, boot, 0, MemberState.ALIVE, 0)}
 
     def all(self) -> Mapping[Name, Member]:
         return self._all
 
-    def living(self) -> frozenset[Name]:
-        return frozenset({self.me})
+    def live(self) -> frozenset[Name]:
+        return frozenset({self.local_name})
 
-    def heard(self) -> frozenset[Name]:
-        return frozenset({self.me})
+    def reachable(self) -> frozenset[Name]:
+        return frozenset({self.local_name})
 
-    def hears(self, one: Name, other: Name) -> bool | None:
+    def receives_from(self, one: Name, other: Name) -> bool | None:
         return True if one == other else None
 
     def follow(self, call: Callable[[Member], None]) -> None:
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -79,7 +79,7 @@
     "distribution change on disk": _msgpack(history.Past),
     "load record": Codec(records.Load, records.unpack, records.pack, _ordered),
     "health checks record": Codec(
-        records.HealthReport, lambda body: records.unpack_seen(body)[0], lambda one: records.pack_seen([one])
+        records.HealthReport, lambda body: records.unpack_health(body)[0], lambda one: records.pack_health([one])
     ),
     "reachability record": _msgpack(reach.Reach),
     "keyed request on disk": _json(state_records.KeyedRequestRecord),
--- a/tests/test_distribution_rules.py
+++ b/tests/test_distribution_rules.py
@@ -142,7 +142,7 @@
         if part and "second" in part and "first" not in part:
             raise ValueError("part.second: there is no first")
 
-    def hold(self, part, version):
+    def apply(self, part, version):
         self.held.append((version, part))
 
 
@@ -201,7 +201,7 @@
 
 def test_a_part_that_fails_while_it_holds_is_a_fault_and_the_others_go_on():
     class Broken(Part):
-        def hold(self, part, version):
+        def apply(self, part, version):
             raise RuntimeError("no")
 
     keys, part = keys_with_part()
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -35,7 +35,7 @@
 from rackhub.fleet.distribution.rules import encode_value
 from rackhub.fleet.distribution.source import Source
 from rackhub.fleet.distribution.store import HeldStore
-from rackhub.fleet.ports import State
+from rackhub.fleet.ports import MemberState
 from rackhub.fleet.register.disk import MemoryDisk, StoreDisk
 from rackhub.trials.fleet.twin import MS, SECOND, Net
 
@@ -97,7 +97,7 @@
 def test_mail_that_can_t_be_read_is_dropped_and_counted_under_its_sender():
     net, core, inbox, endpoint = endpoint_with({Received: (Send("b", Unwatch(9)),)})
     heard = []
-    net.nodes["b"].take(KIND, lambda sender, body: heard.append((sender, body)))
+    net.nodes["b"].subscribe(KIND, lambda sender, body: heard.append((sender, body)))
     endpoint.start()
     for body in (
         b"",
@@ -231,7 +231,7 @@
         if bad:
             raise ValueError("; ".join(bad))
 
-    def hold(self, part, version):
+    def apply(self, part, version):
         self.held.append((version, part))
 
 
@@ -247,7 +247,7 @@
     identity = Identity(name=name, zone="z", upstreams=upstreams, scope=scope, boot=boot)
     coordinator = Coordinator(net.nodes[name].fleet(), identity, disk, Limits())
     part = RecordingPart(refused)
-    coordinator.part("p", part)
+    coordinator.add_section("p", part)
     coordinator.start()
     return coordinator, part
 
@@ -380,5 +380,5 @@
     net, voter, disks = fleet_of()
     relay = relay_on(net, "r0")
     assert relay.figures()["distribution_members"] == 2
-    net.nodes["r0"].say("c1", State.GONE)
+    net.nodes["r0"].say("c1", MemberState.GONE)
     assert relay.figures()["distribution_members"] == 1
--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -36,7 +36,7 @@
         if bad:
             raise ValueError("; ".join(bad))
 
-    def hold(self, part, version):
+    def apply(self, part, version):
         self.held.append((version, part))
 
 
@@ -67,7 +67,7 @@
             process = Coordinator(fleet, identity, self.disks[name], Limits())
         if name not in RELAYS:
             self.parts[name] = Part(refused)
-            process.part("p", self.parts[name])
+            process.add_section("p", self.parts[name])
         self.processes[name] = process
         process.start()
 
@@ -140,7 +140,7 @@
 def test_a_later_edit_of_the_same_part_refuses_one_that_did_not_see_it_and_other_parts_do_not():
     stand = Stand()
     for name in (*VOTERS, *COORDINATORS):
-        stand.processes[name].part("q", Part())
+        stand.processes[name].add_section("q", Part())
     stand.edit("e1", 0, a=1)
     with pytest.raises(EditRefused, match=r"ann's edit .* builds on revision 0; since then there is revision 1 by ann"):
         stand.ask(id="e2", on=0, parts={"p": {"a": 2}})
--- a/tests/test_fleet_association.py
+++ b/tests/test_fleet_association.py
@@ -15,7 +15,7 @@
 from rackhub.fleet.link.mail_link import MailLink
 from rackhub.fleet.members.events import Came, Send, Tick
 from rackhub.fleet.members.here import Mailed, Out
-from rackhub.fleet.ports import MAIL
+from rackhub.fleet.ports import MAX_MESSAGE_BYTES
 
 START = 5 * SECOND
 RELAY, COORDINATOR, OTHER = ("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)
@@ -139,7 +139,7 @@
     network = Network()
     coordinator = network.join("coordinator", COORDINATOR)
     for _ in range(3):
-        network.send(coordinator, "relay", bytes(MAIL))
+        network.send(coordinator, "relay", bytes(MAX_MESSAGE_BYTES))
     assert coordinator.counts["mail_over"] == 1
 
 
@@ -288,7 +288,7 @@
     network, relay, _ = pair()
     assert relay.step(network.now, Send("relay", "k", b"x")) == [Mailed("relay", "k", b"x")]
     with pytest.raises(ValueError):
-        relay.step(network.now, Send("coordinator", "k", bytes(MAIL + 1)))
+        relay.step(network.now, Send("coordinator", "k", bytes(MAX_MESSAGE_BYTES + 1)))
     with pytest.raises(ValueError):
         relay.step(network.now, Send("coordinator", "", b""))
     assert relay.step(network.now, Send("nobody", "k", b"")) == []
@@ -387,9 +387,9 @@
     reactor = task.Clock()
     relay, coordinator = shell(reactor, "relay", RELAY, {}), shell(reactor, "coordinator", COORDINATOR, DIRECTORY)
     links, taken = {RELAY: relay, COORDINATOR: coordinator}, []
-    relay.take("k", lambda sender, body: taken.append((sender, body)))
-    relay.take("bad", lambda sender, body: 1 / 0)
-    coordinator.take("k", lambda sender, body: taken.append((sender, body)))
+    relay.subscribe("k", lambda sender, body: taken.append((sender, body)))
+    relay.subscribe("bad", lambda sender, body: 1 / 0)
+    coordinator.subscribe("k", lambda sender, body: taken.append((sender, body)))
     for kind in ("k", "bad", "none"):
         coordinator.send("relay", kind, b"x")
     coordinator.send("coordinator", "k", b"own")
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -13,7 +13,7 @@
 from rackhub.fleet.link.limits import MS, SECOND, Limits
 from rackhub.fleet.link.outbox import Outbox
 from rackhub.fleet.link.packing import Parcel
-from rackhub.fleet.ports import DATAGRAM, MAIL, RECORD
+from rackhub.fleet.ports import DATAGRAM_LIMIT_BYTES, MAX_MESSAGE_BYTES, MAX_RECORD_BYTES
 
 LONG, HOST, BIG = "n" * 63, "255.255.255.255", (1 << 53)
 FRAMES = [
@@ -23,7 +23,7 @@
     f.Ask(BIG, LONG, BIG),
     f.Nack(BIG),
     f.Hello(),
-    f.Note(LONG, "k" * 32, BIG, BIG, BIG, bytes(RECORD)),
+    f.Note(LONG, "k" * 32, BIG, BIG, BIG, bytes(MAX_RECORD_BYTES)),
     f.Digest(LONG, LONG, [f.Line(LONG, BIG, BIG, f.GONE, {"k" * 32: BIG})]),
     f.Want({LONG: ["k" * 32]}),
     f.Page(BIG, BIG, 300, 300, "k" * 32, bytes(Limits().chunk)),
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("frame", FRAMES, ids=lambda frame: type(frame).__name__)
 def test_each_frame_at_its_largest_fits_a_datagram_and_comes_back(frame):
     put, data = packed(frame)
-    assert put == [True] and len(data) < DATAGRAM
+    assert put == [True] and len(data) < DATAGRAM_LIMIT_BYTES
     packet = f.read(data)
     assert (packet.name, packet.to, packet.stamp) == (LONG, LONG, BIG)
     assert f.frame(packet.frames[0]) == frame
@@ -51,7 +51,7 @@
     body = f.encode(f.Hello())
     while parcel.put(body):
         pass
-    assert DATAGRAM - 60 < len(parcel.close(BIG, BIG, BIG, BIG)) < DATAGRAM
+    assert DATAGRAM_LIMIT_BYTES - 60 < len(parcel.close(BIG, BIG, BIG, BIG)) < DATAGRAM_LIMIT_BYTES
 
 
 @settings(derandomize=True, max_examples=200)
@@ -144,7 +144,7 @@
             self.put(page for _, page in self.out.tick(self.now))
 
 
-@pytest.mark.parametrize("size", [0, 1, 1_040, 1_041, 65_536, MAIL])
+@pytest.mark.parametrize("size", [0, 1, 1_040, 1_041, 65_536, MAX_MESSAGE_BYTES])
 def test_mail_of_any_size_arrives_under_five_percent_of_loss_and_once(size):
     for seed in range(6):
         way = Way(seed, 0.05, 0.05)
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -22,7 +22,7 @@
 from rackhub.fleet.members.suspicion import Suspicion
 from rackhub.fleet.members.timing import Timing
 from rackhub.fleet.members.views import MembersView
-from rackhub.fleet.ports import State
+from rackhub.fleet.ports import MemberState
 from rackhub.trials.fleet.members_check import Watch
 from rackhub.trials.fleet.members_plants import PLANTS
 from rackhub.trials.fleet.members_torture import Torture, found
@@ -105,7 +105,7 @@
     assert (one.own.boot, one.own.incarnation) == (101, 0)
     one.table.merge(claim("me", 200, port=1), "b")  # a process of the same address whose clock was ahead
     one.table.merge(claim("me", 300, rank=f.GONE, port=9), "b")  # or of another address, and no more
-    assert one.own.boot == 301 and one.records.get("me", "k").boot == 301
+    assert one.own.boot == 301 and one.records.get("me", "k").generation == 301
     assert [effect.boot for effect in one.here.effects if isinstance(effect, Booted)] == [101, 201, 301]
 
 
@@ -159,7 +159,7 @@
     assert wire.time.run(30 * SECOND, lambda: not watch.unsettled())
     gateways[3].kill()
     assert wire.time.run(30 * SECOND, lambda: not watch.unsettled())
-    assert state(gateways[0], "g003") is State.GONE
+    assert state(gateways[0], "g003") is MemberState.GONE
 
 
 @pytest.mark.parametrize("swap", [False, True])
@@ -171,10 +171,10 @@
     for gateway in gateways:
         assert gateway.core.hears(other, one) is False and gateway.core.hears(one, other) is True
         assert gateway.core.hears(one, "g000") is True
-    assert state(wire.gateways[one], other) is state(wire.gateways[other], one) is State.CUT
+    assert state(wire.gateways[one], other) is state(wire.gateways[other], one) is MemberState.CUT
     view = MembersView(wire.gateways[one].core)
-    assert len(view.living()) == 5 and view.heard() == view.living() - {other}
-    assert state(gateways[0], one) is state(gateways[0], other) is State.ALIVE and not watch.counts["given_up"]
+    assert len(view.live()) == 5 and view.reachable() == view.live() - {other}
+    assert state(gateways[0], one) is state(gateways[0], other) is MemberState.ALIVE and not watch.counts["given_up"]
     wire.heal()
     assert wire.time.run(wire.timing.settles(5), lambda: not watch.unsettled())
 
@@ -197,7 +197,7 @@
         gateway.core._seeds = []
     wire.cut(names[:3], names[3:])
     wire.time.run(60 * SECOND)
-    assert state(gateways[0], names[5]) is State.GONE
+    assert state(gateways[0], names[5]) is MemberState.GONE
     wire.heal()
     given_up = watch.counts["given_up"]
     assert wire.time.run(wire.timing.settles(6), lambda: not watch.unsettled())
@@ -208,7 +208,7 @@
     wire, watch, gateways = fleet(5)
     gateways[4].step(Leave())
     wire.time.run(SECOND)
-    assert {state(gateway, "g004") for gateway in gateways[:4]} == {State.LEFT}
+    assert {state(gateway, "g004") for gateway in gateways[:4]} == {MemberState.LEFT}
     ticks = gateways[4].packets
     wire.time.run(SECOND)
     assert gateways[4].packets - ticks < 60  # it answers, and does not spin
@@ -363,9 +363,9 @@
 control = ControlPort(reactor, ("127.0.9.1", 17948), lambda name: None)
 fleet_status.register_command(control, parts[0])
 def mailed(sender, body):
-    parts[0].board.post("mailed", b"%s %d" % (sender.encode(), len(body)))
+    parts[0].board.publish("mailed", b"%s %d" % (sender.encode(), len(body)))
     parts[2].leave().addCallback(lambda _: parts[2].stop())
-parts[0].mail.take("big", mailed)
+parts[0].mail.subscribe("big", mailed)
 import socket
 holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)  # as a process that is being replaced
 holder.bind(("127.0.9.2", 17947))
@@ -374,7 +374,7 @@
     part.start()
 assert not parts[1].figures()["fleet_listening"]
 def send():
-    if len(parts[1].members.living()) < 3:
+    if len(parts[1].members.live()) < 3:
         reactor.callLater(0.05, send)
     else:
         parts[1].mail.send("g1", "big", bytes(262144))
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -34,7 +34,7 @@
     statement_hash,
 )
 from rackhub.fleet.overload.view import Codes, view
-from rackhub.fleet.ports import RECORD, State
+from rackhub.fleet.ports import MAX_RECORD_BYTES, MemberState
 from rackhub.limits import Limits
 from rackhub.trials.fleet.overload import main, run
 from rackhub.trials.fleet.overload_world import CLASSES, TENANTS, World
@@ -42,14 +42,14 @@
 
 fixed = settings(derandomize=True, deadline=None, max_examples=60)
 FRESH, TICK, KEEP, LEARNT = 3 * SECOND, 250 * MS, 4 * SECOND, 5 * SECOND
-figure = st.integers(0, records.MOST)
+figure = st.integers(0, records.MAX_VALUE)
 
 
 # ---- records
 
 
 @fixed
-@given(st.lists(st.tuples(figure, figure, figure), max_size=60), figure, st.integers(0, records.PART))
+@given(st.lists(st.tuples(figure, figure, figure), max_size=60), figure, st.integers(0, records.FRACTION_ONE))
 def test_a_record_fits_whatever_it_holds_and_its_cells_sum_up(cells, other, part):
     load = records.Load(
         tuple(records.Cell(*cell) for cell in cells),
@@ -62,10 +62,10 @@
     )
     body = records.pack(load)
     told = records.unpack(body)
-    assert len(body) <= RECORD
+    assert len(body) <= MAX_RECORD_BYTES
     total = sum(cell.requested for cell in load.cells)
     assert told is not None and (
-        total > records.MOST or told.rest + sum(cell.requested for cell in told.cells) == total
+        total > records.MAX_VALUE or told.rest + sum(cell.requested for cell in told.cells) == total
     )
 
 
@@ -198,13 +198,15 @@
 
     def tick(self):
         now = self.node.now()
-        self.who.update(now, self.node.living(), self.node.heard(), self.node.read(records.LOAD))
+        self.who.update(now, self.node.live(), self.node.reachable(), self.node.read(records.LOAD_KIND))
         self.lending.update_need(now, self.need(), self.who.equal_share, self.who.digest)
-        self.node.post(records.LOAD, records.pack(records.Load(share=self.lending.loan(), counted=self.who.digest)))
-        held = {name: records.unpack(record.body) for name, record in self.node.read(records.LOAD).items()}
+        self.node.publish(
+            records.LOAD_KIND, records.pack(records.Load(share=self.lending.loan(), counted=self.who.digest))
+        )
+        held = {name: records.unpack(record.body) for name, record in self.node.read(records.LOAD_KIND).items()}
         others = [
             held[name].share if name not in self.who.silent and held[name].counted == self.who.digest else None
-            for name in self.who.counted - {self.node.me}
+            for name in self.who.counted - {self.node.local_name}
         ]
         self.part = self.lending.share(self.who.equal_share, others)
         self.was.append((now, self.part))
@@ -223,7 +225,7 @@
 
     def look(one, other):
         apart = (one in cut) != (other in cut) or other in dead
-        net.nodes[one].say(other, State.GONE if apart else State.ALIVE)
+        net.nodes[one].say(other, MemberState.GONE if apart else MemberState.ALIVE)
 
     def detect():  # each gateway learns of each other one at its own time
         for one in names:
@@ -348,7 +350,9 @@
 def test_the_parts_that_hold_sum_up_to_one_and_a_record_stays_small():
     world, _ = overloaded()
     assert sum(gateway.part.controller.thread_share for gateway in world.gateways) <= 1 + 1e-3
-    assert all(len(record.body) <= RECORD for record in world.net.nodes["g0"].read(records.LOAD).values())
+    assert all(
+        len(record.body) <= MAX_RECORD_BYTES for record in world.net.nodes["g0"].read(records.LOAD_KIND).values()
+    )
 
 
 # ---- further attempts
@@ -530,20 +534,20 @@
 )
 def test_a_bad_order_of_shedding_is_named_and_what_held_goes_on(part, named):
     shed = SheddingPolicy(SITE)
-    shed.hold({"order": [{"tenant": "night", "worth": 0.5}, {"class": "report", "worth": 4.0}]}, 7)
+    shed.apply({"order": [{"tenant": "night", "worth": 0.5}, {"class": "report", "worth": 4.0}]}, 7)
     held = dict(shed.multipliers)
     with pytest.raises(ValueError, match=named):
         shed.check(part)
     assert shed.multipliers == held and shed.multipliers["report", "night"] == 2.0 and shed.version == 7
-    shed.hold(None, 8)
+    shed.apply(None, 8)
     assert shed.multipliers == {} and shed.version == 8
 
 
 def test_a_member_that_tells_nonsense_counts_as_silent_and_is_counted():
     world = World(3, 3, True, lambda at: 0.5, 1)
     liar = world.net.nodes["g2"]
-    post = liar.post
-    liar.post = lambda kind, body: post(kind, b"\xff" + body)
+    post = liar.publish
+    liar.publish = lambda kind, body: post(kind, b"\xff" + body)
     world.run(3)
     part = world.gateways[0].part
     assert part.controller.participants.silent == {"g2"} and world.net.nodes["g0"].counts["overload_nonsense"] > 0
@@ -621,7 +625,7 @@
         for i, gateway in enumerate(world.gateways):  # each hears of it at its own time
             world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.core.update_endpoints(listing.entries, rev))
             if led:
-                world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.part.listed(listing))
+                world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.part.endpoints_changed(listing))
 
     world.run(3)
     engine.up = False
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -4,7 +4,7 @@
 
 from rackhub import interface as t
 from rackhub.config import ConfigError, check_operator, fleet_settings
-from rackhub.fleet.ports import State
+from rackhub.fleet.ports import MemberState
 from rackhub.operatorfile import Operator
 from rackhub.trials.fleet.twin import MS, SECOND, Net
 
@@ -44,19 +44,24 @@
 
 def test_what_is_left_out_has_its_default_and_the_configuration_s_name():
     told = fleet_settings(PART, PEERS, "n1")
-    assert (told.name, told.bind, told.records_ms) == ("n1", ("127.0.0.1", 7001), 3_000)
+    assert (told.name, told.listen_address, told.records_ms) == ("n1", ("127.0.0.1", 7001), 3_000)
     behind = fleet_settings(PART | {"advertise": "127.0.0.9:7009"}, PEERS, "n1")
-    assert told.told == told.bind == behind.bind and behind.told == ("127.0.0.9", 7009)
+    assert told.advertised_address == told.listen_address == behind.listen_address and behind.advertised_address == (
+        "127.0.0.9",
+        7009,
+    )
 
 
 def run_of(seed):
     net, heard = Net(["a", "b", "c"], seed), []
     net.lose = net.double = 0.3
     for node in net.nodes.values():
-        node.take("word", lambda source, body, me=node.me: heard.append((net.time.now(), source, me, body)))
+        node.subscribe(
+            "word", lambda source, body, me=node.local_name: heard.append((net.time.now(), source, me, body))
+        )
     for number in range(60):
         net.time.later(number * 10 * MS, lambda number=number: net.nodes["a"].send("b", "word", bytes([number])))
-        net.time.later(number * 10 * MS, lambda number=number: net.nodes["a"].post("load", bytes([number])))
+        net.time.later(number * 10 * MS, lambda number=number: net.nodes["a"].publish("load", bytes([number])))
     net.time.run(SECOND)
     return heard, net.nodes["c"].read("load")
 
@@ -71,19 +76,19 @@
 def test_the_twin_cuts_one_way_pauses_and_forgets_what_a_killed_process_held():
     net = Net(["a", "b"], 1)
     net.cut({"a"}, {"b"}, both=False)
-    net.nodes["a"].post("load", b"1")
-    net.nodes["b"].post("load", b"2")
+    net.nodes["a"].publish("load", b"1")
+    net.nodes["b"].publish("load", b"2")
     net.time.run(SECOND)
     assert set(net.nodes["b"].read("load")) == {"b"} and set(net.nodes["a"].read("load")) == {"a", "b"}
     assert net.nodes["a"].read("load")["b"].age == SECOND
     net.heal()
     net.nodes["b"].pause()
-    net.nodes["a"].post("load", b"3")
+    net.nodes["a"].publish("load", b"3")
     net.time.run(SECOND)
     assert "a" not in net.nodes["b"].read("load")
     net.nodes["b"].wake()
     assert net.nodes["b"].read("load")["a"].body == b"3"
     net.nodes["b"].kill()
-    net.nodes["a"].say("b", State.GONE)
+    net.nodes["a"].say("b", MemberState.GONE)
     net.nodes["b"].restart()
-    assert not net.nodes["b"].read("load") and net.nodes["a"].living() == {"a"}
+    assert not net.nodes["b"].read("load") and net.nodes["a"].live() == {"a"}
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -279,7 +279,9 @@
 def test_a_promise_is_sent_only_when_it_is_durable():
     cluster, seen = RegisterCluster(), []
     cluster.net.time.run(SECOND)
-    cluster.net.nodes["d"].take("register.told", lambda source, body: seen.append((cluster.net.time.now(), source)))
+    cluster.net.nodes["d"].subscribe(
+        "register.told", lambda source, body: seen.append((cluster.net.time.now(), source))
+    )
     cluster.disks["a"]._delay = 50 * MS
     began = cluster.net.time.now()
     shell = cluster.acceptors["a"]
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -384,7 +384,7 @@
     stand.edit("g00", 1, 0, "a", wait_ms=1_000)
     for body in (b"", b"\xc1", encode({"type": "what"}), encode(FetchVersions(MAX_BALLOT_NUMBER, -1))):
         stand.net.nodes["g04"].send("g01", MESSAGE_KIND, body)
-    stand.net.nodes["g04"].post(MESSAGE_KIND, b"\xc1")
+    stand.net.nodes["g04"].publish(MESSAGE_KIND, b"\xc1")
     stand.down("g03")
     stand.disks["g03"]._synced[DISK_KEY] = b"\xc1"
     stand.disks["g03"].crash()
@@ -402,9 +402,9 @@
         section.check({"route": [{"class": "nosuch"}]})
     life = desk.begin_request("lookup", "", 0, 0)
     section.reload_file()
-    section.hold({"route": [{"class": "lookup", "attempts": 1}]}, 4)
+    section.apply({"route": [{"class": "lookup", "attempts": 1}]}, 4)
     assert life.max_attempts == site.max_attempts and desk.begin_request("lookup", "", 0, 0).max_attempts == 1
-    section.hold(None, 5)
+    section.apply(None, 5)
     assert desk.begin_request("lookup", "", 0, 0).max_attempts == site.max_attempts and section.version == 5
     section.reload_file()
     assert desk.open == {1: 1, 3: 1, 4: 1, 5: 0}
@@ -419,7 +419,7 @@
     edit = {"route": [{"class": "lookup", "attempts": 1}]}
     section.check(edit)
     section.check({"route": [{"class": "lookup", "attempts": 1}]})
-    section.hold(edit, 1)
+    section.apply(edit, 1)
     assert len(reads) == 1
     with pytest.raises(ValueError, match=r"attempts"):
         section.check({"route": [{"class": "lookup", "attempts": True}]})
--- a/tests/test_fleet_subset.py
+++ b/tests/test_fleet_subset.py
@@ -1,13 +1,13 @@
 """Members of a fleet with some names left out."""
 
 from rackhub.fleet.members.subset import MembersWithout
-from rackhub.fleet.ports import Member, State
+from rackhub.fleet.ports import Member, MemberState
 
 
 class Three:
     """`a`, the own one, hears `b` and `r`; `b` and `r` hear one another."""
 
-    me = "a"
+    local_name = "a"
 
     def __init__(self):
         self.calls = []
@@ -15,13 +15,13 @@
     def all(self):
         return {name: member(name) for name in "abr"}
 
-    def living(self):
+    def live(self):
         return frozenset("abr")
 
-    def heard(self):
+    def reachable(self):
         return frozenset("abr")
 
-    def hears(self, one, other):
+    def receives_from(self, one, other):
         return True
 
     def follow(self, call):
@@ -29,18 +29,22 @@
 
 
 def member(name):
-    return Member(name, ("127.0.0.1", 1), 1, 0, State.ALIVE, 0)
+    return Member(name, ("127.0.0.1", 1), 1, 0, MemberState.ALIVE, 0)
 
 
 def test_the_names_are_in_nothing_that_is_told():
     members = MembersWithout(Three(), frozenset("r"))
-    assert (members.me, set(members.all()), members.living(), members.heard()) == (
+    assert (members.local_name, set(members.all()), members.live(), members.reachable()) == (
         "a",
         {"a", "b"},
         {"a", "b"},
         {"a", "b"},
     )
-    assert members.hears("a", "b") is True and members.hears("a", "r") is None and members.hears("r", "b") is None
+    assert (
+        members.receives_from("a", "b") is True
+        and members.receives_from("a", "r") is None
+        and members.receives_from("r", "b") is None
+    )
 
 
 def test_changes_of_those_names_are_not_passed_on():
@@ -52,4 +56,4 @@
 
 
 def test_the_own_name_is_never_left_out():
-    assert MembersWithout(Three(), frozenset("ab")).living() == {"a", "r"}
+    assert MembersWithout(Three(), frozenset("ab")).live() == {"a", "r"}
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -494,7 +494,10 @@
     forge, read = forger.Forger("g0", ["e0"], 1), []
     for number in range(20):
         told = packet(
-            *(frames.Note(owner, records.LOAD, 1, number, 0, records.pack(records.Load())) for owner in ("g0", "g1"))
+            *(
+                frames.Note(owner, records.LOAD_KIND, 1, number, 0, records.pack(records.Load()))
+                for owner in ("g0", "g1")
+            )
         )
         made = forge("g0", "g1", told)
         assert forge("g1", "g0", told) == told and forge("g0", "g2", told) == made
