--- a/rackhub/address.py
+++ b/rackhub/address.py
@@ -3,7 +3,7 @@
 import ipaddress
 
 
-def address(text: str, key: str) -> tuple[str, int]:
+def parse_ipv4_address(text: str, key: str) -> tuple[str, int]:
     """Raises `ValueError` that names the key and the value."""
     host, _, port = text.rpartition(":")
     try:
--- a/rackhub/cli/hash_password.py
+++ b/rackhub/cli/hash_password.py
@@ -9,10 +9,10 @@
 from collections.abc import Sequence
 
 from rackhub.cli.words import parse
-from rackhub.operatorfile import hashed
+from rackhub.operatorfile import hash_password
 
 
 def run(words: Sequence[str]) -> int:
     parse(__doc__ or "", words)
-    print(hashed(sys.stdin.readline().rstrip("\r\n")))
+    print(hash_password(sys.stdin.readline().rstrip("\r\n")))
     return 0
--- a/rackhub/cli/rules.py
+++ b/rackhub/cli/rules.py
@@ -53,7 +53,7 @@
 from pathlib import Path
 from typing import Any
 
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 from rackhub.cli.relayed_rules import print_relayed
 from rackhub.cli.words import Ended, as_json, number, parse, refuse
 
@@ -73,7 +73,7 @@
     options = parse(__doc__ or "", words)
     name = next(name for name in HANDLERS if options[name])
     try:
-        at = address(options["--at"], "--at")
+        at = parse_ipv4_address(options["--at"], "--at")
     except ValueError as bad:
         raise refuse(str(bad)) from None
     call, shown = HANDLERS[name]
--- a/rackhub/config.py
+++ b/rackhub/config.py
@@ -37,8 +37,8 @@
 GOSSIP_KEY = "settings.Permissions.Peers"
 SITE_LIMITS = (  # key of the site's permissions, attribute of `Limits`, minimum
     ("DialTimeout", "dial_timeout", 1),
-    ("ConnIdle", "engine_idle", 1),
-    ("Multiplex", "engine_open", 1),
+    ("ConnIdle", "engine_idle_timeout", 1),
+    ("Multiplex", "max_attempts_per_connection", 1),
 )
 
 
@@ -117,7 +117,7 @@
 def parse_address(text: str, key: str) -> tuple[str, int]:
     """Parse an address and port. Raises `ConfigError`, which names `key`."""
     try:
-        return address.address(text, key)
+        return address.parse_ipv4_address(text, key)
     except ValueError as error:
         raise ConfigError(str(error)) from None
 
@@ -292,12 +292,14 @@
     Engines keep theirs: a TDS listener and a store take from what clients would get.
     """
     if operator.store is not None:
-        client_connections = max(limits.client_connections - STORE_DESCRIPTORS, 1)
-        limits = msgspec.structs.replace(limits, client_connections=client_connections)
+        client_connections = max(limits.max_client_connections - STORE_DESCRIPTORS, 1)
+        limits = msgspec.structs.replace(limits, max_client_connections=client_connections)
     if operator.tds_front is None:
         return limits
-    tds = min(limits.tds_connections, limits.client_connections // 2)
-    return msgspec.structs.replace(limits, tds_connections=tds, client_connections=limits.client_connections - tds)
+    tds = min(limits.max_tds_connections, limits.max_client_connections // 2)
+    return msgspec.structs.replace(
+        limits, max_tds_connections=tds, max_client_connections=limits.max_client_connections - tds
+    )
 
 
 def _initial_endpoints(known: KnownEndpoints) -> EndpointSnapshot:
@@ -337,7 +339,7 @@
 def _derive_limits(file: ConfigFile) -> Limits:
     """The limits: those that the site sets, those derived from the process's resources, defaults for the others."""
     site_limits = _site_limits(file.settings.get("Permissions", {}))
-    site_limits["poll"] = _poll_interval(file.settings.get("Instances", 1))  # checked with the settings
+    site_limits["poll_interval"] = _poll_interval(file.settings.get("Instances", 1))  # checked with the settings
     resources = file.limits
     needed_descriptors = 2 * RESERVED_DESCRIPTORS
     if resources.sockets < needed_descriptors:
@@ -349,13 +351,13 @@
     spare_bytes = (resources.memory_mb - IDLE_MEMORY_MB) * BYTES_PER_MB
     clients = (resources.sockets - RESERVED_DESCRIPTORS) // 2
     return Limits(
-        sockets=resources.sockets,
+        file_descriptors=resources.sockets,
         memory_mb=resources.memory_mb,
-        client_connections=clients,
-        engine_links=resources.sockets - RESERVED_DESCRIPTORS - clients,
+        max_client_connections=clients,
+        max_engine_connections=resources.sockets - RESERVED_DESCRIPTORS - clients,
         max_open_requests=max(spare_bytes // MEMORY_PER_HELD_REQUEST, MINIMUM_HELD_REQUESTS),
         max_statement_bytes=spare_bytes // 4,
-        request_bytes=min(max(spare_bytes // 4 // clients, MINIMUM_REQUEST_LINE), MAXIMUM_REQUEST_LINE),
+        max_request_bytes=min(max(spare_bytes // 4 // clients, MINIMUM_REQUEST_LINE), MAXIMUM_REQUEST_LINE),
         **site_limits,
     )
 
@@ -373,7 +375,7 @@
 
 
 def _poll_interval(gateways: float) -> int:
-    """How often each gateway polls the endpoint list, in microseconds: all together keep to `Limits.fleet_polls`."""
+    """Return each gateway's poll interval in microseconds: all gateways together keep to `max_fleet_polls_per_s`."""
     defaults = Limits()
-    interval = int(gateways * SECOND / defaults.fleet_polls)
-    return min(max(interval, defaults.poll), defaults.max_poll_retry_interval)
+    interval = int(gateways * SECOND / defaults.max_fleet_polls_per_s)
+    return min(max(interval, defaults.poll_interval), defaults.max_poll_retry_interval)
--- a/rackhub/core/admission.py
+++ b/rackhub/core/admission.py
@@ -3,7 +3,7 @@
 from rackhub import interface, logs
 from rackhub.core.decision_driver import DecisionDriver
 from rackhub.core.endpoint_gate import EndpointGate
-from rackhub.core.lease import Standing
+from rackhub.core.lease import LeaseStatus
 from rackhub.core.request import Query, RequestOutcome
 from rackhub.core.request_completion import RequestCompletion
 from rackhub.core.state import CoordinatorState
@@ -60,7 +60,7 @@
         if not state.accepting and not query.is_subrequest:
             self._reject(query, "refused_ending", self._drain_backoff)
             return True
-        if self._gate.standing() is Standing.EXPIRED and not query.is_subrequest:
+        if self._gate.lease_status() is LeaseStatus.EXPIRED and not query.is_subrequest:
             self._reject(query, "over_lease", state.overload_backoff())
             return True
         if full or state.loop_overloaded:
--- a/rackhub/core/attempts.py
+++ b/rackhub/core/attempts.py
@@ -5,12 +5,12 @@
 from rackhub import interface, logs
 from rackhub.core.decision_driver import DecisionDriver
 from rackhub.core.endpoint_gate import EndpointGate
-from rackhub.core.lease import Standing
+from rackhub.core.lease import LeaseStatus
 from rackhub.core.request import Attempt, AttemptState, Query, RequestOutcome
 from rackhub.core.request_completion import RequestCompletion
 from rackhub.core.request_policy import RetryDecision
 from rackhub.core.state import ClassCounter, CoordinatorState
-from rackhub.core.timers import ALWAYS_DEFER
+from rackhub.core.timers import DEFER_UNCONDITIONALLY
 from rackhub.interface import Idempotency, Outcome
 from rackhub.policy.retries import NOT_EXECUTED_OUTCOMES
 
@@ -63,7 +63,7 @@
         self._guard_idempotency_window(attempt, now)
         self._register(attempt, now)
         if hedge_after and now + hedge_after < attempt.deadline:
-            state.timers.at(now + hedge_after, self._offer_hedge, attempt)
+            state.timers.call_at(now + hedge_after, self._offer_hedge, attempt)
         self._begin_when_in_time(attempt)
 
     def begin(self, attempt: Attempt) -> None:
@@ -71,15 +71,15 @@
         if attempt.state is not AttemptState.PENDING:
             return
         attempt.sent_at = self._state.clock.now()
-        if self._gate.standing() is Standing.UNCONFIRMED:
+        if self._gate.lease_status() is LeaseStatus.UNCONFIRMED:
             log.debug("attempt_held", request=attempt.query.id, reason="the endpoint list is not confirmed")
             self._gate.hold(attempt)
             return
         if blocked_by := attempt.send_blocked_by(attempt.sent_at, self._state.lease):
             self._reject(attempt, blocked_by)
             return
-        if attempt.query.reply.stale:  # the client's disconnect may be among what is still to be read
-            self._state.timers.call_after_reads(ALWAYS_DEFER, self.begin, attempt)
+        if attempt.query.reply.may_have_unread_input:  # the client's disconnect may be among what is still to be read
+            self._state.timers.call_after_reads(DEFER_UNCONDITIONALLY, self.begin, attempt)
             return
         attempt.state = AttemptState.IN_FLIGHT
         self._state.engine_port.send(attempt)
@@ -114,7 +114,7 @@
             closed = attempt.query.closed
             self.complete(attempt, Outcome.NOT_EXECUTED if closed else Outcome.CONNECT_FAILED)
             return
-        self._state.timers.at(self._state.clock.now(), self._cancellation_sent, attempt, outcome)
+        self._state.timers.call_at(self._state.clock.now(), self._cancellation_sent, attempt, outcome)
 
     def complete(
         self, attempt: Attempt, outcome: str, report: dict[str, float] | None = None, rows: Sequence[bytes] = ()
@@ -165,7 +165,7 @@
 
     def _begin_when_in_time(self, attempt: Attempt) -> None:
         """Begin an attempt; where the event loop is late, only after it has read all sockets."""
-        self._state.timers.call_after_reads(self._state.limits.late_iteration, self.begin, attempt)
+        self._state.timers.call_after_reads(self._state.limits.late_iteration_delay, self.begin, attempt)
 
     def _may_start(self, attempt: Attempt, timeout: int, now: int) -> bool:
         query = attempt.query
@@ -273,7 +273,7 @@
 
     def _cancellation_sent(self, attempt: Attempt, outcome: str) -> None:
         completes_at = self._state.clock.now() + self._state.limits.cancellation_delay
-        self._state.timers.at(completes_at, self.complete, attempt, outcome)
+        self._state.timers.call_at(completes_at, self.complete, attempt, outcome)
 
     def _offer_hedge(self, attempt: Attempt) -> None:
         """Offer the policy a hedge beside an attempt, where the operator's terms still allow one."""
--- a/rackhub/core/component.py
+++ b/rackhub/core/component.py
@@ -28,7 +28,7 @@
         "core",
         "source",
         "counters",
-        "serving",
+        "is_serving",
         "republish_endpoints",
         "read_config",
         "components",
@@ -43,15 +43,15 @@
         core: "Coordinator",
         source: "Source",
         counters: "Counters",
-        serving: Callable[[], bool],
+        is_serving: Callable[[], bool],
         republish_endpoints: Callable[[], None],
         read_config: Callable[[], "Config"],
     ) -> None:
         """Put the context together.
 
-        `serving`: whether clients are accepted and no SIGTERM came. `republish_endpoints`: hand the policy the endpoint
-        list anew, as what a component makes visible of it has changed. `read_config`: the configuration as its file
-        has it now.
+        `is_serving`: whether clients are accepted and no SIGTERM came. `republish_endpoints`: hand the policy the
+        endpoint list anew, as what a component makes visible of it has changed. `read_config`: the configuration as its
+        file has it now.
         """
         self.reactor = reactor
         self.clock = clock
@@ -60,7 +60,7 @@
         self.core = core
         self.source = source
         self.counters = counters
-        self.serving = serving
+        self.is_serving = is_serving
         self.republish_endpoints = republish_endpoints
         self.read_config = read_config
         self.components: dict[str, Component] = {}  # those turned on, by name; complete from `begin` on
@@ -96,7 +96,7 @@
         """The endpoint list as the policy is to see it."""
         return entries
 
-    def succeeded(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a process that replaces this one serves on its address."""
         return False
 
--- a/rackhub/core/deadline_monitor.py
+++ b/rackhub/core/deadline_monitor.py
@@ -32,7 +32,7 @@
         self._attempts.gate.resume_if_settled()
         self._fail_expired_requests(now)
         self._next_sweep_at = now + self._state.limits.deadline_check_interval
-        self._state.timers.at(self._next_sweep_at, self.sweep)
+        self._state.timers.call_at(self._next_sweep_at, self.sweep)
 
     def _measure_loop_delay(self, now: int) -> None:
         """Shed load while the loop is late.
--- a/rackhub/core/endpoint_gate.py
+++ b/rackhub/core/endpoint_gate.py
@@ -5,7 +5,7 @@
 
 from rackhub import interface, logs
 from rackhub.core.decision_driver import DecisionDriver
-from rackhub.core.lease import Standing
+from rackhub.core.lease import LeaseStatus
 from rackhub.core.request import Attempt
 from rackhub.core.state import CoordinatorState
 
@@ -24,12 +24,12 @@
         self._ineligible: frozenset[str] = frozenset()
         self._allocation = interface.FleetAllocation()  # as the fleet gave it, without the ineligible engines
 
-    def standing(self) -> Standing:
+    def lease_status(self) -> LeaseStatus:
         """Whether the endpoint list is in force now."""
         lease = self._state.lease
         if lease is None:
-            return Standing.CONFIRMED
-        return lease.standing(self._state.clock.now())
+            return LeaseStatus.CONFIRMED
+        return lease.status(self._state.clock.now())
 
     def hold(self, attempt: Attempt) -> None:
         """Keep an attempt until the list is confirmed, or until it expires."""
@@ -37,7 +37,7 @@
 
     def resume_if_settled(self) -> None:
         """Resume what waits unless the list is still to be confirmed."""
-        if self._waiting and self.standing() is not Standing.UNCONFIRMED:
+        if self._waiting and self.lease_status() is not LeaseStatus.UNCONFIRMED:
             self._resume_all()
 
     def poll_started(self) -> int:
--- a/rackhub/core/gather.py
+++ b/rackhub/core/gather.py
@@ -7,7 +7,7 @@
 
 from rackhub.core.request import Query
 
-Missing = Literal["late", "cut", "refused", "failed", "spared"]
+MissingReason = Literal["late", "cut", "refused", "failed", "spared"]
 
 
 class SiteStatus(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
@@ -15,7 +15,7 @@
 
     site: str
     age_ms: int = 0  # since the rows were read at that site, by the gathering gateway's own clock
-    missing: Missing | None = None
+    missing: MissingReason | None = None
 
 
 class GatherStatus(msgspec.Struct, frozen=True, kw_only=True):
--- a/rackhub/core/lease.py
+++ b/rackhub/core/lease.py
@@ -16,7 +16,7 @@
 from rackhub.limits import Limits
 
 
-class Standing(enum.Enum):
+class LeaseStatus(enum.Enum):
     """Whether the endpoint list may be relied on."""
 
     CONFIRMED = enum.auto()
@@ -53,17 +53,17 @@
             for engine in [engine for engine, at in evidence.items() if at <= self._confirmed_at]:
                 del evidence[engine]
 
-    def standing(self, now: int) -> Standing:
+    def status(self, now: int) -> LeaseStatus:
         """Whether the list may be relied on at `now`."""
         age = now - self._confirmed_at
         if age <= self._prompt:
-            return Standing.CONFIRMED
+            return LeaseStatus.CONFIRMED
         waiting_since = self._waiting_since
         if waiting_since is None or now - self._last_poll_at >= self._answer_timeout:
-            return Standing.UNCONFIRMED  # the process was suspended
+            return LeaseStatus.UNCONFIRMED  # the process was suspended
         if now - waiting_since < self._answer_timeout:
-            return Standing.UNCONFIRMED
-        return Standing.CONFIRMED if age <= self._longest else Standing.EXPIRED
+            return LeaseStatus.UNCONFIRMED
+        return LeaseStatus.CONFIRMED if age <= self._longest else LeaseStatus.EXPIRED
 
     # ---- single engines
 
--- a/rackhub/core/request.py
+++ b/rackhub/core/request.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any, Protocol
 
-from rackhub.core.lease import EndpointLease, Standing
+from rackhub.core.lease import EndpointLease, LeaseStatus
 from rackhub.interface import Outcome
 
 if TYPE_CHECKING:
@@ -27,8 +27,8 @@
     """
 
     reading_paused: bool = False  # nothing is read from the client, so a disconnect can't be seen
-    stale: bool = False  # what is read has waited in the socket, and a disconnect may lie behind it
-    stale_since: int = 0  # the earliest time that what is read may have waited from, in microseconds
+    may_have_unread_input: bool = False  # what is read has waited in the socket, and a disconnect may lie behind it
+    unread_input_since: int = 0  # the earliest time that what is read may have waited from, in microseconds
 
     def served(self, query: "Query", rows: Sequence[bytes]) -> None:
         """Answer with the pages of the result, in order."""
@@ -166,10 +166,10 @@
         if self.query.reply.reading_paused:
             return Outcome.NOT_EXECUTED
         if lease is not None:
-            standing = lease.standing(now)
-            if standing is Standing.EXPIRED:
+            status = lease.status(now)
+            if status is LeaseStatus.EXPIRED:
                 return Outcome.NOT_EXECUTED
-            if standing is not Standing.CONFIRMED or not lease.allows(self.engine, now):
+            if status is not LeaseStatus.CONFIRMED or not lease.allows(self.engine, now):
                 return Outcome.CONNECT_FAILED
         return Outcome.CONNECT_FAILED if 0 < self.send_by <= now else ""
 
--- a/rackhub/core/request_completion.py
+++ b/rackhub/core/request_completion.py
@@ -67,7 +67,7 @@
     def _remember(self, id: str) -> None:
         # A faulty client may use one id for hundreds of requests, each cancelled at once.
         self._recent_ids[id] = None
-        if len(self._recent_ids) > self._state.limits.recent_ids:
+        if len(self._recent_ids) > self._state.limits.max_recent_ids:
             del self._recent_ids[next(iter(self._recent_ids))]
 
     def _count(self, query: Query, outcome: RequestOutcome) -> None:
--- a/rackhub/core/source.py
+++ b/rackhub/core/source.py
@@ -30,9 +30,9 @@
     """Where the settings and the endpoint list come from."""
 
     settings: interface.Settings
-    start: EndpointSnapshot
+    initial_snapshot: EndpointSnapshot
 
-    def follow(
+    def subscribe(
         self, on_change: Callable[[EndpointSnapshot], None], observer: EndpointPollObserver | None = None
     ) -> None:
         """Call back with each new endpoint list from now on, and notify `observer` of polls and good answers."""
--- a/rackhub/core/timers.py
+++ b/rackhub/core/timers.py
@@ -7,7 +7,7 @@
 
 log = logging.getLogger(__name__)
 
-ALWAYS_DEFER = -1  # as a tolerated delay: the call waits for the reads, however early the event loop is
+DEFER_UNCONDITIONALLY = -1  # as a tolerated delay: the call waits for the reads, however early the event loop is
 ITERATIONS_TO_READ_TWICE = 3  # the reads of the present iteration may be half made, so they don't count
 
 
@@ -40,7 +40,7 @@
         self._wakes_at = 0  # 0: no wake-up is planned
         self._last_delay = 0  # how late the last wake-up was
 
-    def at(self, when: int, call: Callable[..., None], *args: Any) -> None:
+    def call_at(self, when: int, call: Callable[..., None], *args: Any) -> None:
         """Call at a time; a timer is never withdrawn."""
         self._last_number += 1
         heapq.heappush(self._heap, (when, self._last_number, call, args))
@@ -87,6 +87,6 @@
 
     def _call_after_iterations(self, iterations: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
         if iterations:
-            self.at(self._clock.now(), self._call_after_iterations, iterations - 1, call, args)
+            self.call_at(self._clock.now(), self._call_after_iterations, iterations - 1, call, args)
         else:
             call(*args)
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -140,7 +140,7 @@
 
     def _start_core(self) -> EndpointSnapshot:
         """Start the coordinator; returns the endpoint list that it starts with."""
-        listing = self.source.start
+        listing = self.source.initial_snapshot
         for component in self.components.values():
             listing = component.begin(listing)
         entries = self._visible_endpoints(listing)
@@ -149,7 +149,7 @@
         # Log errors in the reactor's callbacks, which would be lost otherwise.
         PythonLoggingObserver().start()  # type: ignore[no-untyped-call]
         self.core.lease = EndpointLease(self.config.limits, self.config.settings.drain_grace, self._clock.now())
-        self.source.follow(self._endpoints_received, self.core)
+        self.source.subscribe(self._endpoints_received, self.core)
         return listing
 
     def _handle_signals(self) -> None:
@@ -257,7 +257,7 @@
         """Reject new requests and answer the open ones; the process stops after the last answer."""
         if not self.core.accepting:
             return
-        succeeded = any(component.succeeded() for component in self.components.values())
+        succeeded = any(component.has_successor() for component in self.components.values())
         # With a successor on the address a retry needn't wait.
         self.core.start_draining(0 if succeeded else self.config.settings.max_retry_after)
         log.info("shutting down: %d requests open", len(self.core.queries))
@@ -265,8 +265,8 @@
             component.drain()
         if succeeded:
             self._hand_over()
-        reactor.callLater(self.config.limits.read_after_term / SECOND, self._drain_connections)
-        reactor.callLater(self.config.limits.accept_after_term / SECOND, self._close_ports)
+        reactor.callLater(self.config.limits.drain_connections_delay / SECOND, self._drain_connections)
+        reactor.callLater(self.config.limits.close_listeners_delay / SECOND, self._close_ports)
 
     def _hand_over(self) -> None:
         """Direct new connections to the successor, and close each client's connection with its next answer."""
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 from rackhub.fleet.distribution.coordinator import Coordinator
 from rackhub.fleet.distribution.events import Node, Role
 from rackhub.fleet.distribution.limits import Limits
@@ -109,14 +109,14 @@
 
 
 def _mail_link(reactor: Any, fleet: Fleet, settings: FleetSettings, boot: int) -> MailLink:
-    directory = {node.name: address(node.address, "node") for node in settings.node}
+    directory = {node.name: parse_ipv4_address(node.address, "node") for node in settings.node}
     return MailLink(
         reactor,
-        address(settings.watch, "watch"),
+        parse_ipv4_address(settings.watch, "watch"),
         settings.cluster,
         settings.name,
         boot,
-        address(settings.watch_advertise or settings.watch, "watch"),
+        parse_ipv4_address(settings.watch_advertise or settings.watch, "watch"),
         directory,
         seed=fleet.seed,
         clock=fleet.clock,
--- a/rackhub/fleet/members/part.py
+++ b/rackhub/fleet/members/part.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import defer
 
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 from rackhub.fleet.link.limits import Limits
 from rackhub.fleet.link.port import UdpPort
 from rackhub.fleet.members import boots
@@ -58,7 +58,7 @@
             boots.first(settings.state),
             serves,
             settings.site,
-            [address(text, "join") for text in settings.join],
+            [parse_ipv4_address(text, "join") for text in settings.join],
             seed,
         )
         self.core = Core(start, timing(settings), self._limits, self._clock.now())
--- a/rackhub/fleet/overload/component.py
+++ b/rackhub/fleet/overload/component.py
@@ -76,7 +76,7 @@
         self.settings = settings
         self.core = core
         self._probe = probe
-        takeover_delay = max([cls.deadline for cls in settings.classes] or [0]) or limits.kill_capped
+        takeover_delay = max([cls.deadline for cls in settings.classes] or [0]) or limits.max_deadline_before_sigkill
         self.controller = LoadController(fleet.members.local_name, settings, fleet_settings, takeover_delay, fleet.seed)
         self.shed = self.controller.policy
         self.health_checks = HealthCheckSchedule(fleet.members.local_name)
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from rackhub import components
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 from rackhub.config import fleet_settings
 from rackhub.core.component import Component, ComponentContext, ComponentStartError
 from rackhub.core.source import EndpointSnapshot
@@ -52,7 +52,9 @@
             raise ComponentStartError(f"[fleet] state: {fault}") from None
         self.fleet = self.membership.fleet()
         self.control = (
-            ControlPort(host.reactor, address(self.told.control, "control"), self._tally) if self.told.control else None
+            ControlPort(host.reactor, parse_ipv4_address(self.told.control, "control"), self._tally)
+            if self.told.control
+            else None
         )
         self.prober = Prober(host.reactor, host.clock, host.config.limits)
         self.overload = (
@@ -152,8 +154,8 @@
             raise ComponentStartError(f"[fleet] {fault}") from None
         if self.overload is not None:
             self.overload.start()
-            self.overload.endpoints_changed(self.context.source.start)
-        self.prober.listed(self.context.source.start)
+            self.overload.endpoints_changed(self.context.source.initial_snapshot)
+        self.prober.listed(self.context.source.initial_snapshot)
         if self.rules is not None:
             timed: Any = self.context.components.get("timings")
             if timed is not None:
--- a/rackhub/fleet/roles.py
+++ b/rackhub/fleet/roles.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 
 if TYPE_CHECKING:
     from rackhub.fleet.settings import FleetSettings
@@ -41,9 +41,9 @@
         raise ValueError(f"zone: {settings.zone!r}: with cluster it has more than {LONGEST_NAME - 1} letters")
     if not settings.watch:
         raise ValueError(f"watch: not set, and role is {settings.role!r}")
-    address(settings.watch, "watch")
+    parse_ipv4_address(settings.watch, "watch")
     if settings.watch_advertise:
-        address(settings.watch_advertise, "watch_advertise")
+        parse_ipv4_address(settings.watch_advertise, "watch_advertise")
     if settings.role in (VOTER, COORDINATOR) and not settings.state:
         raise ValueError(f"state: not set, and role is {settings.role!r}, whose revision must outlive a restart")
     _check_scope(settings)
@@ -94,7 +94,7 @@
         _check_name(f"{key}.zone", node.zone)
         if node.role not in DIRECTORY_ROLES:
             raise ValueError(f"{key}.role: {node.role!r} is none of {', '.join(DIRECTORY_ROLES)}")
-        place = address(node.address, f"{key}.address")
+        place = parse_ipv4_address(node.address, f"{key}.address")
         if node.name in names:
             raise ValueError(f"{key}.name: {node.name!r} is that of node[{names[node.name]}], too")
         if place in places:
@@ -126,5 +126,5 @@
     if own.zone != settings.zone:
         raise ValueError(f"zone: {settings.zone!r}, and {settings.name!r} is of zone {own.zone!r} among node")
     advertised = settings.watch_advertise or settings.watch
-    if address(own.address, "node") != address(advertised, "watch"):
+    if parse_ipv4_address(own.address, "node") != parse_ipv4_address(advertised, "watch"):
         raise ValueError(f"watch: {advertised!r}, and {settings.name!r} is at {own.address!r} among node")
--- a/rackhub/fleet/settings.py
+++ b/rackhub/fleet/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from rackhub import interface
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 from rackhub.fleet.roles import NAME, FleetNode, check_role
 
 SEEDS, KEEPERS = 64, (1, 3, 5)
@@ -41,12 +41,12 @@
 
     @property
     def listen_address(self) -> tuple[str, int]:
-        return address(self.listen, "listen")
+        return parse_ipv4_address(self.listen, "listen")
 
     @property
     def advertised_address(self) -> tuple[str, int]:
         """Where the others find this gateway."""
-        return address(self.advertise, "advertise") if self.advertise else self.listen_address
+        return parse_ipv4_address(self.advertise, "advertise") if self.advertise else self.listen_address
 
     @property
     def zone_cluster(self) -> str:
@@ -65,13 +65,13 @@
     ):
         if not NAME.match(text):
             raise ValueError(f"{key}: {text!r} is not 1 to 63 letters, digits, dots, dashes or underscores")
-    address(told.listen, "listen")
+    parse_ipv4_address(told.listen, "listen")
     if told.advertise:
-        address(told.advertise, "advertise")
+        parse_ipv4_address(told.advertise, "advertise")
     if told.control:
-        address(told.control, "control")
+        parse_ipv4_address(told.control, "control")
     for i, seed in enumerate(told.join):
-        address(seed, f"join[{i}]")
+        parse_ipv4_address(seed, f"join[{i}]")
     if len(told.join) > SEEDS:
         raise ValueError(f"join: {len(told.join)} addresses, more than {SEEDS}")
     if told.keepers and (len(set(told.keepers)) != len(told.keepers) or len(told.keepers) not in KEEPERS):
--- a/rackhub/gather/component.py
+++ b/rackhub/gather/component.py
@@ -23,7 +23,7 @@
         super().__init__(context)
         limits = context.config.limits
         self.remotes = RemoteGateways(
-            context.reactor, limits.dial_timeout, limits.result, lambda name: self.dispatcher.count(name)
+            context.reactor, limits.dial_timeout, limits.max_result_size, lambda name: self.dispatcher.count(name)
         )
         self._file_rules: GatherRules = gather_rules(context.operator.gather or {}, context.source.settings)
         self._fleet: Fleet | None = None
--- a/rackhub/gather/dispatcher.py
+++ b/rackhub/gather/dispatcher.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from rackhub.core.coordinator import Coordinator
-from rackhub.core.gather import Missing
+from rackhub.core.gather import MissingReason
 from rackhub.core.request import Query, Reply
 from rackhub.core.source import Address, EndpointSnapshot
 from rackhub.fleet.ports import OverloadStatus
@@ -53,9 +53,9 @@
         return self.request.query.reply.reading_paused
 
     @property
-    def stale(self) -> bool:  # type: ignore[override]
+    def may_have_unread_input(self) -> bool:  # type: ignore[override]
         """Whether what is read of the gathered request's client has waited in the socket."""
-        return self.request.query.reply.stale
+        return self.request.query.reply.may_have_unread_input
 
     def cancel(self) -> None:
         """Disconnect from the core's request."""
@@ -77,7 +77,7 @@
         """The subrequest failed."""
         self._complete_without_rows("failed", 0)
 
-    def _complete_without_rows(self, reason: Missing, backoff: int) -> None:
+    def _complete_without_rows(self, reason: MissingReason, backoff: int) -> None:
         if self.done:
             return
         self.done = True
@@ -194,7 +194,7 @@
             rules.weights,
             now,
             query.deadline - min(JOIN_TIME_US, max(query.deadline - now, 0) // 4),
-            self.core.limits.result,
+            self.core.limits.max_result_size,
             lambda site: self.latencies.quantile(site, query.cls, rule.latency_quantile),
             lambda site: self.result_cache.get(site, cache_key),
             self._take_retry_token,
@@ -224,7 +224,7 @@
         self._apply(request, request.state.receive_rows(now, site, attempt, rows))
 
     def complete_without_rows(
-        self, request: GatheredRequest, site: str, attempt: int, reason: Missing, backoff: int, may_retry: bool
+        self, request: GatheredRequest, site: str, attempt: int, reason: MissingReason, backoff: int, may_retry: bool
     ) -> None:
         """A subrequest ended without rows. `may_retry`: another coordinator of the site could be asked."""
         now = self.core.clock.now()
@@ -250,7 +250,7 @@
                 case CancelSubrequest(site, attempt):
                     self._cancel_call(request, site, attempt)
                 case StartTimer(at):
-                    self.core.timers.at(at, self._timer_fired, request)
+                    self.core.timers.call_at(at, self._timer_fired, request)
                 case Answer():
                     self._answer(request, effect)
 
@@ -302,7 +302,7 @@
         attempted.add(address)
         others_left = len(attempted) < len(site.addresses)
 
-        def completed(body: bytes | None, reason: Missing, backoff: int, may_retry: bool) -> None:
+        def completed(body: bytes | None, reason: MissingReason, backoff: int, may_retry: bool) -> None:
             if body is not None:
                 self.complete_with_rows(request, effect.site, effect.attempt, (body,))
             else:
--- a/rackhub/gather/remote_gateways.py
+++ b/rackhub/gather/remote_gateways.py
@@ -12,7 +12,7 @@
 import msgspec
 from twisted.protocols.basic import LineOnlyReceiver
 
-from rackhub.core.gather import Missing
+from rackhub.core.gather import MissingReason
 from rackhub.core.request import Query
 from rackhub.core.source import Address
 from rackhub.net.dial import SingleConnectionFactory
@@ -25,7 +25,7 @@
 MAX_BACKOFF_MS = 1e6
 MS = 1_000  # microseconds
 SECOND = 1_000_000  # microseconds
-Completion = Callable[[bytes | None, Missing, int, bool], None]
+Completion = Callable[[bytes | None, MissingReason, int, bool], None]
 """The end of a call: its rows, or None with the reason, a backoff in microseconds, and whether it may be retried."""
 
 
--- a/rackhub/gather/rules.py
+++ b/rackhub/gather/rules.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from rackhub import interface
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 
 Names = str | list[str]
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}\Z")
@@ -31,7 +31,7 @@
     @property
     def addresses(self) -> tuple[tuple[str, int], ...]:
         """Addresses of the other installation's coordinators; none for a site of zones."""
-        return tuple(address(text, "gateways") for text in self.gateways)
+        return tuple(parse_ipv4_address(text, "gateways") for text in self.gateways)
 
 
 class Rule(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -152,7 +152,7 @@
         faults.append(Fault(f"{key}.gateways", len(site.gateways), f"more than {MAX_GATEWAYS}"))
     for index, text in enumerate(site.gateways):
         try:
-            address(text, f"{key}.gateways[{index}]")
+            parse_ipv4_address(text, f"{key}.gateways[{index}]")
         except ValueError:
             faults.append(Fault(f"{key}.gateways[{index}]", text, "not an address and port"))
     return faults
--- a/rackhub/gather/state.py
+++ b/rackhub/gather/state.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Literal, NamedTuple
 
-from rackhub.core.gather import GatherStatus, Missing, SiteStatus
+from rackhub.core.gather import GatherStatus, MissingReason, SiteStatus
 from rackhub.gather.rules import Rule
 
 MS = 1_000  # microseconds
@@ -99,7 +99,7 @@
         self.started_at = started_at
         self.deadline = deadline
         self.fresh: dict[str, Rows] = {}
-        self.missing: dict[str, Missing] = {}
+        self.missing: dict[str, MissingReason] = {}
         self.in_flight: dict[str, int] = {}  # site -> number of the attempt
         self.attempts: dict[str, int] = dict.fromkeys(rule.sites, 0)
         self.done = False
@@ -144,7 +144,7 @@
         return self._evaluate(now)
 
     def fail_site(
-        self, now: int, site: str, attempt: int, reason: Missing, backoff: int = 0, may_retry: bool = False
+        self, now: int, site: str, attempt: int, reason: MissingReason, backoff: int = 0, may_retry: bool = False
     ) -> list[Effect]:
         """A subrequest ended without rows. `may_retry`: another coordinator of the site could be asked."""
         if self.done or self.in_flight.get(site) != attempt:
@@ -237,7 +237,7 @@
 
     def _finish(self, now: int) -> list[Effect]:
         """The final answer, from what is here."""
-        absent: dict[str, Missing] = {**self.missing, **dict.fromkeys(self.in_flight, "late")}
+        absent: dict[str, MissingReason] = {**self.missing, **dict.fromkeys(self.in_flight, "late")}
         rows = dict(self.fresh)
         for site in absent:
             stand_in = self._stand_in(site, now)
@@ -253,7 +253,7 @@
         pages = [page for site in self.rule.sites if site in rows for page in rows[site].pages]
         return [*self._cancel_calls(), Answer("served", pages, self._status(rows, absent))]
 
-    def _drop_oversized(self, rows: dict[str, Rows], absent: dict[str, Missing]) -> None:
+    def _drop_oversized(self, rows: dict[str, Rows], absent: dict[str, MissingReason]) -> None:
         """Leave out sites from the end of the rule while the rows are too large and the others still suffice."""
         for site in reversed(self.rule.sites):
             if (
@@ -269,7 +269,7 @@
     def _refusal(self, reason: str) -> Answer:
         return Answer("refused", backoff=self._backoff, reason=reason)
 
-    def _status(self, rows: Mapping[str, Rows], absent: Mapping[str, Missing]) -> GatherStatus:
+    def _status(self, rows: Mapping[str, Rows], absent: Mapping[str, MissingReason]) -> GatherStatus:
         complete = set(rows) == set(self.rule.sites) and not any(result.age for result in rows.values())
         sites = [
             SiteStatus(site=site, age_ms=-(-rows[site].age // MS))
--- a/rackhub/net/client.py
+++ b/rackhub/net/client.py
@@ -4,7 +4,7 @@
 
 from rackhub import logs
 from rackhub.core.request import Reply
-from rackhub.core.timers import ALWAYS_DEFER
+from rackhub.core.timers import DEFER_UNCONDITIONALLY
 
 if TYPE_CHECKING:
     from rackhub.net.front import Front
@@ -18,8 +18,8 @@
     """One client's connection: timeouts, flow control and the half-close. The front's protocol fills in the rest.
 
     `incomplete_since` is when a message began that is not complete yet, `write_blocked_since` when the client stopped
-    reading what is written to it, `closed_at` when the writing side was closed, `stale_since` since when bytes of the
-    client may lie unread; 0: it is not so.
+    reading what is written to it, `closed_at` when the writing side was closed, `unread_input_since` since when bytes
+    of the client may lie unread; 0: it is not so.
     """
 
     marks = False  # whether it can answer that a result is partial: see `core.request.Reply`
@@ -35,7 +35,7 @@
         self.penalty_until = 0  # not read from before then
         self.closed_at = 0
         self.reading_stopped = False
-        self.stale_since = 0
+        self.unread_input_since = 0
         self._reading_stopped_at = 0
         self._reading_changes = 0
         self.has_sent_message = False
@@ -116,7 +116,7 @@
         clients that send them at full speed would take most of the CPU.
         """
         self.faults += 1
-        excess = self.faults - self.front.limits.free_faults
+        excess = self.faults - self.front.limits.faults_before_pause
         if excess <= 0 or self.ending:
             return
         now = self.core.clock.now()
@@ -125,12 +125,12 @@
         self.penalty_until = now + min(doubled, self.front.limits.max_fault_pause)
         if not penalised:
             self.counters.add("clients_slowed")
-            self.core.timers.at(self.penalty_until, self._check_penalty)
+            self.core.timers.call_at(self.penalty_until, self._check_penalty)
             self.update_reading()
 
     def _check_penalty(self) -> None:
         if self.core.clock.now() < self.penalty_until:
-            self.core.timers.at(self.penalty_until, self._check_penalty)
+            self.core.timers.call_at(self.penalty_until, self._check_penalty)
         else:
             self.update_reading()
 
@@ -148,35 +148,35 @@
             return
         self._reading_changes += 1
         if self.reading_stopped:
-            self.stale = self.stale or self.reading_paused
+            self.may_have_unread_input = self.may_have_unread_input or self.reading_paused
             self.reading_stopped = False
             self.transport.resumeProducing()
             self._expect_reads()
         else:
             self._reading_stopped_at = self.core.clock.now()
-            self.stale_since = self.stale_since or self._reading_stopped_at
+            self.unread_input_since = self.unread_input_since or self._reading_stopped_at
             self.reading_stopped = True
             self.transport.pauseProducing()
 
     def record_read(self, size: int) -> None:
         """Record that a read of `size` bytes has been handled; a full one may have left more in the kernel."""
-        if size >= self.front.limits.read:
+        if size >= self.front.limits.socket_read_bytes:
             self._expect_reads()
             return
-        self.stale = False
-        self.stale_since = self._reading_stopped_at if self.reading_stopped else 0
+        self.may_have_unread_input = False
+        self.unread_input_since = self._reading_stopped_at if self.reading_stopped else 0
 
     def _expect_reads(self) -> None:
         """Find out whether all is read, as a client that has sent nothing shows by no read."""
-        if self.stale_since and not self.reading_stopped:
+        if self.unread_input_since and not self.reading_stopped:
             self._reading_changes += 1
-            self.core.timers.call_after_reads(ALWAYS_DEFER, self._reads_made, self._reading_changes)
+            self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._reads_made, self._reading_changes)
 
     def _reads_made(self, reading_changes: int) -> None:
         """The event loop has read all sockets: unless reading stopped or a full read came since, nothing is unread."""
         if reading_changes == self._reading_changes:
-            self.stale = False
-            self.stale_since = 0
+            self.may_have_unread_input = False
+            self.unread_input_since = 0
 
     @property
     def reading_paused(self) -> bool:  # type: ignore[override]
@@ -185,5 +185,5 @@
         One answer that fills the buffer stops the reading for an event-loop iteration, which does not count. A stop
         over bytes that were unread before counts from then on: reading may go on and stop again without any read.
         """
-        unread_for = self.core.clock.now() - self.stale_since
-        return self.reading_stopped and unread_for > self.front.limits.late_iteration
+        unread_for = self.core.clock.now() - self.unread_input_since
+        return self.reading_stopped and unread_for > self.front.limits.late_iteration_delay
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -53,7 +53,7 @@
         self.connections: set[Client] = set()
         self._aborted: set[Client] = set()  # their descriptors are not free yet
         self.replaced = False  # whether the process ends while another one serves on the same address
-        core.timers.at(core.clock.now() + limits.client_check_interval, self.check_timeouts)
+        core.timers.call_at(core.clock.now() + limits.client_check_interval, self.check_timeouts)
 
     def buildProtocol(self, addr: object) -> protocol.Protocol | None:  # noqa: N802
         """Accept a connection, or close it at once: descriptors for engines are kept free (Twisted)."""
@@ -102,8 +102,8 @@
         may be just what was waited for.
         """
         now = self.core.clock.now()
-        self.core.timers.at(now + self.limits.client_check_interval, self.check_timeouts)
-        self.core.timers.at(now, self._end_timed_out, now)
+        self.core.timers.call_at(now + self.limits.client_check_interval, self.check_timeouts)
+        self.core.timers.call_at(now, self._end_timed_out, now)
 
     def _end_timed_out(self, now: int) -> None:
         """Half of the connections are kept free of idle clients, for many may connect at once."""
--- a/rackhub/net/jsonrpc.py
+++ b/rackhub/net/jsonrpc.py
@@ -111,7 +111,7 @@
             complete = data.rfind(b"\n") + 1
             self.record_received(complete > 0, complete < len(data))
         *lines, self._buffer = (self._buffer + data).split(b"\n")
-        max_length = self.front.limits.request_bytes
+        max_length = self.front.limits.max_request_bytes
         self._processing = True
         for line in lines:
             if self.ending:
@@ -210,7 +210,7 @@
             self.counters.add("bad_method")
             self._error(id, METHOD_NOT_FOUND, "no such method")
             return
-        if len(self.open) >= self.front.limits.open_requests:
+        if len(self.open) >= self.front.limits.max_requests_per_client:
             self.counters.add("too_many_open")
             self._error(id, INVALID_REQUEST, "too many open requests")
             return
@@ -329,7 +329,7 @@
             self.close()
         elif self.draining and not self.open:
             now = self.core.clock.now()  # twice, as only between two calls everything is read that came
-            self.core.timers.at(now, self.core.timers.at, now, self._drained)
+            self.core.timers.call_at(now, self.core.timers.call_at, now, self._drained)
 
     def _drained(self) -> None:
         """End it: what the kernel had buffered when the last answer was written has been read, and was accepted."""
@@ -342,4 +342,4 @@
     timeouts = ClientTimeouts(
         limits.first_message_timeout, limits.message_timeout, limits.client_idle_timeout, limits.write_timeout
     )
-    return Front(JsonRpcConnection, core, limits, counters, limits.client_connections, timeouts)
+    return Front(JsonRpcConnection, core, limits, counters, limits.max_client_connections, timeouts)
--- a/rackhub/net/platform_source.py
+++ b/rackhub/net/platform_source.py
@@ -52,7 +52,7 @@
         `reread` reads and checks the file again; `ValueError` where it is invalid.
         """
         self.settings = settings
-        self.start = start
+        self.initial_snapshot = start
         self._reactor = reactor
         self._server = server
         self._limits = limits
@@ -61,12 +61,12 @@
         self._resolver: Resolver | None = None
         self._ports: list[Any] = []  # polls go out from the last one; the others may still receive answers
 
-    def follow(self, notify: Callable[[EndpointSnapshot], None], lease: EndpointPollObserver | None = None) -> None:
+    def subscribe(self, notify: Callable[[EndpointSnapshot], None], lease: EndpointPollObserver | None = None) -> None:
         """Call back with each list that is new from now on; `lease` is notified of polls and good answers."""
         self._resolver = Resolver(
             self._reactor,
             self._server,
-            self.start,
+            self.initial_snapshot,
             notify,
             self._limits,
             self._counters,
@@ -77,7 +77,7 @@
         self._ports = [self._open_port()]
 
     def _open_port(self) -> Any:
-        return self._reactor.listenUDP(0, self._resolver, maxPacketSize=self._limits.packet)
+        return self._reactor.listenUDP(0, self._resolver, maxPacketSize=self._limits.max_dns_response_bytes)
 
     def _renew(self) -> None:
         """Open a new socket before an old one closes: where no descriptor is free, the last one goes on.
@@ -93,7 +93,7 @@
         self._counters.add("dns_sockets")
         log.debug("resolver_socket_renewed", reason="no good answer", port=port.getHost().port)
         self._ports.append(port)
-        self._close_oldest(self._limits.resolver_sockets)
+        self._close_oldest(self._limits.max_resolver_sockets)
 
     def _settle(self) -> None:
         self._close_oldest(1)
--- a/rackhub/net/poll_schedule.py
+++ b/rackhub/net/poll_schedule.py
@@ -5,8 +5,9 @@
 
 The bound: a coordinator makes 1 / (0.8 poll) calls a second at most while it is answered, and while it is not, four in
 the first second and then 1 / (0.8 poll_again_most): 2.5. Forty make 200, and 100 where nothing answers. A socket whose
-answers stop coming, for good or from the first call on, is replaced after polls_silent calls: at the latest
-poll + (2^polls_silent - 1) poll_again, 0.67 s, after its last good answer.
+answers stop coming, for good or from the first call on, is replaced after `failed_polls_before_new_socket` calls: at
+the latest poll_interval + (2^failed_polls_before_new_socket - 1) poll_retry_interval, 0.67 s, after its last good
+answer.
 """
 
 from collections.abc import Callable
@@ -28,7 +29,7 @@
     def answer_received(self) -> int:
         """Record a good answer and return the delay until the next poll."""
         self._unanswered = 0
-        return self._with_jitter(self._limits.poll)
+        return self._with_jitter(self._limits.poll_interval)
 
     def poll_sent(self) -> int:
         """Record a poll and return the delay until the next one, unless a good answer comes before."""
@@ -39,13 +40,14 @@
     def needs_new_socket(self) -> bool:
         """Whether the next poll should go out from a new socket.
 
-        True for every `polls_silent`th unanswered poll only, so that a slow answer still finds the socket it is for.
+        True only for every unanswered poll whose number is a multiple of `failed_polls_before_new_socket`, so that a
+        slow answer still finds the socket it is for.
         """
-        return self._unanswered > 0 and self._unanswered % self._limits.polls_silent == 0
+        return self._unanswered > 0 and self._unanswered % self._limits.failed_polls_before_new_socket == 0
 
     def silence_limit(self) -> int:
         """Return the longest time from the first unanswered poll to the first one from a new socket."""
-        return self._limits.poll_retry_interval * ((1 << self._limits.polls_silent) - 1)
+        return self._limits.poll_retry_interval * ((1 << self._limits.failed_polls_before_new_socket) - 1)
 
     def server_changed(self) -> None:
         """Start anew with another resolver: that the old one did not answer says nothing about it."""
--- a/rackhub/net/pool.py
+++ b/rackhub/net/pool.py
@@ -147,7 +147,7 @@
         core: Coordinator,
         max_links: int,
     ):
-        """`max_links` bounds the connections to one engine; `limits.engine_links` those to all together."""
+        """`max_links` bounds the connections to one engine; `limits.max_engine_connections` those to all together."""
         self._dial = dial
         self._clock = clock
         self._limits = limits
@@ -212,7 +212,7 @@
         crowded = (
             best.load() >= self._limits.attempts_before_spread and len(pool.links) < self._limits.max_spread_connections
         )
-        return crowded and len(self._all_links()) < self._limits.engine_links * 3 // 4
+        return crowded and len(self._all_links()) < self._limits.max_engine_connections * 3 // 4
 
     def _all_pools(self) -> Iterable[EnginePool]:
         return (*self.pools.values(), *self.retired)
@@ -223,7 +223,7 @@
     def _reserve_descriptor(self) -> bool:
         """Whether the descriptors reserved for engines allow one more connection; an idle one is closed for it."""
         links = self._all_links()
-        if len(links) < self._limits.engine_links:
+        if len(links) < self._limits.max_engine_connections:
             return True
         self._counters.add("over_engine_links")
         idle = [link for link in links if not link.load() and not link.closed]
@@ -259,7 +259,7 @@
         A connection closes well before the engine would close it for being idle, as a request could cross that.
         """
         now = self._clock.now()
-        idle_limit = now - self._limits.engine_idle * 2 // 3
+        idle_limit = now - self._limits.engine_idle_timeout * 2 // 3
         for link in self._all_links():
             link.check_timeouts(now)
             if link.idle_since() < idle_limit:
--- a/rackhub/net/request_validation.py
+++ b/rackhub/net/request_validation.py
@@ -86,7 +86,7 @@
     What was not read for a while may have been sent at any time of that, and engines must not be given more time than
     the client has left.
     """
-    sent_at = reply.stale_since if reply.stale else now
+    sent_at = reply.unread_input_since if reply.may_have_unread_input else now
     return max(sent_at + budget, now + 1)
 
 
--- a/rackhub/net/resolver.py
+++ b/rackhub/net/resolver.py
@@ -116,7 +116,7 @@
         if needs_new_socket:
             self._renew()
         number = self._random.randrange(DNS_IDS)
-        while len(self._pending) >= self._limits.polls_open:
+        while len(self._pending) >= self._limits.max_pending_polls:
             del self._pending[next(iter(self._pending))]
         lease_time = self._lease.endpoint_poll_started() if self._lease is not None else 0
         self._pending[number] = PendingPoll(self._reactor.seconds(), lease_time)
@@ -132,7 +132,7 @@
         number = int.from_bytes(packet[:2], "big")
         self._counters.add("dns_in")
         log.debug("poll_answered", number=number, size=len(packet))
-        valid_size = DNS_HEADER_SIZE <= len(packet) <= self._limits.packet
+        valid_size = DNS_HEADER_SIZE <= len(packet) <= self._limits.max_dns_response_bytes
         if addr != self._server or not valid_size or number not in self._pending:
             self._counters.add("dns_bad")
             log.debug("answer_rejected", sender=addr, size=len(packet), reason="not one of the open questions")
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -10,7 +10,7 @@
 from rackhub import logs
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Attempt, AttemptState
-from rackhub.core.timers import ALWAYS_DEFER, Clock
+from rackhub.core.timers import DEFER_UNCONDITIONALLY, Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
 from rackhub.net.outgoing import SocketWriter
@@ -46,7 +46,7 @@
         return not (
             self.closed
             or self.unresponsive
-            or len(self.open) >= self.limits.engine_open
+            or len(self.open) >= self.limits.max_attempts_per_connection
             or self.is_blocked()
             or id in self.open
             or id in self.failed_ids
@@ -65,7 +65,7 @@
 
     def is_blocked(self) -> bool:
         """Whether the engine does not read what was sent to it."""
-        late = self._queued_since() < self.clock.now() - self.limits.late_iteration
+        late = self._queued_since() < self.clock.now() - self.limits.late_iteration_delay
         return self.up and (late or not self._out.has_sent(self._last_sent_end))
 
     def _queued_since(self) -> int:
@@ -96,7 +96,7 @@
         """
         waited = self.clock.now() - cancelled.sent_at
         nothing_received = self.last_received <= cancelled.sent_at
-        if nothing_received and waited >= self.limits.silence_timeout and not self.unresponsive:
+        if nothing_received and waited >= self.limits.unresponsive_timeout and not self.unresponsive:
             self.unresponsive = True
             self.counters.add("silent_connections")
 
@@ -199,8 +199,8 @@
 
     def _writable(self) -> None:
         """Send what is queued; after a late event-loop iteration only after reading, as a client may have left."""
-        if self.clock.now() - self._queued_since() > self.limits.late_iteration:
-            self.core.timers.call_after_reads(self.limits.late_iteration, self._send_queued)
+        if self.clock.now() - self._queued_since() > self.limits.late_iteration_delay:
+            self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._send_queued)
         else:
             self._send_queued()
 
@@ -215,12 +215,12 @@
                 continue
             if why := attempt.send_blocked_by(self.clock.now(), self.core.lease):
                 self._return_blocked(id, attempt, why)
-            elif attempt.query.reply.stale:
+            elif attempt.query.reply.may_have_unread_input:
                 unread = True
             elif not self._send(id, attempt):
                 break
         if unread:
-            self.core.timers.call_after_reads(ALWAYS_DEFER, self._request_write)
+            self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._request_write)
         else:
             self._request_write()
 
@@ -270,7 +270,7 @@
         for id, attempt in list(self.open.items()):
             if why := attempt.send_blocked_by(self.last_received, self.core.lease):  # it waited too long for this
                 self._return_blocked(id, attempt, why)
-        self.core.timers.call_after_reads(self.limits.late_iteration, self._opened)
+        self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._opened)
 
     def _opened(self) -> None:
         if self.closed:  # lost meanwhile, or what came on it was no answer
@@ -303,4 +303,6 @@
         """Return a connection that is not up yet."""
         return EngineConnection(pool, clock, limits, counters, core)
 
-    return EnginePools(EngineDialer(reactor, make, limits), clock, limits, counters, core, limits.engine_connections)
+    return EnginePools(
+        EngineDialer(reactor, make, limits), clock, limits, counters, core, limits.max_connections_per_engine
+    )
--- a/rackhub/net/resp_answers.py
+++ b/rackhub/net/resp_answers.py
@@ -152,14 +152,14 @@
         count = int(parse_number(fields, b"chunks", int))  # which every engine sends
         if count < 1:
             raise InvalidFrameError(f"a result of {count} pages")
-        if not is_valid_page(body, self.limits.page):
+        if not is_valid_page(body, self.limits.max_page_bytes):
             self._corrupt(id, attempt)
         report = parse_load_report(fields)
         if count == 1:
             self._complete(id, attempt, "GOOD", report, (body,))
             return
-        self.partial_results[id] = PartialResult(body, min(count, self.limits.pages), report)
-        if count > self.limits.pages:
+        self.partial_results[id] = PartialResult(body, min(count, self.limits.max_result_pages), report)
+        if count > self.limits.max_result_pages:
             self._too_large(attempt)
             return
         pieces = []
@@ -174,13 +174,13 @@
         if partial is None or not 0 < number < len(partial.pages) or partial.pages[number] is not None:
             self.counters.add("engine_extras")  # a duplicate, or a page that was not fetched
             return
-        if not is_valid_page(body, self.limits.page):
+        if not is_valid_page(body, self.limits.max_page_bytes):
             self._corrupt(id, attempt)
         self.counters.add("pages_in")
         partial.pages[number] = body
         partial.missing -= 1
         partial.size += len(body)
-        if partial.size > self.limits.result:
+        if partial.size > self.limits.max_result_size:
             self._too_large(attempt)
         elif not partial.missing:
             self._complete(id, attempt, "GOOD", partial.report, cast("tuple[bytes, ...]", tuple(partial.pages)))
--- a/rackhub/net/resp_reader.py
+++ b/rackhub/net/resp_reader.py
@@ -28,7 +28,7 @@
     def __init__(self, clock: Clock, limits: Limits):
         self.clock = clock
         self.limits = limits
-        self.MAX_LENGTH = limits.head
+        self.MAX_LENGTH = limits.max_resp_header_bytes
         self.closed = False  # lost, or to be closed: nothing more is read
         self.last_received = clock.now()
         self.incomplete_since = 0  # when a frame began that is not complete yet; 0: there is none
@@ -79,12 +79,16 @@
             strings = []
             here = at + len(ANSWER_HEADER)
             for _ in range(ANSWER_STRINGS):
-                end = data.find(b"\r\n", here, here + self.limits.head)
+                end = data.find(b"\r\n", here, here + self.limits.max_resp_header_bytes)
                 length = data[here + 1 : end] if end > 0 and data[here] == BULK_MARK else b""
                 if not length.isdigit() or len(length) > MAX_SIZE_DIGITS:
                     return data[at:]  # incomplete or invalid: the states tell which
                 here = end + 2 + int(length)
-                if here + 2 > size or int(length) > self.limits.frame or data[here : here + 2] != b"\r\n":
+                if (
+                    here + 2 > size
+                    or int(length) > self.limits.max_resp_string_bytes
+                    or data[here : here + 2] != b"\r\n"
+                ):
                     return data[at:]
                 strings.append(data[end + 2 : here])
                 here += 2
@@ -108,7 +112,7 @@
             if not self._strings_missing:
                 raise InvalidFrameError("an empty array")
         else:
-            self._string_size = self._size_in(line, b"$", self.limits.frame) + len(self.delimiter)
+            self._string_size = self._size_in(line, b"$", self.limits.max_resp_string_bytes) + len(self.delimiter)
             self._chunks = []
             self._chunks_size = 0
             self.setRawMode()  # type: ignore[no-untyped-call]
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -21,7 +21,7 @@
 
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Attempt, AttemptState, Query
-from rackhub.core.timers import ALWAYS_DEFER, Clock
+from rackhub.core.timers import DEFER_UNCONDITIONALLY, Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
 from rackhub.net.outgoing import SocketWriter
@@ -88,7 +88,7 @@
         self._waiting_since = 0  # for a writable socket
         self._retired_at = 0
         self._attempt: Attempt | None = None
-        self._packets = codec.MessageAssembler(limits.tds_message)
+        self._packets = codec.MessageAssembler(limits.max_tds_message_bytes)
         self._start_answer()
 
     def _mark_closed(self) -> None:
@@ -96,7 +96,7 @@
         self.closed = True
 
     def _start_answer(self) -> None:
-        self._tokens = codec.TokenReader(self.limits.tds_token)
+        self._tokens = codec.TokenReader(self.limits.max_tds_token_bytes)
         self._rows: list[str] = []
         self._result_characters = 0
         self._error = 0  # the number of the first ERROR
@@ -134,7 +134,7 @@
         self.state = State.CANCELLING
         self.write(codec.encode_message(codec.ATTENTION, b""))
         # without an acknowledgement the host is unreachable, and the connection only holds a descriptor
-        self.core.timers.at(self.clock.now() + self.limits.silence_timeout, self._check_acknowledged)
+        self.core.timers.call_at(self.clock.now() + self.limits.unresponsive_timeout, self._check_acknowledged)
 
     def _check_acknowledged(self) -> None:
         if self.state == State.CANCELLING:
@@ -236,9 +236,9 @@
 
     def _writable(self) -> None:
         """The socket is writable. After a long event-loop iteration a cancel may be unread: read before sending."""
-        late = self.clock.now() - self._waiting_since > self.limits.late_iteration
+        late = self.clock.now() - self._waiting_since > self.limits.late_iteration_delay
         if late:
-            self.core.timers.call_after_reads(self.limits.late_iteration, self._call)
+            self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._call)
         else:
             self._call()
 
@@ -250,8 +250,8 @@
         if reason := attempt.send_blocked_by(now, self.core.lease):
             self._end(reason)
             return
-        if attempt.query.reply.stale:  # the client's disconnect may be among what is still to be read
-            self.core.timers.call_after_reads(ALWAYS_DEFER, self._call)
+        if attempt.query.reply.may_have_unread_input:  # the client's disconnect may be among what is still to be read
+            self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._call)
             return
         try:
             body = codec.encode_rpc(PROCEDURE, self._arguments(attempt.query, now))
@@ -365,7 +365,7 @@
         text = "\t".join(values) + "\n"
         self._result_characters += len(text)
         valid = len(values) == RESULT_COLUMNS and text.count("\t") == RESULT_COLUMNS - 1 and text.count("\n") == 1
-        if attempt is not None and (not valid or self._result_characters > self.limits.result):
+        if attempt is not None and (not valid or self._result_characters > self.limits.max_result_size):
             # executed, but the result is malformed or too large to be passed on complete
             self.give_up(attempt)
             self.core.complete_attempt(attempt, "BAD")
@@ -400,5 +400,5 @@
         return TdsEngineConnection(pool, settings, clock, limits, counters, core)
 
     return EnginePools(
-        EngineDialer(reactor, connect, limits), clock, limits, counters, core, limits.tds_engine_connections
+        EngineDialer(reactor, connect, limits), clock, limits, counters, core, limits.max_tds_connections_per_engine
     )
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -99,7 +99,7 @@
         self.login: TdsLogin | None = None
         self._ids = ids
         self._packet_bytes = codec.DEFAULT_PACKET_BYTES
-        self._assembler = codec.MessageAssembler(front.limits.tds_message)
+        self._assembler = codec.MessageAssembler(front.limits.max_tds_message_bytes)
         self._query: Query | None = None
         self._packetizer = self._new_packetizer()
         self._pages: list[list[list[str]]] = []
@@ -215,7 +215,7 @@
         self._acknowledge_login(min(requested.version, codec.VERSION_74))
 
     def _authenticate(self, requested: codec.Login) -> TdsLogin | None:
-        login = None if requested.integrated else self.settings.check(requested.user, requested.password)
+        login = None if requested.integrated else self.settings.authenticate(requested.user, requested.password)
         if requested.database not in ("", self.settings.database) or requested.version < codec.VERSION_72:
             return None
         return login
@@ -425,6 +425,8 @@
         core,
         limits,
         counters,
-        limits.tds_connections,
-        ClientTimeouts(limits.tds_login, limits.tds_half, limits.tds_idle, limits.tds_unread),
+        limits.max_tds_connections,
+        ClientTimeouts(
+            limits.tds_login_timeout, limits.tds_message_timeout, limits.tds_idle_timeout, limits.tds_write_timeout
+        ),
     )
--- a/rackhub/operatorfile.py
+++ b/rackhub/operatorfile.py
@@ -12,7 +12,7 @@
 SCRYPT = {"n": 1 << 12, "r": 8, "p": 1, "dklen": 32}  # cheap enough to run on the event loop at each login
 
 
-def hashed(password: str, salt: bytes | None = None) -> str:
+def hash_password(password: str, salt: bytes | None = None) -> str:
     """The text that the file holds for a password: `scrypt:SALT:KEY` in base64; a random salt where none is given."""
     salt = os.urandom(16) if salt is None else salt
     key = hashlib.scrypt(password.encode(), salt=salt, **SCRYPT)
@@ -31,10 +31,10 @@
     tenants: list[str] = []
     budget_ms: int = 0  # 0: the class's deadline
 
-    def accepts(self, password: str) -> bool:
+    def has_password(self, password: str) -> bool:
         """Whether this is the login's password, compared in constant time."""
         _, salt, _ = self.password.split(":")
-        return hmac.compare_digest(hashed(password, base64.b64decode(salt)), self.password)
+        return hmac.compare_digest(hash_password(password, base64.b64decode(salt)), self.password)
 
     def __post_init__(self) -> None:
         parts = self.password.split(":")
@@ -56,13 +56,13 @@
     database: str
     login: list[TdsLogin]
 
-    def check(self, user: str, password: str) -> TdsLogin | None:
+    def authenticate(self, user: str, password: str) -> TdsLogin | None:
         """The login of this user and password, or None. An unknown user costs as much time as a known one."""
         found = next((login for login in self.login if login.user == user), None)
         if found is None:
-            hashed(password, b"0" * 16)
+            hash_password(password, b"0" * 16)
             return None
-        return found if found.accepts(password) else None
+        return found if found.has_password(password) else None
 
 
 class TdsEngineSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/rackhub/ops/component.py
+++ b/rackhub/ops/component.py
@@ -41,7 +41,7 @@
         )
         handler = CommandHandler(
             self.ejections,
-            is_ready=context.serving,
+            is_ready=context.is_serving,
             on_change=self._publish_and_save,
             metrics_text=metrics.text,
             now=context.clock.now,
@@ -65,7 +65,7 @@
         config = self.context.config
         if config.operator is not None:
             self._port = SharedPort(self.context.reactor, *config.operator, self._listener, LISTEN_BACKLOG)
-            LoopingCall(self._refresh).start(config.limits.ops_fresh / SECOND, now=False)
+            LoopingCall(self._refresh).start(config.limits.handover_check_interval / SECOND, now=False)
 
     def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
         """Note the initial endpoint list."""
@@ -80,7 +80,7 @@
             self._save()
         return self.ejections.visible_endpoints(entries)
 
-    def succeeded(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a process that replaces this one is running."""
         return self._successor_is_running()
 
--- a/rackhub/ops/listener.py
+++ b/rackhub/ops/listener.py
@@ -54,19 +54,21 @@
     def __init__(self, listener: "OperatorListener"):
         self._listener = listener
         self._answered = False
-        self.MAX_LENGTH = listener.limits.ops_request_bytes
+        self.MAX_LENGTH = listener.limits.max_ops_request_bytes
         self._answer_timer: DelayedCall | None = None
         self._abort_timer: DelayedCall | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
         """Start the deadline of the answer, or reject a connection over the limit."""
         listener = self._listener
-        if len(listener.connections) >= listener.limits.ops_connections:
+        if len(listener.connections) >= listener.limits.max_ops_connections:
             listener.counters.add("ops_refused")
             self._answer(b"NO too many calls at once\n")
             return
         listener.connections.add(self)
-        self._answer_timer = listener.reactor.callLater(listener.limits.ops_answer / SECOND, self._deadline_passed)
+        self._answer_timer = listener.reactor.callLater(
+            listener.limits.ops_request_timeout / SECOND, self._deadline_passed
+        )
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         """Answer the command; further lines are ignored."""
@@ -98,7 +100,7 @@
         self._answered = True
         self.transport.write(answer)
         self.transport.loseConnection()
-        linger_s = self._listener.limits.ops_linger / SECOND
+        linger_s = self._listener.limits.ops_linger_timeout / SECOND
         self._abort_timer = self._listener.reactor.callLater(linger_s, self.transport.abortConnection)
 
 
--- a/rackhub/trials/processes/one.py
+++ b/rackhub/trials/processes/one.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 
 REFUSED = -32008
 
@@ -45,7 +45,7 @@
     answer = Answer("unreached", "", message="no gateway is named")
     for place in addresses:
         try:
-            with socket.create_connection(address(place, "address"), 2.0) as link:
+            with socket.create_connection(parse_ipv4_address(place, "address"), 2.0) as link:
                 link.settimeout(budget_ms / 1_000 + 1.0)
                 link.sendall(line)
                 with link.makefile("rb") as reader:
--- a/rackhub/trials/scale/data_path_load.py
+++ b/rackhub/trials/scale/data_path_load.py
@@ -84,8 +84,8 @@
         ),
         Line("descriptors of all its client connections", descriptors, "descriptors", DESCRIPTORS),
         Line(
-            f"processes by descriptors, {limits.sockets:,} each",
-            math.ceil(descriptors / limits.sockets),
+            f"processes by descriptors, {limits.file_descriptors:,} each",
+            math.ceil(descriptors / limits.file_descriptors),
             "processes",
             DESCRIPTORS,
         ),
--- a/rackhub/trials/scale/engines.py
+++ b/rackhub/trials/scale/engines.py
@@ -215,4 +215,4 @@
 
 def packet_limit() -> int:
     """Bytes of the largest answer that the program takes."""
-    return Limits().packet
+    return Limits().max_dns_response_bytes
--- a/rackhub/trials/scale/page_data.py
+++ b/rackhub/trials/scale/page_data.py
@@ -28,7 +28,7 @@
 def client_connections() -> int:
     """Client connections that one process takes with the default number of descriptors: as `rackhub.config` shares
     them out, half of those that the program does not need itself."""
-    return (Limits().sockets - RESERVED_DESCRIPTORS) // 2
+    return (Limits().file_descriptors - RESERVED_DESCRIPTORS) // 2
 
 
 class PageData(msgspec.Struct, frozen=True):
@@ -67,8 +67,8 @@
     def poll_seconds(self) -> float:
         """Between two questions of one coordinator for the list, at the target: as `rackhub.config` sets it."""
         limits = Limits()
-        shared = self.target["coordinators"] / limits.fleet_polls
-        return min(max(shared, limits.poll / SECOND), limits.max_poll_retry_interval / SECOND)
+        shared = self.target["coordinators"] / limits.max_fleet_polls_per_s
+        return min(max(shared, limits.poll_interval / SECOND), limits.max_poll_retry_interval / SECOND)
 
 
 def read(folder: Path = FOLDER) -> PageData:
--- a/rackhub/trials/scale/ranking.py
+++ b/rackhub/trials/scale/ranking.py
@@ -196,8 +196,8 @@
             Limit(
                 "busy connections in one process: descriptors",
                 "data_path.busy_connection_descriptors",
-                limits.sockets,
-                f"{limits.sockets:,} descriptors, the default",
+                limits.file_descriptors,
+                f"{limits.file_descriptors:,} descriptors, the default",
             ),
             connections,
         ),
@@ -206,7 +206,7 @@
             client_connections(),
             "connections",
             connections,
-            f"connections taken with {limits.sockets:,} descriptors, the default",
+            f"connections taken with {limits.file_descriptors:,} descriptors, the default",
         ),
     ]
 
--- a/rackhub/trials/scale/roles.py
+++ b/rackhub/trials/scale/roles.py
@@ -168,7 +168,7 @@
             figure="questions of all coordinators",
             value=target["coordinators"] / data.poll_seconds,
             unit="a second",
-            budget=float(Limits().fleet_polls),
+            budget=float(Limits().max_fleet_polls_per_s),
             source="limit of the program",
             mechanism="longer polls in larger fleets, to half a second",
             status=Status.MISSING,
@@ -197,7 +197,7 @@
         ),
         Row(
             figure="connections, if every coordinator holds its most to it",
-            value=target["coordinators"] * limits.engine_connections,
+            value=target["coordinators"] * limits.max_connections_per_engine,
             unit="connections",
             source="limit of the program",
             mechanism="a coordinator keeps to its part of the engines",
@@ -205,7 +205,7 @@
         ),
         Row(
             figure="connections, if its own zone's coordinators do",
-            value=target.coordinators_a_zone * limits.engine_connections,
+            value=target.coordinators_a_zone * limits.max_connections_per_engine,
             unit="connections",
             source="limit of the program",
             mechanism=LIST_IN_SCOPE,
--- a/rackhub/trials/virtual/rig.py
+++ b/rackhub/trials/virtual/rig.py
@@ -302,7 +302,7 @@
             settings, number + 1, self, Timers(self, ReactorWaker(world.clock)), limits, self.counters
         )
         self.pools = EnginePools(
-            lambda pool: Wire(self, pool), self, limits, self.counters, self.core, limits.engine_connections
+            lambda pool: Wire(self, pool), self, limits, self.counters, self.core, limits.max_connections_per_engine
         )
         self.asking, self._next = PollSchedule(limits, self.random.random), None
         self.gone: dict[str, float] = {}  # engines that it was told are gone, and when
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -19,7 +19,7 @@
 from rackhub.net.tds import codec
 from rackhub.net.tds.engine import tds_pools
 from rackhub.net.tds.front import tds_front
-from rackhub.operatorfile import TdsEngineSettings, TdsFrontSettings, TdsLogin, hashed
+from rackhub.operatorfile import TdsEngineSettings, TdsFrontSettings, TdsLogin, hash_password
 
 S, MS = 1_000_000, 1_000
 CLASSES = (
@@ -53,7 +53,9 @@
     max_retry_after=500 * MS,
 )
 LIMITS = Limits(dial_timeout=60 * S)
-LOGIN = TdsLogin(user="desk", password=hashed("open sesame", b"0123456789abcdef"), cls="lookup", tenants=["acme"])
+LOGIN = TdsLogin(
+    user="desk", password=hash_password("open sesame", b"0123456789abcdef"), cls="lookup", tenants=["acme"]
+)
 TDS = TdsFrontSettings(listen="127.0.0.1:1433", database="rides", login=[LOGIN])
 
 
--- a/tests/model_reach.py
+++ b/tests/model_coverage.py
@@ -1,7 +1,7 @@
 """How often a model's run reaches each of its rules and states, and a search of a model by seed.
 
-A search that always takes the same steps shows nothing where it does not come to: `reaching` makes a test that fails
-unless every rule was run and every state was seen.
+A search that always takes the same steps shows nothing where it does not come to: `coverage_test` makes a test that
+fails unless every rule was run and every state was seen.
 """
 
 import functools
@@ -12,8 +12,8 @@
 from hypothesis.stateful import RuleBasedStateMachine
 
 
-def count_reach(model: type[RuleBasedStateMachine]) -> Counter:
-    """Count the model's rules as they run, and the state after each where it has `reach_state`."""
+def count_coverage(model: type[RuleBasedStateMachine]) -> Counter:
+    """Count the model's rules as they run, and the state after each where it has `coverage_state`."""
     reached: Counter = Counter()
     for name in rule_names(model):
         rule = getattr(model, name).hypothesis_stateful_rule
@@ -30,16 +30,16 @@
     def counted(self, *arguments, **named):
         result = function(self, *arguments, **named)
         reached[name] += 1
-        if hasattr(self, "reach_state"):
-            reached[f"state {self.reach_state()}"] += 1
+        if hasattr(self, "coverage_state"):
+            reached[f"state {self.coverage_state()}"] += 1
         return result
 
     return counted
 
 
-def reaching(model: type[RuleBasedStateMachine], steps: settings, states: Iterable[str] = ()) -> type:
+def coverage_test(model: type[RuleBasedStateMachine], steps: settings, states: Iterable[str] = ()) -> type:
     """The model's test, which fails too where a rule is never run or one of `states` never seen."""
-    reached = count_reach(model)
+    reached = count_coverage(model)
     wanted = [*rule_names(model), *(f"state {state}" for state in states)]
 
     class ReachingTest(model.TestCase):
--- a/tests/real_process.py
+++ b/tests/real_process.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from test_config import endpoint, notice, told
+from test_config import endpoint, platform_config, watch_notice
 from test_resolver import answer
 
 PATIENCE = 60  # seconds that a test waits for what has to come about
@@ -186,8 +186,8 @@
             self.port = probe.getsockname()[1]
         entries = [endpoint(each.name) | {"address": "{}:{}".format(*each.place)} for each in engines]
         self.file, self.told = place / "c.json", {"nameserver": resolver.address} | more
-        self.told |= {"listen": f"127.0.0.1:{self.port}", "known": {"rev": 3, "notices": [notice(3, *entries)]}}
-        self.file.write_text(json.dumps(told(**self.told)))
+        self.told |= {"listen": f"127.0.0.1:{self.port}", "known": {"rev": 3, "notices": [watch_notice(3, *entries)]}}
+        self.file.write_text(json.dumps(platform_config(**self.told)))
         self.log = place / "log"
         with open(self.log, "wb") as log:
             self.child = subprocess.Popen(
--- a/tests/replacement_harness.py
+++ b/tests/replacement_harness.py
@@ -18,7 +18,7 @@
 
 from harness import EngineServer, RespEngine
 from real_process import READY, ResolverStandIn
-from test_config import SETTINGS, endpoint, notice, told
+from test_config import SETTINGS, endpoint, platform_config, watch_notice
 from twisted.internet import reactor
 from twisted.internet.protocol import ClientFactory
 from twisted.protocols.basic import LineOnlyReceiver
@@ -172,12 +172,12 @@
             endpoint(f"e{i}") | {"address": f"127.0.0.1:{engine.port.getHost().port}"}
             for i, engine in enumerate(engines)
         ]
-        config = told(
+        config = platform_config(
             listen=f"127.0.0.1:{listen}",
             nameserver=nameserver,
             settings=READERS,
             operator=f"127.0.0.1:{self.operator_port}",
-            known={"rev": 3, "notices": [notice(3, *entries)]},
+            known={"rev": 3, "notices": [watch_notice(3, *entries)]},
         )
         path = place / f"{name}.json"
         path.write_text(json.dumps(config))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 
 from rackhub import config
 from rackhub.cli import main
-from rackhub.operatorfile import hashed
+from rackhub.operatorfile import hash_password
 from rackhub.settings import flatten, parse_settings
 
 SETTINGS = {
@@ -41,18 +41,18 @@
     } | more
 
 
-def notice(rev, *endpoints, snapshot=False):
+def watch_notice(rev, *endpoints, snapshot=False):
     return {"rev": rev, "pool": {"index": 7, "snapshot": snapshot, "endpoints": list(endpoints)}}
 
 
-def told(**more):
+def platform_config(**more):
     return {
         "name": "n3",
         "listen": "127.0.0.1:5050",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "nameserver": "127.0.0.2:5300",
-        "known": {"rev": 3, "notices": [notice(3, endpoint("a"))]},
+        "known": {"rev": 3, "notices": [watch_notice(3, endpoint("a"))]},
         "settings": SETTINGS,
     } | more
 
@@ -66,27 +66,32 @@
 
 
 def test_a_whole_file_is_read():
-    here = config.parse(json.dumps(told()).encode())
+    here = config.parse(json.dumps(platform_config()).encode())
     assert here.seed == 0x8C1F30D27A5BE964 and here.listen == ("127.0.0.1", 5050)
     assert here.engines.addresses == {"a": ("127.0.0.1", 5050)} and here.engines.entries[0].kind == "std-8"
-    assert here.limits.dial_timeout == 250_000 and here.limits.sockets == 1024
+    assert here.limits.dial_timeout == 250_000 and here.limits.file_descriptors == 1024
 
 
 @pytest.mark.parametrize("memory_mb, sockets", [(32, 256), (64, 256), (80, 384), (192, 1024)])
 def test_the_shares_of_the_limits_hold_together(memory_mb, sockets):
     """The least that the platform gives: 32 MB and 256 descriptors. Both were refused or shared out beyond it."""
-    here = config.parse(json.dumps(told(limits={"memory_mb": memory_mb, "sockets": sockets})).encode()).limits
-    assert here.client_connections + here.engine_links + config.RESERVED_DESCRIPTORS <= sockets
-    assert here.client_connections >= sockets // 3  # clients are promised as many
+    here = config.parse(
+        json.dumps(platform_config(limits={"memory_mb": memory_mb, "sockets": sockets})).encode()
+    ).limits
+    assert here.max_client_connections + here.max_engine_connections + config.RESERVED_DESCRIPTORS <= sockets
+    assert here.max_client_connections >= sockets // 3  # clients are promised as many
     assert (
-        here.max_statement_bytes + here.client_connections * here.request_bytes
+        here.max_statement_bytes + here.max_client_connections * here.max_request_bytes
         <= (memory_mb - config.IDLE_MEMORY_MB) << 20
     )
-    assert here.max_open_requests >= 64 and here.request_bytes >= 16_384
+    assert here.max_open_requests >= 64 and here.max_request_bytes >= 16_384
     both = config.share_descriptors(
         here, config.load_operator(Path(__file__).parent.parent / "deploy" / "operator.toml")
     )
-    assert both.client_connections + both.tds_connections == here.client_connections and both.tds_connections > 0
+    assert (
+        both.max_client_connections + both.max_tds_connections == here.max_client_connections
+        and both.max_tds_connections > 0
+    )
     assert config.share_descriptors(here, config.load_operator(None)) == here
 
 
@@ -94,12 +99,12 @@
     known = {
         "rev": 5,
         "notices": [
-            notice(3, endpoint("a"), endpoint("b"), endpoint("c")),
-            notice(4, endpoint("a", status="gone")),
-            notice(5, endpoint("b", status="draining"), endpoint("d", since_ms=12)),
+            watch_notice(3, endpoint("a"), endpoint("b"), endpoint("c")),
+            watch_notice(4, endpoint("a", status="gone")),
+            watch_notice(5, endpoint("b", status="draining"), endpoint("d", since_ms=12)),
         ],
     }
-    engines = config.parse(json.dumps(told(known=known)).encode()).engines
+    engines = config.parse(json.dumps(platform_config(known=known)).encode()).engines
     assert [(e.engine, e.state, e.started_at) for e in engines.entries] == [
         ("b", "Terminating", 0),
         ("c", "Ready", 0),
@@ -119,8 +124,8 @@
         ({"limits": {"sockets": 10}}, "limits.sockets"),
         ({"limits": {"sockets": 1024, "memory_mb": 8}}, "limits.memory_mb"),
         ({"settings": {}}, "settings.Services"),
-        ({"known": {"rev": 1, "notices": [notice(1, endpoint("a", status="odd"))]}}, "endpoints[0].status"),
-        ({"known": {"rev": 1, "notices": [notice(1, endpoint("a", address="a"))]}}, "endpoints[0].address"),
+        ({"known": {"rev": 1, "notices": [watch_notice(1, endpoint("a", status="odd"))]}}, "endpoints[0].status"),
+        ({"known": {"rev": 1, "notices": [watch_notice(1, endpoint("a", address="a"))]}}, "endpoints[0].address"),
         ({"settings": SETTINGS | {"Permissions": {"MaxAttempts": "many"}}}, "Permissions.MaxAttempts"),
         ({"settings": SETTINGS | {"Permissions": {"MaxAttempts": 0}}}, "max_attempts"),
         ({"settings": SETTINGS | {"Permissions": {"DialTimeout": "soon"}}}, "settings.Permissions.DialTimeout"),
@@ -129,7 +134,7 @@
 )
 def test_a_bad_file_ends_in_one_line_that_names_the_key(change, key, tmp_path, capsys):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told(**change)))
+    path.write_text(json.dumps(platform_config(**change)))
     assert main(["check-config", "--config", str(path)]) == 2
     said = capsys.readouterr().err
     assert said.count("\n") == 1 and key in said and "Traceback" not in said
@@ -149,7 +154,7 @@
 database = "rides"
 [[tds_front.login]]
 user = "desk"
-password = "{hashed("open sesame", b"0123456789abcdef")}"
+password = "{hash_password("open sesame", b"0123456789abcdef")}"
 class = "lookup"
 tenants = ["acme"]
 '''
@@ -169,7 +174,7 @@
     ],
 )
 def test_the_operators_file_is_checked_against_the_site(old, new, key, tmp_path, capsys):
-    (tmp_path / "c.json").write_text(json.dumps(told()))
+    (tmp_path / "c.json").write_text(json.dumps(platform_config()))
     (tmp_path / "o.toml").write_text(OPERATOR.replace(old, new) if old else OPERATOR)
     code = main(["check-config", "--config", str(tmp_path / "c.json"), "--operator", str(tmp_path / "o.toml")])
     said = capsys.readouterr().err
@@ -188,8 +193,8 @@
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
-    known = {"rev": 3, "notices": [notice(3, endpoint("a", address=f"127.0.0.1:{silent.getsockname()[1]}"))]}
-    (tmp_path / "c.json").write_text(json.dumps(told(listen=f"127.0.0.1:{port}", known=known)))
+    known = {"rev": 3, "notices": [watch_notice(3, endpoint("a", address=f"127.0.0.1:{silent.getsockname()[1]}"))]}
+    (tmp_path / "c.json").write_text(json.dumps(platform_config(listen=f"127.0.0.1:{port}", known=known)))
     process = subprocess.Popen(
         [sys.executable, "-m", "rackhub", "serve"],
         stderr=subprocess.PIPE,
@@ -239,8 +244,8 @@
             moved = f"127.0.0.1:{name_server.getsockname()[1]}"
             for text, said in (
                 ("{", "the file: not JSON"),
-                (json.dumps(told(nameserver="nowhere")), "nameserver: "),
-                (json.dumps(told(listen=f"127.0.0.1:{port}", known=known, nameserver=moved)), moved),
+                (json.dumps(platform_config(nameserver="nowhere")), "nameserver: "),
+                (json.dumps(platform_config(listen=f"127.0.0.1:{port}", known=known, nameserver=moved)), moved),
             ):
                 (tmp_path / "c.json").write_text(text)
                 process.send_signal(signal.SIGHUP)
@@ -268,7 +273,7 @@
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         listen = f"127.0.0.1:{taken.getsockname()[1]}"
-        (tmp_path / "c.json").write_text(json.dumps(told(listen=listen)))
+        (tmp_path / "c.json").write_text(json.dumps(platform_config(listen=listen)))
         done = subprocess.run(
             [sys.executable, "-m", "rackhub", "serve", "--config", str(tmp_path / "c.json")],
             capture_output=True,
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,7 +14,7 @@
 class Port:
     """Engines and client in one: notes what it is told."""
 
-    reading_paused = stale = False
+    reading_paused = may_have_unread_input = False
 
     def __init__(self):
         self.sent, self.given_up, self.hurried, self.answers = [], [], [], []
@@ -41,7 +41,7 @@
         self.answers.append(("failed", query.id, why))
 
 
-class Scripted:
+class ScriptedPolicy:
     """A module that does what the test says, right or wrong."""
 
     def __init__(self):
@@ -53,7 +53,7 @@
         return found(event) if callable(found) else found
 
 
-class Core:
+class CoordinatorHarness:
     def __init__(self, module=None, limits=LIMITS, settings=SETTINGS):
         self.clock, self.counters, self.port = FakeClock(), Counters(), Port()
         self.core = Coordinator(settings, 7, self.clock, Timers(self.clock, self.clock), limits, self.counters)
@@ -70,7 +70,7 @@
 
 
 def test_a_served_request_has_one_answer_and_nothing_is_left():
-    here = Core()
+    here = CoordinatorHarness()
     here.ask()
     (attempt,) = here.port.sent
     here.core.complete_attempt(attempt, "GOOD", {"busy_reqs": 3.0}, (b"a", b"b"))
@@ -81,7 +81,7 @@
 
 
 def test_an_unanswered_request_is_answered_before_its_deadline():
-    here = Core()
+    here = CoordinatorHarness()
     here.ask(budget=900 * MS)
     here.clock.advance(900 * MS)
     ((kind, _, back_off),) = here.port.answers
@@ -91,7 +91,7 @@
 
 def test_a_refusal_of_the_module_is_passed_on_at_once():
     """Never held back, so that a client asks less often: the issue forbids it."""
-    here = Core()
+    here = CoordinatorHarness()
     here.core.update_endpoints([], 2)
     here.ask()
     ((kind, _, back_off),) = here.port.answers
@@ -99,7 +99,7 @@
 
 
 def test_a_module_that_forgets_a_request_does_not_keep_its_client_waiting():
-    here = Core(Scripted())
+    here = CoordinatorHarness(ScriptedPolicy())
     here.ask(budget=900 * MS)
     here.clock.advance(900 * MS + LIMITS.deadline_grace + LIMITS.deadline_check_interval)
     assert [kind for kind, *_ in here.port.answers] == ["failed"] and here.counters["backstop_answers"] == 1
@@ -108,7 +108,7 @@
 
 def test_a_late_loop_leaves_the_answer_to_the_module():
     """A sweep that ran late came before the module's timers: 1,764 requests failed that the module would refuse."""
-    here = Core()
+    here = CoordinatorHarness()
     here.ask(budget=900 * MS)
     here.clock.time += S  # one turn of the loop took so long
     here.clock.advance(100 * MS)
@@ -116,18 +116,18 @@
 
 
 def test_a_module_that_breaks_ends_no_daemon():
-    module = Scripted()
+    module = ScriptedPolicy()
     module.acts[t.QueryReceived] = lambda event: 1 / 0
-    here = Core(module)
+    here = CoordinatorHarness(module)
     here.ask(budget=S)
     here.clock.advance(2 * S)
     assert here.counters["module_errors"] == 1 and len(here.port.answers) == 1
 
 
 def test_never_two_attempts_at_once_nor_more_than_allowed_nor_two_answers():
-    module = Scripted()
+    module = ScriptedPolicy()
     module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0"), t.Send(event.query, "e1")]
-    here = Core(module)
+    here = CoordinatorHarness(module)
     query = here.ask(budget=9 * S)
     assert len(here.port.sent) == 1 and here.counters["out_nop"] == 1
     module.acts[t.AttemptCompleted] = lambda event: [] if event.outcome == "NOP" else [t.Send(event.query, "e0")]
@@ -141,9 +141,9 @@
 
 
 def test_a_time_out_gives_the_attempt_up_and_tells_the_module():
-    module = Scripted()
+    module = ScriptedPolicy()
     module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0", 200 * MS)]
-    here = Core(module)
+    here = CoordinatorHarness(module)
     here.ask(budget=9 * S)
     here.clock.advance(200 * MS + LIMITS.deadline_check_interval + LIMITS.cancellation_delay)
     assert here.port.given_up == here.port.sent
@@ -151,7 +151,7 @@
 
 
 def test_a_client_that_leaves_is_owed_nothing_and_its_work_stops():
-    here = Core()
+    here = CoordinatorHarness()
     query = here.ask()
     here.core.disconnect_client(query)
     here.core.disconnect_client(query)
@@ -162,11 +162,11 @@
 
 def test_a_further_attempt_waits_until_the_give_up_has_gone_its_way():
     """On a scored day attempts overtook the give-up of the one before: two were out at once, which is forbidden."""
-    module = Scripted()
+    module = ScriptedPolicy()
     module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0")]
     module.acts[t.TimerFired] = lambda event: [t.Cancel(f"{1:016x}", 0)]
     module.acts[t.AttemptCompleted] = lambda event: [t.Send(event.query, "e1")]
-    here = Core(module)
+    here = CoordinatorHarness(module)
     query = here.ask(budget=9 * S)
     here.core.decisions.timer_fired(1)
     here.core.complete_attempt(here.port.sent[0], "GOOD")  # crossed the give-up: it is none of ours any more
@@ -176,9 +176,9 @@
 
 
 def test_a_priority_holds_for_what_is_out():
-    module = Scripted()
+    module = ScriptedPolicy()
     module.acts[t.QueryReceived] = lambda event: [t.ExecutionHints(event.query, 0, 2), t.Send(event.query, "e0")]
-    here = Core(module)
+    here = CoordinatorHarness(module)
     query = here.ask()
     assert here.port.sent[0].query.priority == 2 and here.port.hurried == []
     module.acts[t.TimerFired] = [t.ExecutionHints(query.id, 0, 3)]
@@ -188,7 +188,7 @@
 
 def test_an_id_that_was_answered_is_not_new_and_few_are_remembered():
     """A bad client's request under the id of one just served reached engines, which knew it by another statement."""
-    here = Core(limits=msgspec.structs.replace(LIMITS, recent_ids=2))
+    here = CoordinatorHarness(limits=msgspec.structs.replace(LIMITS, max_recent_ids=2))
     first = here.ask()
     assert here.core.is_known_id(first.id)
     here.core.complete_attempt(here.port.sent[0], "GOOD")
@@ -201,14 +201,14 @@
 
 
 def test_memory_is_bounded_by_refusing_at_once():
-    here = Core(limits=msgspec.structs.replace(LIMITS, max_open_requests=2))
+    here = CoordinatorHarness(limits=msgspec.structs.replace(LIMITS, max_open_requests=2))
     for _ in range(3):
         here.ask()
     assert [kind for kind, *_ in here.port.answers] == ["refused"] and here.counters["over_held"] == 1
 
 
 def test_a_few_long_statements_are_bounded_as_many_short_ones_are():
-    here = Core(limits=msgspec.structs.replace(LIMITS, max_statement_bytes=2))
+    here = CoordinatorHarness(limits=msgspec.structs.replace(LIMITS, max_statement_bytes=2))
     first = here.ask()
     here.core.disconnect_client(first)
     for _ in range(3):
@@ -218,7 +218,7 @@
 
 def test_a_loop_behind_its_time_refuses_at_once_until_it_has_caught_up():
     """On a scored day the one core was too slow for what came: turns grew until answers were 10 s late."""
-    here = Core()
+    here = CoordinatorHarness()
     here.clock.time += (
         LIMITS.deadline_check_interval + LIMITS.max_event_loop_delay + 1
     )  # the loop was busy: its timers come late
@@ -232,7 +232,7 @@
 
 @pytest.mark.parametrize("cls", CLASSES, ids=lambda told: told.name)
 def test_a_timer_far_off_does_not_hold_up_a_near_one(cls):
-    here = Core()
+    here = CoordinatorHarness()
     here.ask(cls.name, budget=cls.deadline)
     here.ask(cls.name, budget=400 * MS)
     here.clock.advance(400 * MS)
@@ -240,9 +240,9 @@
 
 
 def test_a_timer_that_fails_keeps_no_other_from_its_call():
-    here, called = Core(), []
-    here.core.timers.at(here.clock.now() + 1, lambda: 1 / 0)
-    here.core.timers.at(here.clock.now() + 2, called.append, 1)
+    here, called = CoordinatorHarness(), []
+    here.core.timers.call_at(here.clock.now() + 1, lambda: 1 / 0)
+    here.core.timers.call_at(here.clock.now() + 2, called.append, 1)
     here.clock.advance(3)
     here.ask(budget=900 * MS)
     here.clock.advance(900 * MS)
@@ -250,7 +250,7 @@
 
 
 def test_on_idle_is_told_after_the_last_answer():
-    here, told = Core(), []
+    here, told = CoordinatorHarness(), []
     here.core.on_idle = lambda: told.append(len(here.port.answers))
     here.ask()
     here.ask()
@@ -260,7 +260,7 @@
 
 
 def test_after_sigterm_every_request_is_refused_at_once_and_counted_by_class_and_what_was_taken_goes_on():
-    here = Core()
+    here = CoordinatorHarness()
     taken = here.ask(budget=2 * S)
     assert here.core.accepting
     here.core.start_draining(500 * MS)
@@ -277,7 +277,7 @@
 
 
 def test_counts_by_class_follow_every_end():
-    here = Core()
+    here = CoordinatorHarness()
     served, left = here.ask(), here.ask()
     attempt = next(a for a in here.port.sent if a.query is served)
     here.core.complete_attempt(attempt, "GOOD", {}, (b"a",))
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -17,7 +17,7 @@
 from harness import LIMITS, MS, CoordinatorTestBed, EngineServer, FakeClock, S, spin
 from msgspec.structs import replace
 from replacement_harness import CoordinatorProcess, DelayedEngine, free_ports, start_resolver, wait_until
-from test_config import SETTINGS, endpoint, notice, told
+from test_config import SETTINGS, endpoint, platform_config, watch_notice
 from test_listen import Adopting
 from twisted.internet import reactor
 
@@ -146,7 +146,7 @@
 
 def test_the_error_of_a_line_too_long_reaches_a_client_that_has_sent_on(site):
     """The rest of the line lay unread at the close: the reset that this makes eats the error before it."""
-    here = site(request_bytes=1_000)
+    here = site(max_request_bytes=1_000)
     client = here.client()
     client.served_by.transport.bufferSize = 2_000  # what one read of its socket takes
     client.send(b"x" * 20_000)
@@ -175,7 +175,7 @@
 def test_an_answer_before_a_close_reaches_a_client_that_sends_on(site):
     """A breach with a request open: its answer is owed, the close follows it, and what comes meanwhile is dropped."""
     stand = EngineServer()
-    here = site(stand, request_bytes=1_000)
+    here = site(stand, max_request_bytes=1_000)
     client = here.client()
     client.send(ask(1), b"x" * 1_500 + b"\n", ask(2))
     spin(lambda: stand.wants())
@@ -195,7 +195,7 @@
 def test_who_goes_from_a_connection_that_ends_is_heard(site, how):
     """Such a connection was not read from: a close or cancel did not show until the answer was written."""
     stand = EngineServer()
-    here = site(stand, request_bytes=1_000)
+    here = site(stand, max_request_bytes=1_000)
     client = here.client()
     client.send(ask(1), b"x" * 1_500 + b"\n")
     spin(lambda: stand.wants() and here.counters["too_long"])
@@ -223,7 +223,7 @@
 
 
 def test_where_descriptors_are_short_who_lingers_makes_way_first(site):
-    here = site(client_connections=2)
+    here = site(max_client_connections=2)
     lingers, silent = here.client(), here.client()
     lingers.send(ALIVE)  # it spoke, so by the rule for open connections the silent one would go first
     spin(lingers.answers)
@@ -237,7 +237,7 @@
 
 
 def test_a_flood_on_a_connection_that_ends_is_read_up_to_a_bound(site):
-    here = site(request_bytes=1_000, max_discarded_bytes=50_000)
+    here = site(max_request_bytes=1_000, max_discarded_bytes=50_000)
     client = here.client()
     client.send(b"x" * 1_500)
     spin(lambda: client.read())
@@ -387,11 +387,11 @@
     client.send(ask(1))
     spin(lambda: here.core.queries)
     assert not client.served_by.reading_paused
-    client.send(*[b"{\n"] * (LIMITS.free_faults + 1), ask(2))
+    client.send(*[b"{\n"] * (LIMITS.faults_before_pause + 1), ask(2))
     spin(lambda: here.counters["requests_in"] == 2)
     assert client.served_by.reading_stopped and not client.served_by.reading_paused
     assert here.counters["clients_slowed"] == 1
-    here.clock.advance(LIMITS.late_iteration + 1)
+    here.clock.advance(LIMITS.late_iteration_delay + 1)
     assert client.served_by.reading_paused
     client.socket.close()
     here.clock.advance(LIMITS.fault_pause)
@@ -422,7 +422,7 @@
         here.clock.advance(100 * MS)
         held.append(len(client.served_by._buffer))
         assert here.clock.now() < 1_000_000 * S + 15 * S
-    assert max(held) <= here.core.limits.request_bytes
+    assert max(held) <= here.core.limits.max_request_bytes
     assert not here.core.queries and here.counters["left"] == 20 and here.counters["clients_slowed"]
     spin(lambda: sum(words[0] == b"never_mind" for words in stand.received) == 20)
     assert len(stand.wants()) == 20
@@ -443,7 +443,7 @@
     client.send(*[ask(number) for number in range(1, 9)])
     spin(lambda: here.counters["served"] == 8)
     assert client.served_by.write_blocked_since
-    here.clock.advance(LIMITS.late_iteration + 1)
+    here.clock.advance(LIMITS.late_iteration_delay + 1)
     assert client.served_by.reading_paused
     spin(lambda: client.read() or client.got.count(b"\n") == 8)
     assert len(client.answers()) == 8
@@ -558,9 +558,9 @@
         entry = endpoint("a") | {"address": "{}:{}".format(*self.engine)}
         (self.place / "c.json").write_text(
             json.dumps(
-                told(
+                platform_config(
                     listen=f"127.0.0.1:{self.port}",
-                    known={"rev": 3, "notices": [notice(3, entry)]},
+                    known={"rev": 3, "notices": [watch_notice(3, entry)]},
                     nameserver=f"127.0.0.1:{self.nameserver.getsockname()[1]}",
                 )
                 | more
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -31,7 +31,7 @@
 class Answers:
     """Where a request's one answer goes."""
 
-    marks = reading_paused = stale = False
+    marks = reading_paused = may_have_unread_input = False
 
     def __init__(self):
         self.came = []
@@ -471,7 +471,7 @@
 
 def test_connections_that_dial_or_close_make_no_room_twice(make):
     """Each holds a descriptor until it has ended. What dials with nothing to carry any more is called off."""
-    here = make(8, limits=limits_with(LIMITS, engine_links=3, max_aborted_connections=2))
+    here = make(8, limits=limits_with(LIMITS, max_engine_connections=3, max_aborted_connections=2))
     while len(here.links()) < 3:
         here.core.disconnect_client(here.ask())
     here.clock.advance(2 * LIMITS.cancellation_delay)
@@ -567,7 +567,7 @@
     assert [query.reply.came for query in queries] == [[("failed", b"")], [("served", ROWS)], [("failed", b"")]]
 
 
-@pytest.mark.parametrize("count", [LIMITS.pages + 1, 50_000_000, 10**17])
+@pytest.mark.parametrize("count", [LIMITS.max_result_pages + 1, 50_000_000, 10**17])
 def test_a_result_of_more_pages_than_one_may_have_costs_nothing_and_ends_one_attempt(make, count):
     here = make(1, settings=FRAGILE)
     queries = shared(here)
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -18,7 +18,7 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
-from model_reach import reaching
+from model_coverage import coverage_test
 from test_wire_models import MemoryTransport
 
 from rackhub import interface as t
@@ -221,7 +221,7 @@
             self.dials.append(link)
             return link
 
-        self.pools = EnginePools(dial, self.clock, LIMITS, self.counters, self.core, LIMITS.engine_connections)
+        self.pools = EnginePools(dial, self.clock, LIMITS, self.counters, self.core, LIMITS.max_connections_per_engine)
         self.pools.update_endpoints({name: ("127.0.0.1", number) for number, name in enumerate(self.states)})
         self.core.start(self.pools, [t.EngineEntry(name, "z", "std") for name in self.states], 1)
         self.clients = []
@@ -229,7 +229,7 @@
         for told in CLASSES:
             self.one_request(told.name, 900)
 
-    def reach_state(self):
+    def coverage_state(self):
         """Where the client stands, and the process."""
         paused = "paused" if self.client.wire.producerState == "paused" else "read"
         return f"{'over' if self.client.over else paused}, {'draining' if not self.core.accepting else 'accepting'}"
@@ -550,7 +550,7 @@
 
 
 # A failing run is printed as it was found: to shrink it takes minutes, and the steps are few enough to read.
-TestCrossingsModel = reaching(CrossingsModel, settings(STEPS, phases=[Phase.explicit, Phase.generate]), REACHED)
+TestCrossingsModel = coverage_test(CrossingsModel, settings(STEPS, phases=[Phase.explicit, Phase.generate]), REACHED)
 
 
 # ---- planted mistakes
@@ -578,7 +578,7 @@
 
 
 def old_bytes_as_new(patch):
-    patch.setattr(Client, "stale", property(lambda self: False, lambda self, value: None))
+    patch.setattr(Client, "may_have_unread_input", property(lambda self: False, lambda self, value: None))
 
 
 def out_of_the_window(patch):
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -9,7 +9,7 @@
 import pytest
 from harness import LIMITS, MS, SETTINGS, CoordinatorTestBed, EngineServer, S, spin
 from msgspec.structs import replace
-from test_core import Core, Scripted
+from test_core import CoordinatorHarness, ScriptedPolicy
 from twisted.internet import reactor
 
 from rackhub import interface as t
@@ -20,12 +20,12 @@
 ROWS = b"a\tb\tc\n"
 
 
-def answers(connection, word, id, *_):
+def answer_requests(connection, word, id, *_):
     if word == b"want":
         connection.respond(id, b"200", b"chunks=1", ROWS)
 
 
-class Raw:
+class RawClient:
     """A client on a plain socket: what it does is in the kernel at once, and the program's loop has not turned."""
 
     def __init__(self, site):
@@ -102,7 +102,7 @@
     here.close()
 
 
-def turn(site):
+def run_iteration(site):
     """One turn of the loop in the reactor's order: calls that are due, once, then whatever can be read."""
     if site.clock._wake and site.clock._wake[0] <= site.clock.time:
         (_, call), site.clock._wake = site.clock._wake, None
@@ -110,9 +110,9 @@
     reactor.iterate(0)
 
 
-def turns(site, count=12):
+def run_iterations(site, count=12):
     for _ in range(count):
-        turn(site)
+        run_iteration(site)
 
 
 def late(site, span=200 * MS):
@@ -127,16 +127,16 @@
     late(site, span)
     spin(lambda: link.transport is not None and link.transport.connected)
     client.served_by.transport.startReading()
-    turns(site)
+    run_iterations(site)
     spin(lambda: link.up)
-    turns(site)
+    run_iterations(site)
 
 
-def wants(site):
+def received_requests(site):
     return [words for stand in site.engines for words in stand.wants()]
 
 
-def empty(site):
+def is_idle(site):
     """Nothing of any request is left anywhere."""
     links = [link for pool in site.pools.pools.values() for link in pool.links]
     return not (
@@ -147,20 +147,20 @@
     )
 
 
-def warm(site):
+def open_engine_connection(site):
     """A connection to e0 is up, and all is at rest."""
-    site.engines[0].on_command = answers
-    client = Raw(site)
-    script(site, lambda event: [t.Send(event.query, "e0")])
+    site.engines[0].on_command = answer_requests
+    client = RawClient(site)
+    use_policy(site, lambda event: [t.Send(event.query, "e0")])
     client.ask(0xFFF)
-    spin(lambda: empty(site) and wants(site))
+    spin(lambda: is_idle(site) and received_requests(site))
     site.engines[0].on_command = lambda *_: None
     site.engines[0].received.clear()
 
 
-def script(site, arrived, **acts):
+def use_policy(site, arrived, **acts):
     """A module that does what the test says."""
-    site.core.decisions.control = module = Scripted()
+    site.core.decisions.control = module = ScriptedPolicy()
     module.acts[t.QueryReceived] = arrived
     for name, act in acts.items():
         module.acts[getattr(t, name)] = act
@@ -173,21 +173,21 @@
 @pytest.mark.parametrize("how", ["close", "cancel"])
 def test_a_back_off_that_ends_in_a_late_turn_begins_nothing_for_a_client_that_has_gone(site, how):
     """The loop makes its calls before it reads: the further attempt began for a client that had gone long before."""
-    client = Raw(site)
-    module = script(
+    client = RawClient(site)
+    module = use_policy(
         site,
         lambda event: [t.Send(event.query, "e0")],
         AttemptCompleted=[t.Timer(100 * MS, 1)],
         TimerFired=lambda event: [t.Send(f"{1:016x}", "e1")],
     )
     client.ask(1)
-    spin(lambda: wants(site))
+    spin(lambda: received_requests(site))
     site.engines[0].connections[0].respond(f"{1:016x}".encode(), b"503")
     spin(lambda: site.counters["out_full"])
     client.go(1, how)
     late(site)
-    turns(site)
-    assert len(wants(site)) == 1 and empty(site) and site.counters["left"] == 1
+    run_iterations(site)
+    assert len(received_requests(site)) == 1 and is_idle(site) and site.counters["left"] == 1
     assert any(isinstance(event, t.TimerFired) for event in module.events)
 
 
@@ -195,30 +195,30 @@
 @pytest.mark.parametrize("order", ["calls first", "reads first"])
 def test_a_request_read_in_a_late_turn_with_its_clients_end_behind_it_is_not_begun(site, order, span):
     """Reads come first where it is the reading itself that takes so long."""
-    warm(site)
-    client = Raw(site)
+    open_engine_connection(site)
+    client = RawClient(site)
     client.ask(1)
     client.socket.close()  # behind the request: the read that brings the one does not show the other
     late(site, span)
     if order == "reads first":
         reactor.iterate(0)
-    turns(site)
-    assert wants(site) == [] and empty(site)
+    run_iterations(site)
+    assert received_requests(site) == [] and is_idle(site)
     assert site.counters["left"] + site.counters["over_behind"] == 1
 
 
 @pytest.mark.parametrize("order", ["calls first", "reads first"])
 def test_an_answer_read_in_a_late_turn_begins_nothing_for_a_client_that_has_gone(site, order):
     """An engine that is full sends the request elsewhere: not if its client's end lies unread since the loop stood."""
-    warm(site)
-    client = Raw(site)
-    script(
+    open_engine_connection(site)
+    client = RawClient(site)
+    use_policy(
         site,
         lambda event: [t.Send(event.query, "e0")],
         AttemptCompleted=lambda event: [] if event.settled else [t.Send(event.query, "e1")],
     )
     client.ask(1)
-    spin(lambda: wants(site))
+    spin(lambda: received_requests(site))
     client.served_by.transport.stopReading()  # the turn's events were fetched before the client's end came
     site.engines[0].connections[0].respond(f"{1:016x}".encode(), b"503")
     client.socket.close()
@@ -226,34 +226,34 @@
     for _ in range(100):
         if site.counters["out_full"]:
             break
-        turn(site) if order == "calls first" else reactor.iterate(0)
+        run_iteration(site) if order == "calls first" else reactor.iterate(0)
         late(site)
     client.served_by.transport.startReading()
-    turns(site)
-    assert site.counters["out_full"] == 1 and len(wants(site)) == 1 and empty(site)
+    run_iterations(site)
+    assert site.counters["out_full"] == 1 and len(received_requests(site)) == 1 and is_idle(site)
 
 
 def test_a_dial_that_ends_in_a_late_turn_writes_nothing_for_a_client_that_has_gone(site):
-    held, client = Held(site.pools), Raw(site)
-    script(site, lambda event: [t.Send(event.query, "e0")])
+    held, client = Held(site.pools), RawClient(site)
+    use_policy(site, lambda event: [t.Send(event.query, "e0")])
     client.ask(1)
     spin(lambda: held.waiting)
     client.socket.close()
     up_before_it_is_read(site, held, client, 200 * MS)
-    assert wants(site) == [] and empty(site)
+    assert received_requests(site) == [] and is_idle(site)
 
 
 def test_a_late_turn_holds_an_attempt_back_for_three_turns_and_no_longer(site):
     """Nothing starves: with the loop late in every turn it goes out all the same, once the sockets were read."""
-    warm(site)
-    client = Raw(site)
+    open_engine_connection(site)
+    client = RawClient(site)
     client.ask(1)
     for _ in range(6):
         late(site, 60 * MS)
-        turn(site)
-    assert len(wants(site)) == 1
+        run_iteration(site)
+    assert len(received_requests(site)) == 1
     site.engines[0].connections[0].respond(f"{1:016x}".encode(), b"200", b"chunks=1", ROWS)
-    spin(lambda: empty(site))
+    spin(lambda: is_idle(site))
 
 
 # ---- the client goes, or its answer is given, while the attempt waits for its connection
@@ -266,7 +266,7 @@
 @pytest.mark.parametrize("site", [{}, SILENT], ids=["may cancel", "may not"], indirect=True)
 def test_an_attempt_that_waits_for_its_dial_is_never_sent_once_its_request_is_over(site, how):
     """Where a site forbids cancels, the module asks for none, and the attempt left as its connection came up."""
-    held, client = Held(site.pools), Raw(site)
+    held, client = Held(site.pools), RawClient(site)
     client.ask(1, budget=900)
     spin(lambda: held.waiting)
     if how == "deadline":
@@ -274,18 +274,18 @@
     else:
         client.go(1, how)
     spin(lambda: not site.core.queries)
-    assert empty(site)
+    assert is_idle(site)
     link = held.release()
     spin(lambda: link.up)
-    turns(site)
-    assert wants(site) == [] and empty(site) and site.counters["out_nop"] == 1
+    run_iterations(site)
+    assert received_requests(site) == [] and is_idle(site) and site.counters["out_nop"] == 1
     assert len(client.heard() if how == "deadline" else []) == (how == "deadline")
 
 
 def test_a_time_out_before_the_dial_has_ended_proves_that_nothing_ran(site):
     """It was told as late, which a class that is unsafe to repeat has to take for one that may have run."""
-    held, client = Held(site.pools), Raw(site)
-    module = script(
+    held, client = Held(site.pools), RawClient(site)
+    module = use_policy(
         site,
         lambda event: [t.Send(event.query, "e0", 200 * MS)],
         AttemptCompleted=lambda event: [t.Send(event.query, "e1")],
@@ -294,21 +294,23 @@
     spin(lambda: held.waiting)
     site.clock.advance(200 * MS + LIMITS.deadline_check_interval)
     assert [event.outcome for event in module.events if isinstance(event, t.AttemptCompleted)] == ["NOCONN"]
-    site.engines[1].on_command = answers
+    site.engines[1].on_command = answer_requests
     first, second = held.release(), held.release()
-    spin(lambda: first.up and second.up and empty(site))
+    spin(lambda: first.up and second.up and is_idle(site))
     assert not site.engines[0].wants() and len(site.engines[1].wants()) == 1
 
 
 def test_an_attempt_that_waits_for_its_dial_leaves_an_engine_that_begins_to_drain(site):
-    held, client = Held(site.pools), Raw(site)
-    script(site, lambda event: [t.Send(event.query, "e0")], AttemptCompleted=lambda event: [t.Send(event.query, "e1")])
+    held, client = Held(site.pools), RawClient(site)
+    use_policy(
+        site, lambda event: [t.Send(event.query, "e0")], AttemptCompleted=lambda event: [t.Send(event.query, "e1")]
+    )
     client.ask(1)
     spin(lambda: held.waiting)
     drains(site)
-    site.engines[1].on_command = answers
+    site.engines[1].on_command = answer_requests
     second = held.release()
-    spin(lambda: second.up and empty(site))
+    spin(lambda: second.up and is_idle(site))
     assert not held.waiting and not site.engines[0].wants() and len(site.engines[1].wants()) == 1
 
 
@@ -321,9 +323,11 @@
 
 
 def test_an_attempt_held_in_a_late_turn_leaves_an_engine_that_begins_to_drain(site):
-    warm(site)
-    client = Raw(site)
-    script(site, lambda event: [t.Send(event.query, "e0")], AttemptCompleted=lambda event: [t.Send(event.query, "e1")])
+    open_engine_connection(site)
+    client = RawClient(site)
+    use_policy(
+        site, lambda event: [t.Send(event.query, "e0")], AttemptCompleted=lambda event: [t.Send(event.query, "e1")]
+    )
     client.ask(1)
     late(site)
     reactor.iterate(0)
@@ -331,8 +335,8 @@
     (query,) = site.core.queries.values()
     assert [attempt.state for attempt in query.in_flight.values()] == [AttemptState.PENDING]
     drains(site)
-    turns(site)
-    spin(lambda: wants(site))
+    run_iterations(site)
+    spin(lambda: received_requests(site))
     assert not site.engines[0].wants() and len(site.engines[1].wants()) == 1
 
 
@@ -341,7 +345,7 @@
 
 @pytest.mark.parametrize("further", [False, True])
 def test_nothing_begins_for_a_client_that_is_not_read_from_and_it_has_one_answer(further):
-    here = Core()
+    here = CoordinatorHarness()
     here.port.reading_paused = not further
     here.ask()
     if further:
@@ -353,7 +357,7 @@
 
 
 def test_a_dial_that_ends_while_the_client_is_not_read_from_writes_nothing(site):
-    held, client = Held(site.pools), Raw(site)
+    held, client = Held(site.pools), RawClient(site)
     client.ask(1)
     spin(lambda: held.waiting)
     (query,) = site.core.queries.values()
@@ -361,26 +365,26 @@
     link = held.release()
     spin(lambda: link.up)
     site.clock.advance(3 * S)
-    spin(lambda: empty(site))
-    assert wants(site) == [] and len(query.reply.said) == 1
+    spin(lambda: is_idle(site))
+    assert received_requests(site) == [] and len(query.reply.said) == 1
 
 
 def test_what_had_waited_while_the_client_was_not_read_from_begins_only_once_its_end_would_show(site):
     """The loop is in time, but what it reads is not: the request came, and its client went, long before."""
-    warm(site)
-    client = Raw(site)
+    open_engine_connection(site)
+    client = RawClient(site)
     client.served_by.pauseProducing()
     client.ask(1)
     client.socket.close()
     site.clock.advance(200 * MS)
     client.served_by.resumeProducing()
-    turns(site)
-    assert wants(site) == [] and empty(site) and site.counters["left"] == 1
+    run_iterations(site)
+    assert received_requests(site) == [] and is_idle(site) and site.counters["left"] == 1
 
 
 def test_a_dial_that_ends_before_a_client_is_read_again_writes_nothing_if_that_shows_its_end(site):
-    held, client = Held(site.pools), Raw(site)
-    script(site, lambda event: [t.Send(event.query, "e0")])
+    held, client = Held(site.pools), RawClient(site)
+    use_policy(site, lambda event: [t.Send(event.query, "e0")])
     client.ask(1)
     spin(lambda: held.waiting)
     client.served_by.pauseProducing()
@@ -388,39 +392,39 @@
     site.clock.advance(200 * MS)
     client.served_by.resumeProducing()
     up_before_it_is_read(site, held, client, 0)
-    assert wants(site) == [] and empty(site)
+    assert received_requests(site) == [] and is_idle(site)
 
 
 def test_who_is_read_from_again_and_stays_is_served(site):
-    warm(site)
-    client = Raw(site)
+    open_engine_connection(site)
+    client = RawClient(site)
     client.served_by.pauseProducing()
     client.ask(1)
     site.clock.advance(200 * MS)
     client.served_by.resumeProducing()
-    turns(site)
-    spin(lambda: len(wants(site)) == 1)
-    assert not client.served_by.stale
+    run_iterations(site)
+    spin(lambda: len(received_requests(site)) == 1)
+    assert not client.served_by.may_have_unread_input
 
 
 def test_what_had_waited_unread_is_passed_on_with_the_time_that_its_client_has_left(site):
     """Its time runs from when it was sent, and that may have been as soon as the reading stopped."""
-    warm(site)
-    client = Raw(site)
+    open_engine_connection(site)
+    client = RawClient(site)
     client.served_by.pauseProducing()
     client.ask(1, budget=900)
     site.clock.advance(500 * MS)
     client.served_by.resumeProducing()
-    turns(site)
-    spin(lambda: len(wants(site)) == 1)
-    fields = dict(part.split(b"=") for part in wants(site)[0][2].split(b","))
+    run_iterations(site)
+    spin(lambda: len(received_requests(site)) == 1)
+    fields = dict(part.split(b"=") for part in received_requests(site)[0][2].split(b","))
     assert 0 < int(fields[b"max"]) <= 400
 
 
 class Deaf:
     """The client's connection as it is while it is paused."""
 
-    reading_paused, stale = True, False
+    reading_paused, may_have_unread_input = True, False
 
     def __init__(self, connection):
         self.connection, self.said = connection, []
@@ -444,8 +448,8 @@
 
 @pytest.mark.parametrize("event", ["leaves", "answer", "reset", "cancel", "time-out again", "backstop", "refused"])
 def test_what_comes_inside_the_hand_over_ends_the_attempt_once_and_the_request_once(event):
-    module = Scripted()
-    here = Core(module)
+    module = ScriptedPolicy()
+    here = CoordinatorHarness(module)
     query, attempt = handing_over(here, module)
     if event == "leaves":
         here.core.disconnect_client(query)
@@ -476,15 +480,15 @@
 
 @pytest.mark.parametrize("first", ["answer", "time-out"])
 def test_an_answer_and_a_time_out_in_one_turn_give_one_answer(site, first):
-    warm(site)
-    client = Raw(site)
-    script(
+    open_engine_connection(site)
+    client = RawClient(site)
+    use_policy(
         site,
         lambda event: [t.Send(event.query, "e0", 200 * MS)],
         AttemptCompleted=lambda event: [] if event.settled else [t.Reject(event.query, 5)],
     )
     id = client.ask(1).encode()
-    spin(lambda: wants(site))
+    spin(lambda: received_requests(site))
     answer = site.engines[0].connections[0].respond
     if first == "answer":
         answer(id, b"200", b"chunks=1", ROWS)
@@ -497,9 +501,11 @@
         site.clock.advance(LIMITS.cancellation_delay + MS)
     answer(id, b"200", b"chunks=1", ROWS)  # and a second one
     spin(lambda: site.counters["engine_strays"] == 1 + (first == "time-out"))
-    turns(site)
+    run_iterations(site)
     assert ["result" in answer for answer in client.heard()] == [first == "answer"]
-    assert empty(site) and site.counters["served"] + site.counters["refused"] == 1 + 1  # and that of `warm`
+    assert (
+        is_idle(site) and site.counters["served"] + site.counters["refused"] == 1 + 1
+    )  # and that of `open_engine_connection`
 
 
 # ---- one end of a request, whoever brings it
@@ -516,9 +522,9 @@
 @pytest.mark.parametrize("second", ENDS)
 @pytest.mark.parametrize("first", ENDS)
 def test_two_ends_of_a_request_in_one_turn_count_and_tell_one(first, second):
-    module = Scripted()
+    module = ScriptedPolicy()
     module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0")]
-    here = Core(module)
+    here = CoordinatorHarness(module)
     query = here.ask()
     (attempt,) = here.port.sent
     ENDS[first](here, query)
@@ -531,15 +537,15 @@
 
 
 def test_a_send_after_the_answer_in_one_batch_sends_nothing():
-    module = Scripted()
+    module = ScriptedPolicy()
     module.acts[t.QueryReceived] = lambda event: [t.Reject(event.query, 5), t.Send(event.query, "e0")]
-    here = Core(module)
+    here = CoordinatorHarness(module)
     here.ask()
     assert here.port.sent == [] and len(here.port.answers) == 1 and not here.core.in_flight
 
 
 def test_a_request_that_is_turned_back_has_one_end_and_its_id_is_not_new():
-    here = Core(limits=replace(LIMITS, max_open_requests=0))
+    here = CoordinatorHarness(limits=replace(LIMITS, max_open_requests=0))
     query = here.ask()
     here.core.disconnect_client(query)  # its client goes in the same turn
     assert here.core.is_known_id(query.id) and [kind for kind, *_ in here.port.answers] == ["refused"]
@@ -548,9 +554,9 @@
 
 def test_an_attempt_that_ends_late_takes_nothing_from_a_request_that_came_under_its_id_again():
     """Attempts are kept by their request's id and their number, and few ids are remembered."""
-    module = Scripted()
+    module = ScriptedPolicy()
     module.acts[t.QueryReceived] = lambda event: [t.Send(event.query, "e0")]
-    here = Core(module, limits=replace(LIMITS, recent_ids=1))
+    here = CoordinatorHarness(module, limits=replace(LIMITS, max_recent_ids=1))
     first = here.ask()
     here.core.disconnect_client(first)
     here.core.disconnect_client(here.ask())
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -80,7 +80,7 @@
             self.counters,
             lambda: ReloadedFile(self.moved, self.configured),
         )
-        self.platform.follow(told or self.lists.append)
+        self.platform.subscribe(told or self.lists.append)
 
     def heard(self):
         return self.counters["dns_in"]
@@ -134,7 +134,7 @@
         assert watch.heard() == 0
     desk.silent, desk.rev, desk.engines = False, 4, (A, DRAINS)
     desk.deaf = set(desk.senders())
-    watch.pass_by(LIMITS.poll + 7 * LIMITS.poll_retry_interval + 10 * MS, desk)
+    watch.pass_by(LIMITS.poll_interval + 7 * LIMITS.poll_retry_interval + 10 * MS, desk)
     spin(lambda: watch.lists and watch.lists[-1].revision == 4)
     assert {entry.engine: entry.state for entry in watch.lists[-1].entries} == {"a": "Ready", "b": "Terminating"}
     spin(lambda: len(watch.open()) == 1)  # the one before is closed
@@ -148,7 +148,7 @@
     before, sockets = len(desk.asked), watch.counters["dns_sockets"]
     watch.pass_by(20_000 * MS, desk, step=20 * MS)
     assert 20 <= len(desk.asked) - before <= 60
-    assert 5 <= watch.counters["dns_sockets"] - sockets <= 20 and len(watch.open()) == LIMITS.resolver_sockets
+    assert 5 <= watch.counters["dns_sockets"] - sockets <= 20 and len(watch.open()) == LIMITS.max_resolver_sockets
     desk.silent, desk.rev, desk.engines = False, 9, (A, DRAINS)  # and the first list of the one that is back counts
     watch.pass_by(LIMITS.max_poll_retry_interval + 20 * MS, desk, step=20 * MS)
     spin(lambda: [listing.revision for listing in watch.lists] == [9] and len(watch.open()) == 1)
@@ -249,7 +249,7 @@
     watch = watches(desk, told=told)
     watch.settle(desk)
     spin(lambda: took == [3])
-    watch.pass_by(2 * LIMITS.poll, desk)
+    watch.pass_by(2 * LIMITS.poll_interval, desk)
     assert took == [3, 3]
 
 
@@ -301,7 +301,7 @@
                 "lookup",
                 b"x",
                 clock.now() + 3_000 * MS,
-                SimpleNamespace(reading_paused=False, stale=False, rejected=lambda *_: None),
+                SimpleNamespace(reading_paused=False, may_have_unread_input=False, rejected=lambda *_: None),
                 tenant="acme",
             )
         )
@@ -311,15 +311,15 @@
 def test_the_bound_on_how_long_a_dead_socket_is_asked_on_is_the_one_written():
     """The worst draw of chance: no call is brought forward."""
     for polls in (2, 3, 5):
-        limits = limits_with(LIMITS, polls_silent=polls)
+        limits = limits_with(LIMITS, failed_polls_before_new_socket=polls)
         asking = PollSchedule(limits, lambda: 0.0)
         spent, calls = asking.answer_received(), 0
         while not asking.needs_new_socket():
             spent, calls = spent + asking.poll_sent(), calls + 1
-        assert calls == polls and spent == limits.poll + sum(
+        assert calls == polls and spent == limits.poll_interval + sum(
             min(limits.poll_retry_interval << turn, limits.max_poll_retry_interval) for turn in range(polls)
         )
-    assert LIMITS.poll + 7 * LIMITS.poll_retry_interval < 700 * MS
+    assert LIMITS.poll_interval + 7 * LIMITS.poll_retry_interval < 700 * MS
 
 
 # ---- planted mistakes: each of these tests can fail
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -9,7 +9,7 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
-from model_reach import reaching
+from model_coverage import coverage_test
 from msgspec.structs import replace
 
 from rackhub.fleet.distribution.delivery import DiskDelivery
@@ -148,7 +148,7 @@
         return self.fleet.processes[self.names[which % len(self.names)]]
 
 
-test_no_fault_breaks_what_holds = reaching(FleetMachine, STEPS)
+test_no_fault_breaks_what_holds = coverage_test(FleetMachine, STEPS)
 
 
 def must_be_found(match):
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -497,7 +497,7 @@
 
 
 class Client:
-    reading_paused = stale = False
+    reading_paused = may_have_unread_input = False
 
     def __init__(self, marks=True):
         self.marks, self.said = marks, []
--- a/tests/test_incident_drain.py
+++ b/tests/test_incident_drain.py
@@ -24,7 +24,7 @@
 import pytest
 from real_process import DRAINING, EngineStandIn, ResolverStandIn, Served, frame, read_command, request, until
 from test_config import SETTINGS as SITE
-from test_config import endpoint, notice, told
+from test_config import endpoint, platform_config, watch_notice
 
 GRACE = 0.3  # seconds after it was told that an engine drains, in which a process may still send to it
 SMALL = 4_096  # bytes that a socket of a stalled engine takes
@@ -247,9 +247,9 @@
     process = things(Served(tmp_path, resolver, drained, sound, settings=SETTINGS))
     client = things(process.client())
     change = endpoint("a") | {"address": "{}:{}".format(*drained.place), "status": "draining"}
-    notices = [*process.told["known"]["notices"], notice(4, change)]
+    notices = [*process.told["known"]["notices"], watch_notice(4, change)]
     process.told |= {"nameserver": behind.address, "known": {"rev": 4, "notices": notices}}
-    process.file.write_text(json.dumps(told(**process.told)))
+    process.file.write_text(json.dumps(platform_config(**process.told)))
     process.child.send_signal(signal.SIGHUP)
     until(lambda: behind.answered, "an answer of the new resolver")
     reloaded_at = time.monotonic()
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from rackhub.core.lease import EndpointLease, Standing
+from rackhub.core.lease import EndpointLease, LeaseStatus
 from rackhub.limits import Limits
 
 MS, S = 1_000, 1_000_000
@@ -24,42 +24,42 @@
 
 
 @pytest.mark.parametrize(
-    "asked_from, asked_until, now, standing",
+    "asked_from, asked_until, now, status",
     [
-        (None, 0, PROMPT, Standing.CONFIRMED),
-        (None, 0, PROMPT + 1, Standing.UNCONFIRMED),  # it stood still, and has yet to ask
-        (PROMPT, S * 9, PROMPT + LIMITS.poll_answer_timeout - 1, Standing.UNCONFIRMED),  # an answer is on its way
-        (PROMPT, S * 9, PROMPT + LIMITS.poll_answer_timeout, Standing.CONFIRMED),  # nothing answers
-        (250 * MS, PROMPT, PROMPT + 1, Standing.CONFIRMED),  # it has asked all the time
-        (250 * MS, 300 * MS, PROMPT + 1, Standing.UNCONFIRMED),  # it stood still after a question
-        (250 * MS, LONGEST, LONGEST, Standing.CONFIRMED),
-        (250 * MS, LONGEST, LONGEST + 1, Standing.EXPIRED),
-        (None, 0, LONGEST + 1, Standing.UNCONFIRMED),
+        (None, 0, PROMPT, LeaseStatus.CONFIRMED),
+        (None, 0, PROMPT + 1, LeaseStatus.UNCONFIRMED),  # it stood still, and has yet to ask
+        (PROMPT, S * 9, PROMPT + LIMITS.poll_answer_timeout - 1, LeaseStatus.UNCONFIRMED),  # an answer is on its way
+        (PROMPT, S * 9, PROMPT + LIMITS.poll_answer_timeout, LeaseStatus.CONFIRMED),  # nothing answers
+        (250 * MS, PROMPT, PROMPT + 1, LeaseStatus.CONFIRMED),  # it has asked all the time
+        (250 * MS, 300 * MS, PROMPT + 1, LeaseStatus.UNCONFIRMED),  # it stood still after a question
+        (250 * MS, LONGEST, LONGEST, LeaseStatus.CONFIRMED),
+        (250 * MS, LONGEST, LONGEST + 1, LeaseStatus.EXPIRED),
+        (None, 0, LONGEST + 1, LeaseStatus.UNCONFIRMED),
     ],
 )
-def test_it_holds_from_the_question_that_was_answered_last(asked_from, asked_until, now, standing):
-    assert lease(asked_from, min(asked_until, now)).standing(now) is standing
+def test_it_holds_from_the_question_that_was_answered_last(asked_from, asked_until, now, status):
+    assert lease(asked_from, min(asked_until, now)).status(now) is status
 
 
 def test_an_answer_renews_it_from_when_it_was_asked_for():
     here = lease(250 * MS, S)
     here.poll_confirmed(2 * S)
-    assert here.standing(2 * S + PROMPT) is Standing.CONFIRMED
-    assert here.standing(2 * S + PROMPT + 1) is Standing.UNCONFIRMED
+    assert here.status(2 * S + PROMPT) is LeaseStatus.CONFIRMED
+    assert here.status(2 * S + PROMPT + 1) is LeaseStatus.UNCONFIRMED
 
 
 def test_an_older_answer_takes_nothing_back():
     here = lease()
     here.poll_confirmed(2 * S)
     here.poll_confirmed(S)
-    assert here.standing(2 * S + PROMPT) is Standing.CONFIRMED
+    assert here.status(2 * S + PROMPT) is LeaseStatus.CONFIRMED
 
 
 def test_without_a_grace_it_is_over_when_the_drain_counts_as_told():
     here = EndpointLease(LIMITS, 0, 0)
     for at in range(250 * MS, LIMITS.max_notification_time, 400 * MS):
         here.poll_started(at)
-    assert here.standing(LIMITS.max_notification_time) is Standing.EXPIRED
+    assert here.status(LIMITS.max_notification_time) is LeaseStatus.EXPIRED
 
 
 @pytest.mark.parametrize(
@@ -113,7 +113,7 @@
                 else:
                     one.poll_confirmed(max(now - 50 * MS, 0))
             engines = [f"e{number}" for number in range(4)]
-            assert kept.standing(now) is forgotten.standing(now)
+            assert kept.status(now) is forgotten.status(now)
             assert [kept.allows(each, now) for each in engines] == [forgotten.allows(each, now) for each in engines]
         forget(now)
         assert not forgotten._accepted_at and not forgotten._rejected_at
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -170,7 +170,7 @@
 
 def test_callers_that_never_read_are_aborted_and_do_not_accumulate(front):
     front, clock = front
-    wires = [call(front, clock) for _ in range(Limits().ops_connections)]
+    wires = [call(front, clock) for _ in range(Limits().max_ops_connections)]
     extra = call(front, clock)
     assert extra.value().startswith(b"NO too many")
     clock.advance(0.9)
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -134,7 +134,7 @@
     here.hear(answer(here.number, 4, A))
     here.clock.advance(LIMITS.poll_retry_interval / 1e6)
     assert len(here.sent) == 1
-    here.clock.advance(LIMITS.poll / 1e6)
+    here.clock.advance(LIMITS.poll_interval / 1e6)
     assert len(here.sent) == 2
     here.hear(answer(here.number, 5, A, rcode=2))
     here.hear(answer(here.number, 3, A))  # from a server that is behind
@@ -213,8 +213,10 @@
     assert [listing.revision for listing in here.lists] == [5, 6]
     before = len(here.sent)
     for _ in range(10):
-        here.clock.advance(LIMITS.poll / 1e6)
-    assert len(here.sent) - before <= 10 * LIMITS.poll / LIMITS.max_poll_retry_interval * 1.25 + 4  # one chain, not two
+        here.clock.advance(LIMITS.poll_interval / 1e6)
+    assert (
+        len(here.sent) - before <= 10 * LIMITS.poll_interval / LIMITS.max_poll_retry_interval * 1.25 + 4
+    )  # one chain, not two
 
 
 def test_what_was_not_asked_for_is_older_or_the_same_changes_nothing():
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from harness import CLASSES, LIMITS, SETTINGS, FakeClock, S
-from test_config import notice, told
+from test_config import platform_config, watch_notice
 from twisted.internet import reactor
 from twisted.internet.task import Clock
 from twisted.python.threadpool import ThreadPool
@@ -42,7 +42,7 @@
 class Engines:
     """The engine port and the client in one: what was sent, what was answered."""
 
-    reading_paused = stale = False
+    reading_paused = may_have_unread_input = False
 
     def __init__(self):
         self.sent, self.answers = [], []
@@ -399,7 +399,7 @@
     ],
 )
 def test_an_invalid_store_table_is_rejected_by_its_key(part, key, tmp_path, capsys):
-    (tmp_path / "c.json").write_text(json.dumps(told()))
+    (tmp_path / "c.json").write_text(json.dumps(platform_config()))
     lines = "".join(f"{name} = {json.dumps(value)}\n" for name, value in part.items())
     (tmp_path / "o.toml").write_text(f"[store]\n{lines}")
     words = ["--config", str(tmp_path / "c.json"), "--operator", str(tmp_path / "o.toml")]
@@ -426,7 +426,7 @@
 
         def start(**more):
             more |= {"listen": f"127.0.0.1:{listen}", "nameserver": f"127.0.0.1:{nameserver}"}
-            config.write_text(json.dumps(told(**more)))
+            config.write_text(json.dumps(platform_config(**more)))
             return subprocess.Popen(
                 [
                     sys.executable,
@@ -461,7 +461,7 @@
             "weight": 4,
             "since_ms": 0,
         }
-        first = start(known={"rev": 3, "notices": [notice(3, entry)]})
+        first = start(known={"rev": 3, "notices": [watch_notice(3, entry)]})
         until(first, "serves on")
         first.send_signal(signal.SIGUSR1)
         until(first, "counters of 1 starts")
@@ -491,7 +491,7 @@
     Store.open(state).close()
     (state / "MANIFEST").write_bytes(b"")
     (tmp_path / "o.toml").write_text(f'[store]\npath = "{state}"\n')
-    (tmp_path / "c.json").write_text(json.dumps(told()))
+    (tmp_path / "c.json").write_text(json.dumps(platform_config()))
     done = subprocess.run(
         [
             sys.executable,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -4,7 +4,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, initialize, invariant, rule
-from model_reach import reaching
+from model_coverage import coverage_test
 
 from rackhub.store import (
     BadBatch,
@@ -675,4 +675,4 @@
 
 
 HISTORIES = hypothesis_settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
-test_the_store_keeps_to_a_model_of_histories = reaching(Histories, HISTORIES)
+test_the_store_keeps_to_a_model_of_histories = coverage_test(Histories, HISTORIES)
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -19,10 +19,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from model_reach import reaching
+from model_coverage import coverage_test
 from test_config import SETTINGS as PLATFORM
-from test_config import told
-from test_core import Scripted
+from test_config import platform_config
+from test_core import ScriptedPolicy
 
 from rackhub import interface as t
 from rackhub.cli import main
@@ -267,7 +267,7 @@
 class Port:
     """Engines and client: what was sent, given up, answered."""
 
-    reading_paused = stale = False
+    reading_paused = may_have_unread_input = False
 
     def __init__(self):
         self.sent, self.given_up, self.answers = [], [], []
@@ -538,7 +538,7 @@
     here.ask("depot-load", 20 * S, TOKEN)
     here.clock.advance(4 * S)
     assert len(here.port.sent) == 2
-    module = Scripted()
+    module = ScriptedPolicy()
     here = Core(second_copies=False, module=module)
     module.acts = {t.QueryReceived: lambda event: [t.Send(event.query, "e0"), t.Send(event.query, "e1")]}
     here.ask()
@@ -762,7 +762,7 @@
 
 
 LIVES = hypothesis_settings(max_examples=80, stateful_step_count=40, deadline=None, derandomize=True)
-test_a_request_keeps_to_the_rules_whatever_happens = reaching(Lives, LIVES)
+test_a_request_keeps_to_the_rules_whatever_happens = coverage_test(Lives, LIVES)
 
 
 # ---- what they are for
@@ -835,7 +835,7 @@
         {"Name": "lookup", "Deadline": 3_000_000, "Objective": 600_000, "Effect": "retryable"},
         {"Name": "depot-load", "Deadline": 25_000_000, "Effect": "dedup", "DedupScope": "all", "Window": 25_000_000},
     ]
-    (tmp_path / "site.json").write_text(json.dumps(told(settings=PLATFORM | {"Services": services})))
+    (tmp_path / "site.json").write_text(json.dumps(platform_config(settings=PLATFORM | {"Services": services})))
     monkeypatch.setenv("BALANCER_CONFIG", str(tmp_path / "site.json"))
 
     def write(text, name="o.toml"):
--- a/tests/test_unread_clients.py
+++ b/tests/test_unread_clients.py
@@ -10,8 +10,17 @@
 
 import pytest
 from harness import LIMITS, MS, CoordinatorTestBed, EngineServer, RespEngine, S, TdsEngine, spin
-from test_core import Core
-from test_crossings_requests import Raw, answers, empty, script, turn, turns, wants, warm
+from test_core import CoordinatorHarness
+from test_crossings_requests import (
+    RawClient,
+    answer_requests,
+    is_idle,
+    open_engine_connection,
+    received_requests,
+    run_iteration,
+    run_iterations,
+    use_policy,
+)
 from test_gather import Client as GatherClient
 from test_gather import Gateway
 
@@ -58,11 +67,11 @@
 @pytest.mark.parametrize("how", ["close", "cancel"])
 @pytest.mark.parametrize("next_attempt", ["at once", "after a backoff", "first"])
 def test_no_attempt_begins_for_a_gone_client_whose_reading_went_on_and_stopped_without_a_read(site, how, next_attempt):
-    warm(site)
-    client = Raw(site)
+    open_engine_connection(site)
+    client = RawClient(site)
     client.way = how
     retry = [t.Send(f"{1:016x}", "e0")]  # whose connection is up
-    module = script(
+    module = use_policy(
         site,
         lambda event: [t.Timer(205 * MS, RETRY_TIMER)] if next_attempt == "first" else [t.Send(event.query, "e1")],
         AttemptCompleted=lambda event: retry_once(
@@ -71,58 +80,60 @@
         TimerFired=lambda event: retry if event.ref == RETRY_TIMER else [],
     )
     client.ask(1)
-    spin(lambda: site.core.queries if next_attempt == "first" else wants(site))
+    spin(lambda: site.core.queries if next_attempt == "first" else received_requests(site))
     stop_over_unread_bytes(site, client)
     if next_attempt != "first":
         site.engines[1].connections[0].respond(f"{1:016x}".encode(), b"503")
         spin(lambda: site.counters["out_full"])
     site.clock.advance(5 * MS)
-    turns(site)
+    run_iterations(site)
     client.served_by.resumeProducing()
-    turns(site)
-    assert len(wants(site)) == (next_attempt != "first") and empty(site)
+    run_iterations(site)
+    assert len(received_requests(site)) == (next_attempt != "first") and is_idle(site)
     assert next_attempt == "at once" or t.TimerFired(RETRY_TIMER) in module.events
 
 
 # Guards against a mend that refuses a slow reader more than it must: a short stop after all was read has its tolerance.
 @pytest.mark.parametrize("quiet", [0, 200 * MS])
 def test_a_short_stop_of_a_slow_reader_whose_bytes_are_all_read_holds_nothing_back(site, quiet):
-    warm(site)
-    client = Raw(site)
-    script(
+    open_engine_connection(site)
+    client = RawClient(site)
+    use_policy(
         site,
         lambda event: [t.Send(event.query, "e0")],
         AttemptCompleted=lambda event: retry_once(event, [t.Send(f"{1:016x}", "e1")]),
     )
     client.ask(1)
-    spin(lambda: wants(site))
+    spin(lambda: received_requests(site))
     for _ in range(4):  # its buffer drains and fills again; nothing lies unread
         client.served_by.pauseProducing()
-        site.clock.advance(LIMITS.late_iteration)
+        site.clock.advance(LIMITS.late_iteration_delay)
         client.served_by.resumeProducing()
-        turns(site)
+        run_iterations(site)
         site.clock.advance(quiet)
-        turns(site)
+        run_iterations(site)
     client.served_by.pauseProducing()
     site.engines[0].connections[0].respond(f"{1:016x}".encode(), b"503")
-    spin(lambda: len(wants(site)) == 2)
+    spin(lambda: len(received_requests(site)) == 2)
 
 
 # Guards against a request that is counted as old for a stop of reading that was long over when it was sent.
 def test_a_request_that_is_sent_long_after_a_stop_of_reading_has_its_whole_time(site):
-    warm(site)
-    client = Raw(site)
+    open_engine_connection(site)
+    client = RawClient(site)
     client.served_by.pauseProducing()
     site.clock.advance(500 * MS)
     client.served_by.resumeProducing()
-    turns(site)
+    run_iterations(site)
     for _ in range(4):
         site.clock.advance(200 * MS)
-        turns(site)
+        run_iterations(site)
     client.ask(1, budget=900)
-    Raw(site).ask(2, budget=900)  # of a client whose reading never stopped
-    spin(lambda: turn(site) or len(wants(site)) == 2)
-    first, second = ({part for part in words[2].split(b",") if part.startswith(b"max=")} for words in wants(site))
+    RawClient(site).ask(2, budget=900)  # of a client whose reading never stopped
+    spin(lambda: run_iteration(site) or len(received_requests(site)) == 2)
+    first, second = (
+        {part for part in words[2].split(b",") if part.startswith(b"max=")} for words in received_requests(site)
+    )
     assert first == second
 
 
@@ -141,15 +152,15 @@
 @pytest.mark.parametrize("site", [{}, {"tds_engines": True}], ids=["resp", "tds"], indirect=True)
 @pytest.mark.parametrize("goes", [True, False])
 def test_an_attempt_behind_a_full_socket_waits_until_its_client_is_read_again(site, monkeypatch, goes):
-    site.engines[0].on_command = answers
-    script(site, lambda event: [t.Send(event.query, "e0")])
-    Raw(site).ask(0xFFF)  # so that a connection is up
+    site.engines[0].on_command = answer_requests
+    use_policy(site, lambda event: [t.Send(event.query, "e0")])
+    RawClient(site).ask(0xFFF)  # so that a connection is up
     spin(lambda: site.counters["served"] == 1)
     site.engines[0].on_command = lambda *_: None
     site.engines[0].received.clear()
-    client, socket_state = Raw(site), FullSocket(monkeypatch)
+    client, socket_state = RawClient(site), FullSocket(monkeypatch)
     client.ask(1)
-    spin(lambda: turn(site) or site.core.in_flight)
+    spin(lambda: run_iteration(site) or site.core.in_flight)
     (attempt,) = site.core.in_flight.values()
     client.served_by.pauseProducing()
     if goes:
@@ -159,28 +170,28 @@
     socket_state.full = False
     (link,) = (link for pool in site.pools.pools.values() for link in pool.links if link.load())
     link._writable()  # the iteration's events come in this order: the engine's socket first
-    assert wants(site) == [] and attempt.unsent
-    turns(site)
-    spin(lambda: turn(site) or len(wants(site)) == (not goes))
-    turns(site)
-    assert len(wants(site)) == (not goes) and len(site.core.queries) == (not goes)
+    assert received_requests(site) == [] and attempt.unsent
+    run_iterations(site)
+    spin(lambda: run_iteration(site) or len(received_requests(site)) == (not goes))
+    run_iterations(site)
+    assert len(received_requests(site)) == (not goes) and len(site.core.queries) == (not goes)
 
 
 # Guards against held attempts that begin as the endpoint list is confirmed, before their client's end is read.
 @pytest.mark.parametrize("goes", [True, False])
 def test_an_attempt_held_for_the_endpoint_list_waits_until_its_client_is_read_again(goes):
-    here = Core()
+    here = CoordinatorHarness()
     here.ask()
     (attempt,) = here.port.sent
     here.port.sent.clear()
     attempt.state = AttemptState.PENDING
     here.core.attempts.gate.hold(attempt)
-    here.port.stale = True
+    here.port.may_have_unread_input = True
     here.core.attempts.gate.poll_confirmed(here.clock.now())
     assert here.port.sent == []
     if goes:
         here.core.disconnect_client(attempt.query)
-    here.port.stale = False
+    here.port.may_have_unread_input = False
     here.clock.advance(MS)
     assert here.port.sent == ([] if goes else [attempt])
 
@@ -201,11 +212,11 @@
 def test_a_full_read_of_a_tds_client_is_no_proof_that_all_is_read(site):
     site.tds_client()
     (connection,) = site.fronts[1].connections
-    connection.stale, connection.stale_since = True, site.clock.now() - S
-    connection.record_read(LIMITS.read)
-    assert connection.stale
-    connection.record_read(LIMITS.read - 1)
-    assert not connection.stale and not connection.stale_since
+    connection.may_have_unread_input, connection.unread_input_since = True, site.clock.now() - S
+    connection.record_read(LIMITS.socket_read_bytes)
+    assert connection.may_have_unread_input
+    connection.record_read(LIMITS.socket_read_bytes - 1)
+    assert not connection.may_have_unread_input and not connection.unread_input_since
 
 
 # ---- random orders
@@ -219,7 +230,7 @@
         self.begun, self.gone_at = [], {}
         for stand in site.engines:
             stand.on_command = self.engine
-        self.client = Raw(site)
+        self.client = RawClient(site)
         self.client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
         self.client.served_by.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
         self.client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what it does is there at once
@@ -233,7 +244,7 @@
             resume()
 
         self.client.served_by.resumeProducing = count_and_resume
-        script(site, self.send, AttemptCompleted=self.completed, TimerFired=self.timer_fired)
+        use_policy(site, self.send, AttemptCompleted=self.completed, TimerFired=self.timer_fired)
 
     def send(self, event):
         return [t.Send(event.query, self.random.choice(["e0", "e1"]))]
@@ -310,7 +321,7 @@
             if self.random.random() < 0.6:
                 self.site.clock.time += self.random.choice([1, 3, 8, 15, 25]) * MS
             for _ in range(self.random.choice([1, 1, 2, 4])):
-                turn(self.site)
+                run_iteration(self.site)
 
     def check(self):
         for number, at in self.begun:
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -12,7 +12,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from model_reach import reaching
+from model_coverage import coverage_test
 from msgspec.structs import replace
 from twisted.internet.testing import StringTransport
 
@@ -28,7 +28,7 @@
 
 STEPS = settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None, database=None)
 CUTS = st.lists(st.integers(1, 40), max_size=3)
-HEARD = SimpleNamespace(reading_paused=False, stale=False)  # a client that is read from
+HEARD = SimpleNamespace(reading_paused=False, may_have_unread_input=False)  # a client that is read from
 LOGGED_IN = ("ready", "busy", "rows")  # states of a TDS client
 LATE_PRELOGIN = b"\x12\x01\x00\x09\0\0\0\0\x05"  # also malformed
 BIG_PAGES = [b"a\tb\tc\n" * 100, b"d\te\tf\n" * 100]  # each fills packets of 512 bytes
@@ -170,7 +170,7 @@
             self.stopped_at = self.now if self.stopped_at is None else self.stopped_at
         elif self.stopped_at is not None:
             resumed_at = max(self.stopped_at, self.unchoked_at, min(self.held, self.now))
-            if resumed_at - self.stopped_at > LIMITS.late_iteration:
+            if resumed_at - self.stopped_at > LIMITS.late_iteration_delay:
                 self.unread_since = self.unread_since or self.stopped_at
             self.stopped_at = None
 
@@ -196,8 +196,8 @@
         said = [json.loads(line) for line in self.wire.take_output().splitlines()]
         for _ in range(sum(answer.get("error", {}).get("code", 0) < -32500 for answer in said)):
             self.faults += 1
-            if self.faults > LIMITS.free_faults:
-                wait = LIMITS.fault_pause * 2 ** min(self.faults - LIMITS.free_faults - 1, 10)
+            if self.faults > LIMITS.faults_before_pause:
+                wait = LIMITS.fault_pause * 2 ** min(self.faults - LIMITS.faults_before_pause - 1, 10)
                 self.held = self.now + min(wait, LIMITS.max_fault_pause)
         return said
 
@@ -211,7 +211,7 @@
     def request(self, cuts, method):
         id = next(self.numbers)
         said = self.say(self.ask(id, f"{id:016x}", method), cuts)
-        if len(self.open) >= LIMITS.open_requests:
+        if len(self.open) >= LIMITS.max_requests_per_client:
             assert [answer["error"]["code"] for answer in said] == [-32600] and said[0]["id"] == id
         else:
             self.open[id], self.asked = f"{id:016x}", True
@@ -265,7 +265,7 @@
         if isinstance(line, dict):
             line = json.dumps(self.ask(900, **{"rid": "00000000000000ff"} | line)).encode()
         (said,) = self.say(line, cuts, raw=True)
-        assert len(self.open) >= LIMITS.open_requests or said["error"]["code"] == code
+        assert len(self.open) >= LIMITS.max_requests_per_client or said["error"]["code"] == code
 
     @precondition(lambda self: self.ready and self.open)
     @rule(cuts=CUTS, data=st.data())
@@ -273,7 +273,7 @@
         id = data.draw(st.sampled_from(sorted(self.open)))
         (said,) = self.say(self.ask(id, "00000000000000fe"), cuts)
         assert said["error"]["code"] == -32600 and said["id"] is None  # under its id it would pass for the answer
-        if len(self.open) < LIMITS.open_requests:
+        if len(self.open) < LIMITS.max_requests_per_client:
             (said,) = self.say(self.ask(901, self.open[id]), cuts)
             assert said["error"]["code"] == -32602 and said["id"] == 901
 
@@ -373,7 +373,7 @@
     @rule(how=st.integers(0, 9))
     def stop_taking(self, how):
         if how == 0:
-            assert self.say(b"x" * (LIMITS.request_bytes + 1), [], raw=True)[0]["error"]["code"] == -32600
+            assert self.say(b"x" * (LIMITS.max_request_bytes + 1), [], raw=True)[0]["error"]["code"] == -32600
         elif how == 1:
             self.connection.end()
         self.taking = how > 1
@@ -410,8 +410,8 @@
             assert (self.wire.producerState == "producing") == self.reading == (not self.connection.reading_stopped)
             self.track_reading()
             # once no more is taken nothing rests on it
-            stale_since = self.connection.stale_since if self.connection.stale else 0
-            assert not self.taking or stale_since == self.unread_since
+            unread_input_since = self.connection.unread_input_since if self.connection.may_have_unread_input else 0
+            assert not self.taking or unread_input_since == self.unread_since
         assert (self.connection in self.front.connections) != self.lost
 
 
@@ -431,7 +431,7 @@
         self.numbers, self.heard, self.silent = itertools.count(1), 0, False
         self.ends, self.since, self.last_end, self.half = {}, {}, 0, False
 
-    def reach_state(self):
+    def coverage_state(self):
         return self.state
 
     def say(self, *words, cuts=()):
@@ -463,7 +463,7 @@
 
     def blocked(self):
         waits = [self.since[id] for id in self.attempts if id in self.since and id not in self.ends]
-        late = waits and min(waits) < self.core.clock.now() - LIMITS.late_iteration
+        late = waits and min(waits) < self.core.clock.now() - LIMITS.late_iteration_delay
         return self.state == "up" and (self.wire.gone < self.last_end or late)
 
     def sent(self):
@@ -569,7 +569,7 @@
                 b"a\tb\tc\td\n",
                 b"a\tb\tc\nd\t\n\te\tf\n",
                 b"a\t\xff\tc\n",
-                b"a\tb\t" + b"c" * LIMITS.page + b"\n",
+                b"a\tb\t" + b"c" * LIMITS.max_page_bytes + b"\n",
             ]
         ),
     )
@@ -644,7 +644,7 @@
         elif sent:
             self.stale.add(id)
             now = self.core.clock.now()
-            self.silent |= self.heard <= attempt.sent_at and now - attempt.sent_at >= LIMITS.silence_timeout
+            self.silent |= self.heard <= attempt.sent_at and now - attempt.sent_at >= LIMITS.unresponsive_timeout
             assert not self.connection.accepts(attempt)  # an answer that crossed would pass for a later attempt's
 
     @precondition(lambda self: self.state == "up" and self.stale)
@@ -734,7 +734,7 @@
         self.connect()
         self.begin(logged_in, busy=False)
 
-    def reach_state(self):
+    def coverage_state(self):
         return self.state
 
     def say(self, kind, body, cuts=()):
@@ -898,7 +898,7 @@
             self.state = "closed"
         elif self.state == "rows":  # nor does who never reads its rows
             unread_for = self.core.clock.now() - self.rows_asked_at
-            assert self.wire.aborted == (unread_for >= LIMITS.tds_unread)
+            assert self.wire.aborted == (unread_for >= LIMITS.tds_write_timeout)
             self.state = "closed" if self.wire.aborted else "rows"
 
     @invariant()
@@ -936,7 +936,7 @@
 def test_a_tds_client_whose_penalty_ends_while_its_rows_are_written_is_read_from_again():
     model = TdsModel()
     model.begin(logged_in=True, busy=False)
-    for _ in range(LIMITS.free_faults + 1):
+    for _ in range(LIMITS.faults_before_pause + 1):
         model.fault(cuts=[], fault=(codec.RPC, codec.encode_rpc("sp_who", {}), 50005))
     model.request(cuts=[], batch=True)
     model.answered(how="big", late=False)
@@ -948,9 +948,9 @@
     model.agrees()
 
 
-TestJsonRpc = reaching(JsonRpcModel, STEPS)
-TestResp = reaching(RespModel, STEPS, ["dialling", "up", "lost"])
-TestTds = reaching(
+TestJsonRpc = coverage_test(JsonRpcModel, STEPS)
+TestResp = coverage_test(RespModel, STEPS, ["dialling", "up", "lost"])
+TestTds = coverage_test(
     TdsModel, settings(STEPS, max_examples=80), ["prelogin", "login", "ready", "busy", "rows", "closed", "lost"]
 )
 assert LOGIN.accepts("open sesame") and not LOGIN.accepts("wrong")
@@ -962,7 +962,7 @@
     def __init__(self):
         self.core, self.counters = PlayedCore(), Counters()
         self.front = jsonrpc_front(
-            self.core, replace(LIMITS, client_connections=4, max_aborted_connections=2), self.counters
+            self.core, replace(LIMITS, max_client_connections=4, max_aborted_connections=2), self.counters
         )
 
     def join(self, said=b""):
@@ -1041,7 +1041,7 @@
         made.append(Dialled(pool))
         return made[-1]
 
-    pools = EnginePools(dial, core.clock, LIMITS, counters, core, LIMITS.engine_connections)
+    pools = EnginePools(dial, core.clock, LIMITS, counters, core, LIMITS.max_connections_per_engine)
     place = ("127.0.0.1", 5050)
     pools.update_endpoints({"e0": place})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
@@ -1066,10 +1066,10 @@
     pools = EnginePools(
         lambda pool: made.append(Dialled(pool)) or made[-1],
         core.clock,
-        replace(LIMITS, engine_links=4),
+        replace(LIMITS, max_engine_connections=4),
         counters,
         core,
-        LIMITS.engine_connections,
+        LIMITS.max_connections_per_engine,
     )
     pools.update_endpoints({f"e{i}": ("127.0.0.1", 5050 + i) for i in range(6)})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
