--- a/rackhub/core/attempts.py
+++ b/rackhub/core/attempts.py
@@ -73,7 +73,7 @@
         attempt.sent_at = self._state.clock.now()
         if self._gate.lease_status() is LeaseStatus.UNCONFIRMED:
             log.debug("attempt_held", request=attempt.query.id, reason="the endpoint list is not confirmed")
-            self._gate.hold(attempt)
+            self._gate.defer(attempt)
             return
         if blocked_by := attempt.send_blocked_by(attempt.sent_at, self._state.lease):
             self._reject(attempt, blocked_by)
--- a/rackhub/core/endpoint_gate.py
+++ b/rackhub/core/endpoint_gate.py
@@ -16,7 +16,7 @@
     """Holds attempts back until the endpoint list is confirmed or expired, and excludes engines one by one."""
 
     def __init__(self, state: CoordinatorState, decisions: DecisionDriver, resume: Callable[[Attempt], None]) -> None:
-        """`resume` begins an attempt anew that `hold` has taken."""
+        """`resume` begins an attempt anew that `defer` has queued."""
         self._state = state
         self._decisions = decisions
         self._resume = resume
@@ -31,7 +31,7 @@
             return LeaseStatus.CONFIRMED
         return lease.status(self._state.clock.now())
 
-    def hold(self, attempt: Attempt) -> None:
+    def defer(self, attempt: Attempt) -> None:
         """Keep an attempt until the list is confirmed, or until it expires."""
         self._waiting.append(attempt)
 
--- a/tests/test_unread_clients.py
+++ b/tests/test_unread_clients.py
@@ -185,7 +185,7 @@
     (attempt,) = here.port.sent
     here.port.sent.clear()
     attempt.state = AttemptState.PENDING
-    here.core.attempts.gate.hold(attempt)
+    here.core.attempts.gate.defer(attempt)
     here.port.may_have_unread_input = True
     here.core.attempts.gate.poll_confirmed(here.clock.now())
     assert here.port.sent == []
