--- a/tests/model_search.py
+++ b/tests/model_search.py
@@ -89,7 +89,9 @@
 
 
 def slow_reader(seed: int) -> None:
-    here = test_unread_clients.Site(test_unread_clients.Stand(), test_unread_clients.Stand())
+    here = test_unread_clients.CoordinatorTestBed(
+        test_unread_clients.EngineServer(), test_unread_clients.EngineServer()
+    )
     here.raw = []
     try:
         run = test_unread_clients.SlowReader(here, seed)
