--- a/tests/harness.py
+++ b/tests/harness.py
@@ -106,7 +106,7 @@
     """An engine over RESP: notes every command, answers what the test's `on_command` says."""
 
     def __init__(self, stand):
-        self.stand, self.words, self.need, self.due = stand, [], 0, 0
+        self.server, self.words, self.need, self.due = stand, [], 0, 0
 
     def lineReceived(self, line):
         if not self.due:
@@ -124,8 +124,8 @@
         self.words.append(word)
         self.due -= 1
         if not self.due:
-            self.stand.received.append(tuple(self.words))
-            self.stand.on_command(self, *self.words)
+            self.server.received.append(tuple(self.words))
+            self.server.on_command(self, *self.words)
         self.setLineMode(rest)
 
     def respond(self, id, word, fields=b"-", body=b""):
@@ -136,7 +136,7 @@
     """An engine over TDS: the same, with its calls noted as if they had come over RESP."""
 
     def __init__(self, stand):
-        self.stand, self.packets = stand, codec.MessageAssembler(1 << 20)
+        self.server, self.packets = stand, codec.MessageAssembler(1 << 20)
 
     def dataReceived(self, data):
         for kind, _, body in self.packets.feed(data):
@@ -151,15 +151,15 @@
                     + codec.encode_done(codec.DONE_ERROR)
                 )
             elif kind == codec.ATTENTION:
-                self.stand.received.append((b"never_mind",))
+                self.server.received.append((b"never_mind",))
                 self.tell(codec.encode_done(codec.DONE_ATTN))
             else:
                 given = codec.parse_rpc(body).arguments
                 fields = f"profile={given['@class']},max={given['@budget_ms']},level={given['@level']}"
                 fields += f",replay={given['@key']}" if "@key" in given else ""
                 words = b"want", given["@id"].encode(), fields.encode(), given["@statement"].encode()
-                self.stand.received.append(words)
-                self.stand.on_command(self, *words)
+                self.server.received.append(words)
+                self.server.on_command(self, *words)
 
     def tell(self, body):
         self.transport.writeSequence(codec.encode_message(codec.REPLY, body))
--- a/tests/test_two_fronts.py
+++ b/tests/test_two_fronts.py
@@ -102,7 +102,7 @@
     if word != b"want":
         return
     statement = rest[1]
-    tries = engine.stand.tries[statement] = engine.stand.tries.get(statement, 0) + 1
+    tries = engine.server.tries[statement] = engine.server.tries.get(statement, 0) + 1
     said = statement.split(b" in ")[0].split(b" ")[1:]
     how = said[min(tries, len(said)) - 1]
     if how == b"ok":
