--- a/rackhub/fleet/overload/records.py
+++ b/rackhub/fleet/overload/records.py
@@ -74,8 +74,8 @@
     retries: Figure = 0  # attempts past the first
     retries_wanted: Figure = 0  # sent or not
     capacity_factor: Figure = FRACTION_ONE  # usable fraction of the configured threads, as this gateway measures it
-    share: Loan = Loan()
-    retry_share: Loan = Loan()
+    thread_loan: Loan = Loan()
+    retry_loan: Loan = Loan()
     trials: Annotated[tuple[Trial, ...], msgspec.Meta(max_length=TRIALS)] = ()
     counted: Figure = 0  # see `participants.Participants.digest`
     version: Figure = 0  # of the shedding policy in force
@@ -136,7 +136,7 @@
         return None
     ordered = all(
         loan.minimum_offered <= loan.maximum_offered and loan.minimum_wanted <= loan.maximum_wanted
-        for loan in (load.share, load.retry_share)
+        for loan in (load.thread_loan, load.retry_loan)
     )
     return load if ordered else None
 
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -57,7 +57,7 @@
         (records.Work(other, other, other),) * 20,
         other,
         other,
-        share=records.Loan(0, part, 0, part),
+        thread_loan=records.Loan(0, part, 0, part),
         trials=(records.Trial(other, 1, other),) * 20,
     )
     body = records.pack(load)
@@ -201,11 +201,11 @@
         self.who.update(now, self.node.live(), self.node.reachable(), self.node.read(records.LOAD_KIND))
         self.lending.update_need(now, self.need(), self.who.equal_share, self.who.digest)
         self.node.publish(
-            records.LOAD_KIND, records.pack(records.Load(share=self.lending.loan(), counted=self.who.digest))
+            records.LOAD_KIND, records.pack(records.Load(thread_loan=self.lending.loan(), counted=self.who.digest))
         )
         held = {name: records.unpack(record.body) for name, record in self.node.read(records.LOAD_KIND).items()}
         others = [
-            held[name].share if name not in self.who.silent and held[name].counted == self.who.digest else None
+            held[name].thread_loan if name not in self.who.silent and held[name].counted == self.who.digest else None
             for name in self.who.counted - {self.node.local_name}
         ]
         self.part = self.lending.share(self.who.equal_share, others)
