--- a/rackhub/fleet/distribution/admission.py
+++ b/rackhub/fleet/distribution/admission.py
@@ -43,15 +43,15 @@
     def __init__(self, limits: Limits, zone: str, chance: random.Random, now: int) -> None:
         """`zone`: watchers of others are guests; empty: nobody is one."""
         self._limits, self._zone, self._chance = limits, zone, chance
-        self._newcomers = TokenBucket(limits.newcomers, now)
-        self._snapshots = TokenBucket(limits.snapshots, now)
+        self._newcomers = TokenBucket(limits.max_watches_per_s, now)
+        self._snapshots = TokenBucket(limits.max_snapshots_per_s, now)
 
     def is_guest(self, zone: str) -> bool:
         return bool(self._zone) and zone != self._zone
 
     def room(self, watchers: int, guests: int, zone: str) -> int:
         """For a watcher that is not yet among so many."""
-        if watchers >= self._limits.watchers or self.is_guest(zone) and guests >= self._limits.guests:
+        if watchers >= self._limits.max_watchers or self.is_guest(zone) and guests >= self._limits.max_foreign_watchers:
             return self._spread(FULL_WAIT)
         return 0
 
--- a/rackhub/fleet/distribution/catching_up.py
+++ b/rackhub/fleet/distribution/catching_up.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.endpoint import Endpoint, Inbox
-from rackhub.fleet.distribution.events import Applied, Apply, Effect, Held, Persist, Persisted
+from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
+from rackhub.fleet.distribution.events import Applied, Apply, Effect, Persist, Persisted, StoredState
 from rackhub.fleet.distribution.history import History
 from rackhub.fleet.distribution.learning import Learner
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import Heartbeat, Revision, SnapshotPart, Unavailable, Update
 from rackhub.fleet.distribution.ports import Identity
-from rackhub.fleet.distribution.store import HeldStore
+from rackhub.fleet.distribution.store import StateStore
 from rackhub.fleet.distribution.watcher import Watcher
 from rackhub.fleet.ports import Fleet
 
@@ -27,7 +27,7 @@
         fleet: Fleet,
         identity: Identity,
         inbox: Inbox,
-        store: HeldStore,
+        store: StateStore,
         history: History,
         learner: Learner,
         limits: Limits,
@@ -41,36 +41,36 @@
         self._learner = learner
         self._limits = limits
         self._taken = taken
-        self._endpoint: Endpoint | None = None
+        self._runner: CoreRunner | None = None
         self._wanted: Revision = 0
-        self._boot = identity.boot
+        self._generation = identity.generation
         inbox.route(FROM_VOTER, self._too_late)
 
     @property
     def running(self) -> bool:
         """Whether changes are being fetched from another voter."""
-        return self._endpoint is not None
+        return self._runner is not None
 
     def begin(self, wanted: Revision) -> None:
         """Go on until at least that revision is held."""
         self._wanted = max(self._wanted, wanted)
-        if self._endpoint is not None:
+        if self._runner is not None:
             return
         self._fleet.add_count("distribution_catch_ups", 1)
-        self._boot += 1
+        self._generation += 1
         learner = self._learner
-        held = Held(learner.log, learner.revision, self._identity.scope, dict(learner.entries))
-        identity = msgspec.structs.replace(self._identity, boot=self._boot)
+        held = StoredState(learner.log, learner.revision, self._identity.scope, dict(learner.entries))
+        identity = msgspec.structs.replace(self._identity, generation=self._generation)
         watcher = Watcher(identity, held, self._limits, self._fleet.clock.now())
-        self._endpoint = Endpoint(self._fleet, self._inbox, watcher, self._perform)
-        self._inbox.route(FROM_VOTER, self._endpoint.received)
-        self._endpoint.start()
+        self._runner = CoreRunner(self._fleet, self._inbox, watcher, self._perform)
+        self._inbox.route(FROM_VOTER, self._runner.on_message)
+        self._runner.start()
 
     def stop(self) -> None:
         """End the catch-up; what was stored of it stays."""
-        if self._endpoint is not None:
-            self._endpoint.stop()
-        self._endpoint = None
+        if self._runner is not None:
+            self._runner.stop()
+        self._runner = None
         self._inbox.route(FROM_VOTER, self._too_late)
 
     def _too_late(self, sender: str, message: object) -> None:
@@ -81,15 +81,15 @@
         match effect:
             case Persist():
                 also = self._history.begin_anew(effect.revision)
-                self._store.persist(effect, lambda: self._hand(Persisted(effect.revision)), also=also)
+                self._store.persist(effect, lambda: self._dispatch(Persisted(effect.revision)), also=also)
             case Apply():
                 previous = self._learner.revision
                 self._learner.take_snapshot(effect)
                 self._taken(effect, previous)
-                self._hand(Applied(effect.revision))
+                self._dispatch(Applied(effect.revision))
                 if effect.revision >= self._wanted:
                     self.stop()
 
-    def _hand(self, event: Persisted | Applied) -> None:
-        if self._endpoint is not None:
-            self._endpoint.hand(event)
+    def _dispatch(self, event: Persisted | Applied) -> None:
+        if self._runner is not None:
+            self._runner.dispatch(event)
--- a/rackhub/fleet/distribution/checks.py
+++ b/rackhub/fleet/distribution/checks.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from rackhub.fleet.distribution.agenda import NEVER
-from rackhub.fleet.distribution.events import CheckAsked, CheckDone, Counted, Effect, Send
+from rackhub.fleet.distribution.events import CheckAsked, CheckDone, Effect, IncrementCounter, Send
 from rackhub.fleet.distribution.limits import FAULT_KEYS, Limits
 from rackhub.fleet.distribution.messages import Check, Checked, Entry, KeyFault, Name
 from rackhub.fleet.distribution.session import Session
@@ -30,7 +30,7 @@
 
     def __init__(self, zone: str, limits: Limits, chance: random.Random) -> None:
         self._zone, self._chance = zone, chance
-        self._patience = limits.check // (2 * FORWARD_TRIES)
+        self._patience = limits.check_timeout // (2 * FORWARD_TRIES)
         self._pending: dict[int, _Forwarded] = {}  # by the relay's own mark
         self._last_mark = 0
 
@@ -40,7 +40,7 @@
     def forward(self, now: int, voter: Name, check: Check, sessions: Iterable[Session]) -> list[Effect]:
         """A voter asks."""
         if len(self._pending) >= PENDING_CHECKS:
-            return [Counted("distribution_checks_dropped", voter)]
+            return [IncrementCounter("distribution_checks_dropped", voter)]
         if any(one.voter == voter and one.mark == check.mark for one in self._pending.values()):
             return []  # doubled on the way
         self._last_mark += 1
@@ -51,7 +51,7 @@
         """A watcher answers."""
         forwarded = self._pending.get(checked.mark)
         if forwarded is None or sender not in forwarded.asked:
-            return [Counted("distribution_unexpected", sender)]
+            return [IncrementCounter("distribution_unexpected", sender)]
         del self._pending[checked.mark]
         return [Send(forwarded.voter, Checked(forwarded.mark, self._zone, checked.faults))]
 
@@ -65,7 +65,7 @@
         others = [one.name for one in sessions if one.zone == self._zone and one.name not in forwarded.asked]
         if not others or len(forwarded.asked) >= FORWARD_TRIES:
             del self._pending[mark]
-            return [Counted("distribution_checks_unanswered")]
+            return [IncrementCounter("distribution_checks_unanswered")]
         name = self._chance.choice(others)
         forwarded.asked.append(name)
         forwarded.until = now + self._patience
@@ -100,7 +100,7 @@
         self._last_mark += 1
         waiting = {zone: list(names) for zone, names in relays.items() if names}
         silent = [zone for zone, names in relays.items() if not names]
-        half, whole = now + self._limits.check // 2, now + self._limits.check
+        half, whole = now + self._limits.check_timeout // 2, now + self._limits.check_timeout
         self._rounds[self._last_mark] = _Round(asked.mark, asked.entries, waiting, silent, {}, half, whole)
         return [*self._ask(self._last_mark), *self._done(self._last_mark)]
 
@@ -108,7 +108,7 @@
         """A relay hands back its zone's answer."""
         current = self._rounds.get(checked.mark)
         if current is None or checked.zone not in current.waiting:
-            return [Counted("distribution_late_checks", sender)]
+            return [IncrementCounter("distribution_late_checks", sender)]
         del current.waiting[checked.zone]
         current.faults.update((fault.key, fault) for fault in checked.faults)
         return self._done(checked.mark)
--- a/rackhub/fleet/distribution/coordinator.py
+++ b/rackhub/fleet/distribution/coordinator.py
@@ -3,17 +3,17 @@
 from collections.abc import Callable
 
 from rackhub.fleet.distribution.applying import RuleKeys
-from rackhub.fleet.distribution.endpoint import Endpoint, Inbox
-from rackhub.fleet.distribution.events import Applied, Apply, CheckWanted, Effect, Held, Persist, Persisted
+from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
+from rackhub.fleet.distribution.events import Applied, Apply, Effect, Persist, Persisted, RunCheck, StoredState
 from rackhub.fleet.distribution.limits import FAULT_KEYS, Limits
 from rackhub.fleet.distribution.messages import Check, Checked, Heartbeat, Revision, SnapshotPart, Unavailable, Update
 from rackhub.fleet.distribution.ports import Identity
 from rackhub.fleet.distribution.state import in_scope
-from rackhub.fleet.distribution.store import HeldStore
+from rackhub.fleet.distribution.store import StateStore
 from rackhub.fleet.distribution.watcher import Watcher
 from rackhub.fleet.ports import Fleet, KeyedDisk, RuleSection
 
-FROM_UPSTREAM = (Update, SnapshotPart, Heartbeat, Unavailable, Check)
+UPSTREAM_MESSAGE_TYPES = (Update, SnapshotPart, Heartbeat, Unavailable, Check)
 
 
 class Coordinator:
@@ -21,15 +21,15 @@
 
     def __init__(self, fleet: Fleet, identity: Identity, disk: KeyedDisk, limits: Limits):
         self._fleet, self._identity = fleet, identity
-        self._store = HeldStore(disk, identity.scope, fleet.add_count)
+        self._store = StateStore(disk, identity.scope, fleet.add_count)
         self._watcher = Watcher(identity, self._store.held, limits, fleet.clock.now())
         entries = in_scope(self._store.held.entries.values(), identity.scope)
         wanted = {entry.key: entry.value for entry in entries if entry.value is not None}
         self._keys = RuleKeys(wanted, self._store.fallback)
         self._unapplied: dict[str, Revision] = {}  # keys that are persisted, by the newest revision of each
         self.inbox = Inbox(fleet)
-        self._endpoint = Endpoint(fleet, self.inbox, self._watcher, self._perform)
-        self.inbox.route(FROM_UPSTREAM, self._endpoint.received)
+        self._runner = CoreRunner(fleet, self.inbox, self._watcher, self._perform)
+        self.inbox.route(UPSTREAM_MESSAGE_TYPES, self._runner.on_message)
 
     @property
     def version(self) -> int:
@@ -37,7 +37,7 @@
         return self._watcher.revision
 
     @property
-    def held(self) -> Held:
+    def held(self) -> StoredState:
         """The entries on the disk, with their revision."""
         return self._watcher.held
 
@@ -64,11 +64,11 @@
         """What was held is in force before the first word from a relay."""
         self._keys.start(self._store.held.revision)
         self.inbox.start()
-        self._endpoint.start()
+        self._runner.start()
 
     def stop(self) -> None:
         """Watch no longer; the rules in force stay."""
-        self._endpoint.stop()
+        self._runner.stop()
 
     def figures(self) -> dict[str, float]:
         """The metrics, by name."""
@@ -88,11 +88,11 @@
                 self._store.persist(effect, self._synced(effect.revision), fallback=self._fallback(effect))
             case Apply():
                 self._apply(effect)
-            case CheckWanted():
+            case RunCheck():
                 self._check(effect)
 
     def _synced(self, revision: int) -> Callable[[], None]:
-        return lambda: self._endpoint.hand(Persisted(revision))
+        return lambda: self._runner.dispatch(Persisted(revision))
 
     def _fallback(self, change: Persist) -> dict[str, bytes | None]:
         """What is in force of all keys that the next process may find a value of that can't be taken."""
@@ -109,8 +109,8 @@
         self._unapplied = {key: newest for key, newest in self._unapplied.items() if newest > effect.revision}
         if faults:
             self._fleet.add_count("distribution_not_taken", 1)
-        self._endpoint.hand(Applied(effect.revision, faults[:FAULT_KEYS]))
+        self._runner.dispatch(Applied(effect.revision, faults[:FAULT_KEYS]))
 
-    def _check(self, wanted: CheckWanted) -> None:
+    def _check(self, wanted: RunCheck) -> None:
         faults = self._keys.check(in_scope(wanted.entries, self._identity.scope))[:FAULT_KEYS]
         self.inbox.send(wanted.to, Checked(wanted.mark, self._identity.zone, faults))
--- a/rackhub/fleet/distribution/endpoint.py
+++ b/rackhub/fleet/distribution/core_runner.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.events import Counted, Effect, Event, Received, Send, Tick
+from rackhub.fleet.distribution.events import Effect, Event, IncrementCounter, Received, Send, Tick
 from rackhub.fleet.distribution.messages import KIND, AnyMessage, decode, encode
 from rackhub.fleet.distribution.ports import Core
 from rackhub.fleet.ports import Fleet, Name
@@ -69,9 +69,9 @@
         take(sender, message)
 
 
-class Endpoint:
-    """Runs one core. `perform` does its effects other than `Send` and `Counted`; it may hand in events at once, which
-    are taken after the effects at hand."""
+class CoreRunner:
+    """Runs one core. `perform` does its effects other than `Send` and `IncrementCounter`; it may hand in events at once,
+    which are taken after the effects at hand."""
 
     def __init__(self, fleet: Fleet, inbox: Inbox, core: Core, perform: Callable[[Effect], None]):
         self._fleet, self._inbox, self._core, self._perform = fleet, inbox, core, perform
@@ -81,7 +81,7 @@
         self._cancel: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        self.hand(Tick())
+        self.dispatch(Tick())
 
     def stop(self) -> None:
         self._ended = True
@@ -90,12 +90,12 @@
     def replace(self, core: Core) -> None:
         """Go on with another core; events that wait are its."""
         self._core = core
-        self.hand(Tick())
+        self.dispatch(Tick())
 
-    def received(self, sender: Name, message: AnyMessage) -> None:
-        self.hand(Received(sender, message))
+    def on_message(self, sender: Name, message: AnyMessage) -> None:
+        self.dispatch(Received(sender, message))
 
-    def hand(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         """One event in, all its effects done on return, unless this is called while another event's are."""
         self._events.append(event)
         if self._running or self._ended:
@@ -114,7 +114,7 @@
             match effect:
                 case Send(to, message):
                     self._inbox.send(to, message)
-                case Counted(name, sender):
+                case IncrementCounter(name, sender):
                     self._inbox.count(name, sender)
                 case _:
                     self._perform(effect)
@@ -130,4 +130,4 @@
 
     def _tick(self) -> None:
         self._wakes_at = -1
-        self.hand(Tick())
+        self.dispatch(Tick())
--- a/rackhub/fleet/distribution/decisions.py
+++ b/rackhub/fleet/distribution/decisions.py
@@ -51,11 +51,11 @@
     expected_revision: Revision | None = None
 
 
-class EditRefused(Exception):
+class EditRejected(Exception):
     """The edit is not taken, and certainly not done."""
 
 
-class InvalidEdit(EditRefused):
+class InvalidEdit(EditRejected):
     """The edit itself can't be taken. `key`: the one at fault, empty where it is the whole."""
 
     def __init__(self, key: str, why: str) -> None:
@@ -63,7 +63,7 @@
         self.key = key
 
 
-class RevisionMismatch(EditRefused):
+class RevisionMismatch(EditRejected):
     """Another change has come before."""
 
     def __init__(self, expected: Revision, newest: Revision) -> None:
@@ -71,7 +71,7 @@
         self.expected, self.newest = expected, newest
 
 
-class TailFull(EditRefused):
+class TailFull(EditRejected):
     """Too many changes wait for a majority of the voters to apply them."""
 
     def __init__(self, size: int, waiting: int) -> None:
@@ -100,17 +100,17 @@
     return tail
 
 
-def revision_of(tail: Tail, edit_id: str) -> Revision | None:
+def decided_revision(tail: Tail, edit_id: str) -> Revision | None:
     """The revision under which that edit was decided, as far as it is remembered."""
     decided = {change.id: change.revision for change in tail.changes}
     applied = {edit.id: edit.revision for edit in tail.applied}
     return decided.get(edit_id, applied.get(edit_id))
 
 
-def append(tail: Tail, edit: Edit, replicated: Revision) -> Tail:
+def append_edit(tail: Tail, edit: Edit, replicated: Revision) -> Tail:
     """The tail with the edit as its newest change; the same tail where it was decided before. `replicated`: a majority
-    of the voters has applied the changes up to it. Raises `EditRefused`."""
-    if revision_of(tail, edit.id) is not None:
+    of the voters has applied the changes up to it. Raises `EditRejected`."""
+    if decided_revision(tail, edit.id) is not None:
         return tail
     check_edit(edit)
     if edit.expected_revision not in (None, tail.newest):
--- a/rackhub/fleet/distribution/delivery.py
+++ b/rackhub/fleet/distribution/delivery.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.events import Apply, Effect, Held, Persist
+from rackhub.fleet.distribution.events import Apply, Effect, Persist, StoredState
 from rackhub.fleet.distribution.limits import FAULT_KEYS, UPDATE_BYTES
 from rackhub.fleet.distribution.messages import Entry, KeyFault, LogId, Revision
 from rackhub.fleet.distribution.state import entry_size
@@ -47,7 +47,7 @@
 class DiskDelivery:
     """One batch at a time is persisted, then applied; what comes meanwhile is merged into one that waits."""
 
-    def __init__(self, held: Held, scope: tuple[str, ...]) -> None:
+    def __init__(self, held: StoredState, scope: tuple[str, ...]) -> None:
         self.log = held.log
         self.scope = scope
         self.revision = self.newest = held.revision
@@ -60,9 +60,9 @@
         self._faults: dict[str, KeyFault] = {}
 
     @property
-    def held(self) -> Held:
+    def held(self) -> StoredState:
         """What is on the disk. The entries are the delivery's own: they change with it."""
-        return Held(self.log, self._on_disk, self.scope, self._entries)
+        return StoredState(self.log, self._on_disk, self.scope, self._entries)
 
     @property
     def faults(self) -> tuple[KeyFault, ...]:
--- a/rackhub/fleet/distribution/editing.py
+++ b/rackhub/fleet/distribution/editing.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.decisions import Edit, EditRefused, InvalidEdit, check_edit
+from rackhub.fleet.distribution.decisions import Edit, EditRejected, InvalidEdit, check_edit
 from rackhub.fleet.distribution.history import History
 from rackhub.fleet.distribution.messages import Change, Revision
 from rackhub.fleet.distribution.rules import PREFIX, Values, assemble, difference, flatten, part_of
@@ -24,36 +24,38 @@
     author: str
     reason: str
     id: str
-    on: Revision
-    parts: Mapping[str, Any] = {}
-    to: Revision = NEWEST
+    base_revision: Revision
+    sections: Mapping[str, Any] = {}
+    target_revision: Revision = NEWEST
 
 
 def plan(request: EditRequest, standing: Values, history: History) -> dict[str, bytes | None]:
-    """The keys that change, within bounds. Raises `EditRefused`, `RuleKeyError`, `NotKept`."""
+    """The keys that change, within bounds. Raises `EditRejected`, `RuleKeyError`, `RevisionNotRetained`."""
     _check_texts(request)
-    if request.on > history.newest:
-        raise EditRefused(f"there is no revision {request.on} yet: the newest is {history.newest}")
+    if request.base_revision > history.newest:
+        raise EditRejected(f"there is no revision {request.base_revision} yet: the newest is {history.newest}")
     rule_values = {key: value for key, value in standing.items() if key.startswith(PREFIX)}
     changed = _plan_edit(request, rule_values) if request.kind == "edit" else _plan_undo(request, history)
     changed = {key: value for key, value in changed.items() if rule_values.get(key) != value}
     if not changed:
-        raise EditRefused(f"it changes nothing: revision {history.newest} says the same")
+        raise EditRejected(f"it changes nothing: revision {history.newest} says the same")
     check_edit(Edit(request.id, changed, request.author, request.reason))
     return changed
 
 
 def check_conflicts(request: EditRequest, changed: Changed, since: Iterable[Change]) -> None:
-    """Raises `EditRefused` where one of the changes since the revision that the editor saw is of the same: of the same
+    """Raises `EditRejected` where one of the changes since the revision that the editor saw is of the same: of the same
     parts for an edit, which replaces them whole, of the same keys for an undo."""
-    found = [change for change in since if change.revision > request.on and _touches(request, changed, change)]
+    found = [
+        change for change in since if change.revision > request.base_revision and _touches(request, changed, change)
+    ]
     if found:
         theirs = "; ".join(
             f"revision {change.revision} by {change.author} ({change.reason})" for change in found[-SHOWN_CHANGES:]
         )
-        raise EditRefused(
-            f"{request.author}'s {request.kind} ({request.reason}) builds on revision {request.on}; since then there "
-            f"is {theirs}"
+        raise EditRejected(
+            f"{request.author}'s {request.kind} ({request.reason}) builds on revision {request.base_revision}; "
+            f"since then there is {theirs}"
         )
 
 
@@ -64,16 +66,16 @@
 
 
 def _plan_edit(request: EditRequest, values: Values) -> Changed:
-    content = {**assemble(values), **request.parts}
+    content = {**assemble(values), **request.sections}
     wanted = {name: part for name, part in content.items() if part is not None}
     return difference(values, flatten(wanted, values))
 
 
 def _plan_undo(request: EditRequest, history: History) -> Changed:
-    to = request.to if request.to != NEWEST else request.on - 1
-    if not 0 <= to < request.on:
-        raise EditRefused(f"to: {to} is not from 0 to {request.on - 1}")
-    undone = [past for past in history.since(to) if past.change.revision <= request.on]
+    to = request.target_revision if request.target_revision != NEWEST else request.base_revision - 1
+    if not 0 <= to < request.base_revision:
+        raise EditRejected(f"to: {to} is not from 0 to {request.base_revision - 1}")
+    undone = [past for past in history.since(to) if past.change.revision <= request.base_revision]
     changed: dict[str, bytes | None] = {}
     for past in reversed(undone):
         changed |= past.before
@@ -85,4 +87,4 @@
     if request.kind != "edit":
         return bool(keys & set(changed))
     parts = {part_of(key) for key in keys if key.startswith(PREFIX)}
-    return bool(parts & set(request.parts))
+    return bool(parts & set(request.sections))
--- a/rackhub/fleet/distribution/editor.py
+++ b/rackhub/fleet/distribution/editor.py
@@ -7,13 +7,21 @@
 import msgspec
 
 from rackhub.fleet.distribution.applying import RuleKeys
-from rackhub.fleet.distribution.decisions import Edit, EditRefused, Tail, append, decode_tail, encode_tail, revision_of
+from rackhub.fleet.distribution.decisions import (
+    Edit,
+    EditRejected,
+    Tail,
+    append_edit,
+    decided_revision,
+    decode_tail,
+    encode_tail,
+)
 from rackhub.fleet.distribution.editing import EditRequest, check_conflicts, plan
 from rackhub.fleet.distribution.events import CheckAsked, CheckDone
 from rackhub.fleet.distribution.history import History
 from rackhub.fleet.distribution.learning import Learner
 from rackhub.fleet.distribution.messages import Change, Entry, KeyFault, Revision
-from rackhub.fleet.distribution.replication import LOG_BYTES, WITHIN, Replication
+from rackhub.fleet.distribution.replication import LOG_BYTES, REGISTER_TIMEOUT, Replication
 from rackhub.fleet.register.proposer import Outcome, Proposer
 
 MOST_CHECKS = 16  # edits that are checked at a time
@@ -66,13 +74,15 @@
         self._last_mark = 0
 
     def edit(self, request: EditRequest, done: Done) -> None:
-        """`done` once. Raises `EditRefused`, `RuleKeyError` and `NotKept` where it can't come to anything."""
+        """`done` once. Raises `EditRejected`, `RuleKeyError` and `RevisionNotRetained` where it can't be done."""
         before = self._history.by_id(request.id)
         if before is not None:  # said again
             return self._when_held(_same(request, before.change).revision, (), done)
         changed = plan(request, self._learner.values(), self._history)
         base = self._learner.revision
-        check_conflicts(request, changed, [past.change for past in self._history.since(min(request.on, base))])
+        check_conflicts(
+            request, changed, [past.change for past in self._history.since(min(request.base_revision, base))]
+        )
         entries = tuple(Entry(key, value, base + 1) for key, value in changed.items())
         faults = self._keys.check(entries)
         if faults:
@@ -100,11 +110,11 @@
             tail = decode_tail(value) if value is not None else self._first_tail(new_log)
             try:
                 after = self._appended(tail, planned)
-            except EditRefused as refused:
+            except EditRejected as refused:
                 return value, refused
             return (value if after is tail else encode_tail(after)), after
 
-        self._proposer.change(propose, lambda outcome: self._decided(planned, unasked, outcome), WITHIN)
+        self._proposer.change(propose, lambda outcome: self._decided(planned, unasked, outcome), REGISTER_TIMEOUT)
 
     def _first_tail(self, new_log: str) -> Tail:
         """The register was never written, or lost with the voters' disks: what this voter holds goes on."""
@@ -113,26 +123,26 @@
     def _appended(self, tail: Tail, planned: _Planned) -> Tail:
         request, held = planned.request, self._learner
         if held.log and tail.log != held.log or tail.newest < held.revision:
-            raise EditRefused(
+            raise EditRejected(
                 f"the register has revision {tail.newest} of log {tail.log!r}, and this voter {held.revision} of "
                 f"{held.log!r}: the voters' disks were lost or put back"
             )
-        if revision_of(tail, request.id) is None:
+        if decided_revision(tail, request.id) is None:
             if tail.settled > planned.base:
-                raise EditRefused(f"this voter is behind: it holds revision {planned.base}; say it again")
+                raise EditRejected(f"this voter is behind: it holds revision {planned.base}; say it again")
             check_conflicts(request, planned.changed, [one for one in tail.changes if one.revision > planned.base])
         edit = Edit(request.id, planned.changed, request.author, request.reason)
-        return append(tail, edit, self._replication.replicated())
+        return append_edit(tail, edit, self._replication.replicated_revision())
 
     def _decided(self, planned: _Planned, unasked: tuple[str, ...], outcome: Outcome) -> None:
         if outcome.kind != "done":
             return planned.done(EditFailed(outcome.reason, unknown=outcome.kind == "unknown"))
         if outcome.value is not None:
             self._replication.learn(decode_tail(outcome.value))
-        if isinstance(outcome.answer, EditRefused):
+        if isinstance(outcome.answer, EditRejected):
             return planned.done(EditFailed(str(outcome.answer)))
         tail: Tail = outcome.answer
-        revision = revision_of(tail, planned.request.id)
+        revision = decided_revision(tail, planned.request.id)
         if revision is None:
             return planned.done(EditFailed("the register does not remember it", unknown=True))
         self._replication.announce(tail)
@@ -144,7 +154,9 @@
 
 def _same(request: EditRequest, change: Change) -> Change:
     if (change.author, change.reason) != (request.author, request.reason):
-        raise EditRefused(f"id {request.id!r} was used by {change.author}: revision {change.revision}, {change.reason}")
+        raise EditRejected(
+            f"id {request.id!r} was used by {change.author}: revision {change.revision}, {change.reason}"
+        )
     return change
 
 
--- a/rackhub/fleet/distribution/events.py
+++ b/rackhub/fleet/distribution/events.py
@@ -26,7 +26,7 @@
     zone: str = ""
 
 
-class Held(msgspec.Struct, frozen=True):
+class StoredState(msgspec.Struct, frozen=True):
     """What a watcher holds, and keeps on its disk: all entries in scope at `revision`, deleted ones left out. It is
     dropped where `scope` is another than the one that is configured."""
 
@@ -133,7 +133,7 @@
     snapshot: bool
 
 
-class CheckWanted(msgspec.Struct, frozen=True):
+class RunCheck(msgspec.Struct, frozen=True):
     """At a coordinator: look whether these entries could be taken, and send `Checked` to `to` with the same mark."""
 
     to: Name
@@ -149,11 +149,11 @@
     silent: tuple[str, ...]
 
 
-class Counted(msgspec.Struct, frozen=True):
+class IncrementCounter(msgspec.Struct, frozen=True):
     """Add to the counter of that name; `sender` where it was somebody's fault."""
 
     name: str
     sender: str = ""
 
 
-Effect = Send | Persist | Apply | CheckWanted | CheckDone | Counted
+Effect = Send | Persist | Apply | RunCheck | CheckDone | IncrementCounter
--- a/rackhub/fleet/distribution/history.py
+++ b/rackhub/fleet/distribution/history.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.events import Held
+from rackhub.fleet.distribution.events import StoredState
 from rackhub.fleet.distribution.messages import Change, Entry, Revision
 from rackhub.fleet.ports import KeyedDisk
 
@@ -18,14 +18,14 @@
 PREFIX = "distribution/history/"
 
 
-class Past(msgspec.Struct, frozen=True, array_like=True):
+class HistoryRecord(msgspec.Struct, frozen=True, array_like=True):
     """One change and the values that its keys had before it; None: no such key."""
 
     change: Change
     before: dict[str, bytes | None]
 
 
-class NotKept(Exception):
+class RevisionNotRetained(Exception):
     """The changes since a revision are no longer all known here."""
 
     def __init__(self, revision: Revision, oldest: Revision, newest: Revision):
@@ -38,13 +38,13 @@
     def __init__(self, disk: KeyedDisk, newest: Revision):
         self.newest = newest
         self.damage = ""
-        self._past: dict[Revision, Past] = {}
+        self._past: dict[Revision, HistoryRecord] = {}
         self._sizes: dict[Revision, int] = {}
         self._doomed: list[str] = []  # keys on the disk that go with the next write
         try:
             for key, body in disk.scan(PREFIX):
                 self._doomed.append(key)
-                past = msgspec.msgpack.decode(body, type=Past)
+                past = msgspec.msgpack.decode(body, type=HistoryRecord)
                 self._past[past.change.revision] = past
                 self._sizes[past.change.revision] = len(body)
         except msgspec.MsgspecError as bad:
@@ -61,7 +61,7 @@
     def add(self, change: Change, held: Mapping[str, Entry]) -> dict[str, bytes | None]:
         """Take the next change, before it is applied to `held`. Returns what is to be written along with it."""
         before = {entry.key: held[entry.key].value if entry.key in held else None for entry in change.entries}
-        past = Past(change, before)
+        past = HistoryRecord(change, before)
         body = msgspec.msgpack.encode(past)
         self._past[change.revision], self._sizes[change.revision] = past, len(body)
         self.newest = change.revision
@@ -78,23 +78,23 @@
         self.newest = newest
         return dict.fromkeys(dropped)
 
-    def since(self, revision: Revision) -> list[Past]:
-        """The changes after it, oldest first. Raises `NotKept`."""
+    def since(self, revision: Revision) -> list[HistoryRecord]:
+        """The changes after it, oldest first. Raises `RevisionNotRetained`."""
         if not self.oldest <= revision <= self.newest:
-            raise NotKept(revision, self.oldest, self.newest)
+            raise RevisionNotRetained(revision, self.oldest, self.newest)
         return [self._past[number] for number in range(revision + 1, self.newest + 1)]
 
-    def newest_first(self) -> Iterable[Past]:
+    def newest_first(self) -> Iterable[HistoryRecord]:
         """All changes that are kept, the last one first."""
         return reversed(self.since(self.oldest))
 
-    def by_id(self, id: str) -> Past | None:
+    def by_id(self, id: str) -> HistoryRecord | None:
         """The change of the edit with that id, as far as it is kept."""
         return next((past for past in self.newest_first() if past.change.id == id), None)
 
-    def _unbroken(self) -> dict[Revision, Past]:
+    def _unbroken(self) -> dict[Revision, HistoryRecord]:
         """Those up to the newest without a gap, oldest first."""
-        found: list[Past] = []
+        found: list[HistoryRecord] = []
         number = self.newest
         while number in self._past:
             found.append(self._past[number])
@@ -112,7 +112,7 @@
         return dropped
 
 
-def recover_misplaced(misplaced: Mapping[str, bytes | None], held: Held) -> dict[str, bytes]:
+def recover_misplaced(misplaced: Mapping[str, bytes | None], held: StoredState) -> dict[str, bytes]:
     """The history records among `misplaced` that are sound: of the newest change in `held`, and equal to what it left.
 
     Raises `msgspec.MsgspecError` where the newest change's record can't be read.
@@ -121,7 +121,7 @@
     body = misplaced.get(key)
     if body is None:
         return {}
-    change = msgspec.msgpack.decode(body, type=Past).change
+    change = msgspec.msgpack.decode(body, type=HistoryRecord).change
     standing = [entry for entry in change.entries if held.entries.get(entry.key) == _standing(entry)]
     if change.revision != held.revision or len(standing) < len(change.entries):
         return {}
--- a/rackhub/fleet/distribution/learning.py
+++ b/rackhub/fleet/distribution/learning.py
@@ -7,7 +7,7 @@
 from rackhub.fleet.distribution.events import Apply, CaughtUp, Decided, Persist
 from rackhub.fleet.distribution.history import History
 from rackhub.fleet.distribution.messages import Change, Entry, LogId, Revision
-from rackhub.fleet.distribution.store import HeldStore
+from rackhub.fleet.distribution.store import StateStore
 
 log = logging.getLogger(__name__)
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        store: HeldStore,
+        store: StateStore,
         history: History,
         begun: Callable[[CaughtUp], None],
         decided: Callable[[Decided], None],
--- a/rackhub/fleet/distribution/messages.py
+++ b/rackhub/fleet/distribution/messages.py
@@ -52,7 +52,7 @@
     reason: Reason
 
 
-class Lagging(msgspec.Struct, frozen=True, array_like=True):
+class LaggingWatcher(msgspec.Struct, frozen=True, array_like=True):
     """A watcher behind its relay: what it holds, and for how long its relay has been ahead of it, in milliseconds."""
 
     name: Name
@@ -156,7 +156,7 @@
     watchers: Number
     members: Number
     in_force: Annotated[tuple[RevisionCount, ...], Meta(max_length=16)]
-    worst: Annotated[tuple[Lagging, ...], Meta(max_length=WORST)] = ()
+    worst: Annotated[tuple[LaggingWatcher, ...], Meta(max_length=WORST)] = ()
     faults: Annotated[tuple[KeyFault, ...], Meta(max_length=FAULT_KEYS)] = ()
     fault_count: Number = 0
 
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -33,8 +33,8 @@
         self, reactor: Any, fleet: Fleet, settings: FleetSettings, control: Control | None, disk: KeyedDisk | None
     ):
         self._settings, self._control = settings, control
-        self._boot = fleet.members.all()[fleet.members.local_name].generation
-        self._link = _mail_link(reactor, fleet, settings, self._boot)
+        self._generation = fleet.members.all()[fleet.members.local_name].generation
+        self._link = _mail_link(reactor, fleet, settings, self._generation)
         self._fleet = fleet._replace(messenger=self._link)
         self.shell = self._shell(disk)
         self._cancel: Callable[[], None] = lambda: None
@@ -91,7 +91,7 @@
             upstreams=upstreams,
             scope=scope,
             seed=self._fleet.seed,
-            boot=self._boot,
+            generation=self._generation,
         )
 
     def _open_link(self) -> None:
@@ -108,14 +108,14 @@
             self._cancel = self._fleet.call_later(ADDRESS_AGAIN, self._open_link)
 
 
-def _mail_link(reactor: Any, fleet: Fleet, settings: FleetSettings, boot: int) -> MailLink:
+def _mail_link(reactor: Any, fleet: Fleet, settings: FleetSettings, generation: int) -> MailLink:
     directory = {node.name: parse_ipv4_address(node.address, "node") for node in settings.node}
     return MailLink(
         reactor,
         parse_ipv4_address(settings.watch, "watch"),
         settings.cluster,
         settings.name,
-        boot,
+        generation,
         parse_ipv4_address(settings.watch_advertise or settings.watch, "watch"),
         directory,
         seed=fleet.seed,
--- a/rackhub/fleet/distribution/ports.py
+++ b/rackhub/fleet/distribution/ports.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from rackhub.fleet.distribution.events import Effect, Event, Node
-from rackhub.fleet.distribution.messages import Lagging, Name, Revision
+from rackhub.fleet.distribution.messages import LaggingWatcher, Name, Revision
 
 
 class Core(Protocol):
@@ -26,7 +26,7 @@
     upstreams: tuple[Node, ...] = ()
     scope: tuple[str, ...] = ("",)
     seed: int = 0
-    boot: int = 0  # greater at each start of the process: session numbers begin above it
+    generation: int = 0  # greater at each start of the process: session numbers begin above it
 
 
 class FleetStatus(msgspec.Struct, frozen=True):
@@ -37,7 +37,7 @@
     expected: int
     lagging: int
     oldest: int
-    worst: tuple[Lagging, ...]
+    worst: tuple[LaggingWatcher, ...]
     fault_count: int
 
 
@@ -48,10 +48,10 @@
 
 
 # The constructors that the cores have:
-#   watcher.Watcher(identity: Identity, held: Held, limits: Limits, now: int)
-#       .held: Held, .revision: Revision (in force), .upstream: Name | None; its shell puts `held` in force before
+#   watcher.Watcher(identity: Identity, held: StoredState, limits: Limits, now: int)
+#       .held: StoredState, .revision: Revision (in force), .upstream: Name | None; its shell puts `held` in force
 #   relay.Relay(identity: Identity, limits: Limits, now: int)
 #       .revision: Revision (held), .watchers: int
-#   source.Source(identity: Identity, held: Held, limits: Limits, now: int)
+#   source.Source(identity: Identity, held: StoredState, limits: Limits, now: int)
 #       .revision: Revision, .status as in `Status`; it has no upstreams, and its shell persists a change before it
 #       hands in `Decided`.
--- a/rackhub/fleet/distribution/queries.py
+++ b/rackhub/fleet/distribution/queries.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from rackhub.fleet.distribution.coordinator import Coordinator
-from rackhub.fleet.distribution.history import NotKept
-from rackhub.fleet.distribution.messages import Change, KeyFault, Lagging, Revision
+from rackhub.fleet.distribution.history import RevisionNotRetained
+from rackhub.fleet.distribution.messages import Change, KeyFault, LaggingWatcher, Revision
 from rackhub.fleet.distribution.ports import FleetStatus
 from rackhub.fleet.distribution.relay_shell import RelayShell
 from rackhub.fleet.distribution.rules import PREFIX, assemble
@@ -98,8 +98,8 @@
     now = fleet.clock.now()
     return fleet_rows(voter.status()) | {
         "refused": fault_rows(voter.refused_keys()),
-        "votes": voter.register_voter.state.voting,
-        "replicated": voter.replication.replicated(),
+        "votes": voter.acceptor.state.voting,
+        "replicated": voter.replication.replicated_revision(),
         "voters": [
             {
                 "name": name,
@@ -113,10 +113,10 @@
 
 
 def _content_at(voter: Voter, revision: Revision) -> Mapping[str, Any]:
-    """Raises `NotKept`."""
+    """Raises `RevisionNotRetained`."""
     values: dict[str, bytes | None] = {**voter.learner.values()}
     if revision > voter.history.newest:
-        raise NotKept(revision, voter.history.oldest, voter.history.newest)
+        raise RevisionNotRetained(revision, voter.history.oldest, voter.history.newest)
     for past in reversed(voter.history.since(revision)):
         values |= past.before
     return assemble({key: value for key, value in values.items() if value is not None and key.startswith(PREFIX)})
@@ -136,7 +136,7 @@
     }
 
 
-def _lagging_row(lagging: Lagging) -> dict[str, Any]:
+def _lagging_row(lagging: LaggingWatcher) -> dict[str, Any]:
     row: dict[str, Any] = msgspec.to_builtins(msgspec.structs.asdict(lagging))
     row["behind_ms"] = row.pop("behind")
     return row
--- a/rackhub/fleet/distribution/receiver.py
+++ b/rackhub/fleet/distribution/receiver.py
@@ -7,7 +7,7 @@
 from rackhub.fleet.distribution.agenda import NEVER
 from rackhub.fleet.distribution.assembly import ReorderBuffer, SnapshotAssembly
 from rackhub.fleet.distribution.delivery import Delivery, Incoming
-from rackhub.fleet.distribution.events import Counted, Effect
+from rackhub.fleet.distribution.events import Effect, IncrementCounter
 from rackhub.fleet.distribution.limits import MILLISECOND
 from rackhub.fleet.distribution.messages import Entry, Heartbeat, LogId, Revision, SnapshotPart, Update
 from rackhub.fleet.distribution.state import in_scope
@@ -67,7 +67,7 @@
 
     def _take_update(self, update: Update) -> list[Effect]:
         if update.previous >= update.revision or any(entry.revision > update.revision for entry in update.entries):
-            return [Counted("distribution_damaged")]
+            return [IncrementCounter("distribution_damaged")]
         if not self._delivery.log:
             raise UnusableUpstream("distribution_damaged")  # who holds nothing is owed a snapshot
         if update.revision <= self._delivery.newest:
@@ -85,14 +85,14 @@
 
     def _take_part(self, part: SnapshotPart) -> list[Effect]:
         if part.part >= part.parts or any(entry.revision > part.revision for entry in part.entries):
-            return [Counted("distribution_damaged")]
+            return [IncrementCounter("distribution_damaged")]
         if self._is_behind(part):
             return self._refuse_snapshot(part)
         assembly = self._assembly
         if assembly is None or part.revision > assembly.revision:
             assembly = self._assembly = SnapshotAssembly(part)
         if not assembly.fits(part):
-            return [Counted("distribution_damaged")]
+            return [IncrementCounter("distribution_damaged")]
         assembly.add(part)
         self._confirm(part.revision, assembly.contiguous)
         if not assembly.is_complete:
@@ -111,12 +111,12 @@
         if part.revision < self._floor:
             raise UnusableUpstream("distribution_snapshots_refused")
         self._confirm(part.revision, part.parts)  # no more of it is needed
-        return [Counted("distribution_snapshots_refused")] if part.revision < self._delivery.newest else []
+        return [IncrementCounter("distribution_snapshots_refused")] if part.revision < self._delivery.newest else []
 
     def _take_heartbeat(self, heartbeat: Heartbeat) -> list[Effect]:
         self.acknowledge = True
         if heartbeat.previous > heartbeat.revision:
-            return [Counted("distribution_damaged")]
+            return [IncrementCounter("distribution_damaged")]
         if heartbeat.previous > self._delivery.newest:
             self._follows = max(self._follows, heartbeat.previous)
             return []
@@ -130,12 +130,12 @@
         effects: list[Effect] = []
         wanted = tuple(in_scope(entries, self._scope))
         if len(wanted) < len(entries):
-            effects.append(Counted("distribution_out_of_scope"))
+            effects.append(IncrementCounter("distribution_out_of_scope"))
         if not snapshot:
             wanted = tuple(entry for entry in wanted if entry.revision > self._delivery.newest)
         taken = self._delivery.take(Incoming(log, revision, wanted, snapshot))
         if taken is None:
-            return [*effects, Counted("distribution_deferred")]
+            return [*effects, IncrementCounter("distribution_deferred")]
         return [*effects, *taken]
 
     def _note_gap(self, now: int) -> None:
--- a/rackhub/fleet/distribution/relay.py
+++ b/rackhub/fleet/distribution/relay.py
@@ -5,7 +5,16 @@
 
 from rackhub.fleet.distribution.checks import CheckForwarding
 from rackhub.fleet.distribution.delivery import Incoming
-from rackhub.fleet.distribution.events import Counted, Effect, Event, Held, MembersChanged, Received, Send, Tick
+from rackhub.fleet.distribution.events import (
+    Effect,
+    Event,
+    IncrementCounter,
+    MembersChanged,
+    Received,
+    Send,
+    StoredState,
+    Tick,
+)
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import (
     Acknowledge,
@@ -65,13 +74,13 @@
         self._identity, self._limits = identity, limits
         self._voters = frozenset(node.name for node in identity.upstreams)
         self._state = KeyValueState(limits)
-        held = Held(scope=identity.scope)
+        held = StoredState(scope=identity.scope)
         self._watcher = Watcher(identity, held, limits, now, MemoryDelivery(self._state))
         chance = random.Random(f"{identity.seed} relay {identity.name}")
         self._server = WatchServer(self._state, limits, identity.zone, chance, now, self._age)
         self._checks = CheckForwarding(identity.zone, limits, chance)
         self._members = 0
-        self._report_at = now + limits.report
+        self._report_at = now + limits.report_interval
         self._reported_at = now
         self._reported_progress = 0
 
@@ -111,12 +120,12 @@
             return self._server.receive(now, sender, message)
         if isinstance(message, Check):
             if sender not in self._voters:
-                return [Counted("distribution_unexpected", sender)]
+                return [IncrementCounter("distribution_unexpected", sender)]
             return self._checks.forward(now, sender, message, self._server.sessions.values())
         if isinstance(message, Checked):
             return self._checks.answered(sender, message)
         if isinstance(message, Report):
-            return [Counted("distribution_unexpected", sender)]
+            return [IncrementCounter("distribution_unexpected", sender)]
         return self._watcher.step(now, Received(sender, message))
 
     def _tick(self, now: int) -> list[Effect]:
@@ -126,7 +135,7 @@
         if now >= self._checks.due():
             effects += self._checks.tick(now, self._server.sessions.values())
         if self._server.progress != self._reported_progress:
-            soonest = self._reported_at + self._limits.report // REPORTS_A_SECOND
+            soonest = self._reported_at + self._limits.report_interval // REPORTS_A_SECOND
             self._report_at = min(self._report_at, max(soonest, now))
         if now >= self._report_at:
             effects += self._report(now)
@@ -134,7 +143,7 @@
 
     def _report(self, now: int) -> list[Effect]:
         self._reported_at = now
-        self._report_at = now + self._limits.report
+        self._report_at = now + self._limits.report_interval
         self._reported_progress = self._server.progress
         state = self._state
         sessions = self._server.sessions.values()
--- a/rackhub/fleet/distribution/relay_shell.py
+++ b/rackhub/fleet/distribution/relay_shell.py
@@ -1,6 +1,6 @@
 """A relay's side: its core on mail, and how many coordinators live in its zone by the members' word."""
 
-from rackhub.fleet.distribution.endpoint import Endpoint, Inbox
+from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
 from rackhub.fleet.distribution.events import Effect, MembersChanged
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import (
@@ -28,8 +28,8 @@
         self._fleet, self._nodes = fleet, nodes
         self._relay = Relay(identity, limits, fleet.clock.now())
         self.inbox = Inbox(fleet)
-        self._endpoint = Endpoint(fleet, self.inbox, self._relay, self._perform)
-        self.inbox.route(TAKEN, self._endpoint.received)
+        self._runner = CoreRunner(fleet, self.inbox, self._relay, self._perform)
+        self.inbox.route(TAKEN, self._runner.on_message)
         self._living = -1
         self._ended = False
 
@@ -45,12 +45,12 @@
     def start(self) -> None:
         self._fleet.members.follow(self._member_changed)
         self.inbox.start()
-        self._endpoint.start()
+        self._runner.start()
         self._count_members()
 
     def stop(self) -> None:
         self._ended = True
-        self._endpoint.stop()
+        self._runner.stop()
 
     def figures(self) -> dict[str, float]:
         return {
@@ -71,4 +71,4 @@
         living = len(self._fleet.members.live() - self._nodes)
         if living != self._living and not self._ended:
             self._living = living
-            self._endpoint.hand(MembersChanged(living))
+            self._runner.dispatch(MembersChanged(living))
--- a/rackhub/fleet/distribution/replication.py
+++ b/rackhub/fleet/distribution/replication.py
@@ -27,7 +27,7 @@
 UNFINISHED = 1 * SECOND  # how long the register voter holds a value that nobody told was chosen, before it is read
 READ_AGAIN = 1 * SECOND  # between two readings of the register
 LOG_BYTES = 8  # of a new log's identity
-WITHIN = 5 * SECOND  # for one change or reading of the register
+REGISTER_TIMEOUT = 5 * SECOND  # for one change or reading of the register
 
 
 class VoterRevision(msgspec.Struct, frozen=True):
@@ -45,14 +45,14 @@
         self,
         fleet: Fleet,
         voters: tuple[Name, ...],
-        register_voter: AcceptorShell,
+        acceptor: AcceptorShell,
         proposer: Proposer,
         learner: Learner,
         busy: Callable[[], bool],
         confirmed: Callable[[int], None],
     ):
         self._fleet, self._voters, self._proposer = fleet, voters, proposer
-        self._register_voter, self._learner, self._busy = register_voter, learner, busy
+        self._acceptor, self._learner, self._busy = acceptor, learner, busy
         self._confirmed = confirmed
         self._mail = VoterMail(fleet, voters, self._mailed)
         self.heard: dict[Name, VoterRevision] = {}
@@ -73,7 +73,7 @@
         self._ended = True
         self._cancel()
 
-    def replicated(self) -> Revision:
+    def replicated_revision(self) -> Revision:
         """The newest revision that a majority of the voters is known to have on its disks."""
         others = [heard.revision for heard in self.heard.values()]
         return majority_revision([self._learner.synced, *others], len(self._voters))
@@ -96,7 +96,7 @@
 
     def announce(self, tail: Tail) -> None:
         """Tell the other voters of changes that this one had decided, one at a time to fit in a piece of mail."""
-        known = self.replicated()
+        known = self.replicated_revision()
         for change in tail.changes:
             if change.revision > known:
                 self._mail.send_all(ChosenChanges(tail.log, (change,)))
@@ -136,7 +136,7 @@
         if self._reading or self._busy() or self._ended or now < self._read_at:
             return
         self._reading, self._read_at = True, now + READ_AGAIN
-        self._proposer.read(self._was_read, WITHIN)
+        self._proposer.read(self._was_read, REGISTER_TIMEOUT)
 
     def _begin_log(self) -> None:
         """Nothing is held: have the register begin a log where it has none, so that watchers know its identity."""
@@ -145,7 +145,9 @@
             return
         self._reading, self._read_at = True, now + READ_AGAIN
         first = encode_tail(Tail(secrets.token_hex(LOG_BYTES)))
-        self._proposer.change(lambda value: (value if value is not None else first, None), self._was_read, WITHIN)
+        self._proposer.change(
+            lambda value: (value if value is not None else first, None), self._was_read, REGISTER_TIMEOUT
+        )
 
     def _was_read(self, outcome: Outcome) -> None:
         self._reading = False
@@ -183,7 +185,7 @@
             self._read()
 
     def _note_accepted(self) -> None:
-        state = self._register_voter.state
+        state = self._acceptor.state
         value = state.value if state.voting else None
         if value is self._seen:
             return
--- a/rackhub/fleet/distribution/reports.py
+++ b/rackhub/fleet/distribution/reports.py
@@ -4,7 +4,7 @@
 
 from rackhub.fleet.distribution.checks import RelaysByZone
 from rackhub.fleet.distribution.limits import MILLISECOND, SECOND, WORST, Limits
-from rackhub.fleet.distribution.messages import Lagging, LogId, Name, Report, Revision
+from rackhub.fleet.distribution.messages import LaggingWatcher, LogId, Name, Report, Revision
 from rackhub.fleet.distribution.ports import FleetStatus
 
 FORGOTTEN_AFTER = 3_600 * SECOND  # without a report a relay no longer counts, neither do its zone's coordinators
@@ -68,16 +68,16 @@
                 fresh[zone] = max(fresh.get(zone, 0), members)
         return sum(fresh.get(zone, members) for zone, (_, members) in last.items())
 
-    def _behind(self, now: int, kept: _Kept, revision: Revision) -> list[Lagging]:
+    def _behind(self, now: int, kept: _Kept, revision: Revision) -> list[LaggingWatcher]:
         age = (now - kept.received_at) // MILLISECOND
         return [
-            Lagging(lagging.name, lagging.revision, lagging.behind + age)
+            LaggingWatcher(lagging.name, lagging.revision, lagging.behind + age)
             for lagging in kept.report.worst
             if lagging.revision < revision
         ]
 
     def _is_fresh(self, now: int, kept: _Kept) -> bool:
-        return now - kept.received_at <= self._limits.report_age
+        return now - kept.received_at <= self._limits.max_report_age
 
     def _forget(self, now: int) -> None:
         gone = [name for name, kept in self._kept.items() if now - kept.received_at > FORGOTTEN_AFTER]
--- a/rackhub/fleet/distribution/selection.py
+++ b/rackhub/fleet/distribution/selection.py
@@ -76,11 +76,11 @@
 
     def waits(self, now: int) -> int:
         """Until when to wait where `choose` gave none."""
-        return min(self._home_wait(now), now + self._limits.retry_most)
+        return min(self._home_wait(now), now + self._limits.max_retry_delay)
 
     def _home_wait(self, now: int) -> int:
         """When a relay at home that only refused for the moment may be asked again; NEVER: none is worth waiting."""
-        soon = now + self._limits.retry_most
+        soon = now + self._limits.max_retry_delay
         waiting = [one.until for one in self._all if one.home and 0 < one.refusals <= PATIENCE and one.until <= soon]
         return min(waiting, default=NEVER)
 
@@ -88,12 +88,12 @@
         """It did not answer, or not what can be used: it is not asked for a while."""
         candidate = self._by_name[name]
         candidate.refusals = 0
-        candidate.until = now + int(self._limits.silence * self._chance.uniform(0.75, 1.0))
+        candidate.until = now + int(self._limits.upstream_timeout * self._chance.uniform(0.75, 1.0))
 
     def refused(self, name: Name, now: int, retry_after: int) -> None:
         """It answered that it can't serve for so many microseconds; the wait grows with each refusal in a row."""
         candidate = self._by_name[name]
-        least = self._limits.retry_least << min(candidate.refusals, 4)
+        least = self._limits.min_retry_delay << min(candidate.refusals, 4)
         candidate.refusals += 1
         candidate.until = now + max(retry_after, int(least * self._chance.uniform(0.5, 1.0)))
 
--- a/rackhub/fleet/distribution/server.py
+++ b/rackhub/fleet/distribution/server.py
@@ -9,7 +9,7 @@
 
 from rackhub.fleet.distribution.admission import Admission
 from rackhub.fleet.distribution.agenda import Agenda
-from rackhub.fleet.distribution.events import Counted, Effect, Send
+from rackhub.fleet.distribution.events import Effect, IncrementCounter, Send
 from rackhub.fleet.distribution.limits import MILLISECOND, Limits
 from rackhub.fleet.distribution.messages import (
     Acknowledge,
@@ -95,7 +95,7 @@
             self._end(known)
         if self._refused(now, sender, watch):
             return
-        session = Session(sender, watch, self._limits.credit, now)
+        session = Session(sender, watch, self._limits.max_credit, now)
         self.sessions[sender] = session
         self.progress += 1
         self._guests += self._admission.is_guest(session.zone)
@@ -107,12 +107,12 @@
         """Whether this watch can't be served; the watcher is told why."""
         state = self._state
         if not state.log:
-            return self._refuse(sender, watch.session, NO_LOG, self._limits.retry_least // MILLISECOND)
+            return self._refuse(sender, watch.session, NO_LOG, self._limits.min_retry_delay // MILLISECOND)
         if watch.log not in ("", state.log):
             self._count("distribution_other_logs", sender)
-            return self._refuse(sender, watch.session, OTHER_LOG, self._limits.silence // MILLISECOND)
+            return self._refuse(sender, watch.session, OTHER_LOG, self._limits.upstream_timeout // MILLISECOND)
         if watch.log and watch.revision > state.revision:
-            return self._refuse(sender, watch.session, BEHIND, self._limits.retry_least // MILLISECOND)
+            return self._refuse(sender, watch.session, BEHIND, self._limits.min_retry_delay // MILLISECOND)
         wait = self._admission.room(len(self.sessions), self._guests, watch.zone)
         if wait:
             return self._refuse(sender, watch.session, FULL, wait)
@@ -155,10 +155,10 @@
     # ---- sending
 
     def _look_after(self, now: int, session: Session) -> None:
-        if now >= session.heard_at + self._limits.session:
+        if now >= session.heard_at + self._limits.session_timeout:
             self._count("distribution_sessions_expired", session.name)
             return self._end(session)
-        if session.waits and now >= session.asked_at + self._limits.acknowledge:
+        if session.waits and now >= session.asked_at + self._limits.acknowledge_timeout:
             self._count("distribution_resent")
             heartbeat_at = session.heartbeat_at
             session.rewind(now)
@@ -181,7 +181,7 @@
         if revision < self._state.revision:  # the watcher lags: it is not to pass for fresh while it does not get on
             age = max(age, now - session.progress_at)
         self._send(session.name, Heartbeat(session.number, self._state.log, previous, revision, age // MILLISECOND))
-        session.heartbeat_at = now + self._limits.heartbeat
+        session.heartbeat_at = now + self._limits.heartbeat_interval
         self._schedule(session)
 
     def _pump(self, now: int, session: Session) -> None:
@@ -208,7 +208,7 @@
             update = Update(session.number, self._state.log, session.chain, batch.revision, batch.entries)
             self._send(session.name, update)
             session.sent_update(batch.revision, now)
-            session.heartbeat_at = now + self._limits.heartbeat
+            session.heartbeat_at = now + self._limits.heartbeat_interval
 
     def _begin_transfer(self, now: int, session: Session) -> None:
         wait = self._admission.snapshot(now)
@@ -227,7 +227,7 @@
             )
             self._send(session.name, message)
             transfer.next_part += 1
-            session.heartbeat_at = now + self._limits.heartbeat
+            session.heartbeat_at = now + self._limits.heartbeat_interval
 
     # ---- effects
 
@@ -235,7 +235,7 @@
         self._effects.append(Send(to, message))
 
     def _count(self, name: str, sender: Name = "") -> None:
-        self._effects.append(Counted(name, sender))
+        self._effects.append(IncrementCounter(name, sender))
 
     def _taken(self) -> list[Effect]:
         effects, self._effects = self._effects, []
--- a/rackhub/fleet/distribution/service.py
+++ b/rackhub/fleet/distribution/service.py
@@ -6,10 +6,10 @@
 import msgspec
 
 from rackhub.fleet.distribution.coordinator import Coordinator
-from rackhub.fleet.distribution.decisions import EditRefused, InvalidEdit
+from rackhub.fleet.distribution.decisions import EditRejected, InvalidEdit
 from rackhub.fleet.distribution.editing import EditRequest
 from rackhub.fleet.distribution.editor import EditDone, EditFailed
-from rackhub.fleet.distribution.history import NotKept
+from rackhub.fleet.distribution.history import RevisionNotRetained
 from rackhub.fleet.distribution.queries import difference_answer, history_answer, show_answer, status_answer
 from rackhub.fleet.distribution.relay_shell import RelayShell
 from rackhub.fleet.distribution.voter import Voter
@@ -55,7 +55,7 @@
             handler(read(words), answer)
         except InvalidEdit as bad:
             answer({"error": str(bad), "exit": BAD_USAGE})
-        except (EditRefused, NotKept) as refused:
+        except (EditRejected, RevisionNotRetained) as refused:
             answer({"error": str(refused), "exit": REFUSED})
         except (ValueError, msgspec.ValidationError) as bad:
             answer({"error": str(bad), "exit": BAD_USAGE})
@@ -98,9 +98,9 @@
             author=call.author,
             reason=call.reason,
             id=call.id,
-            on=on,
-            parts=call.changes,
-            to=call.target_version,
+            base_revision=on,
+            sections=call.changes,
+            target_revision=call.target_version,
         )
         began = self._fleet.clock.now()
 
--- a/rackhub/fleet/distribution/session.py
+++ b/rackhub/fleet/distribution/session.py
@@ -78,8 +78,8 @@
 
     def due(self, limits: Limits) -> int:
         """When this session is to be looked at next."""
-        due = min(self.heartbeat_at, self.heard_at + limits.session)
-        return min(due, self.asked_at + limits.acknowledge) if self.waits else due
+        due = min(self.heartbeat_at, self.heard_at + limits.session_timeout)
+        return min(due, self.asked_at + limits.acknowledge_timeout) if self.waits else due
 
     def sent_update(self, revision: Revision, now: int) -> None:
         if not self.waits:
@@ -136,6 +136,6 @@
     def effective_revision(self, newest: Revision, now: int, limits: Limits) -> Revision:
         """What counts as in force: the newest where nothing in scope is pending and the watcher was heard lately."""
         complete = not self.waits and self.position >= newest
-        if complete and now - self.heard_at <= limits.silence:
+        if complete and now - self.heard_at <= limits.upstream_timeout:
             return newest
         return min(self.acknowledged, newest)
--- a/rackhub/fleet/distribution/source.py
+++ b/rackhub/fleet/distribution/source.py
@@ -8,12 +8,12 @@
     CaughtUp,
     CheckAsked,
     Confirmed,
-    Counted,
     Decided,
     Effect,
     Event,
-    Held,
+    IncrementCounter,
     Received,
+    StoredState,
 )
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import (
@@ -37,7 +37,7 @@
 class Source:
     """Serves what the register has decided. It has no upstream; its shell persists a change before it hands it in."""
 
-    def __init__(self, identity: Identity, held: Held, limits: Limits, now: int) -> None:
+    def __init__(self, identity: Identity, held: StoredState, limits: Limits, now: int) -> None:
         self._limits = limits
         self._state = KeyValueState(limits)
         self._state.restore(held.log, held.revision, held.entries.values())
@@ -96,12 +96,12 @@
             return self._checks.answered(sender, message)
         if isinstance(message, Report) and self._reports.keep(now, sender, message):
             return []
-        return [Counted("distribution_unexpected", sender)]
+        return [IncrementCounter("distribution_unexpected", sender)]
 
     def _decided(self, now: int, log: LogId, changes: tuple[Change, ...]) -> list[Effect]:
         """Changes that are held are passed over; those after a gap wait until the shell has caught up."""
         if self._state.log and log != self._state.log:
-            return [Counted("distribution_other_logs")]
+            return [IncrementCounter("distribution_other_logs")]
         self._state.log = log
         effects: list[Effect] = []
         for change in changes:
@@ -109,14 +109,14 @@
                 if self._state.apply_change(log, change):
                     self._note_decided(now, change.revision)
             except RevisionGap:
-                effects.append(Counted("distribution_gaps"))
+                effects.append(IncrementCounter("distribution_gaps"))
                 break
         return [*self._server.publish(now), *effects]
 
     def _caught_up(self, now: int, event: CaughtUp) -> list[Effect]:
         if event.snapshot:
             if self._state.log not in ("", event.log):
-                return [Counted("distribution_other_logs")]
+                return [IncrementCounter("distribution_other_logs")]
             if event.revision < self._state.revision or event.log == "":
                 return []
             self._state.restore(event.log, event.revision, event.entries)
@@ -124,13 +124,13 @@
             try:
                 self._state.apply(event.log, event.previous, event.revision, event.entries)
             except (RevisionGap, ForeignLog):
-                return [Counted("distribution_gaps")]
+                return [IncrementCounter("distribution_gaps")]
         self._note_decided(now, event.revision)
         return self._server.publish(now)
 
     def _note_decided(self, now: int, revision: Revision) -> None:
         self._decided_at[revision] = now
-        if len(self._decided_at) > self._limits.history:
+        if len(self._decided_at) > self._limits.max_log_steps:
             del self._decided_at[next(iter(self._decided_at))]
 
     def _age(self, now: int) -> int:
--- a/rackhub/fleet/distribution/state.py
+++ b/rackhub/fleet/distribution/state.py
@@ -143,7 +143,9 @@
         self._steps.append(step)
         self._revisions.append(step.revision)
         self._log_bytes += step.size
-        while len(self._steps) - self._first > self._limits.history or self._log_bytes > self._limits.history_bytes:
+        while (
+            len(self._steps) - self._first > self._limits.max_log_steps or self._log_bytes > self._limits.max_log_bytes
+        ):
             dropped = self._steps[self._first]
             self._log_bytes -= dropped.size
             self.oldest = dropped.revision
@@ -180,7 +182,7 @@
             step = self._steps[index]
             found = [entry for entry in in_scope(step.entries, scope) if entry.revision > revision]
             added = sum(map(entry_size, found))
-            if newest and found and size + added > self._limits.update_bytes:
+            if newest and found and size + added > self._limits.max_update_bytes:
                 break
             for entry in found:
                 replaced = newest.pop(entry.key, None)
@@ -196,6 +198,6 @@
         if snapshot is None:
             if len(self._snapshots) >= REMEMBERED_SNAPSHOTS:
                 self._snapshots.clear()
-            parts = split(in_scope(self.entries.values(), scope), self._limits.update_bytes)
+            parts = split(in_scope(self.entries.values(), scope), self._limits.max_update_bytes)
             snapshot = self._snapshots[scope] = Snapshot(self.revision, parts)
         return snapshot
--- a/rackhub/fleet/distribution/store.py
+++ b/rackhub/fleet/distribution/store.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.events import Held, Persist
+from rackhub.fleet.distribution.events import Persist, StoredState
 from rackhub.fleet.distribution.history import PREFIX as HISTORY_PREFIX
 from rackhub.fleet.distribution.messages import Entry, LogId, Revision
 from rackhub.fleet.ports import KeyedDisk
@@ -15,7 +15,7 @@
 DAMAGED = "distribution_damaged"  # counter
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
+class StoredHeader(msgspec.Struct, frozen=True, array_like=True):
     """What the entries beside it stand for."""
 
     log: LogId
@@ -23,7 +23,7 @@
     scope: tuple[str, ...]
 
 
-class HeldStore:
+class StateStore:
     """`held`: what an earlier process left, or nothing. `fallback`: what was in force for keys whose newest value was
     not known to be taken; None: no such key. `misplaced_history`: history records of a voter that earlier versions
     stored in the fallback record; the next `persist` removes them from it. `prefix`: of its keys on the disk.
@@ -43,7 +43,7 @@
         self._head_key, self._fallback_key = f"{prefix}/head", f"{prefix}/fallback"
         self._entry_prefix = f"{prefix}/entry/"
         self._keys: set[str] = set()  # of the entries on the disk
-        self.held = Held()
+        self.held = StoredState()
         self.fallback: Mapping[str, bytes | None] = {}
         self.misplaced_history: Mapping[str, bytes | None] = {}
         self.damage = ""
@@ -72,7 +72,7 @@
                 self._keys.discard(entry.key)
             else:
                 self._keys.add(entry.key)
-        changes[self._head_key] = msgspec.msgpack.encode(Head(change.log, change.revision, self._scope))
+        changes[self._head_key] = msgspec.msgpack.encode(StoredHeader(change.log, change.revision, self._scope))
         if fallback is None and self.misplaced_history:
             fallback = self.fallback
         if fallback is not None:
@@ -84,7 +84,7 @@
         head_body = self._disk.get(self._head_key)
         if head_body is None:
             return
-        head = msgspec.msgpack.decode(head_body, type=Head)
+        head = msgspec.msgpack.decode(head_body, type=StoredHeader)
         entries = dict(self._entries())
         fallback_body = self._disk.get(self._fallback_key)
         if fallback_body is not None:
@@ -92,7 +92,7 @@
             self.misplaced_history = {key: body for key, body in stored.items() if key.startswith(HISTORY_PREFIX)}
             self.fallback = {key: value for key, value in stored.items() if key not in self.misplaced_history}
         self._keys = set(entries)
-        self.held = Held(head.log, head.revision, head.scope, entries)
+        self.held = StoredState(head.log, head.revision, head.scope, entries)
 
     def _entries(self) -> Iterable[tuple[str, Entry]]:
         for key, body in self._disk.scan(self._entry_prefix):
@@ -109,7 +109,7 @@
         self._keys = set()
         self.fallback = {}
         self.misplaced_history = {}
-        self.held = Held()
+        self.held = StoredState()
 
 
 def _encoded(entry: Entry) -> bytes | None:
--- a/rackhub/fleet/distribution/summary.py
+++ b/rackhub/fleet/distribution/summary.py
@@ -5,7 +5,7 @@
 
 from rackhub.fleet.distribution.agenda import NEVER
 from rackhub.fleet.distribution.limits import FAULT_KEYS, MILLISECOND, WORST, Limits
-from rackhub.fleet.distribution.messages import KeyFault, Lagging, LogId, Report, Revision, RevisionCount
+from rackhub.fleet.distribution.messages import KeyFault, LaggingWatcher, LogId, Report, Revision, RevisionCount
 from rackhub.fleet.distribution.session import Session
 
 COUNTS = 16  # revisions told apart in one report
@@ -16,7 +16,7 @@
 ) -> Report:
     """The report of a relay at `revision` with these sessions."""
     counts: Counter[Revision] = Counter()
-    behind: list[Lagging] = []
+    behind: list[LaggingWatcher] = []
     faults: dict[str, KeyFault] = {}
     watchers = fault_count = 0
     for session in sessions:
@@ -24,7 +24,7 @@
         in_force = session.effective_revision(revision, now, limits)
         counts[in_force] += 1
         if in_force < revision:
-            behind.append(Lagging(session.name, in_force, _behind(session, now)))
+            behind.append(LaggingWatcher(session.name, in_force, _behind(session, now)))
         if session.faults:
             fault_count += 1
             faults.update((fault.key, fault) for fault in session.faults)
--- a/rackhub/fleet/distribution/upstream.py
+++ b/rackhub/fleet/distribution/upstream.py
@@ -73,7 +73,7 @@
         """Whom to ask now, if anyone."""
         if stream is None:
             return self._next_without_stream(now)
-        if now >= stream.confirmed_at + self._limits.stale:
+        if now >= stream.confirmed_at + self._limits.max_staleness:
             return self._candidates.choose_other(now, stream.name) if self._may_retry(now, stream) else None
         if now < self._return_at:
             return None
@@ -84,7 +84,7 @@
         """When `next` is of use."""
         if stream is None:
             return self._retry_at
-        return min(max(stream.confirmed_at + self._limits.stale, self._retry_at), self._return_at)
+        return min(max(stream.confirmed_at + self._limits.max_staleness, self._retry_at), self._return_at)
 
     def _next_without_stream(self, now: int) -> Name | None:
         if now < self._retry_at:
@@ -101,8 +101,8 @@
         return True
 
     def _wait(self, now: int, stream: Stream | None) -> None:
-        most = self._limits.retry_most if stream is None else self._limits.silence
-        wait = min(self._limits.retry_least << min(self._retries, 16), most)
+        most = self._limits.max_retry_delay if stream is None else self._limits.upstream_timeout
+        wait = min(self._limits.min_retry_delay << min(self._retries, 16), most)
         self._retry_at = now + int(wait * self._chance.uniform(0.5, 1.0))
         self._retries += 1
 
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -6,10 +6,10 @@
 
 from rackhub.fleet.distribution.applying import RuleKeys
 from rackhub.fleet.distribution.catching_up import CatchUp
-from rackhub.fleet.distribution.decisions import EditRefused
+from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
+from rackhub.fleet.distribution.decisions import EditRejected
 from rackhub.fleet.distribution.editing import EditRequest
 from rackhub.fleet.distribution.editor import Done, Editor
-from rackhub.fleet.distribution.endpoint import Endpoint, Inbox
 from rackhub.fleet.distribution.events import (
     Apply,
     CaughtUp,
@@ -37,7 +37,7 @@
 from rackhub.fleet.distribution.ports import FleetStatus, Identity
 from rackhub.fleet.distribution.replication import Replication
 from rackhub.fleet.distribution.source import Source
-from rackhub.fleet.distribution.store import DAMAGED, HeldStore
+from rackhub.fleet.distribution.store import DAMAGED, StateStore
 from rackhub.fleet.distribution.voting import REGISTER
 from rackhub.fleet.ports import Fleet, KeyedDisk, Name, RuleSection
 from rackhub.fleet.register.acceptor_shell import AcceptorShell
@@ -55,33 +55,33 @@
 
     def __init__(self, fleet: Fleet, identity: Identity, voters: tuple[Name, ...], disk: KeyedDisk, limits: Limits):
         self._fleet = fleet
-        self._store = HeldStore(disk, EVERYTHING, fleet.add_count)
+        self._store = StateStore(disk, EVERYTHING, fleet.add_count)
         held = self._store.held
         self._move_misplaced_history()
         self._source = Source(identity, held, limits, fleet.clock.now())
         self.inbox = Inbox(fleet)
-        self._endpoint = Endpoint(fleet, self.inbox, self._source, self._perform)
-        self.inbox.route(FROM_WATCHERS, self._endpoint.received)
+        self._runner = CoreRunner(fleet, self.inbox, self._source, self._perform)
+        self.inbox.route(FROM_WATCHERS, self._runner.on_message)
         self.inbox.route((Report,), self._reported)
         self.history = History(disk, held.revision)
         self.learner = Learner(
-            self._store, self.history, self._endpoint.hand, self._learned, self._catch_up, fleet.add_count
+            self._store, self.history, self._runner.dispatch, self._learned, self._catch_up, fleet.add_count
         )
         self._keys = RuleKeys(self.learner.values(), self._store.fallback)
         self._catching_up = self._new_catch_up(identity, voters, limits)
-        self.register_voter = AcceptorShell(fleet, voters, disk, identity.boot, REGISTER)
-        self._proposer = Proposer(fleet, voters, identity.boot, self.register_voter, REGISTER)
+        self.acceptor = AcceptorShell(fleet, voters, disk, identity.generation, REGISTER)
+        self._proposer = Proposer(fleet, voters, identity.generation, self.acceptor, REGISTER)
         self.replication = Replication(
             fleet,
             voters,
-            self.register_voter,
+            self.acceptor,
             self._proposer,
             self.learner,
             lambda: self._catching_up.running,
-            lambda age: self._endpoint.hand(Confirmed(age)),
+            lambda age: self._runner.dispatch(Confirmed(age)),
         )
         self._editor = Editor(
-            self.learner, self.history, self._keys, self.replication, self._proposer, self._endpoint.hand
+            self.learner, self.history, self._keys, self.replication, self._proposer, self._runner.dispatch
         )
         self._ended = False
         self._refused: dict[Name, tuple[KeyFault, ...]] = {}  # by the relay that last reported them
@@ -107,7 +107,7 @@
     @property
     def damage(self) -> str:
         """What of the disk could not be read, and is fetched anew from the other voters."""
-        return "; ".join(filter(None, (self._store.damage, self.history.damage, self.register_voter.damage)))
+        return "; ".join(filter(None, (self._store.damage, self.history.damage, self.acceptor.damage)))
 
     def add_section(self, name: str, part: RuleSection) -> None:
         """Register the component that takes the rules of this name; before `start`."""
@@ -117,10 +117,10 @@
         """Put in force what the disk has, then vote, learn and serve."""
         self._keys.start(self.version)
         self.inbox.start()
-        self._endpoint.start()
-        self._endpoint.hand(Confirmed(self._fleet.clock.now()))  # not yet: as old as the clock can tell
+        self._runner.start()
+        self._runner.dispatch(Confirmed(self._fleet.clock.now()))  # not yet: as old as the clock can tell
         self._proposer.start()
-        self.register_voter.start()
+        self.acceptor.start()
         self.replication.start()
 
     def stop(self) -> None:
@@ -129,8 +129,8 @@
         self.replication.stop()
         self._catching_up.stop()
         self._proposer.stop()
-        self.register_voter.stop()
-        self._endpoint.stop()
+        self.acceptor.stop()
+        self._runner.stop()
 
     @property
     def proposer(self) -> Proposer:
@@ -138,9 +138,9 @@
         return self._proposer
 
     def edit(self, request: EditRequest, done: Done) -> None:
-        """`done` once. Raises `EditRefused`, `RuleKeyError` and `NotKept` where it can't come to anything."""
+        """`done` once. Raises `EditRejected`, `RuleKeyError` and `RevisionNotRetained` where it can't be done."""
         if self._ended:
-            raise EditRefused("this process ends: ask another voter")
+            raise EditRejected("this process ends: ask another voter")
         self._editor.edit(request, done)
 
     def status(self, revision: Revision | None = None) -> FleetStatus:
@@ -163,8 +163,8 @@
             "distribution_oldest_ms": float(status.oldest),
             "distribution_refusing": float(status.fault_count),
             "distribution_watchers": float(self._source.watchers),
-            "distribution_votes": float(self.register_voter.state.voting),
-            "distribution_replicated": float(self.replication.replicated()),
+            "distribution_votes": float(self.acceptor.state.voting),
+            "distribution_replicated": float(self.replication.replicated_revision()),
             "distribution_catching_up": float(self._catching_up.running),
         }
 
@@ -190,7 +190,7 @@
         """The change is on the disk."""
         for change in decided.changes:
             self._keys.apply(change.entries, False, change.revision)
-        self._endpoint.hand(decided)
+        self._runner.dispatch(decided)
         self.replication.say_synced()
 
     def _catch_up(self, wanted: Revision) -> None:
@@ -198,7 +198,7 @@
 
     def _caught_up(self, taken: Apply, previous: Revision) -> None:
         self._keys.apply(taken.entries, taken.snapshot, taken.revision)
-        self._endpoint.hand(CaughtUp(taken.log, previous, taken.revision, taken.entries, taken.snapshot))
+        self._runner.dispatch(CaughtUp(taken.log, previous, taken.revision, taken.entries, taken.snapshot))
         self.replication.say_synced()
 
     # ---- the source
@@ -212,9 +212,11 @@
             self._refused[sender] = message.faults
             if not message.faults:
                 del self._refused[sender]
-        self._endpoint.received(sender, message)
+        self._runner.on_message(sender, message)
 
 
 def _as_watcher(identity: Identity, upstreams: tuple[Node, ...]) -> Identity:
     """Who a voter is where it watches the others."""
-    return Identity(name=identity.name, zone=identity.zone, upstreams=upstreams, seed=identity.seed, boot=identity.boot)
+    return Identity(
+        name=identity.name, zone=identity.zone, upstreams=upstreams, seed=identity.seed, generation=identity.generation
+    )
--- a/rackhub/fleet/distribution/watcher.py
+++ b/rackhub/fleet/distribution/watcher.py
@@ -10,14 +10,14 @@
 from rackhub.fleet.distribution.delivery import Delivery, DiskDelivery
 from rackhub.fleet.distribution.events import (
     Applied,
-    CheckWanted,
-    Counted,
     Effect,
     Event,
-    Held,
+    IncrementCounter,
     Persisted,
     Received,
+    RunCheck,
     Send,
+    StoredState,
 )
 from rackhub.fleet.distribution.limits import MILLISECOND, Limits
 from rackhub.fleet.distribution.messages import (
@@ -41,19 +41,19 @@
     """Watches one of its upstreams. What `held` has is to be in force at the start, put there by the shell."""
 
     def __init__(
-        self, identity: Identity, held: Held, limits: Limits, now: int, delivery: Delivery | None = None
+        self, identity: Identity, held: StoredState, limits: Limits, now: int, delivery: Delivery | None = None
     ) -> None:
         """`delivery`: where what is received goes instead of disk and shell."""
         self._identity, self._limits = identity, limits
         same_scope = held.scope == identity.scope
-        disk = DiskDelivery(held if same_scope else Held(scope=identity.scope), identity.scope)
+        disk = DiskDelivery(held if same_scope else StoredState(scope=identity.scope), identity.scope)
         self._disk = disk
         self._delivery: Delivery = delivery if delivery is not None else disk
         self._receiver = Receiver(self._delivery, identity.scope, 0 if same_scope else held.revision)
         self._known_log = held.log  # also where the scope has changed
         chance = random.Random(f"{identity.seed} watcher {identity.name}")
         self._search = Search(identity, limits, chance, now)
-        self._session: Number = identity.boot
+        self._session: Number = identity.generation
         self._stream: Stream | None = None
         self._attempt: Attempt | None = None
         self._effects: list[Effect] = []
@@ -63,7 +63,7 @@
     # ---- what others see
 
     @property
-    def held(self) -> Held:
+    def held(self) -> StoredState:
         """What is on the disk. The entries are not a copy."""
         return self._disk.held
 
@@ -81,7 +81,7 @@
 
     def step(self, now: int, event: Event) -> Sequence[Effect]:
         """Take an event, and do what is due by now."""
-        if now - self._expected_at > self._limits.heartbeat:
+        if now - self._expected_at > self._limits.heartbeat_interval:
             self.stood_still(now)
         if isinstance(event, Received):
             self._received(now, event.sender, event.message)
@@ -117,7 +117,7 @@
 
     def _check(self, sender: Name, check: Check) -> None:
         if sender == self.upstream:
-            self._effects.append(CheckWanted(sender, check.mark, check.entries))
+            self._effects.append(RunCheck(sender, check.mark, check.entries))
         else:
             self._count("distribution_unexpected", sender)
 
@@ -166,7 +166,7 @@
             self._search.fresh()
 
     def _is_stale(self, message: Content) -> bool:
-        return isinstance(message, Heartbeat) and message.age * MILLISECOND > self._limits.stale
+        return isinstance(message, Heartbeat) and message.age * MILLISECOND > self._limits.max_staleness
 
     def _acknowledge(self, stream: Stream) -> None:
         delivery, receiver = self._delivery, self._receiver
@@ -187,10 +187,10 @@
 
     def _watch(self, now: int, name: Name) -> None:
         self._session += 1
-        self._attempt = Attempt(name, self._session, now + self._limits.answer)
+        self._attempt = Attempt(name, self._session, now + self._limits.watch_timeout)
         log = self._delivery.log
         revision = self._delivery.revision
-        credit, zone = self._limits.credit, self._identity.zone
+        credit, zone = self._limits.max_credit, self._identity.zone
         self._send(name, Watch(self._session, log, revision, self._identity.scope, credit, zone))
 
     def _refused(self, now: int, name: Name, message: Unavailable) -> None:
@@ -215,7 +215,7 @@
             self._count("distribution_unanswered", attempt.name)
             self._send(attempt.name, Unwatch(attempt.session))
             self._search.failed(now, attempt.name, stream)
-        if stream is not None and now >= stream.heard_at + self._limits.silence:
+        if stream is not None and now >= stream.heard_at + self._limits.upstream_timeout:
             self._count("distribution_silences", stream.name)
             self._leave(now)
         elif stream is not None and now >= self._receiver.gap_until:
@@ -230,9 +230,9 @@
 
     def _next_due(self, now: int) -> int:
         """At least once each heartbeat, so that a process that stood still notices."""
-        due = now + self._limits.heartbeat
+        due = now + self._limits.heartbeat_interval
         if self._stream is not None:
-            due = min(due, self._stream.heard_at + self._limits.silence, self._receiver.gap_until)
+            due = min(due, self._stream.heard_at + self._limits.upstream_timeout, self._receiver.gap_until)
         if self._attempt is not None:
             return min(due, self._attempt.until)
         return min(due, max(self._search.due(now, self._stream), now + MILLISECOND))
@@ -243,4 +243,4 @@
         self._effects.append(Send(to, message))
 
     def _count(self, name: str, sender: Name = "") -> None:
-        self._effects.append(Counted(name, sender))
+        self._effects.append(IncrementCounter(name, sender))
--- a/rackhub/trials/scale/audit.py
+++ b/rackhub/trials/scale/audit.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.events import Held
+from rackhub.fleet.distribution.events import StoredState
 from rackhub.fleet.distribution.messages import Change
 from rackhub.trials.scale.layout import scope_of
 from rackhub.trials.scale.trace import Outage, Trace, digest
@@ -126,7 +126,7 @@
     return max((changes[index].change.revision for index in _in_scope(changes, scope)), default=0)
 
 
-def content_after(initial: Held, changes: Sequence[Acknowledged], zones: Iterable[str]) -> dict[str, str]:
+def content_after(initial: StoredState, changes: Sequence[Acknowledged], zones: Iterable[str]) -> dict[str, str]:
     """The digest of what each zone's coordinators should have in force after just these changes."""
     entries = dict(initial.entries)
     for acknowledged in changes:
--- a/rackhub/trials/scale/cases.py
+++ b/rackhub/trials/scale/cases.py
@@ -148,7 +148,7 @@
 
 def _compacted(context: Context) -> Plan:
     plan = _with_faults(context, Cut(FAULT_AT, (context.last_zone,), COMPACTED_CUT_SECONDS))
-    return msgspec.structs.replace(plan, limits=Limits(history=COMPACTED_HISTORY))
+    return msgspec.structs.replace(plan, limits=Limits(max_log_steps=COMPACTED_HISTORY))
 
 
 def _with_faults(context: Context, *actions: Action) -> Plan:
--- a/rackhub/trials/scale/distribution_messages.py
+++ b/rackhub/trials/scale/distribution_messages.py
@@ -11,7 +11,7 @@
     AnyMessage,
     Entry,
     Heartbeat,
-    Lagging,
+    LaggingWatcher,
     Report,
     RevisionCount,
     Update,
@@ -59,7 +59,7 @@
 
 def report(lagging: int) -> Report:
     """What a relay tells of its watchers, so many of them named."""
-    worst = tuple(Lagging(f"coordinator-{number:04}", REVISION - 1, 5_000) for number in range(lagging))
+    worst = tuple(LaggingWatcher(f"coordinator-{number:04}", REVISION - 1, 5_000) for number in range(lagging))
     counts = (RevisionCount(REVISION, 86), RevisionCount(REVISION - 1, lagging))
     return Report("region-3/zone-12", LOG, REVISION, 86, 173, counts, worst)
 
--- a/rackhub/trials/scale/editor.py
+++ b/rackhub/trials/scale/editor.py
@@ -2,7 +2,7 @@
 
 import random
 
-from rackhub.fleet.distribution.events import Held
+from rackhub.fleet.distribution.events import StoredState
 from rackhub.fleet.distribution.messages import Change, Entry
 from rackhub.fleet.distribution.rules import encode_value
 from rackhub.trials.scale.layout import GLOBAL_KEYS, RULE_KEYS, zone_keys
@@ -25,13 +25,13 @@
         self._number = 0
         self.log = f"scale-{seed}"
 
-    def initial(self) -> Held:
+    def initial(self) -> StoredState:
         """What all voters hold at the start: each key once."""
         keys = [f"{GLOBAL_KEYS}{number}" for number in range(GLOBAL_COUNT)]
         keys += [f"{zone_keys(zone)}{number}" for zone in self._zones for number in range(ZONE_COUNT)]
         values = {key: self._value() for key in keys} | {key: _rule(name, 1) for name, key in RULES.items()}
         entries = {key: Entry(key, value, index + 1) for index, (key, value) in enumerate(values.items())}
-        return Held(log=self.log, revision=len(entries), scope=("",), entries=entries)
+        return StoredState(log=self.log, revision=len(entries), scope=("",), entries=entries)
 
     def draw(self, revision: int) -> Change:
         """The next edit, as the change of that revision."""
--- a/rackhub/trials/scale/failures.py
+++ b/rackhub/trials/scale/failures.py
@@ -40,7 +40,7 @@
 
 def newcomer_seconds(data: PageData, coordinators: float, relays: float) -> float:
     """Until so many that come back at once all have a snapshot, by the bound of snapshots a second of each relay."""
-    burst = DistributionLimits().snapshots
+    burst = DistributionLimits().max_snapshots_per_s
     return max(coordinators / relays - burst, 0.0) / burst
 
 
@@ -138,7 +138,7 @@
         Failure(
             event=f"two regions apart for {target['region_cut']:.0f} s",
             often="several times a year",
-            adds=f"changes missed (history keeps {DistributionLimits().history:,}), each to be caught up",
+            adds=f"changes missed (history keeps {DistributionLimits().max_log_steps:,}), each to be caught up",
             value=missed,
             unit="changes",
             source="target, assumptions",
--- a/rackhub/trials/scale/hollow.py
+++ b/rackhub/trials/scale/hollow.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from rackhub.fleet.distribution.coordinator import FROM_UPSTREAM
-from rackhub.fleet.distribution.endpoint import Endpoint, Inbox
-from rackhub.fleet.distribution.events import Applied, Apply, CheckWanted, Effect, Persist, Persisted
+from rackhub.fleet.distribution.coordinator import UPSTREAM_MESSAGE_TYPES
+from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
+from rackhub.fleet.distribution.events import Applied, Apply, Effect, Persist, Persisted, RunCheck
 from rackhub.fleet.distribution.messages import Checked
 from rackhub.fleet.distribution.watcher import Watcher
 from rackhub.trials.scale.cases import SLOW_DISK_SECONDS
@@ -83,18 +83,18 @@
         identity = site.identity(place, boot)
         self.watcher = Watcher(identity, disk.held(), site.plan.limits, site.clock.now())
         self._inbox = Inbox(self.station.fleet)
-        self._endpoint = Endpoint(self.station.fleet, self._inbox, self.watcher, self._perform)
-        self._inbox.route(FROM_UPSTREAM, self._endpoint.received)
+        self._runner = CoreRunner(self.station.fleet, self._inbox, self.watcher, self._perform)
+        self._inbox.route(UPSTREAM_MESSAGE_TYPES, self._runner.on_message)
         self._ended = False
 
     def start(self) -> None:
         self.station.start()
         self._inbox.start()
-        self._endpoint.start()
+        self._runner.start()
 
     def stop(self) -> None:
         self._ended = True
-        self._endpoint.stop()
+        self._runner.stop()
         self.station.stop()
 
     def _perform(self, effect: Effect) -> None:
@@ -103,12 +103,12 @@
                 self._site.later(self._disk.delay, lambda: self._synced(effect))
             case Apply(revision=revision):
                 self._recorder.apply(self._site.clock.now(), effect)
-                self._endpoint.hand(Applied(revision))
-            case CheckWanted(to, mark):
+                self._runner.dispatch(Applied(revision))
+            case RunCheck(to, mark):
                 self._inbox.send(to, Checked(mark, self._place.zone))
 
     def _synced(self, persist: Persist) -> None:
         """A write that a process did not live to see synced is lost."""
         if not self._ended:
             self._disk.write(persist)
-            self._endpoint.hand(Persisted(persist.revision))
+            self._runner.dispatch(Persisted(persist.revision))
--- a/rackhub/trials/scale/memory_disk.py
+++ b/rackhub/trials/scale/memory_disk.py
@@ -1,6 +1,6 @@
 """The disk of a hollow coordinator: what was synced, in memory, and how long a write takes."""
 
-from rackhub.fleet.distribution.events import Held, Persist
+from rackhub.fleet.distribution.events import Persist, StoredState
 from rackhub.fleet.distribution.messages import Entry, LogId, Revision
 
 
@@ -24,6 +24,6 @@
                 self._entries[entry.key] = entry
         self._log, self._revision = persist.log, persist.revision
 
-    def held(self) -> Held:
+    def held(self) -> StoredState:
         """What a process that starts now finds."""
-        return Held(self._log, self._revision, self._scope, dict(self._entries))
+        return StoredState(self._log, self._revision, self._scope, dict(self._entries))
--- a/rackhub/trials/scale/role_row.py
+++ b/rackhub/trials/scale/role_row.py
@@ -57,7 +57,7 @@
 
 
 def heartbeat_bytes_a_second(data: PageData) -> float:
-    return data.at("messages.heartbeat_bytes", 0) * SECOND / DistributionLimits().heartbeat
+    return data.at("messages.heartbeat_bytes", 0) * SECOND / DistributionLimits().heartbeat_interval
 
 
 def watch_bytes_a_second(data: PageData) -> float:
@@ -67,7 +67,7 @@
 
 def watch_messages_a_second(data: PageData) -> float:
     """Of one watcher: heartbeats, and each change with its acknowledgement."""
-    return SECOND / DistributionLimits().heartbeat + 2 * data.target.changes_a_second
+    return SECOND / DistributionLimits().heartbeat_interval + 2 * data.target.changes_a_second
 
 
 def snapshot_bytes(data: PageData) -> float:
--- a/rackhub/trials/scale/roles.py
+++ b/rackhub/trials/scale/roles.py
@@ -132,7 +132,7 @@
         ),
         Row(
             figure="reports of all relays: in",
-            value=target.relays * data.at("messages.report_bytes", 0) * SECOND / DistributionLimits().report,
+            value=target.relays * data.at("messages.report_bytes", 0) * SECOND / DistributionLimits().report_interval,
             unit="bytes a second",
             source="messages.report_bytes",
             mechanism="sums of acknowledgements",
--- a/rackhub/trials/scale/station.py
+++ b/rackhub/trials/scale/station.py
@@ -59,7 +59,7 @@
             upstreams=self.upstreams[place.role],
             scope=scope_of(place.zone) if place.role is Role.COORDINATOR else ("",),
             seed=self.settings.seed,
-            boot=boot,
+            generation=boot,
         )
 
     def tally(self, name: str, by: int) -> None:
--- a/rackhub/trials/scale/tables.py
+++ b/rackhub/trials/scale/tables.py
@@ -82,7 +82,7 @@
 def machines_table(data: PageData) -> str:
     target = data.target
     relays, voters = target.relays, target["voters"]
-    per_zone, guests = target["relays_per_zone"], DistributionLimits().guests
+    per_zone, guests = target["relays_per_zone"], DistributionLimits().max_foreign_watchers
     zone = target.coordinators_a_zone
     rows = [
         ["all is well", number(target["coordinators"]), number(relays), number(voters), number(zone / per_zone), "-"],
--- a/rackhub/trials/scale/virtual.py
+++ b/rackhub/trials/scale/virtual.py
@@ -6,8 +6,8 @@
 from rackhub.fleet.distribution.events import (
     Applied,
     Apply,
-    Counted,
     Effect,
+    IncrementCounter,
     MembersChanged,
     Persist,
     Persisted,
@@ -146,7 +146,7 @@
             upstreams=self._upstreams[place.role],
             scope=scope_of(place.zone) if place.role is Role.COORDINATOR else ("",),
             seed=self.settings.seed,
-            boot=self.network.boot(place.name),
+            generation=self.network.boot(place.name),
         )
 
     def _perform(self, name: str, effect: Effect) -> None:
@@ -161,7 +161,7 @@
             case Apply(revision=revision):
                 self.recorders[name].apply(self.network.now, effect)
                 self.network.at(self.network.now, self.network.hand, process, process.boot, Applied(revision))
-            case Counted(counter):
+            case IncrementCounter(counter):
                 self._count(f"{process.place.role.value}_{counter}")
 
     def _count(self, name: str) -> None:
--- a/rackhub/trials/scale/virtual_register.py
+++ b/rackhub/trials/scale/virtual_register.py
@@ -5,7 +5,7 @@
 then that a majority has nothing newer.
 """
 
-from rackhub.fleet.distribution.events import Confirmed, Decided, Held
+from rackhub.fleet.distribution.events import Confirmed, Decided, StoredState
 from rackhub.fleet.distribution.messages import Change
 from rackhub.trials.scale.audit import Acknowledged
 from rackhub.trials.scale.editor import Editor, spacing
@@ -18,7 +18,7 @@
 class VirtualRegister:
     """The editor is at the first voter."""
 
-    def __init__(self, network: Network, voters: tuple[Place, ...], editor: Editor, initial: Held):
+    def __init__(self, network: Network, voters: tuple[Place, ...], editor: Editor, initial: StoredState):
         self.acknowledged: list[Acknowledged] = []
         self._network, self._voters, self._editor = network, voters, editor
         self._first = initial.revision
--- a/rackhub/trials/scale/voter_process.py
+++ b/rackhub/trials/scale/voter_process.py
@@ -7,11 +7,19 @@
 from collections.abc import Callable
 from typing import Any
 
-from rackhub.fleet.distribution.decisions import Edit, EditRefused, Tail, append, decode_tail, encode_tail, revision_of
+from rackhub.fleet.distribution.decisions import (
+    Edit,
+    EditRejected,
+    Tail,
+    append_edit,
+    decided_revision,
+    decode_tail,
+    encode_tail,
+)
 from rackhub.fleet.distribution.events import Persist
 from rackhub.fleet.distribution.messages import Change
-from rackhub.fleet.distribution.replication import WITHIN
-from rackhub.fleet.distribution.store import HeldStore
+from rackhub.fleet.distribution.replication import REGISTER_TIMEOUT
+from rackhub.fleet.distribution.store import StateStore
 from rackhub.fleet.distribution.voter import Voter
 from rackhub.fleet.register.disk import MemoryDisk
 from rackhub.fleet.register.proposer import Outcome
@@ -41,7 +49,7 @@
     def _write_initial(self, disk: MemoryDisk) -> None:
         """What all voters hold before the first change of the run."""
         held = self._editor.initial()
-        store = HeldStore(disk, ("",), self._site.tally)
+        store = StateStore(disk, ("",), self._site.tally)
         store.persist(Persist(held.log, held.revision, tuple(held.entries.values()), True), lambda: None)
 
     def start(self) -> None:
@@ -57,19 +65,19 @@
         def propose(value: bytes | None) -> tuple[bytes | None, Any]:
             tail = decode_tail(value) if value is not None else self._first_tail()
             try:
-                after = append(tail, edit, self._voter.replication.replicated())
-            except EditRefused as refused:
+                after = append_edit(tail, edit, self._voter.replication.replicated_revision())
+            except EditRejected as refused:
                 return value, refused
             return encode_tail(after), after
 
-        self._voter.proposer.change(propose, lambda outcome: self._decided(edit, outcome, done), WITHIN)
+        self._voter.proposer.change(propose, lambda outcome: self._decided(edit, outcome, done), REGISTER_TIMEOUT)
 
     def _first_tail(self) -> Tail:
         return Tail(self._voter.learner.log, self._voter.learner.revision)
 
     def _decided(self, edit: Edit, outcome: Outcome, done: Callable[[Edited], None]) -> None:
         tail = outcome.answer
-        revision = revision_of(tail, edit.id) if isinstance(tail, Tail) else None
+        revision = decided_revision(tail, edit.id) if isinstance(tail, Tail) else None
         if outcome.kind != "done" or revision is None:
             done(Edited(why=f"{outcome.kind}: {outcome.reason or tail}"))
             return
@@ -91,7 +99,7 @@
         return {f"voter_{name}": count for name, count in self._station.link.association.counts.items()}
 
     def ready(self) -> bool:
-        return self._voter.register_voter.state.voting
+        return self._voter.acceptor.state.voting
 
     def lagging(self) -> int:
         return self._voter.status().lagging
--- a/tests/distribution_cores.py
+++ b/tests/distribution_cores.py
@@ -3,7 +3,7 @@
 import random
 
 from rackhub.fleet.distribution import events, messages
-from rackhub.fleet.distribution.events import Counted, Held, Node, Persist, Role, Send, Tick
+from rackhub.fleet.distribution.events import IncrementCounter, Node, Persist, Role, Send, StoredState, Tick
 from rackhub.fleet.distribution.limits import SECOND, Limits
 from rackhub.fleet.distribution.messages import (
     Acknowledge,
@@ -34,8 +34,8 @@
         self.counted, self.numbers = [], {}
 
     def split(self, effects):
-        self.counted += [(effect.name, effect.sender) for effect in effects if isinstance(effect, Counted)]
-        return [effect.message for effect in effects if not isinstance(effect, Counted)]
+        self.counted += [(effect.name, effect.sender) for effect in effects if isinstance(effect, IncrementCounter)]
+        return [effect.message for effect in effects if not isinstance(effect, IncrementCounter)]
 
     def change(self, **values):
         revision = self.state.revision + 1
@@ -73,16 +73,16 @@
     """A watcher and its shell, one step at a time. `sent`: messages since the last look, by receiver."""
 
     def __init__(self, held=None, scope=("",), upstreams=RELAYS):
-        held = held if held is not None else Held(LOG, 5, scope, {"a": Entry("a", b"5", 5)})
+        held = held if held is not None else StoredState(LOG, 5, scope, {"a": Entry("a", b"5", 5)})
         self.now, self.limits = 100 * SECOND, Limits()
-        identity = Identity(name="me", zone="z", upstreams=upstreams, scope=scope, boot=1_000)
+        identity = Identity(name="me", zone="z", upstreams=upstreams, scope=scope, generation=1_000)
         self.watcher = Watcher(identity, held, self.limits, self.now)
         self.effects, self.counted = [], []
 
     def step(self, event):
         effects = self.watcher.step(self.now, event)
-        self.counted += [(effect.name, effect.sender) for effect in effects if isinstance(effect, Counted)]
-        self.effects = [effect for effect in effects if not isinstance(effect, Counted)]
+        self.counted += [(effect.name, effect.sender) for effect in effects if isinstance(effect, IncrementCounter)]
+        self.effects = [effect for effect in effects if not isinstance(effect, IncrementCounter)]
         return self.effects
 
     def passes(self, time):
--- a/tests/distribution_fleet.py
+++ b/tests/distribution_fleet.py
@@ -9,7 +9,7 @@
 from distribution_processes import Coordinator, History, Process
 
 from rackhub.fleet.distribution import events, messages
-from rackhub.fleet.distribution.events import Held, Node, Role
+from rackhub.fleet.distribution.events import Node, Role, StoredState
 from rackhub.fleet.distribution.limits import MILLISECOND, SECOND, Limits
 from rackhub.fleet.distribution.ports import Identity
 from rackhub.fleet.distribution.relay import Relay
@@ -53,11 +53,13 @@
 
     def start_source(self, name, boots, now):
         revision = self.processes[name].known if name in self.processes else 0
-        held = Held(LOG, revision, ("",), self.history.at(revision, ("",)))
-        return Source(Identity(name=name, seed=self.seed, boot=boots << 20), held, self.limits, now)
+        held = StoredState(LOG, revision, ("",), self.history.at(revision, ("",)))
+        return Source(Identity(name=name, seed=self.seed, generation=boots << 20), held, self.limits, now)
 
     def start_relay(self, node, boots, now):
-        identity = Identity(name=node.name, zone=node.zone, upstreams=self.voters, seed=self.seed, boot=boots << 20)
+        identity = Identity(
+            name=node.name, zone=node.zone, upstreams=self.voters, seed=self.seed, generation=boots << 20
+        )
         return Relay(identity, self.limits, now)
 
     def coordinator(self, name, zone="a", scope=("",), kind=Watcher, held=None):
@@ -65,9 +67,9 @@
 
         def start(boots, now):
             identity = Identity(
-                name=name, zone=zone, upstreams=self.relays, scope=scope, seed=self.seed, boot=boots << 20
+                name=name, zone=zone, upstreams=self.relays, scope=scope, seed=self.seed, generation=boots << 20
             )
-            held = self.processes[name].disk.held if name in self.processes else Held()
+            held = self.processes[name].disk.held if name in self.processes else StoredState()
             return kind(identity, held, self.limits, now)
 
         self.processes[name] = Coordinator(self, name, start, scope)
--- a/tests/distribution_processes.py
+++ b/tests/distribution_processes.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from rackhub.fleet.distribution import events, messages
-from rackhub.fleet.distribution.events import Held
+from rackhub.fleet.distribution.events import StoredState
 from rackhub.fleet.distribution.limits import MILLISECOND
 from rackhub.fleet.distribution.messages import Change, Entry
 
@@ -40,7 +40,7 @@
 class Disk:
     """What a coordinator's disk has. `write` is how long it takes."""
 
-    held: Held = field(default_factory=Held)
+    held: StoredState = field(default_factory=StoredState)
     write: int = 3 * MILLISECOND
 
     def keep(self, scope, effect):
@@ -50,7 +50,7 @@
                 entries.pop(entry.key, None)
             else:
                 entries[entry.key] = entry
-        self.held = Held(effect.log, effect.revision, scope, entries)
+        self.held = StoredState(effect.log, effect.revision, scope, entries)
 
 
 class Process:
@@ -117,7 +117,7 @@
     def do(self, effect):
         if isinstance(effect, events.Send):
             self.fleet.send(self.name, effect.to, effect.message)
-        elif isinstance(effect, events.Counted):
+        elif isinstance(effect, events.IncrementCounter):
             self.counted[effect.name] = self.counted.get(effect.name, 0) + 1
             self.fleet.counted[effect.name] = self.fleet.counted.get(effect.name, 0) + 1
         elif isinstance(effect, events.CheckDone):
@@ -133,13 +133,13 @@
     """A watcher with its disk; what it has in force is kept here as a shell would. `refuses`: keys it can't take."""
 
     def __init__(self, fleet, name, start, scope):
-        self.scope, self.disk, self.in_force, self.refuses = scope, Disk(), Held(), set()
+        self.scope, self.disk, self.in_force, self.refuses = scope, Disk(), StoredState(), set()
         self.highest = 0  # revision that was ever in force
         super().__init__(fleet, name, start)
 
     def restart(self):
         held = self.disk.held
-        self.in_force = held if held.scope == self.scope else Held()
+        self.in_force = held if held.scope == self.scope else StoredState()
         super().restart()
 
     def do(self, effect):
@@ -148,7 +148,7 @@
             self.fleet.at(self.fleet.now + self.disk.write, lambda: self.written(boots, effect))
         elif isinstance(effect, events.Apply):
             self.put_in_force(effect)
-        elif isinstance(effect, events.CheckWanted):
+        elif isinstance(effect, events.RunCheck):
             faults = tuple(messages.KeyFault(e.key, "no") for e in effect.entries if e.key in self.refuses)
             zone = self.fleet.zones[self.name]
             self.fleet.send(self.name, effect.to, messages.Checked(effect.mark, zone, faults))
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -102,16 +102,16 @@
 def distribution_records() -> dict[str, Records]:
     """The voters' and a watcher's disks after four edits, one of which deletes keys and one of which undoes."""
     with mock.patch("secrets.randbits", return_value=1), mock.patch("secrets.token_hex", return_value="ab" * 8):
-        stand = test_distribution_voter.Stand()
+        stand = test_distribution_voter.VoterFleet()
         stand.wait(lambda: stand.processes["v0"].status().expected == 2)
         stand.edit("e1", 0, a=1, b=2)
-        stand.wait(lambda: stand.everywhere(1))
+        stand.wait(lambda: stand.all_at(1))
         stand.edit("e2", 1, "v1", a=1, c=[1, "x", None])
-        stand.wait(lambda: stand.everywhere(2))
-        stand.ask(kind="undo", id="e3", on=2, to=1)
-        stand.wait(lambda: stand.everywhere(3))
+        stand.wait(lambda: stand.all_at(2))
+        stand.request_edit(kind="undo", id="e3", base_revision=2, target_revision=1)
+        stand.wait(lambda: stand.all_at(3))
         stand.edit("e4", 3, "v2", d={"e": 1.5})
-        stand.wait(lambda: stand.everywhere(4))
+        stand.wait(lambda: stand.all_at(4))
         stand.net.time.run(5 * SECOND)
         names = {"voter": "v0", "voter-1": "v1", "voter-2": "v2", "watcher": "c0"}
         return {recorded: synced(stand.disks[name]) for recorded, name in names.items()}
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -74,9 +74,9 @@
     "distribution message": Codec(messages.AnyMessage, messages.decode, messages.encode),
     "distribution voter message": _msgpack(voting.VoterMessage),
     "distribution in the register": _msgpack(decisions.Tail),
-    "distribution head on disk": _msgpack(store.Head),
+    "distribution head on disk": _msgpack(store.StoredHeader),
     "distribution entry on disk": _msgpack(messages.Entry),
-    "distribution change on disk": _msgpack(history.Past),
+    "distribution change on disk": _msgpack(history.HistoryRecord),
     "load record": Codec(records.Load, records.unpack, records.pack, _ordered),
     "health checks record": Codec(
         records.HealthReport, lambda body: records.unpack_health(body)[0], lambda one: records.pack_health([one])
--- a/tests/test_distribution_decisions.py
+++ b/tests/test_distribution_decisions.py
@@ -10,11 +10,11 @@
     RevisionMismatch,
     Tail,
     TailFull,
-    append,
+    append_edit,
+    decided_revision,
     decode_tail,
     encode_tail,
     majority_revision,
-    revision_of,
     trim,
 )
 from rackhub.fleet.distribution.limits import CHANGE_BYTES, CHANGE_ENTRIES, KEY_BYTES, VALUE_BYTES
@@ -23,7 +23,7 @@
 
 def edited(tail, *numbers, replicated=0):
     for number in numbers:
-        tail = append(tail, Edit(f"edit-{number}", {f"key-{number}": b"v"}), replicated)
+        tail = append_edit(tail, Edit(f"edit-{number}", {f"key-{number}": b"v"}), replicated)
     return tail
 
 
@@ -36,12 +36,12 @@
 
 def test_an_edit_tried_again_is_not_done_twice():
     tail = edited(Tail("log"), 1, 2)
-    assert append(tail, Edit("edit-1", {"other": b""}), 0) is tail
+    assert append_edit(tail, Edit("edit-1", {"other": b""}), 0) is tail
     trimmed = trim(tail, 2)
     assert trimmed.changes == () and trimmed.settled == 2
-    assert append(trimmed, Edit("edit-1", {"other": b""}), 2) is trimmed
-    assert revision_of(trimmed, "edit-2") == 2
-    assert revision_of(trimmed, "edit-3") is None
+    assert append_edit(trimmed, Edit("edit-1", {"other": b""}), 2) is trimmed
+    assert decided_revision(trimmed, "edit-2") == 2
+    assert decided_revision(trimmed, "edit-3") is None
 
 
 def test_what_a_majority_has_leaves_the_tail():
@@ -56,17 +56,17 @@
     for number in range(REMEMBERED_EDITS + 10):
         tail = edited(tail, number, replicated=tail.newest)
     assert len(tail.applied) == REMEMBERED_EDITS
-    assert revision_of(tail, f"edit-{REMEMBERED_EDITS}") == REMEMBERED_EDITS + 1
+    assert decided_revision(tail, f"edit-{REMEMBERED_EDITS}") == REMEMBERED_EDITS + 1
 
 
 def test_a_compare_that_fails_names_both_revisions():
     tail = edited(Tail("log"), 1, 2)
-    assert append(tail, Edit("a", {"k": b""}, expected_revision=2), 0).newest == 3
+    assert append_edit(tail, Edit("a", {"k": b""}, expected_revision=2), 0).newest == 3
     with pytest.raises(RevisionMismatch) as refused:
-        append(tail, Edit("a", {"k": b""}, expected_revision=1), 0)
+        append_edit(tail, Edit("a", {"k": b""}, expected_revision=1), 0)
     assert (refused.value.expected, refused.value.newest) == (1, 2)
     with pytest.raises(RevisionMismatch):
-        append(tail, Edit("a", {"k": b""}, expected_revision=0), 0)
+        append_edit(tail, Edit("a", {"k": b""}, expected_revision=0), 0)
 
 
 @pytest.mark.parametrize(
@@ -84,28 +84,28 @@
 )
 def test_an_edit_over_its_bounds_is_refused_by_key(values, key):
     with pytest.raises(InvalidEdit) as refused:
-        append(Tail("log"), Edit("a", values), 0)
+        append_edit(Tail("log"), Edit("a", values), 0)
     assert refused.value.key == key
 
 
 def test_an_edit_without_id_is_refused():
     with pytest.raises(InvalidEdit):
-        append(Tail("log"), Edit("", {"k": b""}), 0)
+        append_edit(Tail("log"), Edit("", {"k": b""}), 0)
 
 
 def test_a_change_at_its_bounds_is_taken():
     values = {f"{i:<{KEY_BYTES}}": bytes(VALUE_BYTES - KEY_BYTES) for i in range(CHANGE_BYTES // VALUE_BYTES)}
-    assert append(Tail("log"), Edit("a", values), 0).newest == 1
+    assert append_edit(Tail("log"), Edit("a", values), 0).newest == 1
 
 
 def test_a_tail_that_no_majority_applies_is_refused_before_the_registers_bound():
     tail, value = Tail("log"), bytes(VALUE_BYTES)
     with pytest.raises(TailFull) as refused:
         for number in range(100):
-            tail = append(tail, Edit(f"{number}", {"k": value}), 0)
+            tail = append_edit(tail, Edit(f"{number}", {"k": value}), 0)
     assert refused.value.waiting == len(tail.changes) == MAX_VALUE_BYTES // VALUE_BYTES
     assert len(encode_tail(tail)) <= MAX_VALUE_BYTES
-    assert append(tail, Edit("next", {"k": value}), tail.newest).newest == tail.newest + 1
+    assert append_edit(tail, Edit("next", {"k": value}), tail.newest).newest == tail.newest + 1
 
 
 def test_a_damaged_tail_is_refused():
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -65,7 +65,7 @@
 
 
 def test_guests_are_bounded():
-    fleet = started(coordinators=20, zones=("a", "b"), limits=Limits(guests=3))
+    fleet = started(coordinators=20, zones=("a", "b"), limits=Limits(max_foreign_watchers=3))
     for name in ("relay-a0", "relay-a1"):
         fleet.processes[name].stop()
     for _ in range(300):
@@ -121,7 +121,7 @@
 
 
 def test_a_zone_that_returns_all_at_once_is_taken_in_at_a_bounded_pace():
-    limits = Limits(newcomers=20.0, snapshots=10.0)
+    limits = Limits(max_watches_per_s=20.0, max_snapshots_per_s=10.0)
     fleet = started(coordinators=120, zones=("a",), limits=limits)
     fleet.record, fleet.sent = True, []
     for one in fleet.coordinators():
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("history", [4_096, 10])
 def test_a_disk_put_back_by_an_hour(history):
-    fleet = started(limits=Limits(history=history))
+    fleet = started(limits=Limits(max_log_steps=history))
     coordinator = fleet.processes["coordinator-0"]
     changes(fleet, 5, SECOND)
     older = coordinator.disk.held
@@ -171,7 +171,7 @@
 
 
 def test_a_revision_compacted_under_a_watcher():
-    fleet = started(coordinators=2, zones=("a",), limits=Limits(history=5, credit=1))
+    fleet = started(coordinators=2, zones=("a",), limits=Limits(max_log_steps=5, max_credit=1))
     slow = fleet.processes["coordinator-0"]
     slow.disk.write = 3 * SECOND
     fleet.record, fleet.sent = True, []
--- a/tests/test_distribution_messages.py
+++ b/tests/test_distribution_messages.py
@@ -7,7 +7,7 @@
 from distribution_fleet import LOG
 
 from rackhub.fleet.distribution import events
-from rackhub.fleet.distribution.events import Held, Node, Role
+from rackhub.fleet.distribution.events import Node, Role, StoredState
 from rackhub.fleet.distribution.limits import FAULT_KEYS, KEY_BYTES, SECOND, VALUE_BYTES, Limits
 from rackhub.fleet.distribution.messages import (
     Acknowledge,
@@ -133,9 +133,11 @@
 UPSTREAMS = (Node("up-1", Role.VOTER), Node("up-2", Role.VOTER))
 IDENTITY = Identity(name="me", zone="z", upstreams=UPSTREAMS)
 CORES = {
-    "watcher": lambda now: Watcher(IDENTITY, Held(scope=("",)), Limits(), now),
-    "relay": lambda now: Relay(IDENTITY, Limits(history=3), now),
-    "source": lambda now: Source(IDENTITY, Held(LOG, 5, ("",), {"k1": Entry("k1", b"", 5)}), Limits(history=3), now),
+    "watcher": lambda now: Watcher(IDENTITY, StoredState(scope=("",)), Limits(), now),
+    "relay": lambda now: Relay(IDENTITY, Limits(max_log_steps=3), now),
+    "source": lambda now: Source(
+        IDENTITY, StoredState(LOG, 5, ("",), {"k1": Entry("k1", b"", 5)}), Limits(max_log_steps=3), now
+    ),
 }
 
 
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -31,7 +31,9 @@
 SCOPES = {"all": ("",), "first": ("a/",), "second": ("b/", "c/1"), "none": ("z/",)}
 KEYS = [f"{prefix}/{number}" for prefix in "abc" for number in range(3)]
 LOSSES = st.sampled_from([0.0, 0.1, 0.3, 0.5])
-LIMITS = Limits(history=6, update_bytes=64)  # so that revisions are compacted, and snapshots in parts of three keys
+LIMITS = Limits(
+    max_log_steps=6, max_update_bytes=64
+)  # so that revisions are compacted, and snapshots in parts of three keys
 
 
 class FleetMachine(RuleBasedStateMachine):
--- a/tests/test_distribution_relay.py
+++ b/tests/test_distribution_relay.py
@@ -3,7 +3,7 @@
 from distribution_fleet import LOG, Fleet
 
 from rackhub.fleet.distribution import events, messages
-from rackhub.fleet.distribution.events import Decided, Held
+from rackhub.fleet.distribution.events import Decided, StoredState
 from rackhub.fleet.distribution.limits import MILLISECOND, SECOND, Limits
 from rackhub.fleet.distribution.messages import Change, Entry, Heartbeat, KeyFault, Report, RevisionCount, Unavailable
 from rackhub.fleet.distribution.ports import Identity
@@ -29,7 +29,7 @@
 
 
 def source(held=None):
-    return Source(Identity(name="voter"), held or Held(LOG, 0), Limits(), 0)
+    return Source(Identity(name="voter"), held or StoredState(LOG, 0), Limits(), 0)
 
 
 def told(core, now, relay, **fields):
@@ -115,7 +115,7 @@
 
 
 def test_reports_count_by_age_log_and_zone():
-    core = source(Held(LOG, 5))
+    core = source(StoredState(LOG, 5))
     at_5, at_4 = RevisionCount(5, 3), RevisionCount(4, 2)
     told(core, 0, "relay-1", revision=5, watchers=5, members=4, in_force=(at_5, at_4))
     told(core, 0, "relay-2", revision=5, watchers=1, members=6, in_force=(RevisionCount(9, 1),))
@@ -123,14 +123,14 @@
     found = core.status(0)
     assert (found.in_force, found.expected) == (4, 13)
     assert core.status(0, 4).in_force == 6
-    late = core.status(Limits().report_age + 1)
+    late = core.status(Limits().max_report_age + 1)
     assert (late.in_force, late.expected) == (0, 6)
 
 
 def test_reports_of_ever_new_names_are_bounded():
     core = source()
     effects = [effect for n in range(600) for effect in told(core, 0, f"relay-{n}")]
-    assert effects == [events.Counted("distribution_unexpected", f"relay-{n}") for n in range(512, 600)]
+    assert effects == [events.IncrementCounter("distribution_unexpected", f"relay-{n}") for n in range(512, 600)]
 
 
 def test_a_report_tells_at_most_so_many_revisions_and_lumps_the_lowest():
@@ -179,7 +179,7 @@
     began = fleet.now
     fleet.run(100 * MILLISECOND)
     assert checked(fleet, "k").silent == ("b",)
-    assert fleet.now - began <= fleet.limits.check + 200 * MILLISECOND
+    assert fleet.now - began <= fleet.limits.check_timeout + 200 * MILLISECOND
 
 
 def test_a_second_coordinator_and_a_second_relay_are_asked():
@@ -217,21 +217,23 @@
     core.step(0, Decided(LOG, (change(1), change(2))))
     core.step(0, Decided(LOG, (change(2), change(3))))
     assert core.revision == 3
-    assert core.step(0, Decided(LOG, (change(5),))) == [events.Counted("distribution_gaps")]
-    assert core.step(0, Decided("other", (change(4),))) == [events.Counted("distribution_other_logs")]
+    assert core.step(0, Decided(LOG, (change(5),))) == [events.IncrementCounter("distribution_gaps")]
+    assert core.step(0, Decided("other", (change(4),))) == [events.IncrementCounter("distribution_other_logs")]
     assert core.revision == 3
 
 
 def test_a_voter_catches_up_from_another():
     core = source()
     entry = Entry("k", b"4", 4)
-    assert core.step(0, events.CaughtUp(LOG, 2, 4, (entry,), False)) == [events.Counted("distribution_gaps")]
+    assert core.step(0, events.CaughtUp(LOG, 2, 4, (entry,), False)) == [events.IncrementCounter("distribution_gaps")]
     core.step(0, events.CaughtUp(LOG, 0, 4, (entry,), True))
     core.step(0, events.CaughtUp(LOG, 3, 6, (entry, Entry("m", b"6", 6)), False))
     assert core.revision == 6
     core.step(0, events.CaughtUp(LOG, 0, 5, (), True))
     assert core.revision == 6, "never back"
-    assert core.step(0, events.CaughtUp("other", 0, 9, (), True)) == [events.Counted("distribution_other_logs")]
+    assert core.step(0, events.CaughtUp("other", 0, 9, (), True)) == [
+        events.IncrementCounter("distribution_other_logs")
+    ]
 
 
 def test_a_relay_without_a_log_serves_nothing():
--- a/tests/test_distribution_rules.py
+++ b/tests/test_distribution_rules.py
@@ -85,8 +85,15 @@
         flatten(content, {})
 
 
-def planned(parts, standing=(), **words):
-    request = {"kind": "edit", "author": "ann", "reason": "r", "id": "e1", "on": 0, "parts": parts} | words
+def planned(sections, standing=(), **words):
+    request = {
+        "kind": "edit",
+        "author": "ann",
+        "reason": "r",
+        "id": "e1",
+        "base_revision": 0,
+        "sections": sections,
+    } | words
     history = History(MemoryDisk(lambda delay, call: None, "d"), 0)
     return plan(EditRequest(**request), dict(standing), history)
 
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -40,13 +40,13 @@
     one = served()
     one.watch(revision=1, scope=("x/", "y"))
     assert one.change(b=b"2") == []
-    assert one.passes(one.limits.heartbeat) == [Heartbeat(1, LOG, 1, 2, 0)]
+    assert one.passes(one.limits.heartbeat_interval) == [Heartbeat(1, LOG, 1, 2, 0)]
     (update,) = one.change(**{"x/k": b"3", "c": b"3"})
     assert (update.previous, [entry.key for entry in update.entries]) == (1, ["x/k"])
 
 
 def test_a_heartbeat_names_what_was_sent_before_it():
-    one = served(heartbeat=SECOND)
+    one = served(heartbeat_interval=SECOND)
     one.watch(revision=1)
     one.change(b=b"2")
     one.change(c=b"3")
@@ -62,7 +62,7 @@
         one.change(b=b"x")
         assert one.acknowledge(one.state.revision) == []
         assert one.passes(0) == []
-    assert one.passes(one.limits.heartbeat) == [Heartbeat(1, LOG, 5, 5, 0)]
+    assert one.passes(one.limits.heartbeat_interval) == [Heartbeat(1, LOG, 5, 5, 0)]
 
 
 def test_what_is_not_acknowledged_is_sent_again_from_there():
@@ -71,7 +71,7 @@
     one.change(b=b"2")
     one.change(c=b"3")
     one.acknowledge(2)
-    again = [m for m in one.passes(one.limits.acknowledge) if isinstance(m, Update)]
+    again = [m for m in one.passes(one.limits.acknowledge_timeout) if isinstance(m, Update)]
     assert again == [Update(1, LOG, 2, 3, (Entry("c", b"3", 3),))]
     assert one.change(d=b"4") == [], "one at a time until an acknowledgement comes"
     assert [u.revision for u in one.acknowledge(3)] == [4]
@@ -82,12 +82,12 @@
     one = served()
     one.watch(revision=1)
     one.change(b=b"2")
-    sent = one.passes(2 * one.limits.heartbeat + SECOND)
+    sent = one.passes(2 * one.limits.heartbeat_interval + SECOND)
     assert sum(isinstance(m, Heartbeat) for m in sent) == 2
 
 
 def test_a_compacted_position_gets_a_snapshot():
-    one = Served(history=3)
+    one = Served(max_log_steps=3)
     for number in range(10):
         one.change(**{f"k{number}": b"", "gone": None})
     (part,) = one.watch(revision=2, scope=("k1", "k9"))
@@ -96,7 +96,7 @@
 
 
 def test_a_revision_compacted_under_a_watcher_gets_a_snapshot():
-    one = served(history=3)
+    one = served(max_log_steps=3)
     one.watch(revision=1, credit=1)
     for number in range(10):
         one.change(b=b"%d" % number)
@@ -105,7 +105,7 @@
 
 
 def test_a_snapshot_is_sent_in_parts_under_credit_from_one_moment():
-    one = Served(update_bytes=20)
+    one = Served(max_update_bytes=20)
     one.change(**{f"k{number}": b"" for number in range(6)})
     parts = one.watch(log="", credit=2)
     assert [(p.part, p.parts, p.revision) for p in parts] == [(0, 6, 1), (1, 6, 1)]
@@ -120,19 +120,19 @@
 
 
 def test_lost_parts_are_sent_again_and_whole_ones_are_not():
-    one = Served(update_bytes=20)
+    one = Served(max_update_bytes=20)
     one.change(**{f"k{number}": b"" for number in range(3)})
     one.watch(log="", credit=3)
     one.acknowledge(0, snapshot=1, parts=1)
-    again = [m.part for m in one.passes(one.limits.acknowledge) if isinstance(m, SnapshotPart)]
+    again = [m.part for m in one.passes(one.limits.acknowledge_timeout) if isinstance(m, SnapshotPart)]
     assert again == [1], "one at a time after a loss"
     assert [p.part for p in one.acknowledge(0, snapshot=1, parts=3)] == []
-    again = [m.part for m in one.passes(one.limits.acknowledge) if isinstance(m, SnapshotPart)]
+    again = [m.part for m in one.passes(one.limits.acknowledge_timeout) if isinstance(m, SnapshotPart)]
     assert again == [2], "all have come: the last one asks for the acknowledgement"
 
 
 def test_a_late_answer_to_an_earlier_snapshot_does_not_count_for_the_next():
-    one = Served(update_bytes=20, history=3)
+    one = Served(max_update_bytes=20, max_log_steps=3)
     one.change(**{f"k{number}": b"" for number in range(3)})
     one.watch(log="", credit=1)
     one.acknowledge(1, snapshot=1, parts=3)
@@ -145,24 +145,24 @@
 
 
 def test_one_that_does_not_get_on_is_not_told_that_it_is_fresh():
-    one = served(session=60 * SECOND, update_bytes=10)
+    one = served(session_timeout=60 * SECOND, max_update_bytes=10)
     one.watch(revision=1)
     one.change(b=b"2")
     ages = []
     for _ in range(4):
         one.acknowledge(1)
-        ages += [m.age for m in one.passes(one.limits.heartbeat) if isinstance(m, Heartbeat)]
+        ages += [m.age for m in one.passes(one.limits.heartbeat_interval) if isinstance(m, Heartbeat)]
     assert ages == [0, 0, 0, 0], "all was sent: the heartbeat shows what is missing"
     one.change(c=b"3")  # there is no credit for it
     one.acknowledge(1)
-    ages = [m.age for m in one.passes(3 * one.limits.heartbeat) if isinstance(m, Heartbeat)]
+    ages = [m.age for m in one.passes(3 * one.limits.heartbeat_interval) if isinstance(m, Heartbeat)]
     assert ages == [10_000, 12_000, 14_000]
     one.acknowledge(3)
-    assert [m.age for m in one.passes(one.limits.heartbeat) if isinstance(m, Heartbeat)] == [0]
+    assert [m.age for m in one.passes(one.limits.heartbeat_interval) if isinstance(m, Heartbeat)] == [0]
 
 
 def test_a_heartbeat_moves_nothing_on_while_a_snapshot_is_under_way():
     one = served()
     one.watch(log="")
-    heartbeats = [m for m in one.passes(one.limits.heartbeat) if isinstance(m, Heartbeat)]
+    heartbeats = [m for m in one.passes(one.limits.heartbeat_interval) if isinstance(m, Heartbeat)]
     assert [(h.previous, h.revision) for h in heartbeats] == [(0, 0)]
--- a/tests/test_distribution_sessions.py
+++ b/tests/test_distribution_sessions.py
@@ -24,7 +24,7 @@
 
 
 def test_newcomers_are_bounded_and_their_return_is_spread():
-    one = served(newcomers=10.0)
+    one = served(max_watches_per_s=10.0)
     answers = [one.watch(f"w{number}", revision=1)[0] for number in range(60)]
     waits = [answer.retry_after for answer in answers if isinstance(answer, Unavailable)]
     assert len(waits) == 50 and len(one.server.sessions) == 10
@@ -36,7 +36,7 @@
 
 
 def test_snapshots_are_bounded():
-    one = served(snapshots=2.0)
+    one = served(max_snapshots_per_s=2.0)
     answers = [one.watch(f"w{number}", log="")[0] for number in range(5)]
     assert sum(isinstance(answer, SnapshotPart) for answer in answers) == 2
     assert {answer.reason for answer in answers if isinstance(answer, Unavailable)} == {server.SNAPSHOTS}
@@ -44,7 +44,7 @@
 
 
 def test_watchers_and_guests_are_bounded():
-    one = served(zone="here", watchers=5, guests=2)
+    one = served(zone="here", max_watchers=5, max_foreign_watchers=2)
     answers = [one.watch(f"g{number}", revision=1, zone="there")[0] for number in range(3)]
     assert [isinstance(answer, Heartbeat) for answer in answers] == [True, True, False]
     answers = [one.watch(f"h{number}", revision=1, zone="here")[0] for number in range(4)]
@@ -61,7 +61,7 @@
     one.receive("leaving", messages.Unwatch(1))
     one.watch("again", revision=1, session=5)
     assert one.server.sessions.keys() == {"silent", "again"}
-    one.now += one.limits.session - SECOND
+    one.now += one.limits.session_timeout - SECOND
     one.acknowledge(1, "again", session=5)
     one.passes(SECOND)
     assert one.server.sessions.keys() == {"again"}
@@ -101,7 +101,7 @@
 
 
 def test_a_steps_work_does_not_grow_with_the_sessions():
-    one = served(newcomers=10_000.0, watchers=4_000)
+    one = served(max_watches_per_s=10_000.0, max_watchers=4_000)
     for number in range(4_000):
         one.now += 400
         one.watch(f"w{number}", revision=1)
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -3,19 +3,19 @@
 import pytest
 
 from rackhub.fleet.distribution.coordinator import Coordinator
-from rackhub.fleet.distribution.endpoint import MOST_SENDERS, Endpoint, Inbox, SenderCounts
+from rackhub.fleet.distribution.core_runner import MOST_SENDERS, CoreRunner, Inbox, SenderCounts
 from rackhub.fleet.distribution.events import (
     CheckAsked,
     CheckDone,
-    Counted,
     Decided,
-    Held,
+    IncrementCounter,
     Node,
     Persist,
     Persisted,
     Received,
     Role,
     Send,
+    StoredState,
     Tick,
 )
 from rackhub.fleet.distribution.limits import Limits
@@ -34,7 +34,7 @@
 from rackhub.fleet.distribution.relay_shell import RelayShell
 from rackhub.fleet.distribution.rules import encode_value
 from rackhub.fleet.distribution.source import Source
-from rackhub.fleet.distribution.store import HeldStore
+from rackhub.fleet.distribution.store import StateStore
 from rackhub.fleet.ports import MemberState
 from rackhub.fleet.register.disk import MemoryDisk, StoreDisk
 from rackhub.trials.fleet.twin import MS, SECOND, Net
@@ -58,8 +58,8 @@
     net = Net(["a", "b"])
     core, inbox = ScriptedCore(answers), Inbox(net.nodes["a"].fleet())
     core.next_due = net.time.now() + SECOND
-    endpoint = Endpoint(net.nodes["a"].fleet(), inbox, core, perform)
-    inbox.route((Unwatch,), endpoint.received)
+    endpoint = CoreRunner(net.nodes["a"].fleet(), inbox, core, perform)
+    inbox.route((Unwatch,), endpoint.on_message)
     inbox.start()
     return net, core, inbox, endpoint
 
@@ -70,10 +70,10 @@
     def perform(effect):
         done.append(effect)
         if len(done) == 1:
-            endpoint.hand(Persisted(1))
+            endpoint.dispatch(Persisted(1))
 
     one, two = Persist("l", 1, (), False), Persist("l", 2, (), False)
-    net, core, _, endpoint = endpoint_with({Tick: (one, Counted("distribution_x", "b"), two)}, perform)
+    net, core, _, endpoint = endpoint_with({Tick: (one, IncrementCounter("distribution_x", "b"), two)}, perform)
     endpoint.start()
     assert done == [one, two] and core.events == [Tick(), Persisted(1)]
     assert net.nodes["a"].counts["distribution_x"] == 1
@@ -140,13 +140,13 @@
 
 
 def loaded(disk, counts=None):
-    return HeldStore(disk, ("",), lambda name, by: counts.append(name) if counts is not None else None)
+    return StateStore(disk, ("",), lambda name, by: counts.append(name) if counts is not None else None)
 
 
 def test_what_was_persisted_is_held_by_the_next_process_and_nothing_before_its_sync():
     net, disk = memory()
     store, done = loaded(disk), []
-    assert store.held == Held()
+    assert store.held == StoredState()
     store.persist(Persist("log", 2, (entry("a", b"1", 1), entry("b", b"2", 2)), True), lambda: done.append(2))
     assert not done
     net.time.run(MS)
@@ -190,7 +190,7 @@
     disk.put(key, body, lambda: None)
     assert list(disk.scan("distribution/entry/"))
     damaged = loaded(disk, counts)
-    assert damaged.held == Held() and "can't be read" in damaged.damage and counts == ["distribution_damaged"]
+    assert damaged.held == StoredState() and "can't be read" in damaged.damage and counts == ["distribution_damaged"]
     assert not loaded(disk).damage and not list(disk.scan("distribution/entry/"))
 
 
@@ -212,7 +212,7 @@
         if file.stat().st_size:
             file.write_bytes(b"\xff" * file.stat().st_size)
     disk = StoreDisk(reactor, path)
-    assert disk.damage and disk.identity != identity and loaded(disk).held == Held()
+    assert disk.damage and disk.identity != identity and loaded(disk).held == StoredState()
     disk.end()
     assert any(aside.name.startswith("distribution.damaged-") for aside in tmp_path.iterdir())
 
@@ -242,9 +242,9 @@
     )
 
 
-def coordinator_on(net, name, disk, boot=1, refused=(), relays=2, scope=("",)):
+def coordinator_on(net, name, disk, generation=1, refused=(), relays=2, scope=("",)):
     upstreams = tuple(node for node in nodes(relays=relays) if node.role is Role.RELAY)
-    identity = Identity(name=name, zone="z", upstreams=upstreams, scope=scope, boot=boot)
+    identity = Identity(name=name, zone="z", upstreams=upstreams, scope=scope, generation=generation)
     coordinator = Coordinator(net.nodes[name].fleet(), identity, disk, Limits())
     part = RecordingPart(refused)
     coordinator.add_section("p", part)
@@ -252,10 +252,10 @@
     return coordinator, part
 
 
-def relay_on(net, name, voters=1, boot=1):
+def relay_on(net, name, voters=1, generation=1):
     directory = nodes(voters)
     upstreams = tuple(node for node in directory if node.role is Role.VOTER)
-    identity = Identity(name=name, zone="z", upstreams=upstreams, boot=boot)
+    identity = Identity(name=name, zone="z", upstreams=upstreams, generation=generation)
     relay = RelayShell(net.nodes[name].fleet(), identity, frozenset(node.name for node in directory), Limits())
     relay.start()
     return relay
@@ -266,11 +266,11 @@
 
     def __init__(self, net, name="v0"):
         self.fleet = net.nodes[name].fleet()
-        self.source = Source(Identity(name=name), Held(), Limits(), net.time.now())
+        self.source = Source(Identity(name=name), StoredState(), Limits(), net.time.now())
         self.checks, self.revision = [], 0
         inbox = Inbox(self.fleet)
-        self.endpoint = Endpoint(self.fleet, inbox, self.source, self.checks.append)
-        inbox.route((Watch, Unwatch, Acknowledge, Report, Checked), self.endpoint.received)
+        self.endpoint = CoreRunner(self.fleet, inbox, self.source, self.checks.append)
+        inbox.route((Watch, Unwatch, Acknowledge, Report, Checked), self.endpoint.on_message)
         inbox.start()
         self.endpoint.start()
 
@@ -280,7 +280,7 @@
             Entry(f"rules/p/{name}", None if value is None else encode_value(value), self.revision)
             for name, value in values.items()
         )
-        self.endpoint.hand(Decided("log", (Change(self.revision, entries),)))
+        self.endpoint.dispatch(Decided("log", (Change(self.revision, entries),)))
 
     def status(self):
         return self.source.status(self.fleet.clock.now())
@@ -319,7 +319,7 @@
         coordinator_on(net, name, disks[name], refused=(9,))
     voter.change(first=1)
     assert net.time.run(16 * SECOND, lambda: voter.status().in_force == 2)
-    voter.endpoint.hand(CheckAsked(7, (Entry("rules/p/first", encode_value(9), 0),)))
+    voter.endpoint.dispatch(CheckAsked(7, (Entry("rules/p/first", encode_value(9), 0),)))
     assert net.time.run(16 * SECOND, lambda: bool(voter.checks))
     [done] = voter.checks
     assert isinstance(done, CheckDone) and done.mark == 7 and not done.silent
@@ -359,7 +359,7 @@
     disks["c0"].crash()
     net.nodes["c0"].restart()
     net.cut({"c0"}, set(net.nodes))
-    again, part = coordinator_on(net, "c0", disks["c0"], boot=2, refused=(9,))
+    again, part = coordinator_on(net, "c0", disks["c0"], generation=2, refused=(9,))
     assert part.held == [(2, {"first": 1, "second": 2})] and again.version == 2
     net.heal()
     voter.change(first=3)
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -70,7 +70,7 @@
 def test_a_batch_ends_where_a_change_ends():
     most = 2 * (1 + 10 + ENTRY_OVERHEAD)
     state = state_of(
-        change(1, a=bytes(10)), change(2, b=bytes(10), c=bytes(10)), change(3, d=bytes(10)), update_bytes=most
+        change(1, a=bytes(10)), change(2, b=bytes(10), c=bytes(10)), change(3, d=bytes(10)), max_update_bytes=most
     )
     assert (state.since(0).revision, keys(state.since(0)).keys()) == (1, {"a"})
     assert (state.since(1).revision, keys(state.since(1)).keys()) == (2, {"b", "c"})
@@ -78,25 +78,25 @@
 
 
 def test_a_change_larger_than_a_batch_is_still_whole():
-    state = state_of(change(1, a=bytes(50), b=bytes(50)), change(2, c=b""), update_bytes=60)
+    state = state_of(change(1, a=bytes(50), b=bytes(50)), change(2, c=b""), max_update_bytes=60)
     assert keys(state.since(0)).keys() == {"a", "b"}
 
 
 def test_a_merged_key_does_not_count_twice():
-    state = state_of(*(change(n, a=bytes(100)) for n in range(1, 50)), update_bytes=250)
+    state = state_of(*(change(n, a=bytes(100)) for n in range(1, 50)), max_update_bytes=250)
     assert state.since(0).revision == 49
 
 
 def test_older_changes_are_compacted_by_count_and_by_bytes():
-    state = state_of(*(change(n, a=b"%d" % n) for n in range(1, 11)), history=4)
+    state = state_of(*(change(n, a=b"%d" % n) for n in range(1, 11)), max_log_steps=4)
     assert state.since(5) == Compacted(6)
     assert keys(state.since(6)) == {"a": b"10"}
-    state = state_of(*(change(n, a=bytes(100)) for n in range(1, 11)), history_bytes=300)
+    state = state_of(*(change(n, a=bytes(100)) for n in range(1, 11)), max_log_bytes=300)
     assert state.since(7) == Compacted(8) and isinstance(state.since(8), Batch)
 
 
 def test_a_long_log_stays_bounded():
-    state = state_of(*(change(n, a=b"") for n in range(1, 5_000)), history=100)
+    state = state_of(*(change(n, a=b"") for n in range(1, 5_000)), max_log_steps=100)
     assert len(state._steps) < 1_300
     assert state.since(4_900).revision == 4_999
 
@@ -111,7 +111,7 @@
 
 
 def test_a_snapshot_does_not_move_with_later_changes():
-    state = state_of(change(1, a=b"1", b=b"1", c=b"1"), update_bytes=2 * (2 + ENTRY_OVERHEAD))
+    state = state_of(change(1, a=b"1", b=b"1", c=b"1"), max_update_bytes=2 * (2 + ENTRY_OVERHEAD))
     snapshot = state.snapshot(("a", "b", "c"))
     state.apply_change(LOG, change(2, a=b"2", b=None))
     assert snapshot.revision == 1
--- a/tests/test_distribution_upstream.py
+++ b/tests/test_distribution_upstream.py
@@ -3,7 +3,7 @@
 from distribution_cores import LOG, Driven, persisted, watched
 
 from rackhub.fleet.distribution import events, messages
-from rackhub.fleet.distribution.events import Held, Send, Tick
+from rackhub.fleet.distribution.events import Send, StoredState, Tick
 from rackhub.fleet.distribution.limits import SECOND
 from rackhub.fleet.distribution.messages import Entry, Heartbeat, SnapshotPart, Unavailable, Unwatch, Watch
 
@@ -27,16 +27,16 @@
 
 
 def test_another_scope_starts_from_nothing_and_not_from_an_older_revision():
-    driven = Driven(Held(LOG, 5, ("a",), {}), scope=("b",))
+    driven = Driven(StoredState(LOG, 5, ("a",), {}), scope=("b",))
     driven.upstream, watch = driven.begin()
     assert (watch.log, watch.revision) == ("", 0)
     driven.received(SnapshotPart(watch.session, LOG, 4, 0, 1, ()))
     assert ("distribution_snapshots_refused", driven.upstream) in driven.counted
     assert driven.watcher.upstream is None
-    driven = Driven(Held(LOG, 5, ("a",), {}), scope=("b",))
+    driven = Driven(StoredState(LOG, 5, ("a",), {}), scope=("b",))
     driven.upstream, watch = driven.begin()
     assert persisted(driven.received(SnapshotPart(watch.session, LOG, 5, 0, 1, ()))) == [5]
-    driven = Driven(Held(LOG, 5, ("a",), {}), scope=("b",))
+    driven = Driven(StoredState(LOG, 5, ("a",), {}), scope=("b",))
     driven.upstream, watch = driven.begin()
     driven.received(SnapshotPart(watch.session, "other", 9, 0, 1, ()))
     assert ("distribution_other_logs", driven.upstream) in driven.counted
@@ -52,7 +52,7 @@
 
 def test_a_silent_upstream_is_left():
     driven = Driven().connect()
-    effects = driven.passes(driven.limits.silence)
+    effects = driven.passes(driven.limits.upstream_timeout)
     assert Send(driven.upstream, Unwatch(driven.session)) in effects
     assert watched(effects)[0] not in (driven.upstream, "abroad")
     assert driven.watcher.held.revision == 5, "what it holds stays"
@@ -69,7 +69,7 @@
 
 def test_a_stale_upstream_is_kept_until_a_fresher_one_answers():
     driven = Driven().connect()
-    stale = driven.limits.stale // 1_000 + 1
+    stale = driven.limits.max_staleness // 1_000 + 1
     effects = driven.received(Heartbeat(driven.session, LOG, 5, 5, stale))
     (other,) = watched([*effects, *driven.passes(0)])
     assert driven.watcher.upstream == driven.upstream
@@ -86,7 +86,7 @@
 def test_a_disk_that_is_slow_here_does_not_make_the_upstream_stale():
     driven = Driven().connect()
     driven.update(5, 6, b=b"6")
-    stale = driven.limits.stale // 1_000 + 1
+    stale = driven.limits.max_staleness // 1_000 + 1
     effects = driven.received(Heartbeat(driven.session, LOG, 5, 5, stale))
     assert not watched([*effects, *driven.passes(SECOND)])
     driven.step(events.Persisted(6))
@@ -106,7 +106,7 @@
 def test_a_check_is_handed_to_the_shell():
     driven = Driven().connect()
     entries = (Entry("a", b"9", 0),)
-    assert driven.received(messages.Check(3, entries)) == [events.CheckWanted(driven.upstream, 3, entries)]
+    assert driven.received(messages.Check(3, entries)) == [events.RunCheck(driven.upstream, 3, entries)]
 
 
 def test_due_is_never_in_the_past():
--- a/tests/test_distribution_watcher.py
+++ b/tests/test_distribution_watcher.py
@@ -4,7 +4,7 @@
 from distribution_cores import LOG, Driven, acknowledged, persisted, watched
 
 from rackhub.fleet.distribution import events, messages
-from rackhub.fleet.distribution.events import Apply, Held, Persist, Send
+from rackhub.fleet.distribution.events import Apply, Persist, Send, StoredState
 from rackhub.fleet.distribution.messages import (
     Entry,
     Heartbeat,
@@ -24,7 +24,7 @@
     assert driven.step(events.Persisted(6)) == [Apply(LOG, 6, (entry,), False)]
     assert (driven.watcher.held.revision, driven.watcher.revision) == (6, 5)
     assert acknowledged(driven.step(events.Applied(6))) == [6]
-    assert driven.watcher.held == Held(LOG, 6, ("",), {"a": Entry("a", b"5", 5), "b": entry})
+    assert driven.watcher.held == StoredState(LOG, 6, ("",), {"a": Entry("a", b"5", 5), "b": entry})
 
 
 def test_one_write_at_a_time_and_later_ones_merge():
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -12,7 +12,7 @@
 from golden_disk import RECORDED, RECORDED_HISTORY, VOTER_DISKS
 from twisted.internet import reactor
 
-from rackhub.fleet.distribution.history import Past
+from rackhub.fleet.distribution.history import HistoryRecord
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import Change, Entry
 from rackhub.fleet.distribution.ports import Identity
@@ -164,7 +164,7 @@
 
 
 def test_a_voter_and_a_watcher_go_on_from_recorded_disks():
-    stand = test_distribution_voter.Stand()
+    stand = test_distribution_voter.VoterFleet()
     for name in ("v0", "v1", "v2", "c0", "c1"):
         stand.kill(name)
     for recorded, name in (("voter", "v0"), ("voter-1", "v1"), ("voter-2", "v2")):
@@ -177,12 +177,12 @@
     assert stand.content() == {"p": {"d": {"e": 1.5}}}
     assert not stand.processes["v0"].damage
     stand.edit("e5", 4, a=5)
-    stand.wait(lambda: stand.everywhere(5))
+    stand.wait(lambda: stand.all_at(5))
 
 
 # Guards against history records of an earlier version that count as values in force or stay on the disk for ever.
 def test_the_newest_change_of_a_recorded_voter_is_taken_back_as_history():
-    stand = test_distribution_voter.Stand()
+    stand = test_distribution_voter.VoterFleet()
     for name in ("v0", "v1", "v2", "c0", "c1"):
         stand.kill(name)
     for recorded_name, name in zip(VOTER_DISKS, ("v0", "v1", "v2"), strict=True):
@@ -201,7 +201,7 @@
         assert msgspec.msgpack.decode(synced["distribution/fallback"]) == {}
         assert synced["distribution/history/0000000000000004"] == GOLDEN_HISTORY["voter"][NEWEST_CHANGE]
     assert stand.edit("e4", 3, "v2", d={"e": 1.5}) == 4
-    assert stand.ask("v0", "u1", on=4, kind="undo").revision == 5
+    assert stand.request_edit("v0", "u1", base_revision=4, kind="undo").revision == 5
     assert stand.content() == {"p": {"a": 1, "b": 2}}
 
 
@@ -210,7 +210,7 @@
 
 def change_record(revision, value):
     change = Change(revision, (Entry("rules/p/d/e", value, revision),), "e4", "ann", "r")
-    return msgspec.msgpack.encode(Past(change, {}))
+    return msgspec.msgpack.encode(HistoryRecord(change, {}))
 
 
 @pytest.mark.parametrize(
@@ -225,7 +225,7 @@
     ],
 )
 def test_misplaced_history_that_is_not_sound_is_dropped_alone(key, body, damaged):
-    stand = test_distribution_voter.Stand()
+    stand = test_distribution_voter.VoterFleet()
     stand.kill("v0")
     fallback = msgspec.msgpack.encode({key: body, "rules/p/a": b"1"})
     filled(stand.disks["v0"], GOLDEN["voter"] | {b"disk/distribution/fallback": fallback})
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from rackhub.fleet.distribution.events import Apply, Held
+from rackhub.fleet.distribution.events import Apply, StoredState
 from rackhub.fleet.distribution.messages import Change, Entry
 from rackhub.fleet.distribution.watcher import Watcher
 from rackhub.trials.scale import run as scale_run
@@ -143,7 +143,7 @@
     assert isinstance(gone, KillRelays) and len(gone.relays) == 2
     assert planned("zone-cut", minutes=0.1).seconds >= 75
     assert len(planned("slow-reader").slow) == 190
-    assert planned("compacted").limits.history * spacing(10.0) < planned("compacted").actions[0].seconds
+    assert planned("compacted").limits.max_log_steps * spacing(10.0) < planned("compacted").actions[0].seconds
 
 
 def test_edits_are_the_same_for_a_seed_and_within_the_keys():
@@ -157,7 +157,9 @@
 # ---- the audit
 
 
-INITIAL = Held("log", 2, ("",), {"global/0": Entry("global/0", b"a", 1), "zone/z1/0": Entry("zone/z1/0", b"b", 2)})
+INITIAL = StoredState(
+    "log", 2, ("",), {"global/0": Entry("global/0", b"a", 1), "zone/z1/0": Entry("zone/z1/0", b"b", 2)}
+)
 
 
 def change(revision, key, value=b"x", at=0):
@@ -261,7 +263,7 @@
     disk = MemoryDisk(("",), 0)
     disk.write(Apply("log", 2, tuple(INITIAL.entries.values()), True))
     disk.write(Apply("log", 3, (Entry("global/0", None, 3),), False))
-    assert disk.held() == Held("log", 3, ("",), {"zone/z1/0": INITIAL.entries["zone/z1/0"]})
+    assert disk.held() == StoredState("log", 3, ("",), {"zone/z1/0": INITIAL.entries["zone/z1/0"]})
     disk.write(Apply("log", 4, (), True))
     assert disk.held().entries == {}
 
@@ -332,7 +334,7 @@
     run = VirtualRun(tiny("compacted"))
     sent = run.run().counters
     assert sent["voter_sent_SnapshotPart"] >= 4 + 2 and sent["relay_sent_SnapshotPart"] >= 20 + 10
-    assert run.plan.limits.history == 16 and any(outages for outages in run.faults.outages.values())
+    assert run.plan.limits.max_log_steps == 16 and any(outages for outages in run.faults.outages.values())
     run = VirtualRun(tiny("relay-killed-sending"))
     run.run()
     assert [process.up for name, process in run.network.processes.items() if name.startswith("relay-z2")] == [
--- a/tests/test_voter_disk.py
+++ b/tests/test_voter_disk.py
@@ -10,13 +10,13 @@
 from rackhub.fleet.distribution.catching_up import CatchUp
 from rackhub.fleet.distribution.editing import EditRequest, plan
 from rackhub.fleet.distribution.events import Apply, Persist, Persisted
-from rackhub.fleet.distribution.history import History, NotKept
+from rackhub.fleet.distribution.history import History, RevisionNotRetained
 from rackhub.fleet.distribution.learning import Learner
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import Change, Entry
 from rackhub.fleet.distribution.ports import Identity
 from rackhub.fleet.distribution.rules import encode_value
-from rackhub.fleet.distribution.store import HeldStore
+from rackhub.fleet.distribution.store import StateStore
 from rackhub.fleet.register.disk import StoreDisk
 from rackhub.store.faulty import MemoryFiles, PowerCut
 
@@ -35,7 +35,7 @@
     def __init__(self, files):
         self.reactor, self.files, self.counts = Clock(), files, []
         self.disk = StoreDisk(self.reactor, "memory", files=files)
-        self.store = HeldStore(self.disk, ("",), lambda name, by: self.counts.append(name))
+        self.store = StateStore(self.disk, ("",), lambda name, by: self.counts.append(name))
         self.history = History(self.disk, self.store.held.revision)
         self.decided, self.gaps = [], []
         self.learner = Learner(
@@ -63,7 +63,7 @@
         else:
             entries = tuple(Entry(key, value, revision) for key, value in content(revision).items())
             apply = Apply(LOG, revision, entries, True)
-            self.catch_up._endpoint = SimpleNamespace(stop=lambda: None, hand=lambda event: self.handed(event, apply))
+            self.catch_up._runner = SimpleNamespace(stop=lambda: None, dispatch=lambda event: self.handed(event, apply))
             self.catch_up._perform(Persist(LOG, revision, entries, True))
         self.run_iterations()
 
@@ -102,13 +102,13 @@
     assert {key: entry.value for key, entry in here.store.held.entries.items()} == content(newest)
     assert (here.history.oldest, here.history.newest) == (oldest(newest), newest)
     for to in range(oldest(newest), newest):
-        request = EditRequest(kind="undo", author="ann", reason="r", id="u", on=newest, to=to)
+        request = EditRequest(kind="undo", author="ann", reason="r", id="u", base_revision=newest, target_revision=to)
         undone = content(newest) | (
             plan(request, content(newest), here.history) if content(newest) != content(to) else {}
         )
         assert {key: value for key, value in undone.items() if value is not None} == content(to)
     if oldest(newest):
-        with pytest.raises(NotKept):
+        with pytest.raises(RevisionNotRetained):
             here.history.since(oldest(newest) - 1)
     stored = {key for key, _ in here.disk.scan("distribution/history/")}
     assert len(stored) == newest - oldest(newest), "records of the history stay that nothing leads to"
