--- a/rackhub/net/client.py
+++ b/rackhub/net/client.py
@@ -11,7 +11,7 @@
 
 log = logs.logger(__name__)
 
-MAX_PENALTY_DOUBLINGS = 10
+MAX_FAULT_PAUSE_DOUBLINGS = 10
 
 
 class Client(Reply):
@@ -32,7 +32,7 @@
         self.last_used = front.core.clock.now()  # when it connected, or last sent or received a complete message
         self.incomplete_since = 0
         self.write_blocked_since = 0
-        self.penalty_until = 0  # not read from before then
+        self.fault_pause_until = 0  # not read from before then
         self.closed_at = 0
         self.reading_stopped = False
         self.unread_input_since = 0
@@ -120,27 +120,27 @@
         if excess <= 0 or self.ending:
             return
         now = self.core.clock.now()
-        penalised = now < self.penalty_until  # then its timer is running
-        doubled = self.front.limits.fault_pause << min(excess - 1, MAX_PENALTY_DOUBLINGS)
-        self.penalty_until = now + min(doubled, self.front.limits.max_fault_pause)
+        penalised = now < self.fault_pause_until  # then its timer is running
+        doubled = self.front.limits.fault_pause << min(excess - 1, MAX_FAULT_PAUSE_DOUBLINGS)
+        self.fault_pause_until = now + min(doubled, self.front.limits.max_fault_pause)
         if not penalised:
             self.counters.add("clients_slowed")
-            self.core.timers.call_at(self.penalty_until, self._check_penalty)
+            self.core.timers.call_at(self.fault_pause_until, self._check_penalty)
             self.update_reading()
 
     def _check_penalty(self) -> None:
-        if self.core.clock.now() < self.penalty_until:
-            self.core.timers.call_at(self.penalty_until, self._check_penalty)
+        if self.core.clock.now() < self.fault_pause_until:
+            self.core.timers.call_at(self.fault_pause_until, self._check_penalty)
         else:
             self.update_reading()
 
     def should_stop_reading(self) -> bool:
         """Whether it is not to be read from now."""
-        return not self.ending and (self.write_blocked_since > 0 or self.is_penalised())
+        return not self.ending and (self.write_blocked_since > 0 or self.is_paused_for_faults())
 
-    def is_penalised(self) -> bool:
+    def is_paused_for_faults(self) -> bool:
         """Whether it is not read from for its invalid messages."""
-        return self.core.clock.now() < self.penalty_until
+        return self.core.clock.now() < self.fault_pause_until
 
     def update_reading(self) -> None:
         """Stop reading or go on, as it should be now. Nothing else pauses or resumes the transport."""
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -132,7 +132,7 @@
 
     def should_stop_reading(self) -> bool:
         """Whether it is not to be read from now: also while rows are written Attention and the end have to show."""
-        return not self.ending and self.is_penalised()
+        return not self.ending and self.is_paused_for_faults()
 
     def has_open_request(self) -> bool:
         """Whether a request is running or its result is being written."""
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -905,7 +905,7 @@
     def agrees(self):
         assert len(self.core.open) == (self.state == "busy")
         if self.state in LOGGED_IN:  # its Attention and its end have to show, also while rows are written
-            penalised = self.core.clock.now() < self.connection.penalty_until
+            penalised = self.core.clock.now() < self.connection.fault_pause_until
             assert self.connection.reading_stopped == (self.wire.producerState == "paused") == penalised
         assert self.state not in LOGGED_IN or self.connection.state is tds.ClientConnectionState[self.state.upper()]
 
@@ -941,7 +941,7 @@
     model.request(cuts=[], batch=True)
     model.answered(how="big", late=False)
     assert model.state == "rows" and model.connection.reading_stopped
-    model.core.clock.advance(model.connection.penalty_until - model.core.clock.now())
+    model.core.clock.advance(model.connection.fault_pause_until - model.core.clock.now())
     model.agrees()
     while model.state == "rows":
         model.rows()
