--- a/rackhub/fleet/distribution/applying.py
+++ b/rackhub/fleet/distribution/applying.py
@@ -36,7 +36,7 @@
     def __init__(self, wanted: Mapping[str, bytes], fallback: Mapping[str, bytes | None]):
         self.parts: dict[str, RuleSection] = {}
         self.wanted: Values = dict(wanted)
-        self.in_force: Values = _changed(self.wanted, fallback)
+        self.applied: Values = _changed(self.wanted, fallback)
         self.faults: dict[str, str] = {}
 
     def start(self, revision: int) -> None:
@@ -58,7 +58,7 @@
         after = _changed(self.wanted, changes)
         faults: dict[str, str] = {}
         for name in sorted({_part_name(key) for key in changes}):
-            settled = settle(self._check, name, _of_part(self.in_force, name), _of_part(after, name))
+            settled = settle(self._check, name, _of_part(self.applied, name), _of_part(after, name))
             faults |= {key: reason for key, reason in settled.faults.items() if key in changes}
         return _key_faults(faults)
 
@@ -69,11 +69,11 @@
     # ---- one part after the other
 
     def _part_names(self) -> set[str]:
-        return {_part_name(key) for key in self.wanted.keys() | self.in_force.keys()}
+        return {_part_name(key) for key in self.wanted.keys() | self.applied.keys()}
 
     def _settle(self, names: set[str], revision: int) -> None:
         for name in sorted(names):
-            before = _of_part(self.in_force, name)
+            before = _of_part(self.applied, name)
             settled = settle(self._check, name, before, _of_part(self.wanted, name))
             self.faults = {key: reason for key, reason in self.faults.items() if _part_name(key) != name}
             self.faults |= settled.faults
@@ -83,8 +83,8 @@
                 log.exception("fleet: %s can't hold revision %d", name, revision)
                 self.faults |= {key: f"{name} can't hold it: {bad}" for key in _differing(before, settled.values)}
                 continue
-            kept = {key: value for key, value in self.in_force.items() if _part_name(key) != name}
-            self.in_force = kept | settled.values
+            kept = {key: value for key, value in self.applied.items() if _part_name(key) != name}
+            self.applied = kept | settled.values
         for key, reason in sorted(self.faults.items()):
             if _part_name(key) in names:
                 log.error("fleet: revision %d: %s can't be taken, the value before goes on: %s", revision, key, reason)
--- a/rackhub/fleet/distribution/coordinator.py
+++ b/rackhub/fleet/distribution/coordinator.py
@@ -25,7 +25,7 @@
         self._watcher = Watcher(identity, self._store.held, limits, fleet.clock.now())
         entries = in_scope(self._store.held.entries.values(), identity.scope)
         wanted = {entry.key: entry.value for entry in entries if entry.value is not None}
-        self._keys = RuleKeys(wanted, self._store.fallback)
+        self._rule_keys = RuleKeys(wanted, self._store.fallback)
         self._unapplied: dict[str, Revision] = {}  # keys that are persisted, by the newest revision of each
         self.inbox = Inbox(fleet)
         self._runner = CoreRunner(fleet, self.inbox, self._watcher, self._perform)
@@ -49,7 +49,7 @@
     @property
     def faults(self) -> dict[str, str]:
         """Keys whose newest value can't be taken here, with the reason."""
-        return self._keys.faults
+        return self._rule_keys.faults
 
     @property
     def damage(self) -> str:
@@ -58,11 +58,11 @@
 
     def add_section(self, name: str, part: RuleSection) -> None:
         """Register the component that takes the rules of this name; before `start`."""
-        self._keys.parts[name] = part
+        self._rule_keys.parts[name] = part
 
     def start(self) -> None:
         """What was held is in force before the first word from a relay."""
-        self._keys.start(self._store.held.revision)
+        self._rule_keys.start(self._store.held.revision)
         self.inbox.start()
         self._runner.start()
 
@@ -96,7 +96,7 @@
 
     def _fallback(self, change: Persist) -> dict[str, bytes | None]:
         """What is in force of all keys that the next process may find a value of that can't be taken."""
-        in_force = self._keys.in_force
+        in_force = self._rule_keys.applied
         values = {entry.key: entry.value for entry in change.entries}
         if change.snapshot:
             values |= {key: None for key in in_force if key not in values}
@@ -105,12 +105,12 @@
         return {key: in_force.get(key) for key in self._unapplied.keys() | self.faults.keys()}
 
     def _apply(self, effect: Apply) -> None:
-        faults = self._keys.apply(effect.entries, effect.snapshot, effect.revision)
+        faults = self._rule_keys.apply(effect.entries, effect.snapshot, effect.revision)
         self._unapplied = {key: newest for key, newest in self._unapplied.items() if newest > effect.revision}
         if faults:
             self._fleet.add_count("distribution_not_taken", 1)
         self._runner.dispatch(Applied(effect.revision, faults[:FAULT_KEYS]))
 
     def _check(self, wanted: RunCheck) -> None:
-        faults = self._keys.check(in_scope(wanted.entries, self._identity.scope))[:FAULT_KEYS]
+        faults = self._rule_keys.check(in_scope(wanted.entries, self._identity.scope))[:FAULT_KEYS]
         self.inbox.send(wanted.to, Checked(wanted.mark, self._identity.zone, faults))
--- a/rackhub/fleet/distribution/core_runner.py
+++ b/rackhub/fleet/distribution/core_runner.py
@@ -70,7 +70,7 @@
 
 
 class CoreRunner:
-    """Runs one core. `perform` does its effects other than `Send` and `IncrementCounter`; it may hand in events at once,
+    """Runs one core. `perform` does its effects other than `Send` and `IncrementCounter`; it may hand in events,
     which are taken after the effects at hand."""
 
     def __init__(self, fleet: Fleet, inbox: Inbox, core: Core, perform: Callable[[Effect], None]):
--- a/rackhub/fleet/distribution/decisions.py
+++ b/rackhub/fleet/distribution/decisions.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.limits import CHANGE_BYTES, CHANGE_ENTRIES, KEY_BYTES, VALUE_BYTES
+from rackhub.fleet.distribution.limits import CHANGE_BYTES, CHANGE_ENTRIES, MAX_KEY_BYTES, VALUE_BYTES
 from rackhub.fleet.distribution.messages import Change, Entry, LogId, Revision
 from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
@@ -148,8 +148,8 @@
 
 def _entry_bytes(key: str, value: bytes | None) -> int:
     key_bytes = _key_bytes(key)
-    if not 0 < key_bytes <= KEY_BYTES:
-        raise InvalidEdit(key, f"a key has 1 to {KEY_BYTES} bytes, not {key_bytes}")
+    if not 0 < key_bytes <= MAX_KEY_BYTES:
+        raise InvalidEdit(key, f"a key has 1 to {MAX_KEY_BYTES} bytes, not {key_bytes}")
     value_bytes = len(value) if value is not None else 0
     if value_bytes > VALUE_BYTES:
         raise InvalidEdit(key, f"its value has {value_bytes} bytes, more than {VALUE_BYTES}")
--- a/rackhub/fleet/distribution/editor.py
+++ b/rackhub/fleet/distribution/editor.py
@@ -66,7 +66,7 @@
     ):
         self._learner = learner
         self._history = history
-        self._keys = keys
+        self._rule_keys = keys
         self._replication = replication
         self._proposer = proposer
         self._ask_zones = ask_zones
@@ -84,7 +84,7 @@
             request, changed, [past.change for past in self._history.since(min(request.base_revision, base))]
         )
         entries = tuple(Entry(key, value, base + 1) for key, value in changed.items())
-        faults = self._keys.check(entries)
+        faults = self._rule_keys.check(entries)
         if faults:
             return done(EditFailed(f"this voter can't take it: {_worded(faults)}", faulty=True))
         if len(self._checking) >= MOST_CHECKS:
--- a/rackhub/fleet/distribution/limits.py
+++ b/rackhub/fleet/distribution/limits.py
@@ -4,12 +4,12 @@
 
 MILLISECOND, SECOND = 1_000, 1_000_000
 
-KEY_BYTES = 256  # most bytes of a key, in UTF-8
+MAX_KEY_BYTES = 256  # most bytes of a key, in UTF-8
 VALUE_BYTES = 16_384  # most bytes of one value
 CHANGE_BYTES = 65_536  # most bytes of all keys and values of one change
 CHANGE_ENTRIES = 256  # most keys that one change may set or delete
 UPDATE_BYTES = 131_072  # most bytes of keys and values in one message: with its head it fits in one piece of mail
-SCOPES = 64  # most prefixes in one scope
+MAX_SCOPE_PREFIXES = 64  # most prefixes in one scope
 WORST = 5  # names of the members that lag most, in one report
 FAULT_KEYS = 8  # keys that could not be applied, named in one acknowledgement
 FAULT_LETTERS = 200  # letters kept of the reason for one of them
--- a/rackhub/fleet/distribution/messages.py
+++ b/rackhub/fleet/distribution/messages.py
@@ -11,7 +11,14 @@
 import msgspec
 from msgspec import Meta
 
-from rackhub.fleet.distribution.limits import FAULT_KEYS, FAULT_LETTERS, KEY_BYTES, SCOPES, VALUE_BYTES, WORST
+from rackhub.fleet.distribution.limits import (
+    FAULT_KEYS,
+    FAULT_LETTERS,
+    MAX_KEY_BYTES,
+    MAX_SCOPE_PREFIXES,
+    VALUE_BYTES,
+    WORST,
+)
 
 KIND = "distribution"  # of the mail that carries these messages
 
@@ -20,10 +27,10 @@
 Revision = Annotated[int, Meta(ge=0, le=1 << 53)]
 Number = Annotated[int, Meta(ge=0, le=1 << 53)]
 Duration = Annotated[int, Meta(ge=0, le=1 << 40)]  # milliseconds
-Key = Annotated[str, Meta(min_length=1, max_length=KEY_BYTES)]
+Key = Annotated[str, Meta(min_length=1, max_length=MAX_KEY_BYTES)]
 Value = Annotated[bytes, Meta(max_length=VALUE_BYTES)]
-Prefix = Annotated[str, Meta(max_length=KEY_BYTES)]
-Scope = Annotated[tuple[Prefix, ...], Meta(max_length=SCOPES)]  # prefixes of keys; ("",) is all of them
+Prefix = Annotated[str, Meta(max_length=MAX_KEY_BYTES)]
+Scope = Annotated[tuple[Prefix, ...], Meta(max_length=MAX_SCOPE_PREFIXES)]  # prefixes of keys; ("",) is all of them
 Reason = Annotated[str, Meta(max_length=FAULT_LETTERS)]
 
 
--- a/rackhub/fleet/distribution/rules.py
+++ b/rackhub/fleet/distribution/rules.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.limits import KEY_BYTES, VALUE_BYTES
+from rackhub.fleet.distribution.limits import MAX_KEY_BYTES, VALUE_BYTES
 
 PREFIX = "rules/"
 RANK_DIGITS = 12  # hexadecimal
@@ -119,8 +119,8 @@
     except (TypeError, ValueError, OverflowError) as bad:
         raise RuleKeyError(key, f"can't be written: {bad}") from None
     key_bytes = len(key.encode())
-    if key_bytes > KEY_BYTES:
-        raise RuleKeyError(key, f"the key has {key_bytes} bytes, more than {KEY_BYTES}")
+    if key_bytes > MAX_KEY_BYTES:
+        raise RuleKeyError(key, f"the key has {key_bytes} bytes, more than {MAX_KEY_BYTES}")
     if len(value) > VALUE_BYTES:
         raise RuleKeyError(key, f"its value has {len(value)} bytes, more than {VALUE_BYTES}")
     return value
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -67,7 +67,7 @@
         self.learner = Learner(
             self._store, self.history, self._runner.dispatch, self._learned, self._catch_up, fleet.add_count
         )
-        self._keys = RuleKeys(self.learner.values(), self._store.fallback)
+        self._rule_keys = RuleKeys(self.learner.values(), self._store.fallback)
         self._catching_up = self._new_catch_up(identity, voters, limits)
         self.acceptor = AcceptorShell(fleet, voters, disk, identity.generation, REGISTER)
         self._proposer = Proposer(fleet, voters, identity.generation, self.acceptor, REGISTER)
@@ -81,7 +81,7 @@
             lambda age: self._runner.dispatch(Confirmed(age)),
         )
         self._editor = Editor(
-            self.learner, self.history, self._keys, self.replication, self._proposer, self._runner.dispatch
+            self.learner, self.history, self._rule_keys, self.replication, self._proposer, self._runner.dispatch
         )
         self._ended = False
         self._refused: dict[Name, tuple[KeyFault, ...]] = {}  # by the relay that last reported them
@@ -111,11 +111,11 @@
 
     def add_section(self, name: str, part: RuleSection) -> None:
         """Register the component that takes the rules of this name; before `start`."""
-        self._keys.parts[name] = part
+        self._rule_keys.parts[name] = part
 
     def start(self) -> None:
         """Put in force what the disk has, then vote, learn and serve."""
-        self._keys.start(self.version)
+        self._rule_keys.start(self.version)
         self.inbox.start()
         self._runner.start()
         self._runner.dispatch(Confirmed(self._fleet.clock.now()))  # not yet: as old as the clock can tell
@@ -189,7 +189,7 @@
     def _learned(self, decided: Decided) -> None:
         """The change is on the disk."""
         for change in decided.changes:
-            self._keys.apply(change.entries, False, change.revision)
+            self._rule_keys.apply(change.entries, False, change.revision)
         self._runner.dispatch(decided)
         self.replication.say_synced()
 
@@ -197,7 +197,7 @@
         self._catching_up.begin(wanted)
 
     def _caught_up(self, taken: Apply, previous: Revision) -> None:
-        self._keys.apply(taken.entries, taken.snapshot, taken.revision)
+        self._rule_keys.apply(taken.entries, taken.snapshot, taken.revision)
         self._runner.dispatch(CaughtUp(taken.log, previous, taken.revision, taken.entries, taken.snapshot))
         self.replication.say_synced()
 
--- a/rackhub/fleet/roles.py
+++ b/rackhub/fleet/roles.py
@@ -74,13 +74,13 @@
 
 
 def _check_scope(settings: "FleetSettings") -> None:
-    from rackhub.fleet.distribution.limits import KEY_BYTES, SCOPES
+    from rackhub.fleet.distribution.limits import MAX_KEY_BYTES, MAX_SCOPE_PREFIXES
 
-    if not 1 <= len(settings.scope) <= SCOPES:
-        raise ValueError(f"scope: {len(settings.scope)} prefixes, and 1 to {SCOPES} are needed")
+    if not 1 <= len(settings.scope) <= MAX_SCOPE_PREFIXES:
+        raise ValueError(f"scope: {len(settings.scope)} prefixes, and 1 to {MAX_SCOPE_PREFIXES} are needed")
     for number, prefix in enumerate(settings.scope):
-        if len(prefix.encode()) > KEY_BYTES:
-            raise ValueError(f"scope[{number}]: {prefix[:40]!r}... has more than {KEY_BYTES} bytes")
+        if len(prefix.encode()) > MAX_KEY_BYTES:
+            raise ValueError(f"scope[{number}]: {prefix[:40]!r}... has more than {MAX_KEY_BYTES} bytes")
 
 
 def _check_directory(nodes: tuple[FleetNode, ...]) -> None:
--- a/tests/test_distribution_decisions.py
+++ b/tests/test_distribution_decisions.py
@@ -17,7 +17,7 @@
     majority_revision,
     trim,
 )
-from rackhub.fleet.distribution.limits import CHANGE_BYTES, CHANGE_ENTRIES, KEY_BYTES, VALUE_BYTES
+from rackhub.fleet.distribution.limits import CHANGE_BYTES, CHANGE_ENTRIES, MAX_KEY_BYTES, VALUE_BYTES
 from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
 
@@ -72,8 +72,8 @@
 @pytest.mark.parametrize(
     ("values", "key"),
     [
-        ({"good": b"", "k" * (KEY_BYTES + 1): b""}, "k" * (KEY_BYTES + 1)),
-        ({"ä" * KEY_BYTES: b""}, "ä" * KEY_BYTES),  # its bytes count, not its letters
+        ({"good": b"", "k" * (MAX_KEY_BYTES + 1): b""}, "k" * (MAX_KEY_BYTES + 1)),
+        ({"ä" * MAX_KEY_BYTES: b""}, "ä" * MAX_KEY_BYTES),  # its bytes count, not its letters
         ({"": b""}, ""),
         ({"\ud800": b""}, "\ud800"),
         ({"good": b"", "big": bytes(VALUE_BYTES + 1)}, "big"),
@@ -94,7 +94,7 @@
 
 
 def test_a_change_at_its_bounds_is_taken():
-    values = {f"{i:<{KEY_BYTES}}": bytes(VALUE_BYTES - KEY_BYTES) for i in range(CHANGE_BYTES // VALUE_BYTES)}
+    values = {f"{i:<{MAX_KEY_BYTES}}": bytes(VALUE_BYTES - MAX_KEY_BYTES) for i in range(CHANGE_BYTES // VALUE_BYTES)}
     assert append_edit(Tail("log"), Edit("a", values), 0).newest == 1
 
 
--- a/tests/test_distribution_messages.py
+++ b/tests/test_distribution_messages.py
@@ -8,7 +8,7 @@
 
 from rackhub.fleet.distribution import events
 from rackhub.fleet.distribution.events import Node, Role, StoredState
-from rackhub.fleet.distribution.limits import FAULT_KEYS, KEY_BYTES, SECOND, VALUE_BYTES, Limits
+from rackhub.fleet.distribution.limits import FAULT_KEYS, MAX_KEY_BYTES, SECOND, VALUE_BYTES, Limits
 from rackhub.fleet.distribution.messages import (
     Acknowledge,
     Check,
@@ -71,7 +71,7 @@
     "message",
     [
         Update(1, LOG, 2, 3, (Entry("", b"", 3),)),
-        Update(1, LOG, 2, 3, (Entry("k" * (KEY_BYTES + 1), b"", 3),)),
+        Update(1, LOG, 2, 3, (Entry("k" * (MAX_KEY_BYTES + 1), b"", 3),)),
         Update(1, LOG, 2, 3, (Entry("k", bytes(VALUE_BYTES + 1), 3),)),
         Update(1, LOG, -1, 3, ()),
         Update(1, "x" * 33, 2, 3, ()),
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -28,7 +28,7 @@
 )
 FINDING = settings(STEPS, max_examples=400, phases=[Phase.generate])  # without making the example smaller
 CONVERGED = 16 * SECOND  # the bound that the design note derives
-SCOPES = {"all": ("",), "first": ("a/",), "second": ("b/", "c/1"), "none": ("z/",)}
+MAX_SCOPE_PREFIXES = {"all": ("",), "first": ("a/",), "second": ("b/", "c/1"), "none": ("z/",)}
 KEYS = [f"{prefix}/{number}" for prefix in "abc" for number in range(3)]
 LOSSES = st.sampled_from([0.0, 0.1, 0.3, 0.5])
 LIMITS = Limits(
@@ -42,7 +42,7 @@
     @initialize(seed=st.integers(0, 1 << 16), loss=LOSSES)
     def begin(self, seed, loss):
         self.fleet = CheckedFleet(sources=2, limits=LIMITS, seed=seed)
-        for number, (name, scope) in enumerate(SCOPES.items()):
+        for number, (name, scope) in enumerate(MAX_SCOPE_PREFIXES.items()):
             zone = "a" if number % 2 else "b"
             self.fleet.coordinator(f"coordinator-{name}", zone, scope)
         self.names, self.copies = list(self.fleet.processes), {}
--- a/tests/test_distribution_rules.py
+++ b/tests/test_distribution_rules.py
@@ -9,7 +9,7 @@
 from rackhub.fleet.distribution.decisions import InvalidEdit
 from rackhub.fleet.distribution.editing import EditRequest, plan
 from rackhub.fleet.distribution.history import History
-from rackhub.fleet.distribution.limits import FAULT_LETTERS, KEY_BYTES, VALUE_BYTES
+from rackhub.fleet.distribution.limits import FAULT_LETTERS, MAX_KEY_BYTES, VALUE_BYTES
 from rackhub.fleet.distribution.messages import Entry
 from rackhub.fleet.distribution.rules import RuleKeyError, assemble, difference, flatten
 from rackhub.fleet.register.disk import MemoryDisk
@@ -101,8 +101,8 @@
 @pytest.mark.parametrize(
     "parts, words, fault",
     [
-        ({"a": {"k" * KEY_BYTES: 1}}, {}, "rules/a/kkk.*the key has 264 bytes, more than 256"),
-        ({"k" * KEY_BYTES: {}}, {}, "rules/kkk.*the key has 262 bytes, more than 256"),
+        ({"a": {"k" * MAX_KEY_BYTES: 1}}, {}, "rules/a/kkk.*the key has 264 bytes, more than 256"),
+        ({"k" * MAX_KEY_BYTES: {}}, {}, "rules/kkk.*the key has 262 bytes, more than 256"),
         ({"a": {"b": "x" * VALUE_BYTES}}, {}, "rules/a/b: its value has 16387 bytes, more than 16384"),
         ({"a": {f"{n}": "x" * 16_000 for n in range(5)}}, {}, "key 'rules/a/0': it is the largest of an edit of"),
         ({"a": {f"{n:03}": n for n in range(257)}}, {}, "an edit has 1 to 256 keys, not 257"),
@@ -177,7 +177,7 @@
     [fault] = keys.apply([entry("p/first", 99), entry("p/third", 4), entry("p/second", 5)], False, 2)
     assert fault.key == "rules/p/first" and "first = 99: is not below 10" in fault.reason
     assert part.held[-1] == (2, {"first": 1, "second": 5, "third": 4})
-    assert keys.in_force["rules/p/first"] == rules.encode_value(1)
+    assert keys.applied["rules/p/first"] == rules.encode_value(1)
     assert keys.apply([entry("p/first", 7)], False, 3) == () and part.held[-1][1]["first"] == 7
 
 
@@ -200,7 +200,7 @@
     keys, _ = keys_with_part()
     keys.apply([entry("p/first", 1), entry("p/third", 3)], False, 1)
     keys.apply([entry("p/first", 99), entry("p/new", 99)], False, 2)
-    fallback = {key: keys.in_force.get(key) for key in keys.faults}
+    fallback = {key: keys.applied.get(key) for key in keys.faults}
     again, part = keys_with_part(keys.wanted, fallback | {"rules/p/third": None})
     again.start(2)
     assert part.held == [(2, {"first": 1, "third": 3})] and set(again.faults) == {"rules/p/first", "rules/p/new"}
@@ -220,11 +220,11 @@
 def test_a_check_changes_nothing_and_names_only_keys_that_were_asked():
     keys, part = keys_with_part()
     keys.apply([entry("p/first", 99)], False, 1)
-    before = (dict(keys.wanted), dict(keys.in_force), list(part.held))
+    before = (dict(keys.wanted), dict(keys.applied), list(part.held))
     assert keys.check([entry("p/third", 3)]) == ()
     [fault] = keys.check([entry("p/third", 30)])
     assert fault.key == "rules/p/third" and len(fault.reason) <= FAULT_LETTERS
-    assert (keys.wanted, keys.in_force, part.held) == before
+    assert (keys.wanted, keys.applied, part.held) == before
 
 
 def test_the_work_for_a_part_that_takes_nothing_is_bounded():
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -190,7 +190,7 @@
         assert b"distribution/history/" in stand.disks[name].get("distribution/fallback")
     fleet = stand.net.nodes["v0"].fleet()
     voter = Voter(fleet, Identity(name="v0"), ("v0", "v1", "v2"), stand.disks["v0"], Limits())
-    assert set(voter._keys.in_force) == set(voter.learner.values())
+    assert set(voter._rule_keys.applied) == set(voter.learner.values())
     stand.disks["v0"].crash()  # before it was stored: it is done again
     for name in ("v0", "v1", "v2"):
         stand.restart(name)
