--- a/rackhub/fleet/distribution/service.py
+++ b/rackhub/fleet/distribution/service.py
@@ -16,7 +16,7 @@
 from rackhub.fleet.distribution.waiting import wait_in_force
 from rackhub.fleet.ports import Answer, Control, Fleet
 from rackhub.fleet.roles import VOTER
-from rackhub.fleet.rules.requests import Request, read
+from rackhub.fleet.rules.requests import Request, parse_request
 from rackhub.fleet.settings import FleetSettings
 
 REFUSED, BAD_USAGE = 1, 2  # exit statuses of the command line
@@ -52,7 +52,7 @@
 def _answering(handler: Handler) -> Callable[[Mapping[str, Any], Answer], None]:
     def called(words: Mapping[str, Any], answer: Answer) -> None:
         try:
-            handler(read(words), answer)
+            handler(parse_request(words), answer)
         except InvalidEdit as bad:
             answer({"error": str(bad), "exit": BAD_USAGE})
         except (EditRejected, RevisionNotRetained) as refused:
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -194,7 +194,7 @@
     def _end_disk(self) -> None:
         disk, self.disk = self.disk, None
         if disk is not None:
-            disk.end()
+            disk.close()
 
     def metrics(self) -> Mapping[str, float]:
         told: dict[str, float] = dict(self.membership.figures()) | {name: float(n) for name, n in self.counts.items()}
--- a/rackhub/fleet/register/acceptor_shell.py
+++ b/rackhub/fleet/register/acceptor_shell.py
@@ -67,7 +67,7 @@
 class AcceptorShell:
     """This gateway as one of `acceptors`.
 
-    `boot_number` is this process's. `register` names the register in message kinds and disk keys, so one process can
+    `generation` is this process's. `register` names the register in message kinds and disk keys, so one process can
     vote in several. Raises `ValueError` where the disk holds the state of another acceptor, or of another set of them.
     `damage`, unless empty, describes a fault that operators must know of.
     """
@@ -77,7 +77,7 @@
         fleet: Fleet,
         acceptors: tuple[Name, ...],
         disk: Disk,
-        boot_number: int,
+        generation: int,
         register: str = DEFAULT_REGISTER,
     ):
         self._fleet = fleet
@@ -98,7 +98,7 @@
         if stored is not None:
             self.state = stored
         else:
-            self.state = new_acceptor(acceptors, self.local_name, DiskIncarnation(boot_number, disk.identity))
+            self.state = new_acceptor(acceptors, self.local_name, DiskIncarnation(generation, disk.identity))
             self._save()
 
     def connect_local_proposer(self, receive: Callable[[Message], None]) -> None:
@@ -161,11 +161,11 @@
         boot number with it.
         """
         incarnation = self.state.incarnation
-        boot_number = self._fleet.members.all()[self.local_name].generation
+        generation = self._fleet.members.all()[self.local_name].generation
         if message.requested != incarnation or self.state.voting:
             return
-        if boot_number > incarnation.boot_number:
-            incarnation = DiskIncarnation(boot_number, incarnation.identity)
+        if generation > incarnation.generation:
+            incarnation = DiskIncarnation(generation, incarnation.identity)
             self.state = new_acceptor(self.state.acceptors, self.local_name, incarnation)
             self._save()
         elif not self.damage:
--- a/rackhub/fleet/register/disk.py
+++ b/rackhub/fleet/register/disk.py
@@ -60,7 +60,7 @@
         return None if found is None else bytes(found.value)
 
     @property
-    def waiting_bytes(self) -> int:
+    def deferred_bytes(self) -> int:
         """The size of the keys and values that wait for the disk."""
         return self._deferred.size
 
@@ -79,7 +79,7 @@
         for stored_key, value in self._deferred.merged_into(stored, start):
             yield stored_key[len(KEY_PREFIX) :].decode(), value
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Close the store; a failure is logged."""
         from rackhub.store import StoreError
 
--- a/rackhub/fleet/register/messages.py
+++ b/rackhub/fleet/register/messages.py
@@ -21,7 +21,7 @@
 
     number: int = 0
     proposer: str = ""
-    boot_number: int = 0
+    generation: int = 0
 
 
 class DiskIncarnation(NamedTuple):
@@ -30,7 +30,7 @@
     A greater incarnation of the same acceptor is a newer disk, which lost what the earlier one stored.
     """
 
-    boot_number: int = 0
+    generation: int = 0
     identity: str = ""
 
 
--- a/rackhub/fleet/register/proposer.py
+++ b/rackhub/fleet/register/proposer.py
@@ -26,7 +26,7 @@
     encode,
 )
 from rackhub.fleet.register.round import (
-    Change,
+    ChangeFunction,
     Chosen,
     Effect,
     Round,
@@ -42,7 +42,7 @@
 INITIAL_BACKOFF_US = 20_000
 MAX_BACKOFF_US = 1_000_000
 MAX_BACKOFF_DOUBLINGS = 8
-RANDOM_BOOT_BITS = 12
+RANDOM_GENERATION_BITS = 12
 MAX_QUEUED_CHANGES = 64  # beyond, changes are rejected at once
 STOPPED_REASON = "this gateway ends"
 
@@ -61,7 +61,7 @@
 
 
 class _QueuedChange(NamedTuple):
-    change: Change
+    change: ChangeFunction
     done: Callable[[Outcome], None]
     deadline: int  # microseconds of the fleet's clock
 
@@ -69,7 +69,7 @@
 class Proposer:
     """Changes the register of that name.
 
-    `boot_number` is this process's: with the name and a number it makes ballots unique. `local_acceptor` is the one in
+    `generation` is this process's: with the name and a number it makes ballots unique. `local_acceptor` is the one in
     this process, if any.
     """
 
@@ -77,7 +77,7 @@
         self,
         fleet: Fleet,
         acceptors: tuple[Name, ...],
-        boot_number: int,
+        generation: int,
         local_acceptor: AcceptorShell | None = None,
         register: str = DEFAULT_REGISTER,
     ):
@@ -88,8 +88,8 @@
         self._request_kind = request_kind(register)
         self._reply_kind = reply_kind(register)
         # a gateway without a state directory has its boot number from the wall clock, which may be set back
-        self._unique_boot = boot_number << RANDOM_BOOT_BITS | secrets.randbits(RANDOM_BOOT_BITS)
-        self._random = random.Random(f"{fleet.seed} proposer {self._local_name} {boot_number}")
+        self._unique_generation = generation << RANDOM_GENERATION_BITS | secrets.randbits(RANDOM_GENERATION_BITS)
+        self._random = random.Random(f"{fleet.seed} proposer {self._local_name} {generation}")
         self._queue: deque[_QueuedChange] = deque()
         self._current: _QueuedChange | None = None
         self._round: Round | None = None
@@ -123,7 +123,7 @@
         for one in queued:
             one.done(Outcome("refused", reason=STOPPED_REASON))
 
-    def change(self, change: Change, done: Callable[[Outcome], None], within: int) -> None:
+    def change(self, change: ChangeFunction, done: Callable[[Outcome], None], within: int) -> None:
         """Apply `change` to the value, and call `done` once, after some more than `within` microseconds at the latest.
 
         `change` may be called several times, with other values, so it must be a pure function.
@@ -156,7 +156,7 @@
             self._finish(self._failure(self._describe_missing_quorum()))
             return
         self._highest_number += 1
-        ballot = Ballot(self._highest_number, self._local_name, self._unique_boot)
+        ballot = Ballot(self._highest_number, self._local_name, self._unique_generation)
         self._round, prepare = start_round(self._acceptors, ballot, self._known_ballot, self._known_value)
         self._rounds += 1
         self._send_request(prepare)
--- a/rackhub/fleet/register/round.py
+++ b/rackhub/fleet/register/round.py
@@ -23,7 +23,8 @@
 )
 
 PositiveVoteT = TypeVar("PositiveVoteT", bound=Promise | Accepted)
-Change = Callable[[bytes | None], tuple[bytes | None, Any]]  # the value -> the new value, and the answer to the caller
+# maps the register's value to its new value and the answer for the caller
+ChangeFunction = Callable[[bytes | None], tuple[bytes | None, Any]]
 
 
 class Round(msgspec.Struct, frozen=True):
@@ -69,7 +70,7 @@
     return Round(acceptors, ballot, known_ballot, value), Prepare(ballot, acceptors, known_ballot)
 
 
-def handle_reply(state: Round, reply: Vote, change: Change) -> tuple[Round, list[Effect]]:
+def handle_reply(state: Round, reply: Vote, change: ChangeFunction) -> tuple[Round, list[Effect]]:
     """The round after one acceptor's reply, and what to do.
 
     Replies to other ballots, from other processes, or received before change nothing. Raises what `change` raises.
@@ -85,7 +86,7 @@
     return state, []
 
 
-def _handle_promise(state: Round, reply: Promise, change: Change) -> tuple[Round, list[Effect]]:
+def _handle_promise(state: Round, reply: Promise, change: ChangeFunction) -> tuple[Round, list[Effect]]:
     promises = _with_reply(state.promises, reply)
     state = msgspec.structs.replace(state, promises=promises)
     quorum = consistent_quorum(promises, quorum_size(state.acceptors))
@@ -114,7 +115,7 @@
     return tuple(sorted([*rest, reply], key=lambda one: one.acceptor))
 
 
-def _propose(state: Round, quorum: tuple[Promise, ...], change: Change) -> tuple[Round, list[Effect]]:
+def _propose(state: Round, quorum: tuple[Promise, ...], change: ChangeFunction) -> tuple[Round, list[Effect]]:
     newest = max(quorum, key=lambda promise: promise.accepted)
     current = state.value if newest.accepted == state.known_ballot else newest.value
     proposed, answer = change(current)
--- a/rackhub/fleet/rules/dissemination.py
+++ b/rackhub/fleet/rules/dissemination.py
@@ -35,8 +35,8 @@
         self._fleet = fleet
         self._tracker = tracker
         self._learn = learn
-        boot = fleet.members.all()[fleet.members.local_name].generation
-        self._random = random.Random(f"{fleet.seed} spread {fleet.members.local_name} {boot}")
+        generation = fleet.members.all()[fleet.members.local_name].generation
+        self._random = random.Random(f"{fleet.seed} spread {fleet.members.local_name} {generation}")
         self._request_id = self._random.getrandbits(48)
         self._open_fetches: dict[int, int] = {}  # request id -> when it was sent
         self._fetched_at: dict[Name, int] = {}
--- a/rackhub/fleet/rules/requests.py
+++ b/rackhub/fleet/rules/requests.py
@@ -31,7 +31,7 @@
     wait_ms: int = 0
 
 
-def read(call: Mapping[str, Any]) -> Request:
+def parse_request(call: Mapping[str, Any]) -> Request:
     """Decode a call. Raises `ValueError` or `msgspec.ValidationError` that names the key at fault."""
     request = msgspec.convert({key: value for key, value in call.items() if key != "call"}, Request)
     if not 0 <= request.wait_ms <= MAX_WAIT_MS:
--- a/rackhub/fleet/rules/service.py
+++ b/rackhub/fleet/rules/service.py
@@ -13,7 +13,7 @@
 from rackhub.fleet.rules.messages import ChangeKind, ChangeRejectedError, EditRequest, Trial, Version
 from rackhub.fleet.rules.ports import RulesView
 from rackhub.fleet.rules.propagation import PropagationWait
-from rackhub.fleet.rules.requests import MAX_TRIAL_MS, MIN_TRIAL_MS, Request, read
+from rackhub.fleet.rules.requests import MAX_TRIAL_MS, MIN_TRIAL_MS, Request, parse_request
 
 Call = Callable[[Request, Answer], None]
 Query = Callable[[RulesView, Request], Mapping[str, Any]]
@@ -129,7 +129,7 @@
 
     def handle(call_object: Mapping[str, Any], answer: Answer) -> None:
         try:
-            call(read(call_object), answer)
+            call(parse_request(call_object), answer)
         except ChangeRejectedError as rejection:
             answer({"error": str(rejection), "exit": EXIT_REJECTED})
         except (ValueError, msgspec.ValidationError) as error:
--- a/rackhub/fleet/rules/versioned_rules.py
+++ b/rackhub/fleet/rules/versioned_rules.py
@@ -65,14 +65,14 @@
         self.acceptors = settings.keepers
         self._disk = disk
         self._counts = counts
-        boot = fleet.members.all()[self.gateway].generation
+        generation = fleet.members.all()[self.gateway].generation
         self.sections: dict[str, RuleSection] = {}
         self.damage = ""  # why the record on disk could not be read
         self.tracker = VersionTracker(self.gateway, self._load())
         self.acceptor: AcceptorShell | None = None
         if disk is not None and self.gateway in self.acceptors:
-            self.acceptor = AcceptorShell(fleet, self.acceptors, disk, boot)
-        self.proposer = Proposer(fleet, self.acceptors, boot, self.acceptor)
+            self.acceptor = AcceptorShell(fleet, self.acceptors, disk, generation)
+        self.proposer = Proposer(fleet, self.acceptors, generation, self.acceptor)
         self.dissemination = Dissemination(fleet, self.tracker, self._learn)
         self.checks = FleetChecks(fleet, self.fault)
         self.changes = ChangeCoordinator(fleet, self.tracker, self.proposer, self.dissemination, self._learn)
--- a/rackhub/trials/fleet/register_explore.py
+++ b/rackhub/trials/fleet/register_explore.py
@@ -33,7 +33,7 @@
     Promise,
     Vote,
 )
-from rackhub.fleet.register.round import Change, Chosen, Round, handle_reply, start_round
+from rackhub.fleet.register.round import ChangeFunction, Chosen, Round, handle_reply, start_round
 
 ACCEPTORS = ("a", "b", "c")
 EDITORS = ("x", "y")
@@ -221,7 +221,7 @@
         return world, ""
 
     @staticmethod
-    def _change(at: int, reads: bool) -> Change:
+    def _change(at: int, reads: bool) -> ChangeFunction:
         mine = EDITORS[at].encode()
 
         def change(value: bytes | None) -> tuple[bytes | None, Any]:
@@ -292,9 +292,7 @@
         if not all(self.acceptors.all[one].voting for i, one in enumerate(world.memory) if i != at):
             return
         old: AcceptorState = self.acceptors.all[world.memory[at]]
-        fresh = new_acceptor(
-            ACCEPTORS, old.local_name, DiskIncarnation(old.incarnation.boot_number + 1, old.local_name)
-        )
+        fresh = new_acceptor(ACCEPTORS, old.local_name, DiskIncarnation(old.incarnation.generation + 1, old.local_name))
         if self.bounds.empty:
             fresh = msgspec.structs.replace(fresh, voting=True)
         number = self.acceptors(fresh)
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -203,17 +203,17 @@
     store.persist(Persist("log", 2, (entry("a", b"1", 1), entry("b", b"2", 2)), True), lambda: None)
     store.persist(Persist("log", 3, (entry("a", None, 3),), False), lambda: None)
     identity = disk.identity
-    disk.end()
+    disk.close()
     disk = StoreDisk(reactor, path)
     assert disk.identity == identity and sorted(loaded(disk).held.entries) == ["b"]
     assert loaded(disk).held.revision == 3
-    disk.end()
+    disk.close()
     for file in path.iterdir():
         if file.stat().st_size:
             file.write_bytes(b"\xff" * file.stat().st_size)
     disk = StoreDisk(reactor, path)
     assert disk.damage and disk.identity != identity and loaded(disk).held == StoredState()
-    disk.end()
+    disk.close()
     assert any(aside.name.startswith("distribution.damaged-") for aside in tmp_path.iterdir())
 
 
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -190,7 +190,7 @@
         name: one if name != "a" else msgspec.structs.replace(one, boot=boot) for name, one in all_of().items()
     }
     cluster.net.time.run(9 * SECOND)
-    assert cluster.acceptors["a"].state.voting and cluster.acceptors["a"].state.incarnation.boot_number == 9
+    assert cluster.acceptors["a"].state.voting and cluster.acceptors["a"].state.incarnation.generation == 9
 
 
 def test_an_unreadable_acceptor_state_is_reported_and_fetched_from_the_others():
@@ -264,16 +264,16 @@
     for number in range(40):
         disk.put("key", b"%d" % number, lambda number=number: done.append(number))
     assert turned(lambda: len(done) == 40) and done == sorted(done)
-    disk.end()
+    disk.close()
     again = StoreDisk(reactor, tmp_path / "state")
     assert again.get("key") == b"39" and again.identity == disk.identity
-    again.end()
+    again.close()
     log = next((tmp_path / "state").glob("log-*"))
     log.write_bytes(b"x" * log.stat().st_size)
     other = StoreDisk(reactor, tmp_path / "state")
     assert other.damage and other.get("key") is None and other.identity != disk.identity
     assert len(list(tmp_path.glob("state.damaged-*"))) == 1
-    other.end()
+    other.close()
 
 
 def test_a_promise_is_sent_only_when_it_is_durable():
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -70,7 +70,7 @@
             b"disk/identity": disk.identity.encode()
         } == golden[name] | {b"disk/identity": disk.identity.encode()}
     finally:
-        disk.end()
+        disk.close()
 
 
 def test_the_same_course_of_events_stores_the_same_bytes():
--- a/tests/test_voter_disk.py
+++ b/tests/test_voter_disk.py
@@ -206,11 +206,11 @@
     for number in range(1_000):
         here.disk.put("register/voter", msgspec.msgpack.encode(number), lambda number=number: done.append(number))
         here.run_iterations()
-    assert here.disk.waiting_bytes < 1_000
+    assert here.disk.deferred_bytes < 1_000
     here.files.fail_at = 0
     for _ in range(4):
         here.run_iterations(4)
-    assert done == list(range(1_000)) and here.disk.waiting_bytes == 0
+    assert done == list(range(1_000)) and here.disk.deferred_bytes == 0
 
 
 # Guards against a write that is made while those that waited are written, and that is lost with them.
