--- a/rackhub/fleet/control/fleet_status.py
+++ b/rackhub/fleet/control/fleet_status.py
@@ -44,7 +44,7 @@
         "health": membership.core.probing.health.factor,
         "clashes": {name: sorted(places) for name, places in sorted(table.own.clashes.items())},
         "nonsense": dict(sorted(table.nonsense.items())),
-        "figures": dict(membership.figures()),
+        "figures": dict(membership.metrics()),
     }
 
 
--- a/rackhub/fleet/distribution/coordinator.py
+++ b/rackhub/fleet/distribution/coordinator.py
@@ -70,7 +70,7 @@
         """Watch no longer; the rules in force stay."""
         self._runner.stop()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """The metrics, by name."""
         return {
             "distribution_revision": float(self.version),
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -65,9 +65,9 @@
         self.shell.stop()
         self._link.stop()
 
-    def figures(self) -> dict[str, float]:
-        link = {f"distribution_{name}": figure for name, figure in self._link.figures().items()}
-        return link | self.shell.figures()
+    def metrics(self) -> dict[str, float]:
+        link = {f"distribution_{name}": figure for name, figure in self._link.metrics().items()}
+        return link | self.shell.metrics()
 
     def _shell(self, disk: KeyedDisk | None) -> Coordinator | RelayShell | Voter:
         settings, limits = self._settings, Limits()
--- a/rackhub/fleet/distribution/queries.py
+++ b/rackhub/fleet/distribution/queries.py
@@ -64,8 +64,8 @@
         case RelayShell():
             return common | {
                 "upstream": shell.upstream,
-                "watchers": int(shell.figures()["distribution_watchers"]),
-                "members": int(shell.figures()["distribution_members"]),
+                "watchers": int(shell.metrics()["distribution_watchers"]),
+                "members": int(shell.metrics()["distribution_members"]),
             }
         case Coordinator():
             faults = [KeyFault(key, reason) for key, reason in sorted(shell.faults.items())]
--- a/rackhub/fleet/distribution/relay_shell.py
+++ b/rackhub/fleet/distribution/relay_shell.py
@@ -52,7 +52,7 @@
         self._ended = True
         self._runner.stop()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         return {
             "distribution_revision": float(self.version),
             "distribution_watchers": float(self._relay.watchers),
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -151,7 +151,7 @@
         """Keys that some coordinators can't take, as the relays name them; not all where there are many."""
         return sorted({fault for faults in self._refused.values() for fault in faults}, key=lambda fault: fault.key)
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """The metrics, by name."""
         status = self.status()
         return {
--- a/rackhub/fleet/link/mail_link.py
+++ b/rackhub/fleet/link/mail_link.py
@@ -144,7 +144,7 @@
     def _tick(self) -> None:
         self._step(Tick())
 
-    def figures(self) -> Mapping[str, float]:
+    def metrics(self) -> Mapping[str, float]:
         """Counters of the association and of the socket; those of faults have the sender's name at the end."""
         figures: dict[str, float] = {f"mail_{name}": count for name, count in self.association.counts.items()}
         for (name, sender), count in self.association.faults.items():
--- a/rackhub/fleet/members/part.py
+++ b/rackhub/fleet/members/part.py
@@ -180,7 +180,7 @@
         self.core.here.now = max(self.core.here.now, self._clock.now())
         return list(self.core.records.all())
 
-    def figures(self) -> Mapping[str, float]:
+    def metrics(self) -> Mapping[str, float]:
         told: dict[str, float] = {f"fleet_{name}": count for name, count in self.core.here.counts.items()}
         members = self.members.all().values()
         for member in members:
--- a/rackhub/fleet/overload/component.py
+++ b/rackhub/fleet/overload/component.py
@@ -117,7 +117,7 @@
         if self._cancel is not None:
             self._cancel()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the gauges by name."""
         own = self.controller.metrics() | {
             "probes": len(self.health_checks.targets),
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -197,11 +197,11 @@
             disk.close()
 
     def metrics(self) -> Mapping[str, float]:
-        told: dict[str, float] = dict(self.membership.figures()) | {name: float(n) for name, n in self.counts.items()}
+        told: dict[str, float] = dict(self.membership.metrics()) | {name: float(n) for name, n in self.counts.items()}
         if self.overload is not None:
-            told |= self.overload.figures()
+            told |= self.overload.metrics()
         if self.rules is not None:
-            told |= self.rules.figures()
+            told |= self.rules.metrics()
         return told
 
     def summary_lines(self) -> Sequence[str]:
--- a/rackhub/fleet/rules/versioned_rules.py
+++ b/rackhub/fleet/rules/versioned_rules.py
@@ -142,7 +142,7 @@
         if self.acceptor is not None:
             self.acceptor.stop()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the metrics by name."""
         return {
             "rules_version": self._active.version,
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -307,7 +307,7 @@
     for coordinator, part in stands:
         assert part.held[-1] == (2, {"first": 1, "second": 2})
         assert list(coordinator.faults) == ["rules/p/first"] and coordinator.version == 2
-        assert coordinator.figures()["distribution_refused_keys"] == 1
+        assert coordinator.metrics()["distribution_refused_keys"] == 1
     assert net.time.run(16 * SECOND, lambda: voter.status().fault_count == 2)
 
 
@@ -379,6 +379,6 @@
 def test_a_relay_counts_the_coordinators_of_its_zone_by_the_members_word():
     net, voter, disks = fleet_of()
     relay = relay_on(net, "r0")
-    assert relay.figures()["distribution_members"] == 2
+    assert relay.metrics()["distribution_members"] == 2
     net.nodes["r0"].say("c1", MemberState.GONE)
-    assert relay.figures()["distribution_members"] == 1
+    assert relay.metrics()["distribution_members"] == 1
--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -117,7 +117,7 @@
     stand.wait(lambda: stand.all_at(2))
     assert all(part.held[-1] == (2, {"a": 1, "b": 3}) for part in stand.parts.values())
     stand.wait(lambda: stand.processes["v2"].replication.replicated_revision() == 2)
-    assert stand.processes["v2"].figures()["distribution_replicated"] == 2
+    assert stand.processes["v2"].metrics()["distribution_replicated"] == 2
 
 
 def test_a_fleet_without_any_change_yet_has_revision_0_in_force_everywhere():
--- a/tests/test_fleet_association.py
+++ b/tests/test_fleet_association.py
@@ -396,7 +396,7 @@
     assert taken == []
     exchange(reactor, links)
     assert sorted(taken) == [("coordinator", b"own"), ("coordinator", b"x")]
-    figures = relay.figures()
+    figures = relay.metrics()
     assert (figures["mail_faults"], figures["mail_mail_untaken"], relay.port.opened) == (1, 1, 1)
     relay.stop()
     coordinator.stop()
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -372,7 +372,7 @@
 reactor.callLater(0.5, holder.close)
 for part in (control, *parts):
     part.start()
-assert not parts[1].figures()["fleet_listening"]
+assert not parts[1].metrics()["fleet_listening"]
 def send():
     if len(parts[1].members.live()) < 3:
         reactor.callLater(0.05, send)
