--- a/rackhub/fleet/control/fleet_status.py
+++ b/rackhub/fleet/control/fleet_status.py
@@ -42,8 +42,8 @@
             for kind, records in _records_by_kind(membership).items()
         },
         "health": membership.core.probing.health.factor,
-        "clashes": {name: sorted(places) for name, places in sorted(table.own.clashes.items())},
-        "nonsense": dict(sorted(table.nonsense.items())),
+        "clashes": {name: sorted(places) for name, places in sorted(table.local_member.clashes.items())},
+        "nonsense": dict(sorted(table.implausible_claims.items())),
         "figures": dict(membership.metrics()),
     }
 
@@ -71,6 +71,6 @@
 def _records_by_kind(membership: Membership) -> dict[str, list[Record]]:
     """Sorted by kind, and by owner within each."""
     kinds: dict[str, list[Record]] = {}
-    for record in membership.records():
+    for record in membership.published_records():
         kinds.setdefault(record.kind, []).append(record)
     return {kind: sorted(kinds[kind]) for kind in sorted(kinds)}
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -16,7 +16,7 @@
 from rackhub.fleet.distribution.relay_shell import RelayShell
 from rackhub.fleet.distribution.service import offer
 from rackhub.fleet.distribution.voter import Voter
-from rackhub.fleet.link.mail_link import MailLink
+from rackhub.fleet.link.message_transport import MessageTransport
 from rackhub.fleet.ports import Control, Fleet, KeyedDisk, RuleSection
 from rackhub.fleet.settings import FleetSettings
 
@@ -108,9 +108,9 @@
             self._cancel = self._fleet.call_later(ADDRESS_AGAIN, self._open_link)
 
 
-def _mail_link(reactor: Any, fleet: Fleet, settings: FleetSettings, generation: int) -> MailLink:
+def _mail_link(reactor: Any, fleet: Fleet, settings: FleetSettings, generation: int) -> MessageTransport:
     directory = {node.name: parse_ipv4_address(node.address, "node") for node in settings.node}
-    return MailLink(
+    return MessageTransport(
         reactor,
         parse_ipv4_address(settings.watch, "watch"),
         settings.cluster,
--- a/rackhub/fleet/link/inbox.py
+++ b/rackhub/fleet/link/inbox.py
@@ -12,7 +12,7 @@
 from rackhub.fleet.ports import MAX_MESSAGE_BYTES
 
 
-class Part:
+class PartialMessage:
     __slots__ = ("kind", "count", "pages", "size")
 
     def __init__(self, kind: str, count: int):
@@ -25,48 +25,48 @@
 
     def __init__(self, limits: Limits, count: Callable[[str], None]):
         self._limits, self._count = limits, count
-        self._parts: OrderedDict[int, Part] = OrderedDict()
-        self._done: OrderedDict[int, None] = OrderedDict()
-        self._floor = self._size = 0
+        self._partial: OrderedDict[int, PartialMessage] = OrderedDict()
+        self._completed_ids: OrderedDict[int, None] = OrderedDict()
+        self._completed_floor = self._size = 0
 
-    def page(self, page: f.Page) -> tuple[f.Got | None, bytes | None]:
+    def handle_page(self, page: f.Page) -> tuple[f.PageAck | None, bytes | None]:
         """The ack, and the whole body with the last page that was missing."""
-        if page.id <= self._floor or page.id in self._done:
+        if page.id <= self._completed_floor or page.id in self._completed_ids:
             self._count("pages_double")
-            return f.Got(page.id, b"", True), None
-        most = -(-MAX_MESSAGE_BYTES // self._limits.chunk)
-        part = self._parts.get(page.id)
+            return f.PageAck(page.id, b"", True), None
+        max_pages = -(-MAX_MESSAGE_BYTES // self._limits.page_bytes)
+        message = self._partial.get(page.id)
         if (
-            not 0 < page.count <= most
+            not 0 < page.count <= max_pages
             or page.index >= page.count
-            or len(page.body) > self._limits.chunk
-            or (part is not None and (part.count, part.kind) != (page.count, page.kind))
+            or len(page.body) > self._limits.page_bytes
+            or (message is not None and (message.count, message.kind) != (page.count, page.kind))
         ):
             self._count("bad_pages")
             return None, None
-        if part is None:
-            part = self._parts[page.id] = Part(page.kind, page.count)
-        if page.index in part.pages:
+        if message is None:
+            message = self._partial[page.id] = PartialMessage(page.kind, page.count)
+        if page.index in message.pages:
             self._count("pages_double")
         else:
-            part.pages[page.index] = page.body
-            part.size += len(page.body)
+            message.pages[page.index] = page.body
+            message.size += len(page.body)
             self._size += len(page.body)
-        if len(part.pages) == part.count:
+        if len(message.pages) == message.count:
             self._finish(page.id)
-            return f.Got(page.id, b"", True), b"".join(part.pages[i] for i in range(part.count))
-        while len(self._parts) > self._limits.partial or self._size > self._limits.partial_bytes:
-            oldest = next(iter(self._parts))
+            return f.PageAck(page.id, b"", True), b"".join(message.pages[i] for i in range(message.count))
+        while len(self._partial) > self._limits.max_partial_messages or self._size > self._limits.max_partial_bytes:
+            oldest = next(iter(self._partial))
             self._count("mail_dropped")
             self._finish(oldest)
-        seen = bytearray((part.count + 7) // 8)
-        for index in part.pages:
-            seen[index >> 3] |= 1 << (index & 7)
-        return f.Got(page.id, bytes(seen)), None
+        received = bytearray((message.count + 7) // 8)
+        for index in message.pages:
+            received[index >> 3] |= 1 << (index & 7)
+        return f.PageAck(page.id, bytes(received)), None
 
     def _finish(self, id: int) -> None:
         """Taken or dropped: nothing more of it is."""
-        self._size -= self._parts.pop(id).size
-        self._done[id] = None
-        if len(self._done) > self._limits.done:
-            self._floor = max(self._floor, self._done.popitem(last=False)[0])
+        self._size -= self._partial.pop(id).size
+        self._completed_ids[id] = None
+        if len(self._completed_ids) > self._limits.completed_ids_kept:
+            self._completed_floor = max(self._completed_floor, self._completed_ids.popitem(last=False)[0])
--- a/rackhub/fleet/link/outbox.py
+++ b/rackhub/fleet/link/outbox.py
@@ -10,100 +10,114 @@
 from rackhub.fleet.link.limits import Limits
 
 
-class Piece:
+class OutgoingMessage:
     """One piece of mail to one process."""
 
-    __slots__ = ("id", "to", "boot", "kind", "pages", "waiting", "out", "until")
+    __slots__ = ("id", "recipient", "generation", "kind", "pages", "unsent", "unacked", "expires_at")
 
-    def __init__(self, id: int, to: str, boot: int, kind: str, pages: list[bytes], until: int):
-        self.id, self.to, self.boot, self.kind, self.pages, self.until = id, to, boot, kind, pages, until
-        self.waiting = list(range(len(pages) - 1, -1, -1))  # never sent, the first at the end
-        self.out: dict[int, tuple[int, int]] = {}  # page: when to send it again, times sent
+    def __init__(self, id: int, recipient: str, generation: int, kind: str, pages: list[bytes], expires_at: int):
+        self.id, self.recipient, self.generation, self.kind, self.pages, self.expires_at = (
+            id,
+            recipient,
+            generation,
+            kind,
+            pages,
+            expires_at,
+        )
+        self.unsent = list(range(len(pages) - 1, -1, -1))  # never sent, the first at the end
+        self.unacked: dict[int, tuple[int, int]] = {}  # page: when to send it again, times sent
 
     def page(self, index: int) -> f.Page:
-        return f.Page(self.id, self.boot, index, len(self.pages), self.kind, self.pages[index])
+        return f.Page(self.id, self.generation, index, len(self.pages), self.kind, self.pages[index])
 
 
 class Outbox:
     def __init__(self, limits: Limits, count: Callable[[str], None]):
-        self._limits, self._count, self._last = limits, count, 0
-        self._soonest = 0  # no page is to go out again before, and no piece ends
-        self._pieces: dict[int, Piece] = {}
-        self._to: dict[str, int] = {}
+        self._limits, self._count, self._last_id = limits, count, 0
+        self._next_due = 0  # no page is to go out again before, and no piece ends
+        self._messages: dict[int, OutgoingMessage] = {}
+        self._count_by_recipient: dict[str, int] = {}
 
-    def send(self, now: int, to: str, boot: int, kind: str, body: bytes) -> Iterator[tuple[str, f.Page]]:
-        if self._to.get(to, 0) >= self._limits.outbox:
+    def send(self, now: int, recipient: str, generation: int, kind: str, body: bytes) -> Iterator[tuple[str, f.Page]]:
+        if self._count_by_recipient.get(recipient, 0) >= self._limits.max_outgoing_messages:
             self._count("mail_over")
             return
-        size = self._limits.chunk
+        size = self._limits.page_bytes
         pages = [body[at : at + size] for at in range(0, len(body), size)] or [b""]
-        self._last += 1
-        piece = Piece(self._last, to, boot, kind, pages, now + self._limits.mail_life)
-        self._soonest = min(self._soonest, now + self._limits.resend) if self._pieces else now + self._limits.resend
-        self._pieces[piece.id] = piece
-        self._to[to] = self._to.get(to, 0) + 1
+        self._last_id += 1
+        message = OutgoingMessage(
+            self._last_id, recipient, generation, kind, pages, now + self._limits.message_lifetime
+        )
+        self._next_due = (
+            min(self._next_due, now + self._limits.resend_delay) if self._messages else now + self._limits.resend_delay
+        )
+        self._messages[message.id] = message
+        self._count_by_recipient[recipient] = self._count_by_recipient.get(recipient, 0) + 1
         self._count("mail_out")
-        yield from self._fill(now, piece)
+        yield from self._fill_window(now, message)
 
-    def _fill(self, now: int, piece: Piece) -> Iterator[tuple[str, f.Page]]:
-        while piece.waiting and len(piece.out) < self._limits.window:
-            index = piece.waiting.pop()
-            piece.out[index] = (now + self._limits.resend, 1)
-            yield piece.to, piece.page(index)
+    def _fill_window(self, now: int, message: OutgoingMessage) -> Iterator[tuple[str, f.Page]]:
+        while message.unsent and len(message.unacked) < self._limits.page_window:
+            index = message.unsent.pop()
+            message.unacked[index] = (now + self._limits.resend_delay, 1)
+            yield message.recipient, message.page(index)
 
     def drop_all(self) -> None:
         """This process goes by another boot number: whoever took pages of the one before would take them anew."""
-        for piece in list(self._pieces.values()):
-            self._lose(piece)
+        for message in list(self._messages.values()):
+            self._drop_lost(message)
 
-    def drop_to(self, to: str) -> None:
+    def drop_recipient(self, recipient: str) -> None:
         """The receiver's process is another one or gone: what is under way to it can't arrive."""
-        for piece in [piece for piece in self._pieces.values() if piece.to == to]:
-            self._lose(piece)
+        for message in [message for message in self._messages.values() if message.recipient == recipient]:
+            self._drop_lost(message)
 
-    def got(self, now: int, sender: str, ack: f.Got) -> Iterator[tuple[str, f.Page]]:
-        piece = self._pieces.get(ack.id)
-        if piece is None or piece.to != sender:
+    def handle_page_ack(self, now: int, sender: str, ack: f.PageAck) -> Iterator[tuple[str, f.Page]]:
+        message = self._messages.get(ack.id)
+        if message is None or message.recipient != sender:
             return
-        for index in [i for i in piece.out if i < 8 * len(ack.seen) and ack.seen[i >> 3] >> (i & 7) & 1]:
-            del piece.out[index]
-        if ack.whole or not piece.out and not piece.waiting:
-            self._drop(piece)
+        for index in [i for i in message.unacked if i < 8 * len(ack.received) and ack.received[i >> 3] >> (i & 7) & 1]:
+            del message.unacked[index]
+        if ack.complete or not message.unacked and not message.unsent:
+            self._remove(message)
         else:
-            yield from self._fill(now, piece)
+            yield from self._fill_window(now, message)
 
     def tick(self, now: int) -> Iterator[tuple[str, f.Page]]:
-        if now < self._soonest:
+        if now < self._next_due:
             return
-        for piece in list(self._pieces.values()):
-            if now >= piece.until:
-                self._lose(piece)
+        for message in list(self._messages.values()):
+            if now >= message.expires_at:
+                self._drop_lost(message)
                 continue
-            for index, (again, tries) in list(piece.out.items()):
-                if again > now:
+            for index, (resend_at, attempts) in list(message.unacked.items()):
+                if resend_at > now:
                     continue
-                if tries >= self._limits.tries:
-                    self._lose(piece)
+                if attempts >= self._limits.max_page_attempts:
+                    self._drop_lost(message)
                     break
-                wait = min(self._limits.resend << tries, self._limits.resend_most)
-                piece.out[index] = (now + wait, tries + 1)
+                wait = min(self._limits.resend_delay << attempts, self._limits.max_resend_delay)
+                message.unacked[index] = (now + wait, attempts + 1)
                 self._count("pages_again")
-                yield piece.to, piece.page(index)
-        self._soonest = min(
-            (min((again for again, _ in piece.out.values()), default=piece.until) for piece in self._pieces.values()),
+                yield message.recipient, message.page(index)
+        self._next_due = min(
+            (
+                min((resend_at for resend_at, _ in message.unacked.values()), default=message.expires_at)
+                for message in self._messages.values()
+            ),
             default=0,
         )
 
     def due(self) -> int | None:
         """When `tick` is next of use; sooner where what was waited for has been acked."""
-        return self._soonest if self._pieces else None
+        return self._next_due if self._messages else None
 
-    def _lose(self, piece: Piece) -> None:
+    def _drop_lost(self, message: OutgoingMessage) -> None:
         self._count("mail_lost")
-        self._drop(piece)
+        self._remove(message)
 
-    def _drop(self, piece: Piece) -> None:
-        del self._pieces[piece.id]
-        self._to[piece.to] -= 1
-        if not self._to[piece.to]:
-            del self._to[piece.to]
+    def _remove(self, message: OutgoingMessage) -> None:
+        del self._messages[message.id]
+        self._count_by_recipient[message.recipient] -= 1
+        if not self._count_by_recipient[message.recipient]:
+            del self._count_by_recipient[message.recipient]
--- a/rackhub/fleet/link/port.py
+++ b/rackhub/fleet/link/port.py
@@ -9,14 +9,14 @@
 
 from rackhub.fleet.ports import DATAGRAM_LIMIT_BYTES, Address
 
-BUFFER = 1 << 20  # asked of the system for what comes in; it may give less
+RECEIVE_BUFFER_BYTES = 1 << 20  # asked of the system for what comes in; it may give less
 
 
 class UdpPort(DatagramProtocol):
     """`take` gets each datagram; `count` a counter's name for each that could not go out or was too long."""
 
-    def __init__(self, reactor: Any, bind: Address, take: Callable[[bytes], None], count: Callable[[str], None]):
-        self._reactor, self._bind, self._take, self._count = reactor, bind, take, count
+    def __init__(self, reactor: Any, bind: Address, handler: Callable[[bytes], None], count: Callable[[str], None]):
+        self._reactor, self._bind, self._handler, self._count = reactor, bind, handler, count
         self._port: Any = None
         self.transport: Any
         self.bytes_in = self.bytes_out = self.packets_in = self.packets_out = 0
@@ -27,11 +27,11 @@
             self._port = self._reactor.listenUDP(
                 self._bind[1], self, interface=self._bind[0], maxPacketSize=DATAGRAM_LIMIT_BYTES
             )
-        except error.CannotListenError as bad:
-            told = bad.socketError
-            why = getattr(told, "strerror", None) or told
-            raise OSError(getattr(told, "errno", None), f"{self._bind[0]}:{self._bind[1]}: {why}") from bad
-        self._port.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+        except error.CannotListenError as failure:
+            cause = failure.socketError
+            reason = getattr(cause, "strerror", None) or cause
+            raise OSError(getattr(cause, "errno", None), f"{self._bind[0]}:{self._bind[1]}: {reason}") from failure
+        self._port.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
 
     def close(self) -> Any:
         port, self._port = self._port, None
@@ -51,4 +51,4 @@
     def datagramReceived(self, data: bytes, addr: Any) -> None:
         self.packets_in += 1
         self.bytes_in += len(data)
-        self._take(data)
+        self._handler(data)
--- a/rackhub/fleet/members/here.py
+++ b/rackhub/fleet/members/context.py
@@ -9,26 +9,26 @@
 from rackhub.fleet.ports import Address, Member, Name, Record
 
 
-class Out(NamedTuple):
+class SendDatagram(NamedTuple):
     """A datagram goes out."""
 
     to: Address
     data: bytes
 
 
-class Changed(NamedTuple):
+class MemberChanged(NamedTuple):
     """A member's state, boot or incarnation is another one."""
 
     member: Member
 
 
-class Posted(NamedTuple):
+class RecordReceived(NamedTuple):
     """A newer record of another member is there."""
 
     record: Record
 
 
-class Mailed(NamedTuple):
+class MessageReceived(NamedTuple):
     """A piece of mail is whole."""
 
     sender: Name
@@ -36,33 +36,33 @@
     body: bytes
 
 
-class Booted(NamedTuple):
+class GenerationRaised(NamedTuple):
     """The own boot number had to rise; what is kept of it is to be written."""
 
-    boot: int
+    generation: int
 
 
-class Named(NamedTuple):
+class OperatorWarning(NamedTuple):
     """Something that an operator should read, once."""
 
-    what: str
-    names: dict[str, object]
+    event: str
+    fields: dict[str, object]
 
 
-Effect = Out | Changed | Posted | Mailed | Booted | Named
+Effect = SendDatagram | MemberChanged | RecordReceived | MessageReceived | GenerationRaised | OperatorWarning
 
 
-class Here:
-    __slots__ = ("now", "random", "effects", "counts", "timing", "limits", "me", "cluster")
+class Context:
+    __slots__ = ("now", "random", "effects", "counts", "timing", "limits", "local_name", "cluster")
 
-    def __init__(self, me: Name, cluster: str, timing: Timing, limits: Limits, seed: int, now: int):
-        self.me, self.cluster, self.timing, self.limits, self.now = me, cluster, timing, limits, now
-        self.random = random.Random(f"{seed}/members/{me}")
+    def __init__(self, local_name: Name, cluster: str, timing: Timing, limits: Limits, seed: int, now: int):
+        self.local_name, self.cluster, self.timing, self.limits, self.now = local_name, cluster, timing, limits, now
+        self.random = random.Random(f"{seed}/members/{local_name}")
         self.effects: list[Effect] = []
         self.counts = Counter[str]()
 
-    def count(self, name: str, by: int = 1) -> None:
-        self.counts[name] += by
+    def count(self, name: str, amount: int = 1) -> None:
+        self.counts[name] += amount
 
-    def do(self, effect: Effect) -> None:
+    def emit(self, effect: Effect) -> None:
         self.effects.append(effect)
--- a/rackhub/fleet/members/events.py
+++ b/rackhub/fleet/members/events.py
@@ -12,8 +12,8 @@
     cluster: str
     name: Name
     address: Address
-    boot: int
-    serves: Address | None = None
+    generation: int
+    client_address: Address | None = None
     site: str = ""
     seeds: Sequence[Address] = ()
     seed: int = 0
@@ -23,20 +23,20 @@
     """Time has passed."""
 
 
-class Came(NamedTuple):
+class DatagramReceived(NamedTuple):
     """A datagram is here, from wherever."""
 
     data: bytes
 
 
-class Post(NamedTuple):
+class PublishRecord(NamedTuple):
     """A record of this gateway."""
 
     kind: str
     body: bytes
 
 
-class Send(NamedTuple):
+class SendMessage(NamedTuple):
     """Mail."""
 
     to: Name
@@ -48,4 +48,4 @@
     """This process ends as planned."""
 
 
-Event = Tick | Came | Post | Send | Leave
+Event = Tick | DatagramReceived | PublishRecord | SendMessage | Leave
--- a/rackhub/fleet/members/boots.py
+++ b/rackhub/fleet/members/generations.py
@@ -8,35 +8,35 @@
 import time
 from pathlib import Path
 
-FILE = "boot"
+FILE_NAME = "boot"
 
 
-def first(state: str) -> int:
+def next_generation(state: str) -> int:
     """The number for this start, kept. Raises `OSError` where it can't be."""
-    number = time.time_ns() // 1_000_000
+    generation = time.time_ns() // 1_000_000
     if state:
         try:
-            number = max(number, int((Path(state) / FILE).read_text("ascii")) + 1)
+            generation = max(generation, int((Path(state) / FILE_NAME).read_text("ascii")) + 1)
         except (FileNotFoundError, ValueError):
             pass  # none yet, or damaged: the wall clock's word is as good as without a directory
-        keep(state, number)
-    return number
+        store_generation(state, generation)
+    return generation
 
 
-def keep(state: str, number: int) -> None:
+def store_generation(state: str, generation: int) -> None:
     """Synced, and whole or not there."""
     if not state:
         return
     folder = Path(state)
     folder.mkdir(parents=True, exist_ok=True)
-    new = folder / f"{FILE}.new"
-    with open(new, "w", encoding="ascii") as file:
-        file.write(f"{number}\n")
+    temporary = folder / f"{FILE_NAME}.new"
+    with open(temporary, "w", encoding="ascii") as file:
+        file.write(f"{generation}\n")
         file.flush()
         os.fsync(file.fileno())
-    os.replace(new, folder / FILE)
-    handle = os.open(folder, os.O_RDONLY)
+    os.replace(temporary, folder / FILE_NAME)
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/rackhub/fleet/members/health.py
+++ b/rackhub/fleet/members/health.py
@@ -1,18 +1,18 @@
 """Lifeguard's local health multiplier: how far this gateway mistrusts itself before it accuses others. Pure."""
 
 
-class Health:
-    __slots__ = ("_most", "_points")
+class LocalHealth:
+    __slots__ = ("_maximum", "_score")
 
-    def __init__(self, most: int):
-        self._most, self._points = most, 0
+    def __init__(self, maximum: int):
+        self._maximum, self._score = maximum, 0
 
     @property
     def factor(self) -> int:
-        return 1 + self._points
+        return 1 + self._score
 
-    def good(self) -> None:
-        self._points = max(0, self._points - 1)
+    def record_success(self) -> None:
+        self._score = max(0, self._score - 1)
 
-    def bad(self, by: int = 1) -> None:
-        self._points = min(self._most - 1, self._points + by)
+    def record_failure(self, amount: int = 1) -> None:
+        self._score = min(self._maximum - 1, self._score + amount)
--- a/rackhub/fleet/members/probing.py
+++ b/rackhub/fleet/members/probing.py
@@ -6,213 +6,250 @@
 """
 
 from rackhub.fleet.link import frames as f
-from rackhub.fleet.members.health import Health
-from rackhub.fleet.members.here import Here
+from rackhub.fleet.members.context import Context
+from rackhub.fleet.members.health import LocalHealth
+from rackhub.fleet.members.outgoing import Outgoing
 from rackhub.fleet.members.peer import Peer
-from rackhub.fleet.members.rounds import Help, Round
-from rackhub.fleet.members.table import Table
-from rackhub.fleet.members.talk import Talk
+from rackhub.fleet.members.rounds import IndirectProbe, ProbeRound
+from rackhub.fleet.members.table import MemberTable
 from rackhub.fleet.ports import Name
 
-HELPING, LATE = 256, 20  # probes for others that are open at once; periods in which an answer that comes late counts
+MAX_INDIRECT_PROBES, LATE_ACK_PERIODS = (
+    256,
+    20,
+)  # probes for others that are open at once; periods in which an answer that comes late counts
 
 
 class Probing:
-    def __init__(self, here: Here, table: Table, talk: Talk):
-        self._here, self._table, self._talk = here, table, talk
-        self.health = Health(here.timing.health)
-        self._seq = here.random.randrange(1 << 32)
-        self._round: Round | None = None
-        self._order: list[Name] = []
-        self._again: list[Name] = []
-        self._helping: dict[int, Help] = {}
-        self._beside: dict[int, tuple[Name, int]] = {}  # pings whose straight answer shows both ways, and until when
-        self._next = here.now + here.random.randrange(here.timing.period)
-        self._seldom = here.now + here.timing.seldom
+    def __init__(self, context: Context, table: MemberTable, outgoing: Outgoing):
+        self._context, self._table, self._outgoing = context, table, outgoing
+        self.health = LocalHealth(context.timing.max_health_multiplier)
+        self._seq = context.random.randrange(1 << 32)
+        self._current_round: ProbeRound | None = None
+        self._probe_order: list[Name] = []
+        self._retry_first: list[Name] = []
+        self._indirect_probes: dict[int, IndirectProbe] = {}
+        self._outside_probes: dict[
+            int, tuple[Name, int]
+        ] = {}  # pings whose straight answer shows both ways, and until when
+        self._next_round_at = context.now + context.random.randrange(context.timing.probe_period)
+        self._next_unreachable_probe_at = context.now + context.timing.unreachable_probe_interval
 
     def due(self) -> int:
-        rounds = (
-            self._next
-            if self._round is None
-            else (self._round.straight_until if self._round.helpers is None else self._round.ends)
+        next_round_event = (
+            self._next_round_at
+            if self._current_round is None
+            else (
+                self._current_round.direct_deadline
+                if self._current_round.helpers is None
+                else self._current_round.deadline
+            )
+        )
+        return min(
+            next_round_event,
+            self._next_unreachable_probe_at,
+            *(indirect_probe.nack_at or indirect_probe.expires_at for indirect_probe in self._indirect_probes.values()),
         )
-        return min(rounds, self._seldom, *(help.nack_at or help.until for help in self._helping.values()))
 
-    def stood_still(self, gap: int) -> None:
+    def handle_stall(self, gap: int) -> None:
         """This process did not run for so long: what it did not hear meanwhile says nothing."""
-        self._round, self._again, self._next = None, [], self._here.now + self._here.timing.timeout
-        self._helping.clear()
-        self.health.bad()
+        self._current_round, self._retry_first, self._next_round_at = (
+            None,
+            [],
+            self._context.now + self._context.timing.direct_timeout,
+        )
+        self._indirect_probes.clear()
+        self.health.record_failure()
         for peer in self._table.peers.values():
             if peer.suspicion is not None:
-                peer.suspicion.start += gap
-            if not peer.cut(self._here.timing.cut_after):
-                peer.misses = 0
+                peer.suspicion.started_at += gap
+            if not peer.is_cut(self._context.timing.cut_threshold):
+                peer.missed_probes = 0
 
     def tick(self) -> None:
-        now = self._here.now
-        if self._round is not None:
-            self._go_on(self._round)
-        if self._round is None and now >= self._next:
-            self._begin()
-        for seq, help in list(self._helping.items()):
-            if help.nack_at and now >= help.nack_at:
-                help.nack_at = 0
-                self._reply(help.origin, f.Nack(help.seq))
-            if now >= help.until:
-                del self._helping[seq]
-        if now >= self._seldom:
-            self._seldom = now + self._here.timing.seldom
-            self._look_again()
+        now = self._context.now
+        if self._current_round is not None:
+            self._advance_round(self._current_round)
+        if self._current_round is None and now >= self._next_round_at:
+            self._begin_round()
+        for seq, indirect_probe in list(self._indirect_probes.items()):
+            if indirect_probe.nack_at and now >= indirect_probe.nack_at:
+                indirect_probe.nack_at = 0
+                self._reply(indirect_probe.origin, f.Nack(indirect_probe.seq))
+            if now >= indirect_probe.expires_at:
+                del self._indirect_probes[seq]
+        if now >= self._next_unreachable_probe_at:
+            self._next_unreachable_probe_at = now + self._context.timing.unreachable_probe_interval
+            self._probe_unreachable()
 
     # ---- the own rounds
 
-    def _number(self) -> int:
+    def _next_sequence(self) -> int:
         self._seq += 1
         return self._seq
 
-    def _target(self) -> Peer | None:
-        while self._again:
-            peer = self._table.peers.get(self._again.pop())
-            if peer is not None and peer.living:
+    def _next_target(self) -> Peer | None:
+        while self._retry_first:
+            peer = self._table.peers.get(self._retry_first.pop())
+            if peer is not None and peer.is_live:
                 return peer
         for _ in range(2):
-            while self._order:
-                peer = self._table.peers.get(self._order.pop())
-                if peer is not None and peer.living:
+            while self._probe_order:
+                peer = self._table.peers.get(self._probe_order.pop())
+                if peer is not None and peer.is_live:
                     return peer
-            self._order = sorted(peer.name for peer in self._table.living())
-            self._here.random.shuffle(self._order)
+            self._probe_order = sorted(peer.name for peer in self._table.live())
+            self._context.random.shuffle(self._probe_order)
         return None
 
-    def _begin(self) -> None:
-        here, peer = self._here, self._target()
+    def _begin_round(self) -> None:
+        context, peer = self._context, self._next_target()
         factor = self.health.factor
-        self._next = here.now + here.timing.period * factor
+        self._next_round_at = context.now + context.timing.probe_period * factor
         if peer is None:
             return
-        self._round = Round(peer, self._number(), here.now, here.now + here.timing.timeout * factor, self._next)
-        self._talk.to(peer, f.Ping(self._round.seq))
-        here.count("probes")
-
-    def _go_on(self, round: Round) -> None:
-        now, peer = self._here.now, self._table.peers.get(round.name)
-        if peer is None or not peer.living or peer.boot != round.boot:
-            self._round = None
+        self._current_round = ProbeRound(
+            peer,
+            self._next_sequence(),
+            context.now,
+            context.now + context.timing.direct_timeout * factor,
+            self._next_round_at,
+        )
+        self._outgoing.send(peer, f.Ping(self._current_round.seq))
+        context.count("probes")
+
+    def _advance_round(self, probe_round: ProbeRound) -> None:
+        now, peer = self._context.now, self._table.peers.get(probe_round.name)
+        if peer is None or not peer.is_live or peer.generation != probe_round.generation:
+            self._current_round = None
             return
-        if round.helpers is None and now >= round.straight_until:
-            if round.straight:
-                round.helpers = set()
+        if probe_round.helpers is None and now >= probe_round.direct_deadline:
+            if probe_round.direct_ack:
+                probe_round.helpers = set()
             else:
-                self._ask(round, peer)
-        if now >= round.ends:
-            self._round = None
-            self._judge(round, peer)
-
-    def _ask(self, round: Round, target: Peer) -> None:
-        after = self._here.timing.cut_after
-        able = sorted(
+                self._send_ping_reqs(probe_round, peer)
+        if now >= probe_round.deadline:
+            self._current_round = None
+            self._finish_round(probe_round, peer)
+
+    def _send_ping_reqs(self, probe_round: ProbeRound, target: Peer) -> None:
+        threshold = self._context.timing.cut_threshold
+        candidates = sorted(
             peer.name
-            for peer in self._table.living()
-            if peer is not target and peer.rank == f.ALIVE and not peer.cut(after)
+            for peer in self._table.live()
+            if peer is not target and peer.rank == f.ALIVE and not peer.is_cut(threshold)
         )
-        chosen = self._here.random.sample(able, min(self._here.timing.helpers, len(able)))
-        round.helpers = set(chosen)
+        chosen = self._context.random.sample(
+            candidates, min(self._context.timing.indirect_probe_count, len(candidates))
+        )
+        probe_round.helpers = set(chosen)
         for name in chosen:
-            self._talk.to(self._table.peers[name], f.Ask(round.seq, target.name, target.boot))
-        self._here.count("probes_asked", len(chosen))
+            self._outgoing.send(self._table.peers[name], f.PingReq(probe_round.seq, target.name, target.generation))
+        self._context.count("probes_asked", len(chosen))
 
-    def _judge(self, round: Round, peer: Peer) -> None:
-        if round.straight:
-            self.health.good()
+    def _finish_round(self, probe_round: ProbeRound, peer: Peer) -> None:
+        if probe_round.direct_ack:
+            self.health.record_success()
             return
-        if not peer.misses:
-            peer.missing = round.began
-        peer.misses += 1
-        self._table.touch(peer)
-        self._beside[round.seq] = (peer.name, self._here.now + LATE * self._here.timing.period)
-        if peer.misses < self._here.timing.cut_after:
-            self._again.append(peer.name)
-        if round.via:
-            self._here.count("probes_via")
+        if not peer.missed_probes:
+            peer.first_missed_at = probe_round.began_at
+        peer.missed_probes += 1
+        self._table.mark_changed(peer)
+        self._outside_probes[probe_round.seq] = (
+            peer.name,
+            self._context.now + LATE_ACK_PERIODS * self._context.timing.probe_period,
+        )
+        if peer.missed_probes < self._context.timing.cut_threshold:
+            self._retry_first.append(peer.name)
+        if probe_round.indirect_ack:
+            self._context.count("probes_via")
             return
-        silent = len((round.helpers or set()) - round.nacks)
-        self.health.bad(silent if round.helpers else 1)
-        self._here.count("probes_failed")
-        self._table.suspect(peer, self._here.me)
+        unresponsive = len((probe_round.helpers or set()) - probe_round.nacks)
+        self.health.record_failure(unresponsive if probe_round.helpers else 1)
+        self._context.count("probes_failed")
+        self._table.suspect(peer, self._context.local_name)
 
-    def _look_again(self) -> None:
+    def _probe_unreachable(self) -> None:
         """One of those that are cut off or gone, at its address."""
-        here = self._here
-        for seq, (_, until) in list(self._beside.items()):
-            if until <= here.now:
-                del self._beside[seq]
-        lost = sorted(
+        context = self._context
+        for seq, (_, expires_at) in list(self._outside_probes.items()):
+            if expires_at <= context.now:
+                del self._outside_probes[seq]
+        unreachable = sorted(
             peer.name
             for peer in self._table.peers.values()
-            if peer.rank == f.GONE or peer.living and peer.cut(here.timing.cut_after)
+            if peer.rank == f.GONE or peer.is_live and peer.is_cut(context.timing.cut_threshold)
         )
-        if lost:
-            self.beside(self._table.peers[here.random.choice(lost)])
+        if unreachable:
+            self.probe_outside_rounds(self._table.peers[context.random.choice(unreachable)])
 
-    def beside(self, peer: Peer) -> None:
+    def probe_outside_rounds(self, peer: Peer) -> None:
         """A ping outside the rounds."""
-        seq = self._number()
-        self._beside[seq] = (peer.name, self._here.now + LATE * self._here.timing.period)
-        self._talk.to(peer, f.Ping(seq))
-        self._here.count("probes_beside")
+        seq = self._next_sequence()
+        self._outside_probes[seq] = (
+            peer.name,
+            self._context.now + LATE_ACK_PERIODS * self._context.timing.probe_period,
+        )
+        self._outgoing.send(peer, f.Ping(seq))
+        self._context.count("probes_beside")
 
     # ---- what comes
 
-    def pinged(self, sender: Peer, ping: f.Ping) -> None:
-        self._talk.to(sender, f.Ack(ping.seq))
+    def handle_ping(self, sender: Peer, ping: f.Ping) -> None:
+        self._outgoing.send(sender, f.Ack(ping.seq))
         origin = self._table.peers.get(ping.origin)
         if origin is not None and origin is not sender:
-            self._talk.to(origin, f.Hello(), news=False)
+            self._outgoing.send(origin, f.Hello(), piggyback=False)
 
-    def asked(self, sender: Peer, ask: f.Ask) -> None:
-        target = self._table.peers.get(ask.target)
-        if target is None or len(self._helping) >= HELPING:
-            self._here.count("asks_dropped")
+    def handle_ping_req(self, sender: Peer, ping_req: f.PingReq) -> None:
+        target = self._table.peers.get(ping_req.target)
+        if target is None or len(self._indirect_probes) >= MAX_INDIRECT_PROBES:
+            self._context.count("asks_dropped")
             return
-        if target.boot != ask.boot:  # here that name is another process: this one can't speak for the one meant
-            self._here.count("asks_of_another")
-            self._reply(sender.name, f.Nack(ask.seq))
+        if (
+            target.generation != ping_req.generation
+        ):  # here that name is another process: this one can't speak for the one meant
+            self._context.count("asks_of_another")
+            self._reply(sender.name, f.Nack(ping_req.seq))
             return
-        seq, timing = self._number(), self._here.timing
-        left = timing.period - timing.timeout
-        self._helping[seq] = Help(
-            sender.name, ask.seq, target.name, self._here.now + left * 4 // 5, self._here.now + timing.period
+        seq, timing = self._next_sequence(), self._context.timing
+        remaining = timing.probe_period - timing.direct_timeout
+        self._indirect_probes[seq] = IndirectProbe(
+            sender.name,
+            ping_req.seq,
+            target.name,
+            self._context.now + remaining * 4 // 5,
+            self._context.now + timing.probe_period,
         )
-        self._talk.to(target, f.Ping(seq, sender.name))
-
-    def acked(self, sender: Peer, ack: f.Ack) -> None:
-        round = self._round
-        if round is not None and ack.seq == round.seq:
-            if sender.name == round.name and not ack.via:
-                round.straight = True
-                self._both_ways(sender)
-            elif ack.via and round.helpers and sender.name in round.helpers:
-                round.via = True
-        elif ack.seq in self._helping and not ack.via:
-            help = self._helping[ack.seq]
-            if sender.name == help.target:
-                del self._helping[ack.seq]
-                self._reply(help.origin, f.Ack(help.seq, True))
-        elif ack.seq in self._beside and not ack.via and self._beside[ack.seq][0] == sender.name:
-            del self._beside[ack.seq]
-            self._both_ways(sender)
-
-    def nacked(self, sender: Peer, nack: f.Nack) -> None:
-        if self._round is not None and nack.seq == self._round.seq:
-            self._round.nacks.add(sender.name)
-
-    def _both_ways(self, peer: Peer) -> None:
-        if peer.misses:
-            peer.misses = 0
-            self._table.touch(peer)
-
-    def _reply(self, name: Name, frame: f.Any) -> None:
+        self._outgoing.send(target, f.Ping(seq, sender.name))
+
+    def handle_ack(self, sender: Peer, ack: f.Ack) -> None:
+        probe_round = self._current_round
+        if probe_round is not None and ack.seq == probe_round.seq:
+            if sender.name == probe_round.name and not ack.indirect:
+                probe_round.direct_ack = True
+                self._mark_reachable(sender)
+            elif ack.indirect and probe_round.helpers and sender.name in probe_round.helpers:
+                probe_round.indirect_ack = True
+        elif ack.seq in self._indirect_probes and not ack.indirect:
+            indirect_probe = self._indirect_probes[ack.seq]
+            if sender.name == indirect_probe.target:
+                del self._indirect_probes[ack.seq]
+                self._reply(indirect_probe.origin, f.Ack(indirect_probe.seq, True))
+        elif ack.seq in self._outside_probes and not ack.indirect and self._outside_probes[ack.seq][0] == sender.name:
+            del self._outside_probes[ack.seq]
+            self._mark_reachable(sender)
+
+    def handle_nack(self, sender: Peer, nack: f.Nack) -> None:
+        if self._current_round is not None and nack.seq == self._current_round.seq:
+            self._current_round.nacks.add(sender.name)
+
+    def _mark_reachable(self, peer: Peer) -> None:
+        if peer.missed_probes:
+            peer.missed_probes = 0
+            self._table.mark_changed(peer)
+
+    def _reply(self, name: Name, frame: f.AnyFrame) -> None:
         peer = self._table.peers.get(name)
         if peer is not None:
-            self._talk.to(peer, frame)
+            self._outgoing.send(peer, frame)
--- a/rackhub/fleet/members/rounds.py
+++ b/rackhub/fleet/members/rounds.py
@@ -4,19 +4,30 @@
 from rackhub.fleet.ports import Name
 
 
-class Round:
-    __slots__ = ("name", "boot", "seq", "began", "straight_until", "ends", "straight", "via", "helpers", "nacks")
+class ProbeRound:
+    __slots__ = (
+        "name",
+        "generation",
+        "seq",
+        "began_at",
+        "direct_deadline",
+        "deadline",
+        "direct_ack",
+        "indirect_ack",
+        "helpers",
+        "nacks",
+    )
 
-    def __init__(self, peer: Peer, seq: int, began: int, straight_until: int, ends: int):
-        self.name, self.boot, self.seq, self.began = peer.name, peer.boot, seq, began
-        self.straight_until, self.ends = straight_until, ends
-        self.straight = self.via = False
+    def __init__(self, peer: Peer, seq: int, began_at: int, direct_deadline: int, deadline: int):
+        self.name, self.generation, self.seq, self.began_at = peer.name, peer.generation, seq, began_at
+        self.direct_deadline, self.deadline = direct_deadline, deadline
+        self.direct_ack = self.indirect_ack = False
         self.helpers: set[Name] | None = None
         self.nacks: set[Name] = set()
 
 
-class Help:
-    __slots__ = ("origin", "seq", "target", "nack_at", "until")
+class IndirectProbe:
+    __slots__ = ("origin", "seq", "target", "nack_at", "expires_at")
 
-    def __init__(self, origin: Name, seq: int, target: Name, nack_at: int, until: int):
-        self.origin, self.seq, self.target, self.nack_at, self.until = origin, seq, target, nack_at, until
+    def __init__(self, origin: Name, seq: int, target: Name, nack_at: int, expires_at: int):
+        self.origin, self.seq, self.target, self.nack_at, self.expires_at = origin, seq, target, nack_at, expires_at
--- a/rackhub/fleet/members/subset.py
+++ b/rackhub/fleet/members/subset.py
@@ -26,8 +26,8 @@
         return None if self._names & {one, other} else self._members.receives_from(one, other)
 
     def follow(self, call: Callable[[Member], None]) -> None:
-        def followed(member: Member) -> None:
+        def forward(member: Member) -> None:
             if member.name not in self._names:
                 call(member)
 
-        self._members.follow(followed)
+        self._members.follow(forward)
--- a/rackhub/fleet/members/suspicion.py
+++ b/rackhub/fleet/members/suspicion.py
@@ -4,26 +4,31 @@
 
 
 class Suspicion:
-    __slots__ = ("start", "least", "most", "needed", "by")
+    __slots__ = ("started_at", "minimum", "maximum", "expected_confirmations", "accusers")
 
-    def __init__(self, start: int, least: int, most: int, needed: int, by: str):
-        self.start, self.least, self.most, self.needed = start, least, most, needed
-        self.by = {by}
+    def __init__(self, started_at: int, minimum: int, maximum: int, expected_confirmations: int, accuser: str):
+        self.started_at, self.minimum, self.maximum, self.expected_confirmations = (
+            started_at,
+            minimum,
+            maximum,
+            expected_confirmations,
+        )
+        self.accusers = {accuser}
 
-    def confirm(self, by: str) -> bool:
+    def confirm(self, accuser: str) -> bool:
         """Whether that is one more accuser, whose word is worth spreading."""
-        if not by or by in self.by or len(self.by) > self.needed:
+        if not accuser or accuser in self.accusers or len(self.accusers) > self.expected_confirmations:
             return False
-        self.by.add(by)
+        self.accusers.add(accuser)
         return True
 
-    def hasten(self) -> None:
+    def shorten_to_minimum(self) -> None:
         """Somebody holds it gone: no more accusers are waited for."""
-        self.needed = 0
+        self.expected_confirmations = 0
 
     @property
-    def ends(self) -> int:
-        if not self.needed:
-            return self.start + self.least
-        part = math.log(len(self.by)) / math.log(self.needed + 1)
-        return self.start + max(self.least, int(self.most - (self.most - self.least) * part))
+    def expires_at(self) -> int:
+        if not self.expected_confirmations:
+            return self.started_at + self.minimum
+        progress = math.log(len(self.accusers)) / math.log(self.expected_confirmations + 1)
+        return self.started_at + max(self.minimum, int(self.maximum - (self.maximum - self.minimum) * progress))
--- a/rackhub/fleet/members/views.py
+++ b/rackhub/fleet/members/views.py
@@ -3,15 +3,15 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
+from rackhub.fleet.members.context import MemberChanged, MessageReceived, RecordReceived
 from rackhub.fleet.members.core import Core
-from rackhub.fleet.members.events import Event, Post, Send
-from rackhub.fleet.members.here import Changed, Mailed, Posted
+from rackhub.fleet.members.events import Event, PublishRecord, SendMessage
 from rackhub.fleet.ports import Member, MemberState, Name, Record
 
-LIVING = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.CUT)
+LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.CUT)
 
 
-class Host(Protocol):
+class CoreHost(Protocol):
     """The shell: it takes an event to the core at the present moment and does what comes out."""
 
     def step(self, event: Event) -> None: ...
@@ -20,83 +20,83 @@
 
 class MembersView:
     def __init__(self, core: Core):
-        self._core, self.local_name = core, core.here.me
-        self._follow: list[Callable[[Member], None]] = []
+        self._core, self.local_name = core, core.context.local_name
+        self._listeners: list[Callable[[Member], None]] = []
         self._all: Mapping[Name, Member] = {}
         self._version = -1
-        self._living: frozenset[Name] = frozenset()
-        self._heard: frozenset[Name] = frozenset()
+        self._live: frozenset[Name] = frozenset()
+        self._reachable: frozenset[Name] = frozenset()
 
-    def _fresh(self) -> Mapping[Name, Member]:
+    def _refresh(self) -> Mapping[Name, Member]:
         if self._version != self._core.table.version:
             self._version = self._core.table.version
-            peers, after = self._core.table.peers, self._core.here.timing.cut_after
+            peers, threshold = self._core.table.peers, self._core.context.timing.cut_threshold
             self._all = self._core.table.members()
-            self._living = frozenset(name for name, member in self._all.items() if member.state in LIVING) | {
+            self._live = frozenset(name for name, member in self._all.items() if member.state in LIVE_STATES) | {
                 self.local_name
             }
-            self._heard = frozenset(
-                name for name in self._living if name == self.local_name or not peers[name].cut(after)
+            self._reachable = frozenset(
+                name for name in self._live if name == self.local_name or not peers[name].is_cut(threshold)
             )
         return self._all
 
     def all(self) -> Mapping[Name, Member]:
-        return self._fresh()
+        return self._refresh()
 
     def live(self) -> frozenset[Name]:
-        self._fresh()
-        return self._living
+        self._refresh()
+        return self._live
 
     def reachable(self) -> frozenset[Name]:
-        self._fresh()
-        return self._heard
+        self._refresh()
+        return self._reachable
 
     def receives_from(self, one: Name, other: Name) -> bool | None:
-        return self._core.hears(one, other)
+        return self._core.receives_from(one, other)
 
     def follow(self, call: Callable[[Member], None]) -> None:
-        self._follow.append(call)
+        self._listeners.append(call)
 
-    def changed(self, effect: Changed) -> None:
-        for call in list(self._follow):
+    def notify_changed(self, effect: MemberChanged) -> None:
+        for call in list(self._listeners):
             call(effect.member)
 
 
-class BoardView:
-    def __init__(self, core: Core, host: Host):
+class GossipStateView:
+    def __init__(self, core: Core, host: CoreHost):
         self._core, self._host = core, host
-        self._follow: dict[str, list[Callable[[Record], None]]] = {}
+        self._listeners: dict[str, list[Callable[[Record], None]]] = {}
 
     def publish(self, kind: str, body: bytes) -> None:
-        self._host.step(Post(kind, body))
+        self._host.step(PublishRecord(kind, body))
 
     def read(self, kind: str) -> Mapping[Name, Record]:
-        self._core.here.now = max(self._core.here.now, self._host.now())
+        self._core.context.now = max(self._core.context.now, self._host.now())
         return self._core.records.read(kind)
 
     def follow(self, kind: str, call: Callable[[Record], None]) -> None:
-        self._follow.setdefault(kind, []).append(call)
+        self._listeners.setdefault(kind, []).append(call)
 
-    def posted(self, effect: Posted) -> None:
-        for call in list(self._follow.get(effect.record.kind, ())):
+    def notify_record(self, effect: RecordReceived) -> None:
+        for call in list(self._listeners.get(effect.record.kind, ())):
             call(effect.record)
 
 
-class MailView:
-    def __init__(self, host: Host, count: Callable[[str], None]):
+class MessengerView:
+    def __init__(self, host: CoreHost, count: Callable[[str], None]):
         self._host, self._count = host, count
-        self._takers: dict[str, Callable[[Name, bytes], None]] = {}
+        self._handlers: dict[str, Callable[[Name, bytes], None]] = {}
 
     def send(self, to: Name, kind: str, body: bytes) -> None:
-        self._host.step(Send(to, kind, body))
+        self._host.step(SendMessage(to, kind, body))
 
     def subscribe(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
-        if kind in self._takers:
+        if kind in self._handlers:
             raise ValueError(f"mail of kind {kind!r} is taken already")
-        self._takers[kind] = call
+        self._handlers[kind] = call
 
-    def mailed(self, effect: Mailed) -> None:
-        call = self._takers.get(effect.kind)
+    def deliver(self, effect: MessageReceived) -> None:
+        call = self._handlers.get(effect.kind)
         if call is None:
             self._count("mail_unknown_kind")
         else:
--- a/rackhub/trials/fleet/members_check.py
+++ b/rackhub/trials/fleet/members_check.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from rackhub.fleet.members.here import Changed, Effect, Mailed, Posted
+from rackhub.fleet.members.context import Effect, MemberChanged, MessageReceived, RecordReceived
 from rackhub.fleet.ports import MemberState, Name
 from rackhub.trials.fleet.members_wire import DRIFT, Gateway, Wire
 from rackhub.trials.fleet.twin import MS, SECOND
@@ -54,14 +54,14 @@
 
     def _saw(self, gateway: Gateway, effect: Effect) -> None:
         match effect:
-            case Changed():
+            case MemberChanged():
                 self._changed(gateway, effect)
-            case Posted():
+            case RecordReceived():
                 self._noted(gateway, effect)
-            case Mailed():
+            case MessageReceived():
                 self._mailed(gateway, effect)
 
-    def _changed(self, gateway: Gateway, effect: Changed) -> None:
+    def _changed(self, gateway: Gateway, effect: MemberChanged) -> None:
         member = effect.member
         key, new = (
             (gateway.name, gateway.starts, member.name),
@@ -75,11 +75,11 @@
             member.state is MemberState.GONE
             and other.up
             and not other.paused
-            and member.generation == other.core.own.boot
+            and member.generation == other.core.local_member.generation
         ):
             self.counts["given_up"] += 1
 
-    def _noted(self, gateway: Gateway, effect: Posted) -> None:
+    def _noted(self, gateway: Gateway, effect: RecordReceived) -> None:
         record = effect.record
         if record.kind == "reach":
             return
@@ -98,7 +98,7 @@
             self.wrong("records_too_young", f"{gateway.name} of {record.owner}: {record.age} us, really {truth}")
         self.over.append(record.age - truth)
 
-    def _mailed(self, gateway: Gateway, effect: Mailed) -> None:
+    def _mailed(self, gateway: Gateway, effect: MessageReceived) -> None:
         if effect.body not in self._mail:
             self.wrong("mail_made_up", f"{gateway.name} from {effect.sender}")
             return
@@ -130,9 +130,12 @@
                     if member is not None and member.state not in (MemberState.GONE, MemberState.LEFT):
                         left.append(f"{one.name} holds {name} {member.state.value}, which is down")
                     continue
-                if member is None or (member.state, member.generation) != (MemberState.ALIVE, other.core.own.boot):
+                if member is None or (member.state, member.generation) != (
+                    MemberState.ALIVE,
+                    other.core.local_member.generation,
+                ):
                     left.append(f"{one.name} holds {name} {member.state.value if member else 'unknown'}")
-                elif one.core.hears(name, one.name) is not True:
+                elif one.core.receives_from(name, one.name) is not True:
                     left.append(f"{one.name} does not know that {name} hears it")
                 elif other.name in self._posting and self._old(one, name):
                     left.append(f"{one.name} has no record of {name} that is newer than {FRESH // SECOND} s")
--- a/rackhub/trials/fleet/members_faults.py
+++ b/rackhub/trials/fleet/members_faults.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from rackhub.fleet.link import frames as f
-from rackhub.fleet.link.packing import Parcel
+from rackhub.fleet.link.datagram_builder import DatagramBuilder
 from rackhub.fleet.members.events import Leave
 from rackhub.trials.fleet.members_check import Watch
 from rackhub.trials.fleet.members_wire import CLUSTER, Gateway, Wire
@@ -129,10 +129,10 @@
         if not liar.up or liar.paused:
             return
         target, victim = wire.gateways[draw.choice(names)], wire.gateways[draw.choice(names)]
-        parcel = Parcel(CLUSTER, liar.name, target.name)
+        builder = DatagramBuilder(CLUSTER, liar.name, target.name)
         wild = draw.choice((0, 1, 7, 1 << 19, 1 << 30, 1 << 53))
         host = draw.choice((victim.address[0], "10.9.9.9"))
-        parcel.put(
+        builder.add_frame(
             f.encode(
                 f.Claim(
                     victim.name,
@@ -145,12 +145,12 @@
                 )
             )
         )
-        parcel.put(f.encode(f.Note(victim.name, "demand", victim.boot, wild, 0, b"nonsense")))
-        parcel.put(f.encode(f.Want({name: ["demand"] * 40 for name in names})))
-        parcel.put(msgspec.msgpack.encode([99, "a kind that nobody knows"]))
-        parcel.put(msgspec.msgpack.encode([3, draw.randbytes(9)]))
+        builder.add_frame(f.encode(f.RecordUpdate(victim.name, "demand", victim.boot, wild, 0, b"nonsense")))
+        builder.add_frame(f.encode(f.StateRequest({name: ["demand"] * 40 for name in names})))
+        builder.add_frame(msgspec.msgpack.encode([99, "a kind that nobody knows"]))
+        builder.add_frame(msgspec.msgpack.encode([3, draw.randbytes(9)]))
         stamps = [draw.randrange(1 << 53) for _ in range(3)]
-        wire.carry(liar, target.address, parcel.close(liar.core.own.boot, *stamps))
+        wire.carry(liar, target.address, builder.build(liar.core.local_member.generation, *stamps))
 
     lie()
 
--- a/rackhub/trials/fleet/members_measure.py
+++ b/rackhub/trials/fleet/members_measure.py
@@ -32,7 +32,7 @@
 
 from docopt import docopt
 
-from rackhub.fleet.members.here import Changed, Effect
+from rackhub.fleet.members.context import Effect, MemberChanged
 from rackhub.fleet.ports import MemberState
 from rackhub.trials.fleet.members_wire import Gateway, Wire
 from rackhub.trials.fleet.twin import MS, SECOND
@@ -83,7 +83,7 @@
     def post() -> None:
         reactor.callLater(EACH / 1_000, post)
         for kind in KINDS:
-            part.board.publish(kind, os.urandom(SIZE))
+            part.gossip_state.publish(kind, os.urandom(SIZE))
 
     def begin() -> None:
         kept.update({name: getattr(part.port, name) for name in NAMES}, cpu_ms=cpu())
@@ -114,7 +114,7 @@
                 gateway.post(kind, wire.random.randbytes(SIZE))
 
     rows = {}
-    wire.time.run(gateways * wire.timing.period)  # each has probed each
+    wire.time.run(gateways * wire.timing.probe_period)  # each has probed each
     for load in ("idle", "with records"):
         if load != "idle":
             wire.time.later(0, post)
@@ -151,11 +151,13 @@
         wire.seen.append(self.saw)
 
     def saw(self, gateway: Gateway, effect: Effect) -> None:
-        if not isinstance(effect, Changed):
+        if not isinstance(effect, MemberChanged):
             return
         name, state = effect.member.name, effect.member.state
         if self.wire.gateways[name].up:
-            self.suspected += state is MemberState.SUSPECT and gateway.core.table.peers[name].by == gateway.name
+            self.suspected += (
+                state is MemberState.SUSPECT and gateway.core.table.peers[name].suspected_by == gateway.name
+            )
             self.given_up += state is MemberState.GONE
         elif state is MemberState.GONE:
             self.gone.setdefault(name, []).append(self.wire.time.now())
--- a/rackhub/trials/fleet/members_plants.py
+++ b/rackhub/trials/fleet/members_plants.py
@@ -10,8 +10,8 @@
 from rackhub.fleet.link.limits import Limits
 from rackhub.fleet.members.core import Core
 from rackhub.fleet.members.events import Start
-from rackhub.fleet.members.records import Records
-from rackhub.fleet.members.table import Table
+from rackhub.fleet.members.gossip_records import GossipRecords
+from rackhub.fleet.members.table import MemberTable
 from rackhub.fleet.members.timing import Timing
 from rackhub.trials.fleet.members_wire import Make
 
@@ -31,28 +31,28 @@
     return make
 
 
-class OlderTaken(Records):
-    def take(self, note: f.Note, way: int) -> bool:
-        self._owners.get(note.owner, {}).pop(note.kind, None)
-        return super().take(note, way)
+class OlderTaken(GossipRecords):
+    def merge(self, update: f.RecordUpdate, transit_time: int) -> bool:
+        self._owners.get(update.owner, {}).pop(update.kind, None)
+        return super().merge(update, transit_time)
 
 
-class AgeAnew(Records):
-    def take(self, note: f.Note, way: int) -> bool:
-        return super().take(msgspec.structs.replace(note, age=0), 0)
+class AgeAnew(GossipRecords):
+    def merge(self, update: f.RecordUpdate, transit_time: int) -> bool:
+        return super().merge(msgspec.structs.replace(update, age=0), 0)
 
 
-class WayForgotten(Records):
-    def take(self, note: f.Note, way: int) -> bool:
-        return super().take(note, 0)
+class WayForgotten(GossipRecords):
+    def merge(self, update: f.RecordUpdate, transit_time: int) -> bool:
+        return super().merge(update, 0)
 
 
-class AnyBoot(Table):
+class AnyBoot(MemberTable):
     def merge(self, claim: f.Claim, sender: str) -> None:
         peer = self.peers.get(claim.name)
-        if peer is not None and claim.boot < peer.boot:
-            peer.begin(claim, self._here.now)
-            self.touch(peer)
+        if peer is not None and claim.generation < peer.generation:
+            peer.begin(claim, self._context.now)
+            self.mark_changed(peer)
         super().merge(claim, sender)
 
 
@@ -70,46 +70,46 @@
 class Forgetful(Inbox):
     def _finish(self, id: int) -> None:
         super()._finish(id)
-        self._done.clear()
+        self._completed_ids.clear()
 
 
 def takes_any_boot(core: Core) -> None:
     of(AnyBoot)(core)
     receive = core._receive
-    ask = receive._sender
+    ask = receive._accept_sender
 
     def sender(packet: f.Packet) -> Any:
         peer, claim = core.table.peers.get(packet.name), f.first_claim(packet)
-        if peer is not None and packet.boot < peer.boot and claim is not None:
+        if peer is not None and packet.generation < peer.generation and claim is not None:
             core.table.merge(claim, packet.name)
         return ask(packet)
 
-    receive.__dict__["_sender"] = sender
+    receive.__dict__["_accept_sender"] = sender
 
 
 def forgets_mail(core: Core) -> None:
     receive = core._receive
-    page = receive._page
+    page = receive._handle_page
 
-    def _page(peer: Any, frame: f.Page) -> None:
+    def _handle_page(peer: Any, frame: f.Page) -> None:
         if peer.inbox is None:
-            peer.inbox = Forgetful(core.here.limits, core.here.count)
+            peer.inbox = Forgetful(core.context.limits, core.context.count)
         page(peer, frame)
 
-    receive.__dict__["_page"] = _page
+    receive.__dict__["_handle_page"] = _handle_page
 
 
 def lets_the_gone_be(core: Core) -> None:
-    core.probing._look_again = lambda: None  # type: ignore[method-assign]
+    core.probing._probe_unreachable = lambda: None  # type: ignore[method-assign]
     core._seeds = []
 
 
 def refutes_nothing(core: Core) -> None:
-    core.own.told = lambda claim: True  # type: ignore[method-assign]
+    core.local_member.handle_claim = lambda claim: True  # type: ignore[method-assign]
 
 
 def keeps_silent_when_it_was_wrong(core: Core) -> None:
-    core.probing._both_ways = lambda peer: None  # type: ignore[method-assign]
+    core.probing._mark_reachable = lambda peer: None  # type: ignore[method-assign]
 
 
 PLANTS = {
--- a/rackhub/trials/fleet/members_torture.py
+++ b/rackhub/trials/fleet/members_torture.py
@@ -43,7 +43,7 @@
         self.draw = random.Random(f"{seed}/torture")
         self.settled: list[int] = []
         self.faults = Counter[str]()
-        self.bound = self.wire.timing.settles(gateways)
+        self.bound = self.wire.timing.settling_bound(gateways)
         self.wire.start()
         self.wire.time.later(SECOND, self._traffic)
         self.wire.time.run(5 * SECOND)
@@ -92,7 +92,7 @@
         counts, watch = Counter[str](), self.watch
         for gateway in self.wire.gateways.values():
             if hasattr(gateway, "core"):
-                counts.update(gateway.core.here.counts)
+                counts.update(gateway.core.context.counts)
         over = sorted(watch.over)
         return {
             "simulated": True,
--- a/rackhub/trials/fleet/members_wire.py
+++ b/rackhub/trials/fleet/members_wire.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Sequence
 
 from rackhub.fleet.link.limits import Limits
+from rackhub.fleet.members.context import Effect, SendDatagram
 from rackhub.fleet.members.core import Core
-from rackhub.fleet.members.events import Came, Event, Post, Send, Start, Tick
-from rackhub.fleet.members.here import Effect, Out
+from rackhub.fleet.members.events import DatagramReceived, Event, PublishRecord, SendMessage, Start, Tick
 from rackhub.fleet.members.timing import Timing
 from rackhub.fleet.ports import Address, Name
 from rackhub.trials.fleet.twin import MS, SECOND, Time
@@ -44,7 +44,7 @@
     def start(self, boot: int | None = None) -> None:
         """With the number kept of its last start, or a later one of its clock. `boot`: nothing was kept, and that is
         the number that its clock gives."""
-        kept = self.core.own.boot + 1 if self.starts else 0
+        kept = self.core.local_member.generation + 1 if self.starts else 0
         self.boot = boot if boot is not None else max(kept, self.boot + self.wire.random.randrange(1, 100_000))
         self.up, self.paused, self.held, self.starts = True, False, [], self.starts + 1
         self._timer = 0
@@ -58,7 +58,7 @@
             return
         core = self.core
         for effect in core.step(self.local(), event):
-            if isinstance(effect, Out):
+            if isinstance(effect, SendDatagram):
                 self.wire.carry(self, effect.to, effect.data)
             else:
                 self.wire.saw(self, effect)
@@ -85,13 +85,13 @@
             if len(self.held) < HELD:
                 self.held.append(data)
             return
-        self.step(Came(data))
+        self.step(DatagramReceived(data))
 
     def post(self, kind: str, body: bytes) -> None:
-        self.step(Post(kind, body))
+        self.step(PublishRecord(kind, body))
 
     def send(self, to: Name, kind: str, body: bytes) -> None:
-        self.step(Send(to, kind, body))
+        self.step(SendMessage(to, kind, body))
 
     def pause(self) -> None:
         self.paused, self.changed = True, self.wire.time.now()
@@ -103,7 +103,7 @@
         if self.wire.random.random() < 0.5:
             self.step(Tick())
         for data in held:
-            self.step(Came(data))
+            self.step(DatagramReceived(data))
         self.step(Tick())
 
     def kill(self) -> None:
@@ -140,7 +140,7 @@
 
     def start(self) -> None:
         for gateway in self.gateways.values():
-            self.time.later(self.random.randrange(self.timing.period), gateway.start)
+            self.time.later(self.random.randrange(self.timing.probe_period), gateway.start)
 
     def running(self) -> list[Gateway]:
         return [gateway for gateway in self.gateways.values() if gateway.up and not gateway.paused]
--- a/rackhub/trials/processes/forger.py
+++ b/rackhub/trials/processes/forger.py
@@ -32,16 +32,16 @@
         if source != self.whom:
             return packet
         try:
-            told = f.read(packet)
+            told = f.decode_datagram(packet)
             frames = [msgspec.Raw(self._frame(raw)) for raw in told.frames]
-        except f.Damaged:
+        except f.FrameError:
             return packet
-        made = f.datagram(msgspec.structs.replace(told, frames=frames))
+        made = f.encode_datagram(msgspec.structs.replace(told, frames=frames))
         return made if len(made) < DATAGRAM_LIMIT_BYTES else None  # lost rather than true
 
     def _frame(self, raw: msgspec.Raw) -> bytes:
-        note = f.frame(raw)
-        if not isinstance(note, f.Note) or note.owner != self.whom:
+        note = f.decode_frame(raw)
+        if not isinstance(note, f.RecordUpdate) or note.owner != self.whom:
             return bytes(raw)
         chance = random.Random(f"{self._seed}/{note.kind}/{note.number}")
         if note.kind == records.LOAD_KIND:
@@ -107,8 +107,8 @@
 def accepted(packet: bytes) -> bool:
     """Whether it carries a keeper's `Accepted`."""
     try:
-        for raw in f.read(packet).frames:
-            page = f.frame(raw)
+        for raw in f.decode_datagram(packet).frames:
+            page = f.decode_frame(raw)
             if (
                 isinstance(page, f.Page)
                 and page.kind == RULES_REPLY_KIND
@@ -116,6 +116,6 @@
                 and isinstance(decode(page.body), Accepted)
             ):
                 return True
-    except (f.Damaged, msgspec.MsgspecError):
+    except (f.FrameError, msgspec.MsgspecError):
         pass
     return False
--- a/rackhub/trials/scale/distribution_messages.py
+++ b/rackhub/trials/scale/distribution_messages.py
@@ -18,8 +18,8 @@
     encode,
 )
 from rackhub.fleet.link import frames
+from rackhub.fleet.link.datagram_builder import PACKET_OVERHEAD_BYTES
 from rackhub.fleet.link.limits import Limits
-from rackhub.fleet.link.packing import HEAD
 from rackhub.trials.scale.measurement import Measurement, measured
 
 VALUE_SIZES = (50, 200, 1_000, 4_000, 16_000)
@@ -34,13 +34,13 @@
 
 
 def packet_head() -> int:
-    return HEAD + NAMES + UDP_HEAD
+    return PACKET_OVERHEAD_BYTES + NAMES + UDP_HEAD
 
 
 def wire_bytes(message: AnyMessage) -> int:
     """With the heads of all its packets, and the packets that acknowledge its pages."""
     body = len(encode(message))
-    pages = -(-body // Limits().chunk)
+    pages = -(-body // Limits().page_bytes)
     return body + pages * (2 * packet_head() + ACKNOWLEDGE_FRAME)
 
 
--- a/rackhub/trials/scale/filtered_port.py
+++ b/rackhub/trials/scale/filtered_port.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from rackhub.fleet.link.mail_link import SourcePort
+from rackhub.fleet.link.message_transport import SourceAwareUdpPort
 from rackhub.fleet.ports import Address
 from rackhub.trials.scale.addresses import Addresses
 from rackhub.trials.scale.layout import Layout
@@ -24,7 +24,7 @@
         return bool(self._cut) and (zone in self._cut) != (self._zones.get(to, zone) in self._cut)
 
 
-class FilteredPort(SourcePort):
+class FilteredPort(SourceAwareUdpPort):
     """A socket of a place in `zone`."""
 
     def __init__(
--- a/rackhub/trials/scale/members.py
+++ b/rackhub/trials/scale/members.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from rackhub.fleet.members.here import Changed, Effect
+from rackhub.fleet.members.context import Effect, MemberChanged
 from rackhub.fleet.ports import MemberState
 from rackhub.trials.fleet.members_wire import Gateway, Wire
 from rackhub.trials.fleet.twin import MS, SECOND
@@ -80,7 +80,11 @@
         self.memory = (resident_bytes() - before) / members
 
     def _saw(self, gateway: Gateway, effect: Effect) -> None:
-        if isinstance(effect, Changed) and effect.member.state is MemberState.GONE and not self._up(effect.member.name):
+        if (
+            isinstance(effect, MemberChanged)
+            and effect.member.state is MemberState.GONE
+            and not self._up(effect.member.name)
+        ):
             self._gone[effect.member.name] = self._gone.get(effect.member.name, 0) + 1
 
     def _up(self, name: str) -> bool:
--- a/rackhub/trials/scale/ranking.py
+++ b/rackhub/trials/scale/ranking.py
@@ -131,7 +131,7 @@
         *(measured_item(data, limit, target["coordinators"]) for limit in limits),
         fixed_item(
             "names of members kept",
-            LinkLimits().members,
+            LinkLimits().max_members,
             "members",
             target["coordinators"],
             "names kept, also of the gone",
--- a/rackhub/trials/scale/station.py
+++ b/rackhub/trials/scale/station.py
@@ -7,7 +7,7 @@
 
 from rackhub.fleet.distribution.events import Role
 from rackhub.fleet.distribution.ports import Identity
-from rackhub.fleet.link.mail_link import MailLink, Monotonic
+from rackhub.fleet.link.message_transport import MessageTransport, MonotonicClock
 from rackhub.fleet.link.port import UdpPort
 from rackhub.fleet.members.part import Membership
 from rackhub.fleet.ports import Address, Fleet, Member, Members, MemberState, Name
@@ -38,7 +38,7 @@
 
     def __init__(self, reactor: Any, begin: Begin):
         self.reactor, self.begin, self.settings = reactor, begin, begin.settings
-        self.clock = Monotonic()
+        self.clock = MonotonicClock()
         self.layout: Layout = layout(begin.settings)
         self.plan: Plan = plan(begin.settings, self.layout)
         self.places: Mapping[str, Place] = self.layout.by_name()
@@ -81,7 +81,7 @@
 
     def __init__(self, site: Site, place: Place, directory: tuple[Place, ...], boot: int):
         self.site, self.place = site, place
-        self.link = MailLink(
+        self.link = MessageTransport(
             site.reactor,
             site.addresses.mail(place),
             CLUSTER,
@@ -98,7 +98,7 @@
             if self.membership is None
             else self.membership.members
         )
-        board: Any = None if self.membership is None else self.membership.board
+        board: Any = None if self.membership is None else self.membership.gossip_state
         self.fleet = Fleet(members, board, self.link, site.clock, site.tally, site.later, site.settings.seed)
 
     def _membership(self) -> Membership:
--- a/rackhub/trials/scale/virtual_network.py
+++ b/rackhub/trials/scale/virtual_network.py
@@ -10,8 +10,8 @@
 from rackhub.fleet.distribution.messages import AnyMessage, Update, encode
 from rackhub.fleet.distribution.ports import Core
 from rackhub.fleet.link import frames as f
+from rackhub.fleet.link.datagram_builder import DatagramBuilder
 from rackhub.fleet.link.limits import Limits as LinkLimits
-from rackhub.fleet.link.packing import Parcel
 from rackhub.trials.scale.layout import Place
 
 MILLISECOND, SECOND = 1_000, 1_000_000
@@ -188,14 +188,14 @@
             page = f.Page(1 << 16, 1 << 40, 0, 1, "distribution", b"")
             known = (
                 _datagram_bytes(sender, receiver, page),
-                _datagram_bytes(receiver, sender, f.Got(1 << 16, b"", True)),
+                _datagram_bytes(receiver, sender, f.PageAck(1 << 16, b"", True)),
             )
             self._overheads[sender, receiver] = known
-        pages = max(1, -(-body // LinkLimits().chunk))
+        pages = max(1, -(-body // LinkLimits().page_bytes))
         return body + pages * known[0], pages * known[1]
 
 
-def _datagram_bytes(sender: str, receiver: str, frame: f.Any) -> int:
-    parcel = Parcel("fleet", sender, receiver)
-    parcel.put(f.encode(frame))
-    return len(parcel.close(1 << 40, 1 << 30, 1 << 30, 1 << 10)) + HEADERS
+def _datagram_bytes(sender: str, receiver: str, frame: f.AnyFrame) -> int:
+    builder = DatagramBuilder("fleet", sender, receiver)
+    builder.add_frame(f.encode(frame))
+    return len(builder.build(1 << 40, 1 << 30, 1 << 30, 1 << 10)) + HEADERS
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -15,7 +15,7 @@
 from rackhub.core import gather as core_gather
 from rackhub.fleet.distribution import decisions, history, messages, store, voting
 from rackhub.fleet.link import frames
-from rackhub.fleet.members import reach
+from rackhub.fleet.members import reachability
 from rackhub.fleet.overload import records
 from rackhub.fleet.register import acceptor
 from rackhub.fleet.register import messages as register_messages
@@ -58,11 +58,11 @@
 
 
 CODECS = {
-    "link frame": Codec(frames.Any, lambda body: frames.frame(msgspec.Raw(body)), frames.encode),
+    "link frame": Codec(frames.AnyFrame, lambda body: frames.decode_frame(msgspec.Raw(body)), frames.encode),
     "link packet": Codec(
         frames.Packet,
-        frames.read,
-        frames.datagram,
+        frames.decode_datagram,
+        frames.encode_datagram,
         lambda packet: msgspec.structs.replace(packet, version=frames.VERSION),
     ),
     "register message": Codec(register_messages.Message, register_messages.decode, register_messages.encode),
@@ -81,7 +81,7 @@
     "health checks record": Codec(
         records.HealthReport, lambda body: records.unpack_health(body)[0], lambda one: records.pack_health([one])
     ),
-    "reachability record": _msgpack(reach.Reach),
+    "reachability record": _msgpack(reachability.ReachabilityRecord),
     "keyed request on disk": _json(state_records.KeyedRequestRecord),
     "engines on disk": _json(state_records.StoredEndpointList),
     "counters on disk": _json(state_records.StoredCounters),
--- a/tests/test_fleet_association.py
+++ b/tests/test_fleet_association.py
@@ -10,11 +10,11 @@
 from twisted.internet import task
 
 from rackhub.fleet.link import frames as f
-from rackhub.fleet.link.association import Arrived, Association
+from rackhub.fleet.link.association import Association, DatagramReceivedFrom
 from rackhub.fleet.link.limits import MS, SECOND, Limits
-from rackhub.fleet.link.mail_link import MailLink
-from rackhub.fleet.members.events import Came, Send, Tick
-from rackhub.fleet.members.here import Mailed, Out
+from rackhub.fleet.link.message_transport import MessageTransport
+from rackhub.fleet.members.context import MessageReceived, SendDatagram
+from rackhub.fleet.members.events import DatagramReceived, SendMessage, Tick
 from rackhub.fleet.ports import MAX_MESSAGE_BYTES
 
 START = 5 * SECOND
@@ -30,18 +30,18 @@
         self.now, self.queue, self.order = START, [], 0
         self.at, self.mail, self.sent = {}, [], []
 
-    def join(self, name, address, boot=1, directory=DIRECTORY, limits=None):
-        process = Association("c", name, boot, address, directory, limits or Limits(), self.now, 1)
+    def join(self, name, address, generation=1, directory=DIRECTORY, limits=None):
+        process = Association("c", name, generation, address, directory, limits or Limits(), self.now, 1)
         self.at[address] = process
         return process
 
     def send(self, process, to, body, kind="k"):
-        self.do(process, process.step(self.now, Send(to, kind, body)))
+        self.do(process, process.step(self.now, SendMessage(to, kind, body)))
 
     def do(self, process, effects):
         source = next(address for address, other in self.at.items() if other is process)
         for effect in effects:
-            if isinstance(effect, Mailed):
+            if isinstance(effect, MessageReceived):
                 self.mail.append((process.name, effect.sender, effect.kind, effect.body))
                 continue
             self.sent.append((source, effect))
@@ -66,7 +66,7 @@
                 _, _, source, out = heapq.heappop(self.queue)
                 process = self.at.get(out.to)
                 if process is not None:
-                    self.do(process, process.step(self.now, Arrived(out.data, source)))
+                    self.do(process, process.step(self.now, DatagramReceivedFrom(out.data, source)))
             for due, address in ticks:
                 if due <= self.now:
                     self.do(self.at[address], self.at[address].step(self.now, Tick()))
@@ -80,10 +80,10 @@
     return network, network.join("relay", RELAY), network.join("coordinator", COORDINATOR)
 
 
-def packet(name="coordinator", boot=1, to="relay", cluster="c", address=COORDINATOR, frames=(), claim=True):
-    told = [f.Claim(name, *address, boot, 0, f.ALIVE)] if claim else []
+def packet(name="coordinator", generation=1, to="relay", cluster="c", address=COORDINATOR, frames=(), claim=True):
+    told = [f.Claim(name, *address, generation, 0, f.ALIVE)] if claim else []
     raws = [msgspec.Raw(f.encode(frame)) for frame in [*told, *frames]]
-    return f.datagram(f.Packet(f.VERSION, cluster, name, boot, to, 1, 0, 0, raws))
+    return f.encode_datagram(f.Packet(f.VERSION, cluster, name, generation, to, 1, 0, 0, raws))
 
 
 def test_mail_goes_to_a_configured_peer_and_back_to_the_one_that_it_learned():
@@ -113,21 +113,21 @@
     network.sent.clear()
     network.send(coordinator, "relay", b"2")
     network.run(100 * MS)
-    first = f.read(network.sent[0][1].data)
-    assert [type(f.frame(raw)) for raw in first.frames] == [f.Page]
-    network.run(Limits().introduce)
+    first = f.decode_datagram(network.sent[0][1].data)
+    assert [type(f.decode_frame(raw)) for raw in first.frames] == [f.Page]
+    network.run(Limits().introduce_after)
     network.send(coordinator, "relay", b"3")
-    assert isinstance(f.frame(f.read(network.sent[-1][1].data).frames[0]), f.Claim)
+    assert isinstance(f.decode_frame(f.decode_datagram(network.sent[-1][1].data).frames[0]), f.Claim)
 
 
 def test_mail_to_a_peer_that_is_not_there_waits_within_bounds_and_not_for_long():
     network = Network()
     coordinator = network.join("coordinator", COORDINATOR)
-    for _ in range(Limits().waiting + 3):
+    for _ in range(Limits().max_waiting_messages + 3):
         network.send(coordinator, "relay", b"x")
     assert coordinator.counts["mail_over"] == 3
-    network.run(Limits().mail_life + 1 * SECOND)
-    assert coordinator.counts["mail_lost"] == Limits().waiting
+    network.run(Limits().message_lifetime + 1 * SECOND)
+    assert coordinator.counts["mail_lost"] == Limits().max_waiting_messages
     assert 3 <= coordinator.counts["greetings"] <= 12
     network.join("relay", RELAY)
     network.send(coordinator, "relay", b"new")
@@ -147,7 +147,7 @@
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"1")
     network.run(100 * MS)
-    relay = network.join("relay", RELAY, boot=2)
+    relay = network.join("relay", RELAY, generation=2)
     for number in range(20):
         network.send(coordinator, "relay", b"after %d" % number)
         network.run(400 * MS)
@@ -163,7 +163,7 @@
     for _ in range(3):
         network.send(coordinator, "relay", b"before")
         network.run(100 * MS)
-    coordinator = network.join("coordinator", COORDINATOR, boot=2)
+    coordinator = network.join("coordinator", COORDINATOR, generation=2)
     for _ in range(3):
         network.send(coordinator, "relay", b"after")
         network.run(100 * MS)
@@ -175,7 +175,7 @@
     network.send(coordinator, "relay", b"x")
     network.run(100 * MS)
     del network.at[COORDINATOR]
-    moved = network.join("coordinator", OTHER, boot=2)
+    moved = network.join("coordinator", OTHER, generation=2)
     network.send(moved, "relay", b"y")
     network.run(100 * MS)
     network.send(relay, "coordinator", b"z")
@@ -188,7 +188,7 @@
     network.send(coordinator, "relay", b"x")
     network.run(100 * MS)
     late = [out for source, out in network.sent if source == COORDINATOR]
-    coordinator = network.join("coordinator", COORDINATOR, boot=2)
+    coordinator = network.join("coordinator", COORDINATOR, generation=2)
     network.send(coordinator, "relay", b"y")
     network.run(100 * MS)
     for out in late:
@@ -202,12 +202,12 @@
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"x")
     network.run(100 * MS)
-    coordinator = network.join("coordinator", COORDINATOR, boot=1)
-    relay.step(network.now, Came(packet(boot=9)))
+    coordinator = network.join("coordinator", COORDINATOR, generation=1)
+    relay.step(network.now, DatagramReceived(packet(generation=9)))
     network.send(coordinator, "relay", b"y")
     network.run(1 * SECOND)
     assert b"y" not in network.bodies("relay")
-    network.run(Limits().peer_idle + Limits().sweep)
+    network.run(Limits().peer_idle_timeout + Limits().idle_check_interval)
     network.send(coordinator, "relay", b"z")
     network.run(3 * SECOND)
     assert network.bodies("relay")[-1] == b"z"
@@ -219,21 +219,21 @@
     network.run(100 * MS)
     spoilt = bytearray(packet())
     spoilt[-1] ^= 1
-    assert coordinator.step(network.now, Arrived(bytes(spoilt), RELAY)) == []
+    assert coordinator.step(network.now, DatagramReceivedFrom(bytes(spoilt), RELAY)) == []
     assert coordinator.faults["damaged", "relay"] == 1
-    assert relay.step(network.now, Came(bytes(spoilt))) == [] and relay.faults["damaged", ""] == 1
-    assert relay.step(network.now, Came(packet(cluster="d"))) == []
+    assert relay.step(network.now, DatagramReceived(bytes(spoilt))) == [] and relay.faults["damaged", ""] == 1
+    assert relay.step(network.now, DatagramReceived(packet(cluster="d"))) == []
     assert relay.faults["other_cluster", "coordinator"] == 1
-    assert relay.step(network.now, Came(packet(to="other"))) == []
+    assert relay.step(network.now, DatagramReceived(packet(to="other"))) == []
     assert relay.faults["not_for_me", "coordinator"] == 1
-    relay.step(network.now, Came(packet(frames=[f.Ping(1)])))
+    relay.step(network.now, DatagramReceived(packet(frames=[f.Ping(1)])))
     assert relay.faults["unexpected_frames", "coordinator"] == 1
 
 
 def test_a_stranger_must_begin_with_its_claim_and_faults_of_strangers_share_one_counter():
     network, relay, _ = pair()
     for number in range(40):
-        assert relay.step(network.now, Came(packet(name=f"stranger-{number}", claim=False))) == []
+        assert relay.step(network.now, DatagramReceived(packet(name=f"stranger-{number}", claim=False))) == []
     assert relay.faults == {("strangers", ""): 40}
 
 
@@ -242,64 +242,64 @@
     network = Network()
     process = network.join("me", COORDINATOR, directory=directory)
     forged = packet(name="relay", to="me", address=OTHER)
-    assert process.step(network.now, Came(forged)) == []
-    assert process.step(network.now, Came(packet(name="newcomer", to="me", address=OTHER))) == []
-    assert process.step(network.now, Came(packet(name="relay", to="me", address=COORDINATOR))) == []
+    assert process.step(network.now, DatagramReceived(forged)) == []
+    assert process.step(network.now, DatagramReceived(packet(name="newcomer", to="me", address=OTHER))) == []
+    assert process.step(network.now, DatagramReceived(packet(name="relay", to="me", address=COORDINATOR))) == []
     assert process.counts["address_clashes"] == 3
     assert not process.knows("relay") and not process.knows("newcomer")
     genuine = packet(name="relay", to="me", address=RELAY)
-    assert process.step(network.now, Arrived(genuine, OTHER)) == []
+    assert process.step(network.now, DatagramReceivedFrom(genuine, OTHER)) == []
     assert process.faults["address_clashes", "relay"] == 3
-    process.step(network.now, Arrived(genuine, RELAY))
+    process.step(network.now, DatagramReceivedFrom(genuine, RELAY))
     assert process.knows("relay")
 
 
 def test_a_second_process_of_the_own_name_is_counted():
     network, relay, _ = pair()
-    assert relay.step(network.now, Came(packet(name="relay", boot=5))) == []
+    assert relay.step(network.now, DatagramReceived(packet(name="relay", generation=5))) == []
     assert relay.faults == {("address_clashes", "relay"): 1}
 
 
 def test_learned_peers_are_bounded_and_idle_ones_forgotten():
     network = Network()
-    relay = network.join("relay", RELAY, limits=Limits(peers=3))
+    relay = network.join("relay", RELAY, limits=Limits(max_learned_peers=3))
     for number in range(5):
-        relay.step(network.now, Came(packet(name=f"n{number}")))
+        relay.step(network.now, DatagramReceived(packet(name=f"n{number}")))
     assert relay.counts["peers_over"] == 2 and relay.knows("n2") and not relay.knows("n3")
-    network.run(Limits().peer_idle + Limits().sweep)
+    network.run(Limits().peer_idle_timeout + Limits().idle_check_interval)
     assert not relay.knows("n2")
-    relay.step(network.now, Came(packet(name="n4")))
+    relay.step(network.now, DatagramReceived(packet(name="n4")))
     assert relay.knows("n4")
 
 
 def test_newcomers_and_each_sender_are_held_to_a_rate():
     network = Network()
-    limits = Limits(newcomers=10, packets=10, burst=5)
+    limits = Limits(newcomer_packets_per_second=10, packets_per_second=10, packet_burst=5)
     relay = network.join("relay", RELAY, limits=limits)
     for number in range(30):
-        relay.step(network.now, Came(packet(name=f"n{number}")))
+        relay.step(network.now, DatagramReceived(packet(name=f"n{number}")))
     assert relay.counts["newcomers_over"] == 20
     for _ in range(8):
-        relay.step(network.now, Came(packet(name="n1")))
+        relay.step(network.now, DatagramReceived(packet(name="n1")))
     assert relay.faults["over_rate", "n1"] == 3
 
 
 def test_mail_to_oneself_and_mail_that_is_too_large():
     network, relay, _ = pair()
-    assert relay.step(network.now, Send("relay", "k", b"x")) == [Mailed("relay", "k", b"x")]
+    assert relay.step(network.now, SendMessage("relay", "k", b"x")) == [MessageReceived("relay", "k", b"x")]
     with pytest.raises(ValueError):
-        relay.step(network.now, Send("coordinator", "k", bytes(MAX_MESSAGE_BYTES + 1)))
+        relay.step(network.now, SendMessage("coordinator", "k", bytes(MAX_MESSAGE_BYTES + 1)))
     with pytest.raises(ValueError):
-        relay.step(network.now, Send("coordinator", "", b""))
-    assert relay.step(network.now, Send("nobody", "k", b"")) == []
+        relay.step(network.now, SendMessage("coordinator", "", b""))
+    assert relay.step(network.now, SendMessage("nobody", "k", b"")) == []
     assert relay.counts["mail_to_nobody"] == 1
 
 
 def test_a_page_beside_a_claim_with_the_longest_names_still_goes_out():
     long = "n" * 63
     network = Network()
-    network.join(long, RELAY, boot=1 << 50, directory={})
-    process = network.join("m" * 63, COORDINATOR, boot=1 << 50, directory={long: RELAY})
+    network.join(long, RELAY, generation=1 << 50, directory={})
+    process = network.join("m" * 63, COORDINATOR, generation=1 << 50, directory={long: RELAY})
     network.send(process, long, bytes(10_000), kind="k" * 32)
     network.run(1 * SECOND)
     assert network.bodies(long) == [bytes(10_000)]
@@ -317,7 +317,7 @@
 )
 def test_over_a_faulty_transport_mail_comes_whole_and_at_most_once(seed, lose, double, moves):
     network, relay, coordinator = pair(seed=seed, lose=lose, double=double, late=80 * MS)
-    boots, sent = {RELAY: 1, COORDINATOR: 1}, set()
+    generations, sent = {RELAY: 1, COORDINATOR: 1}, set()
     for number, (move, wait) in enumerate(moves):
         body = b"%d:" % number + bytes(wait * 4)
         relay, coordinator = network.at[RELAY], network.at[COORDINATOR]
@@ -329,8 +329,8 @@
             sent.add(("coordinator", "relay", "k", body))
         else:
             address = RELAY if move == "restart-relay" else COORDINATOR
-            boots[address] += 1
-            network.join(network.at[address].name, address, boot=boots[address])
+            generations[address] += 1
+            network.join(network.at[address].name, address, generation=generations[address])
         network.run(wait * MS)
     network.run(10 * SECOND)
     assert len(set(network.mail)) == len(network.mail) and set(network.mail) <= sent
@@ -355,7 +355,7 @@
         return None
 
     def send(self, to, data):
-        self.out.append(Out(to, data))
+        self.out.append(SendDatagram(to, data))
 
 
 class ReactorClock:
@@ -367,7 +367,9 @@
 
 
 def shell(reactor, name, address, directory):
-    link = MailLink(reactor, address, "c", name, 1, address, directory, clock=ReactorClock(reactor), port=FakePort)
+    link = MessageTransport(
+        reactor, address, "c", name, 1, address, directory, clock=ReactorClock(reactor), port=FakePort
+    )
     link.start()
     link.start()
     return link
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -15,10 +15,10 @@
 from rackhub.fleet.control.limits import Limits as ControlLimits
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.link.limits import Limits
-from rackhub.fleet.members import boots
+from rackhub.fleet.members import generations
+from rackhub.fleet.members.context import GenerationRaised, OperatorWarning, SendDatagram
 from rackhub.fleet.members.core import Core
-from rackhub.fleet.members.events import Leave, Post, Start, Tick
-from rackhub.fleet.members.here import Booted, Named, Out
+from rackhub.fleet.members.events import Leave, PublishRecord, Start, Tick
 from rackhub.fleet.members.suspicion import Suspicion
 from rackhub.fleet.members.timing import Timing
 from rackhub.fleet.members.views import MembersView
@@ -30,12 +30,12 @@
 from rackhub.trials.fleet.twin import MS, SECOND
 
 
-def core(name="me", boot=100, now=0, **more):
-    return Core(Start("c", name, ("10.0.0.1", 1), boot, **more), Timing(), Limits(), now)
+def core(name="me", generation=100, now=0, **more):
+    return Core(Start("c", name, ("10.0.0.1", 1), generation, **more), Timing(), Limits(), now)
 
 
-def claim(name="b", boot=1, incarnation=0, rank=f.ALIVE, by="", port=2):
-    return f.Claim(name, "10.0.0.1", port, boot, incarnation, rank, by)
+def claim(name="b", generation=1, incarnation=0, rank=f.ALIVE, by="", port=2):
+    return f.Claim(name, "10.0.0.1", port, generation, incarnation, rank, by)
 
 
 def fleet(count, seed=1, span=20, **more):
@@ -63,17 +63,17 @@
     ends = []
     for _ in range(2):
         one = core()
-        for boot, incarnation, rank in told:
-            one.here.now += chance.randrange(5 * SECOND)
+        for generation, incarnation, rank in told:
+            one.context.now += chance.randrange(5 * SECOND)
             for peer in one.table.peers.values():
-                one.table.expire(peer)
-            one.table.merge(claim(boot=boot, incarnation=incarnation, rank=rank, by="c"), "d")
-        one.here.now += 60 * SECOND
-        one.table.expire(one.table.peers["b"])
-        ends.append(one.table.peers["b"].order())
+                one.table.expire_suspicion(peer)
+            one.table.merge(claim(generation=generation, incarnation=incarnation, rank=rank, by="c"), "d")
+        one.context.now += 60 * SECOND
+        one.table.expire_suspicion(one.table.peers["b"])
+        ends.append(one.table.peers["b"].precedence())
         chance.shuffle(told)
-    boot, incarnation, rank = max(told)
-    assert ends == [(boot, incarnation, f.GONE if rank == f.SUSPECT else rank)] * 2
+    generation, incarnation, rank = max(told)
+    assert ends == [(generation, incarnation, f.GONE if rank == f.SUSPECT else rank)] * 2
 
 
 def test_nobody_that_lives_is_given_up_at_once_by_hearsay():
@@ -87,10 +87,10 @@
 
 def test_a_suspicion_is_shorter_with_each_accuser():
     suspicion = Suspicion(0, 2 * SECOND, 12 * SECOND, 3, "a")
-    ends = [suspicion.ends]
+    ends = [suspicion.expires_at]
     for by in ("a", "b", "c", "d", "e"):
         suspicion.confirm(by)
-        ends.append(suspicion.ends)
+        ends.append(suspicion.expires_at)
     assert ends[0] == ends[1] == 12 * SECOND and ends[4] == ends[5] == 2 * SECOND
     assert ends == sorted(ends, reverse=True) and len(set(ends)) == 4
 
@@ -98,36 +98,41 @@
 def test_words_about_itself_are_refuted_and_a_higher_boot_is_passed():
     one = core()
     one.table.merge(claim("me", 100, 4, f.SUSPECT, port=1), "b")
-    assert (one.own.boot, one.own.incarnation) == (100, 5)
-    one.here.effects.clear()
-    one.records.post(100, "k", b"x")
+    assert (one.local_member.generation, one.local_member.incarnation) == (100, 5)
+    one.context.effects.clear()
+    one.records.publish(100, "k", b"x")
     one.table.merge(claim("me", 100, 1 << 53, f.GONE, port=1), "b")  # no incarnation holds against that
-    assert (one.own.boot, one.own.incarnation) == (101, 0)
+    assert (one.local_member.generation, one.local_member.incarnation) == (101, 0)
     one.table.merge(claim("me", 200, port=1), "b")  # a process of the same address whose clock was ahead
     one.table.merge(claim("me", 300, rank=f.GONE, port=9), "b")  # or of another address, and no more
-    assert one.own.boot == 301 and one.records.get("me", "k").generation == 301
-    assert [effect.boot for effect in one.here.effects if isinstance(effect, Booted)] == [101, 201, 301]
+    assert one.local_member.generation == 301 and one.records.get("me", "k").generation == 301
+    assert [effect.generation for effect in one.context.effects if isinstance(effect, GenerationRaised)] == [
+        101,
+        201,
+        301,
+    ]
 
 
 def test_two_that_live_under_one_name_are_named_and_the_first_stays():
     one = core()
     one.table.merge(claim(), "b")
-    one.table.merge(claim(boot=7, port=3), "b")
+    one.table.merge(claim(generation=7, port=3), "b")
     one.table.merge(claim("me", 900, port=9), "b")
-    assert one.table.peers["b"].address == ("10.0.0.1", 2) and one.own.boot == 100
-    assert one.own.clashes == {"b": {"10.0.0.1:3"}, "me": {"10.0.0.1:9"}}
-    assert [effect.what for effect in one.here.effects if isinstance(effect, Named)] == ["clash", "clash"]
+    assert one.table.peers["b"].address == ("10.0.0.1", 2) and one.local_member.generation == 100
+    assert one.local_member.clashes == {"b": {"10.0.0.1:3"}, "me": {"10.0.0.1:9"}}
+    assert [effect.event for effect in one.context.effects if isinstance(effect, OperatorWarning)] == ["clash", "clash"]
 
 
 @pytest.mark.parametrize(
-    "wrong", [claim(boot=1 << 44), claim(incarnation=1 << 30), claim("me", 1 << 53, port=1), claim("new", 1 << 44)]
+    "wrong",
+    [claim(generation=1 << 44), claim(incarnation=1 << 30), claim("me", 1 << 53, port=1), claim("new", 1 << 44)],
 )
 def test_nonsense_changes_nothing_and_is_named_with_who_said_it(wrong):
     one = core()
     one.table.merge(claim(), "b")
     before = one.table.members()
     one.table.merge(wrong, "liar")
-    assert one.table.members() == before and one.table.nonsense == {"liar": 1}
+    assert one.table.members() == before and one.table.implausible_claims == {"liar": 1}
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -139,13 +144,13 @@
     for _ in range(2):
         one, taken = core(), []
         for number, age, way in notes:
-            one.here.now += MS
-            if one.records.take(f.Note("b", "k", 1, number, age, b"%d" % number), way * MS):
-                taken.append((number, one.here.now - (age + way) * MS))
+            one.context.now += MS
+            if one.records.merge(f.RecordUpdate("b", "k", 1, number, age, b"%d" % number), way * MS):
+                taken.append((number, one.context.now - (age + way) * MS))
         record = one.records.get("b", "k")
         assert record.number == int(record.body) == max(number for number, _, _ in notes)
         assert [number for number, _ in taken] == sorted({number for number, _ in taken})
-        assert record.age == one.here.now - taken[-1][1]
+        assert record.age == one.context.now - taken[-1][1]
         chance.shuffle(notes)
 
 
@@ -169,14 +174,14 @@
     wire.cut([one], [other], both=False)  # other does not hear one
     wire.time.run(40 * SECOND)
     for gateway in gateways:
-        assert gateway.core.hears(other, one) is False and gateway.core.hears(one, other) is True
-        assert gateway.core.hears(one, "g000") is True
+        assert gateway.core.receives_from(other, one) is False and gateway.core.receives_from(one, other) is True
+        assert gateway.core.receives_from(one, "g000") is True
     assert state(wire.gateways[one], other) is state(wire.gateways[other], one) is MemberState.CUT
     view = MembersView(wire.gateways[one].core)
     assert len(view.live()) == 5 and view.reachable() == view.live() - {other}
     assert state(gateways[0], one) is state(gateways[0], other) is MemberState.ALIVE and not watch.counts["given_up"]
     wire.heal()
-    assert wire.time.run(wire.timing.settles(5), lambda: not watch.unsettled())
+    assert wire.time.run(wire.timing.settling_bound(5), lambda: not watch.unsettled())
 
 
 def test_a_ghost_of_a_member_at_a_false_address_is_not_kept_alive_by_others_word():
@@ -187,7 +192,9 @@
     gateways[0].core.table.merge(ghost, "g001")
     gateways[3].start(gateways[3].boot + 1)
     assert wire.time.run(40 * SECOND, lambda: not watch.unsettled())
-    assert gateways[3].core.own.boot > ghost.boot and "g003" in gateways[0].core.own.clashes
+    assert (
+        gateways[3].core.local_member.generation > ghost.generation and "g003" in gateways[0].core.local_member.clashes
+    )
 
 
 def test_halves_that_gave_each_other_up_find_each_other_without_seeds():
@@ -200,7 +207,7 @@
     assert state(gateways[0], names[5]) is MemberState.GONE
     wire.heal()
     given_up = watch.counts["given_up"]
-    assert wire.time.run(wire.timing.settles(6), lambda: not watch.unsettled())
+    assert wire.time.run(wire.timing.settling_bound(6), lambda: not watch.unsettled())
     assert watch.counts["given_up"] == given_up  # nobody of the own half for the word of the other
 
 
@@ -218,11 +225,11 @@
 
 def test_one_whose_clock_was_set_back_and_kept_nothing_rises_above_what_it_was():
     wire, watch, gateways = fleet(4)
-    boot = gateways[3].core.own.boot
+    generation = gateways[3].core.local_member.generation
     gateways[3].kill()
-    gateways[3].start(boot - 50_000)
+    gateways[3].start(generation - 50_000)
     assert wire.time.run(20 * SECOND, lambda: not watch.unsettled())
-    assert gateways[3].core.own.boot == boot + 1
+    assert gateways[3].core.local_member.generation == generation + 1
 
 
 def test_a_sleeper_accuses_nobody_and_its_old_records_are_as_old_as_they_are():
@@ -238,28 +245,28 @@
     gateways[2].pause()
     wire.time.run(20 * SECOND)
     gateways[2].wake()
-    assert gateways[2].core.here.counts["stood_still"] == 1
-    assert wire.time.run(wire.timing.settles(5), lambda: not watch.unsettled()[:1])
-    assert not watch.worded and gateways[2].core.here.counts["gone"] == 0
+    assert gateways[2].core.context.counts["stood_still"] == 1
+    assert wire.time.run(wire.timing.settling_bound(5), lambda: not watch.unsettled()[:1])
+    assert not watch.worded and gateways[2].core.context.counts["gone"] == 0
 
 
 def test_strangers_other_clusters_and_those_over_their_rate_are_dropped():
     wire, _, gateways = fleet(3)
     one, other = gateways[:2]
-    before = Counter(one.core.here.counts)
+    before = Counter(one.core.context.counts)
     stranger = Core(Start("trial", "x", ("10.0.0.1", 9), 1), Timing(), Limits(), 0)
     stranger.table.merge(f.Claim("g000", *one.address, 1, 0, f.ALIVE), "g000")
-    stranger.here.now = 60 * SECOND  # past the time in which it says who it is
-    stranger.talk.to(stranger.table.peers["g000"], f.Hello())
+    stranger.context.now = 60 * SECOND  # past the time in which it says who it is
+    stranger.outgoing.send(stranger.table.peers["g000"], f.Hello())
     foreign = Core(Start("elsewhere", "x", ("10.0.0.1", 9), 1, seeds=[one.address]), Timing(), Limits(), 0)
-    said = [effect for effect in stranger.here.effects + foreign.step(0, Tick()) if isinstance(effect, Out)]
+    said = [effect for effect in stranger.context.effects + foreign.step(0, Tick()) if isinstance(effect, SendDatagram)]
     for data in [effect.data for effect in said if effect.to == one.address] + [b"", b"junk" * 9]:
         one.take(data)
-    other.core.talk.to(other.core.table.peers["g000"], f.Hello())
-    hello = other.core.here.effects.pop().data
-    for _ in range(int(Limits().burst) + 50):
+    other.core.outgoing.send(other.core.table.peers["g000"], f.Hello())
+    hello = other.core.context.effects.pop().data
+    for _ in range(int(Limits().packet_burst) + 50):
         one.take(hello)
-    seen = one.core.here.counts - before
+    seen = one.core.context.counts - before
     assert seen["strangers"] == 1 and seen["other_cluster"] == 1 and seen["damaged"] == 2 and seen["over_rate"] >= 50
     assert "x" not in one.core.table.peers
 
@@ -268,11 +275,11 @@
     one = core()
     for body, kind in ((bytes(901), "k"), (b"", ""), (b"", "k" * 33)):
         with pytest.raises(ValueError):
-            one.step(0, Post(kind, body))
-    for i in range(Limits().kinds):
-        one.records.post(100, f"k{i}", b"")
+            one.step(0, PublishRecord(kind, body))
+    for i in range(Limits().max_record_kinds):
+        one.records.publish(100, f"k{i}", b"")
     with pytest.raises(ValueError, match="more than 32"):
-        one.step(0, Post("k", b""))
+        one.step(0, PublishRecord("k", b""))
 
 
 def test_the_same_seed_gives_the_same_run():
@@ -305,11 +312,11 @@
 
 def test_the_boot_number_grows_whatever_the_clock_says(tmp_path):
     state = str(tmp_path / "kept")
-    first = boots.first(state)
-    boots.keep(state, first + 10**9)
-    assert boots.first(state) == first + 10**9 + 1
-    (tmp_path / "kept" / boots.FILE).write_text("no number")
-    assert boots.first(state) >= first
+    first = generations.next_generation(state)
+    generations.store_generation(state, first + 10**9)
+    assert generations.next_generation(state) == first + 10**9 + 1
+    (tmp_path / "kept" / generations.FILE_NAME).write_text("no number")
+    assert generations.next_generation(state) >= first
 
 
 def test_each_request_gets_one_response_whatever_its_handler_does():
@@ -363,9 +370,9 @@
 control = ControlPort(reactor, ("127.0.9.1", 17948), lambda name: None)
 fleet_status.register_command(control, parts[0])
 def mailed(sender, body):
-    parts[0].board.publish("mailed", b"%s %d" % (sender.encode(), len(body)))
+    parts[0].gossip_state.publish("mailed", b"%s %d" % (sender.encode(), len(body)))
     parts[2].leave().addCallback(lambda _: parts[2].stop())
-parts[0].mail.subscribe("big", mailed)
+parts[0].messenger.subscribe("big", mailed)
 import socket
 holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)  # as a process that is being replaced
 holder.bind(("127.0.9.2", 17947))
@@ -377,7 +384,7 @@
     if len(parts[1].members.live()) < 3:
         reactor.callLater(0.05, send)
     else:
-        parts[1].mail.send("g1", "big", bytes(262144))
+        parts[1].messenger.send("g1", "big", bytes(262144))
 send()
 reactor.callLater(60, reactor.stop)
 print("up", flush=True)
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -18,7 +18,7 @@
 from rackhub.fleet.distribution.ports import Identity
 from rackhub.fleet.distribution.rules import encode_value
 from rackhub.fleet.distribution.voter import Voter
-from rackhub.fleet.members import boots
+from rackhub.fleet.members import generations
 from rackhub.fleet.register.disk import MemoryDisk, StoreDisk
 from rackhub.ops import handover_file
 from rackhub.state import records
@@ -239,10 +239,10 @@
 
 
 def test_a_recorded_incarnation_number_goes_on_and_is_stored_alike(tmp_path):
-    shutil.copy(RECORDED / "boot", tmp_path / boots.FILE)
-    assert boots.first(str(tmp_path)) == 4_102_444_800_001
-    boots.keep(str(tmp_path), 4_102_444_800_000)
-    assert (tmp_path / boots.FILE).read_bytes() == (RECORDED / "boot").read_bytes()
+    shutil.copy(RECORDED / "boot", tmp_path / generations.FILE_NAME)
+    assert generations.next_generation(str(tmp_path)) == 4_102_444_800_001
+    generations.store_generation(str(tmp_path), 4_102_444_800_000)
+    assert (tmp_path / generations.FILE_NAME).read_bytes() == (RECORDED / "boot").read_bytes()
 
 
 def test_a_recorded_handover_file_is_read_and_written_alike():
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -483,7 +483,7 @@
 
 
 def packet(*told):
-    return frames.datagram(
+    return frames.encode_datagram(
         frames.Packet(
             frames.VERSION, "rig", "g0", 1, "g1", 0, 0, 0, [msgspec.Raw(frames.encode(each)) for each in told]
         )
@@ -495,13 +495,13 @@
     for number in range(20):
         told = packet(
             *(
-                frames.Note(owner, records.LOAD_KIND, 1, number, 0, records.pack(records.Load()))
+                frames.RecordUpdate(owner, records.LOAD_KIND, 1, number, 0, records.pack(records.Load()))
                 for owner in ("g0", "g1")
             )
         )
         made = forge("g0", "g1", told)
         assert forge("g1", "g0", told) == told and forge("g0", "g2", told) == made
-        own, other = [records.unpack(frames.frame(raw).body) for raw in frames.read(made).frames]
+        own, other = [records.unpack(frames.decode_frame(raw).body) for raw in frames.decode_datagram(made).frames]
         assert other == records.Load()
         read.append(own)
     assert records.Load() not in read and sum(load is None for load in read) == forge.forged["disordered"] // 2 > 0
