--- a/rackhub/trials/scale/ranking.py
+++ b/rackhub/trials/scale/ranking.py
@@ -126,7 +126,7 @@
         ),
     ]
     limits_of_program = Limits()
-    polls, longest_poll = limits_of_program.fleet_polls, limits_of_program.max_poll_retry_interval / SECOND
+    polls, longest_poll = limits_of_program.max_fleet_polls_per_s, limits_of_program.max_poll_retry_interval / SECOND
     return [
         *(measured_item(data, limit, target["coordinators"]) for limit in limits),
         fixed_item(
--- a/tests/test_distribution_selection.py
+++ b/tests/test_distribution_selection.py
@@ -56,7 +56,7 @@
     assert {first, second} == HOME
     found.silent(second, 0)
     assert found.choose(0) not in HOME
-    assert found.choose(LIMITS.silence) in HOME, "it is asked again after a while"
+    assert found.choose(LIMITS.upstream_timeout) in HOME, "it is asked again after a while"
 
 
 def test_a_home_relay_that_is_only_busy_is_waited_for():
@@ -114,5 +114,5 @@
     for _ in range(6):
         search.failed(0, RELAYS[0].name, None)
         waits.append(search.due(0, None))
-    assert LIMITS.retry_least // 2 <= waits[0] <= LIMITS.retry_least
-    assert LIMITS.retry_most // 2 <= waits[-1] <= LIMITS.retry_most
+    assert LIMITS.min_retry_delay // 2 <= waits[0] <= LIMITS.min_retry_delay
+    assert LIMITS.max_retry_delay // 2 <= waits[-1] <= LIMITS.max_retry_delay
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -187,7 +187,7 @@
     node, boot = cluster.net.nodes["a"], 9
     all_of = node.all
     node.all = lambda: {
-        name: one if name != "a" else msgspec.structs.replace(one, boot=boot) for name, one in all_of().items()
+        name: one if name != "a" else msgspec.structs.replace(one, generation=boot) for name, one in all_of().items()
     }
     cluster.net.time.run(9 * SECOND)
     assert cluster.acceptors["a"].state.voting and cluster.acceptors["a"].state.incarnation.generation == 9
