--- a/rackhub/cli/bench.py
+++ b/rackhub/cli/bench.py
@@ -37,7 +37,7 @@
     if sys.stderr.isatty():
         from tqdm import tqdm
 
-        bar = tqdm(total=seeds * sum(len(ways) for _, ways in bench.SCENES.values()), leave=False)
+        bar = tqdm(total=seeds * sum(len(ways) for _, ways in bench.SCENARIOS.values()), leave=False)
     report = bench.run(
         seeds,
         seconds,
@@ -51,14 +51,14 @@
     else:
         scene = ""
         for row in report.rows:
-            if row.scene != scene:
-                scene = row.scene
+            if row.scenario != scene:
+                scene = row.scenario
                 print(
                     f"\n{scene}\n{'':<28}{'p50':>6}{'p99':>7}{'p99.9':>7}{'good/s':>8}{'served':>8}{'attempts':>9}"
                     f"{'copies':>8}{'work':>7}"
                 )
             print(
-                f"{row.way:<28}{row.p50_ms:>6.0f}{row.p99_ms:>7.0f}{row.p999_ms:>7.0f}{row.good:>8.0f}"
+                f"{row.variant:<28}{row.p50_ms:>6.0f}{row.p99_ms:>7.0f}{row.p999_ms:>7.0f}{row.good:>8.0f}"
                 f"{row.served:>8.3f}{row.attempts:>9.3f}{row.copies:>8.3f}{row.work:>7.3f}"
             )
         print(
--- a/rackhub/cli/config.py
+++ b/rackhub/cli/config.py
@@ -38,8 +38,7 @@
 from rackhub.operatorfile import Operator
 from rackhub.timings import check as checks
 from rackhub.timings import explain as explaining
-from rackhub.timings.routes import Fault, Route
-from rackhub.timings.routes import read as read_routes
+from rackhub.timings.routes import Fault, Route, read_routes
 
 
 def run(words: Sequence[str]) -> int:
@@ -104,10 +103,10 @@
     if options["--json"]:
         as_json(told)
         return 0
-    for asked in told.asked:
+    for asked in told.route_matches:
         print(
             f"timings.route[{asked.route}]: {'fits' if asked.fits else 'does not fit'}"
-            + (f": {asked.why}" if asked.why else "")
+            + (f": {asked.reason}" if asked.reason else "")
         )
     print()
     for term in told.terms:
--- a/rackhub/components.py
+++ b/rackhub/components.py
@@ -10,10 +10,10 @@
 # component -> the entry point `module:function` that creates it; each starts after those above it and stops before them
 ENTRY_POINTS = {
     "store": "rackhub.state.component:create_component",
-    "timings": "rackhub.timings.part:part",
+    "timings": "rackhub.timings.component:create_component",
     "ops": "rackhub.ops.component:create_component",
     "fleet": "rackhub.fleet.part:create_component",
-    "gather": "rackhub.gather.component:part",
+    "gather": "rackhub.gather.component:create_component",
 }
 RELOADABLE = ("timings",)  # may be turned on by a reload; the others take a restart
 
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -121,8 +121,8 @@
         if found is None and table.routes:
             found = self.context.components["timings"] = components.load("timings", self.context)
         if found is not None:
-            found.again = self.timings.reload_file
-            found.desk.reload(table)
+            found.reload_override = self.timings.reload_file
+            found.policy.reload(table)
 
     def _tally(self, name: str, by: int = 1) -> None:
         self.counts[name] += by
@@ -159,7 +159,7 @@
         if self.rules is not None:
             timed: Any = self.context.components.get("timings")
             if timed is not None:
-                timed.again = self.timings.reload_file
+                timed.reload_override = self.timings.reload_file
             self._start_rules()
         log.info("member %s of the fleet %s at %s", self.told.name, self.told.cluster, self.told.listen)
 
--- a/rackhub/gather/component.py
+++ b/rackhub/gather/component.py
@@ -110,6 +110,6 @@
         return [f"gather: {values or 'none'}"]
 
 
-def part(context: ComponentContext) -> GatherComponent:
+def create_component(context: ComponentContext) -> GatherComponent:
     """Create the component."""
     return GatherComponent(context)
--- a/rackhub/timings/bench.py
+++ b/rackhub/timings/bench.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from rackhub.timings.rig import MS, Outcome, Rig, Scene
 from rackhub.timings.routes import Backoff, Route, SecondCopy
+from rackhub.timings.simulation import MS, Outcome, Rig, Scene
 
 LATE = Backoff(20.0, 2.0, 200.0, "full")
 TRIES = Route(cls="lookup", attempts=3, attempt_timeout_ms=500.0, backoff_ms=LATE)
@@ -27,7 +27,7 @@
     "three attempts, budget 0.1": [msgspec.structs.replace(TRIES, retry_share=0.1)],
     "copies, no time-out": [Route(cls="lookup", second_copy=SecondCopy(after_ms=150.0))],
 }
-SCENES: dict[str, tuple[Scene, dict[str, list[Route] | None]]] = {
+SCENARIOS: dict[str, tuple[Scene, dict[str, list[Route] | None]]] = {
     "one engine of 8 six times slower": (Scene(speeds={0: 1 / 6}, spread=0.3), COPIES),
     "in turn each engine six times slower for 3 s": (Scene(slow_turns=3.0, spread=0.3), COPIES),
     "the same, work widely spread": (Scene(slow_turns=3.0, spread=0.6), COPIES),
@@ -42,8 +42,8 @@
 class Row(msgspec.Struct, frozen=True):
     """One way in one scene, the mean over all seeds."""
 
-    scene: str
-    way: str
+    scenario: str = msgspec.field(name="scene")
+    variant: str = msgspec.field(name="way")
     p50_ms: float
     p99_ms: float
     p999_ms: float
@@ -82,7 +82,7 @@
     rows: list[Row] = []
     with ProcessPoolExecutor(workers, get_context("fork")) as pool:
         waiting = {}
-        for name, (scene, ways) in SCENES.items():
+        for name, (scene, ways) in SCENARIOS.items():
             shorter = msgspec.structs.replace(scene, seconds=min(seconds, scene.seconds))
             for way, routes in ways.items():
                 waiting[name, way] = (
--- a/rackhub/timings/explain.py
+++ b/rackhub/timings/explain.py
@@ -19,7 +19,7 @@
 
     route: int
     fits: bool
-    why: str
+    reason: str = msgspec.field(name="why")
 
 
 class Term(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
     tenant: str
     engine_kind: str
     estimate_ms: float
-    asked: list[Asked]
+    route_matches: list[Asked] = msgspec.field(name="asked")
     terms: list[Term]
     timeline: list[Moment]
 
--- a/rackhub/timings/desk.py
+++ b/rackhub/timings/route_policy.py
@@ -14,7 +14,7 @@
 from rackhub.timings.table import Table, Terms
 
 if TYPE_CHECKING:
-    from rackhub.timings.learned import Quantiles
+    from rackhub.timings.latency_quantiles import Quantiles
 
 MS, SECOND = 1_000, 1_000_000
 COPIES_OVER, COPIES_FLOOR = 10 * SECOND, 1
@@ -58,7 +58,7 @@
         return min(self.maybe.values()) + self.within if self.maybe else 0
 
 
-class Desk:
+class RoutePolicy:
     """All routes in force, with what is counted and learned. Times in microseconds."""
 
     def __init__(
@@ -69,7 +69,7 @@
         self._random, self._count = random.Random(seed), count
         self._retries: dict[tuple[str, str], Window] = {}
         self._copies: dict[tuple[str, str], Window] = {}
-        self.open: dict[int, int] = {1: 0}  # requests by the generation of their terms
+        self.open_requests: dict[int, int] = {1: 0}  # requests by the generation of their terms
         self._quantiles: Quantiles | None = None
         self._learns = False
         self._look()
@@ -80,16 +80,18 @@
             route.attempt_timeout or route.second_copy and route.second_copy.after for route in self._table.routes
         )
         if self._learns and self._quantiles is None:
-            from rackhub.timings import learned
+            from rackhub.timings import latency_quantiles
 
-            self._quantiles = learned.Quantiles()
+            self._quantiles = latency_quantiles.Quantiles()
 
     def reload(self, table: Table) -> None:
         """Other routes, for requests from now on."""
         self._table = table
         self.generation += 1
-        self.open[self.generation] = 0
-        self.open = {number: count for number, count in self.open.items() if count or number == self.generation}
+        self.open_requests[self.generation] = 0
+        self.open_requests = {
+            number: count for number, count in self.open_requests.items() if count or number == self.generation
+        }
         self._look()
 
     # ---- the life of a request
@@ -101,7 +103,7 @@
         retries = self._window(self._retries, cls, tenant, terms.over) if terms.share is not None else None
         copies = self._window(self._copies, cls, tenant, COPIES_OVER) if terms.copies else None
         life = Life(terms, self.generation, cls, self._windows.get(cls, 0), retries, copies)
-        self.open[self.generation] += 1
+        self.open_requests[self.generation] += 1
         if retries is not None and not retries.may(now, terms.share or 0.0, terms.floor):
             life.max_attempts = 1
         return life
@@ -112,9 +114,9 @@
             for window in (life.retries, life.copies):
                 if window is not None:
                     window.count(SHED, now)
-        left = self.open[life.generation] = self.open[life.generation] - 1
+        left = self.open_requests[life.generation] = self.open_requests[life.generation] - 1
         if not left and life.generation != self.generation:
-            del self.open[life.generation]
+            del self.open_requests[life.generation]
 
     @staticmethod
     def _window(windows: dict[tuple[str, str], Window], cls: str, tenant: str, over: int) -> Window:
--- a/rackhub/timings/routes.py
+++ b/rackhub/timings/routes.py
@@ -96,12 +96,12 @@
 
     key: str
     value: Any
-    why: str
-    also: str = ""
+    reason: str = msgspec.field(name="why")
+    related_key: str = msgspec.field(default="", name="also")
 
     def __str__(self) -> str:
         given = "" if self.value is None else f" = {msgspec.json.encode(self.value).decode()}"
-        return f"{self.key}{given}: {self.why}" + (f" ({self.also})" if self.also else "")
+        return f"{self.key}{given}: {self.reason}" + (f" ({self.related_key})" if self.related_key else "")
 
 
 def learned(text: str) -> Learned:
@@ -110,7 +110,7 @@
     return Learned(float(percent), float(factor or 1))
 
 
-def read(part: Any) -> tuple[list[Route], list[Fault]]:
+def read_routes(part: Any) -> tuple[list[Route], list[Fault]]:
     """The routes of a part as TOML gives it, and every fault of form in it, each by its key. A route with such a
     fault stands in the list without the keys at fault, so that the rest of it is checked too."""
     if not isinstance(part, dict):
--- a/rackhub/timings/rig.py
+++ b/rackhub/timings/simulation.py
@@ -21,7 +21,7 @@
 from rackhub.counters import Counters
 from rackhub.limits import Limits
 from rackhub.timings.check import check
-from rackhub.timings.desk import Desk
+from rackhub.timings.route_policy import RoutePolicy
 from rackhub.timings.routes import Route
 from rackhub.timings.table import Table
 
@@ -179,7 +179,7 @@
             if faults:
                 raise ValueError("; ".join(map(str, faults)))
             windows = {scene.cls.name: scene.cls.idempotency_window} if scene.cls.idempotency == "dedup" else {}
-            self.core.request_policy = Desk(Table(routes, self.settings), windows, seed, self.counters.add)
+            self.core.request_policy = RoutePolicy(Table(routes, self.settings), windows, seed, self.counters.add)
         self.engines = {
             f"e{i}": Engine(self.world, scene.cores, scene.speeds.get(i, 1.0), scene.most) for i in range(scene.engines)
         }
--- a/rackhub/timings/table.py
+++ b/rackhub/timings/table.py
@@ -9,7 +9,7 @@
 from rackhub import interface
 from rackhub.core.request_policy import AttemptTerms
 from rackhub.timings.check import check, edges, meets, names
-from rackhub.timings.routes import REASONS, Backoff, Learned, Reason, Route, learned, read
+from rackhub.timings.routes import REASONS, Backoff, Learned, Reason, Route, learned, read_routes
 
 MS = 1_000
 
@@ -50,7 +50,7 @@
 
 def read_table(part: dict[str, Any], settings: interface.Settings) -> "Table":
     """The `[timings]` part as a table, checked against the site's settings; `ValueError` with all its faults."""
-    routes, faults = read(part)
+    routes, faults = read_routes(part)
     faults = faults + check(routes, settings).faults
     if faults:
         raise ValueError("; ".join(map(str, faults)))
--- a/tests/test_crossings_engines.py
+++ b/tests/test_crossings_engines.py
@@ -147,12 +147,12 @@
 
 @pytest.mark.parametrize("terms", [300 * MS, 20 * S])
 def test_of_the_operators_window_and_that_of_the_class_the_shorter_holds(make, terms):
-    from rackhub.timings.desk import Desk
+    from rackhub.timings.route_policy import RoutePolicy
     from rackhub.timings.routes import Route
     from rackhub.timings.table import Table
 
     here = make(3, settings=KEYED)
-    here.core.request_policy = Desk(
+    here.core.request_policy = RoutePolicy(
         Table([Route(cls="depot-load", repeat_within_ms=terms / MS)], KEYED), {"depot-load": 25 * S}, 3
     )
     query = here.ask("depot-load", 20 * S)
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -27,7 +27,7 @@
 from rackhub.fleet.rules.timings import TimingsSection
 from rackhub.fleet.rules.trial_guard import GroupCounts, verdict
 from rackhub.fleet.rules.versioned_rules import DISK_KEY
-from rackhub.timings.desk import Desk
+from rackhub.timings.route_policy import RoutePolicy
 from rackhub.timings.table import Table, read_table
 from rackhub.trials.fleet import rules_torture
 from rackhub.trials.fleet.history import Op, linearizable
@@ -396,18 +396,18 @@
 
 def test_the_timings_section_checks_like_the_file_and_open_requests_end_under_their_version():
     site = t.Settings(classes=(t.ClassSettings("lookup"),))
-    desk = Desk(Table([], site), {}, 1)
-    section = TimingsSection(lambda: site, lambda: None, desk.reload)
+    policy = RoutePolicy(Table([], site), {}, 1)
+    section = TimingsSection(lambda: site, lambda: None, policy.reload)
     with pytest.raises(ValueError, match=r"timings\.route\[0\]\.class = \"nosuch\""):
         section.check({"route": [{"class": "nosuch"}]})
-    life = desk.begin_request("lookup", "", 0, 0)
+    life = policy.begin_request("lookup", "", 0, 0)
     section.reload_file()
     section.apply({"route": [{"class": "lookup", "attempts": 1}]}, 4)
-    assert life.max_attempts == site.max_attempts and desk.begin_request("lookup", "", 0, 0).max_attempts == 1
+    assert life.max_attempts == site.max_attempts and policy.begin_request("lookup", "", 0, 0).max_attempts == 1
     section.apply(None, 5)
-    assert desk.begin_request("lookup", "", 0, 0).max_attempts == site.max_attempts and section.version == 5
+    assert policy.begin_request("lookup", "", 0, 0).max_attempts == site.max_attempts and section.version == 5
     section.reload_file()
-    assert desk.open == {1: 1, 3: 1, 4: 1, 5: 0}
+    assert policy.open_requests == {1: 1, 3: 1, 4: 1, 5: 0}
 
 
 def test_the_timings_section_parses_an_edit_once_and_anew_under_other_settings(monkeypatch):
@@ -415,7 +415,7 @@
     reads = []
     monkeypatch.setattr(timings, "read_table", lambda section, site: reads.append(section) or read_table(section, site))
     site = sites[0]
-    section = TimingsSection(lambda: site, lambda: None, Desk(Table([], site), {}, 1).reload)
+    section = TimingsSection(lambda: site, lambda: None, RoutePolicy(Table([], site), {}, 1).reload)
     edit = {"route": [{"class": "lookup", "attempts": 1}]}
     section.check(edit)
     section.check({"route": [{"class": "lookup", "attempts": 1}]})
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -34,10 +34,10 @@
 from rackhub.timings import explain
 from rackhub.timings.budget import SERVED, SHED, SPENT, Window
 from rackhub.timings.check import check
-from rackhub.timings.desk import Desk
-from rackhub.timings.learned import FALL, LEAST, SPAN, Quantiles
-from rackhub.timings.rig import Rig, Scene
-from rackhub.timings.routes import Backoff, Learned, Route, SecondCopy, read
+from rackhub.timings.latency_quantiles import FALL, LEAST, SPAN, Quantiles
+from rackhub.timings.route_policy import RoutePolicy
+from rackhub.timings.routes import Backoff, Learned, Route, SecondCopy, read_routes
+from rackhub.timings.simulation import Rig, Scene
 from rackhub.timings.table import Table
 
 S, MS = 1_000_000, 1_000
@@ -46,7 +46,7 @@
 
 
 def faults(text, settings):
-    routes, wrong = read(part(text))
+    routes, wrong = read_routes(part(text))
     return wrong + check(routes, settings).faults
 
 
@@ -57,7 +57,7 @@
 def test_a_bad_file_is_refused_by_exactly_its_keys(text, keys, settings):
     found = faults(text, settings)
     assert sorted(fault.key for fault in found) == sorted(keys)
-    assert all(fault.why and "\n" not in str(fault) for fault in found)
+    assert all(fault.reason and "\n" not in str(fault) for fault in found)
 
 
 def test_the_table_of_bad_files_is_long_and_stands_in_the_docs():
@@ -91,11 +91,11 @@
         'class = "lookup"\nattempts = 2\nattempt_timeout_ms = 2000': "less than its time-out",
     }
     for text, why in unwise.items():
-        checked = check(read(part(f"[[timings.route]]\n{text}"))[0], SITE)
-        assert not checked.faults and any(why in warning.why for warning in checked.warnings), text
+        checked = check(read_routes(part(f"[[timings.route]]\n{text}"))[0], SITE)
+        assert not checked.faults and any(why in warning.reason for warning in checked.warnings), text
     site = msgspec.convert(msgspec.to_builtins(COPIES) | {"cancel": False, "priorities": False}, t.Settings)
     text = '[[timings.route]]\nclass = "lookup"\npriority = 2\nsecond_copy = { after_ms = 300, most_share = 0.5 }'
-    keys = [warning.key for warning in check(read(part(text))[0], site).warnings]
+    keys = [warning.key for warning in check(read_routes(part(text))[0], site).warnings]
     assert [key.rpartition("]")[2] for key in keys] == [".priority", ".second_copy", ".second_copy.most_share"]
 
 
@@ -158,7 +158,7 @@
     here = Core(Route(cls="lookup", retry_share=0.5, retry_floor=0))
     here.ask()
     here.end(here.port.sent[0], "GOOD")
-    (window,) = here.desk._retries.values()
+    (window,) = here.policy._retries.values()
     assert window.sums == [1, 0, 0]
     here.core.update_endpoints([], 2)
     here.ask()
@@ -313,7 +313,9 @@
         self.clock, self.counters, self.port, self.made = FakeClock(), Counters(), Port(), 0
         self.settings = site(second_copies)
         self.core = Coordinator(self.settings, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
-        self.desk = self.core.request_policy = Desk(self.table(*routes), {"depot-load": 25 * S}, 3, self.counters.add)
+        self.policy = self.core.request_policy = RoutePolicy(
+            self.table(*routes), {"depot-load": 25 * S}, 3, self.counters.add
+        )
         if module:
             self.core.decisions.control = module
         self.entries = [t.EngineEntry(f"e{i}", "z", "std") for i in range(engines)]
@@ -344,7 +346,7 @@
     assert here.port.given_up == here.port.sent[:1] and len(here.port.sent) == 2
     assert here.port.sent[1].engine != here.port.sent[0].engine
     here.end(here.port.sent[1], "GOOD")
-    assert here.port.answers == [(f"{1:016x}", "served")] and here.desk.open == {1: 0}
+    assert here.port.answers == [(f"{1:016x}", "served")] and here.policy.open_requests == {1: 0}
 
 
 def test_a_time_out_as_the_answer_is_being_read_gives_one_answer():
@@ -398,7 +400,7 @@
     here.end(here.port.sent[0], "BAD")
     here.core.disconnect_client(query)
     here.clock.advance(S)
-    assert len(here.port.sent) == 1 and here.port.answers == [] and here.desk.open == {1: 0}
+    assert len(here.port.sent) == 1 and here.port.answers == [] and here.policy.open_requests == {1: 0}
 
 
 def test_a_deadline_during_a_back_off_is_kept():
@@ -573,7 +575,7 @@
     stands = [EngineServer(TdsEngine if tds else RespEngine) for _ in range(2)]
     here = Loopback(*stands, tds_engines=tds)
     try:
-        here.core.request_policy = Desk(
+        here.core.request_policy = RoutePolicy(
             Table([Route(cls="depot-load", repeat_within_ms=1_000.0)], here.core.settings),
             {"depot-load": 25 * S},
             3,
@@ -602,22 +604,26 @@
     here = Core(Route(cls="lookup", attempts=3, backoff_ms=Backoff(100.0, jitter="none")))
     before = here.ask()
     here.end(here.port.sent[0], "BAD")
-    here.desk.reload(here.table(Route(cls="lookup", attempts=1)))  # the route that it came by is gone
+    here.policy.reload(here.table(Route(cls="lookup", attempts=1)))  # the route that it came by is gone
     after = here.ask()
-    assert here.desk.open == {1: 1, 2: 1} and here.desk.generation == 2
+    assert here.policy.open_requests == {1: 1, 2: 1} and here.policy.generation == 2
     here.end(here.port.sent[1], "BAD")
     assert here.port.answers == [(after.id, "refused")]
     here.clock.advance(110 * MS)
     assert len(here.port.sent) == 3 and here.port.sent[2].query is before
     here.end(here.port.sent[2], "GOOD")
-    assert here.port.answers[-1] == (before.id, "served") and here.desk.open == {2: 0}
+    assert here.port.answers[-1] == (before.id, "served") and here.policy.open_requests == {2: 0}
 
 
 def test_a_reload_while_a_second_copy_is_out():
     here, query, first, second = copied()
-    here.desk.reload(here.table())
+    here.policy.reload(here.table())
     here.end(second, "GOOD")
-    assert here.port.answers == [(query.id, "served")] and here.port.given_up == [first] and here.desk.open == {2: 0}
+    assert (
+        here.port.answers == [(query.id, "served")]
+        and here.port.given_up == [first]
+        and here.policy.open_requests == {2: 0}
+    )
 
 
 def test_budgets_outlive_a_reload():
@@ -625,7 +631,7 @@
     here = Core(route)
     here.ask()
     here.end(here.port.sent[0], "BAD")
-    here.desk.reload(here.table(route))
+    here.policy.reload(here.table(route))
     here.ask()
     assert here.port.sent[2].query.terms.max_attempts == 1  # what was spent before counts
     here.end(here.port.sent[2], "BAD")
@@ -707,7 +713,7 @@
 
     @rule(routes=ROUTES)
     def reload(self, routes):
-        self.here.desk.reload(self.here.table(*self.allowed(routes)))
+        self.here.policy.reload(self.here.table(*self.allowed(routes)))
 
     @rule(drained=st.sets(st.sampled_from(["e0", "e1", "e2", "e3"]), max_size=3))
     def drain(self, drained):
@@ -753,7 +759,7 @@
             if query.terms is not None:
                 assert query.terms.terms is self.terms[query.id]
         live = sum(not query.closed for query in self.asked)
-        assert sum(self.here.desk.open.values()) == live == len(self.here.core.queries)
+        assert sum(self.here.policy.open_requests.values()) == live == len(self.here.core.queries)
 
     def teardown(self):
         if hasattr(self, "here"):
@@ -798,7 +804,7 @@
             )
         )
         try:
-            here.core.request_policy = Desk(
+            here.core.request_policy = RoutePolicy(
                 Table([Route(cls="lookup", attempts=1, priority=3)], here.core.settings), {}, 3, here.counters.add
             )
             if tds:
