--- a/rackhub/cli/store.py
+++ b/rackhub/cli/store.py
@@ -143,14 +143,14 @@
     )
     for table in told.tables:
         print(
-            f"  table {table.number}: records {table.low} to {table.high}, {table.entries} entries, "
+            f"  table {table.number}: records {table.first_record} to {table.last_record}, {table.entries} entries, "
             f"{table.size:,} bytes"
         )
     had = told.recovered
     print(
         f"opening replayed {had.records} records, cut off {had.torn_bytes} torn bytes"
         + "".join(f"\n  removed {name}" for name in had.removed)
-        + "".join(f"\n  left alone: {name}, which is none of a store's files" for name in had.strange)
+        + "".join(f"\n  left alone: {name}, which is none of a store's files" for name in had.unknown_files)
     )
     return 0
 
@@ -225,7 +225,7 @@
     with _open(options) as store:
         before = store.info()
         store.compact(number(options, "REVISION", 1, MOST))
-        store.settle()
+        store.finish_work()
         after = store.info()
     freed = before.log_bytes + before.table_bytes - after.log_bytes - after.table_bytes
     if options["--json"]:
@@ -274,23 +274,23 @@
         source.unlock()
     told = {
         "revision": taken.revision,
-        "records": taken.end,
+        "records": taken.last_record,
         "history_after": taken.floor,
         "findings": found.findings,
-        "left": [{"log": one.log, "first": one.first, "last": one.last} for one in taken.left],
+        "left": [{"log": one.log, "first": one.first_record, "last": one.last_record} for one in taken.skipped],
     }
     if options["--json"]:
         as_json(told)
     else:
         for one in found.findings:
             print(f"{one.file}: at byte {one.offset}: {one.what}")
-        for left in taken.left:
-            print(f"left: log {left.log} holds records {left.first} to {left.last}, after a gap")
+        for left in taken.skipped:
+            print(f"left: log {left.log} holds records {left.first_record} to {left.last_record}, after a gap")
         print(
-            f"saved to {to}: all records up to {taken.end} (revision {taken.revision}), history after "
+            f"saved to {to}: all records up to {taken.last_record} (revision {taken.revision}), history after "
             f"revision {taken.floor}"
         )
-    return 1 if found.findings or taken.left else 0
+    return 1 if found.findings or taken.skipped else 0
 
 
 def bench(options: dict[str, Any]) -> int:
@@ -341,12 +341,12 @@
 
 
 def torture(options: dict[str, Any]) -> int:
-    from rackhub.store import torture as tortures
+    from rackhub.store import fault_injection
 
     modes = tuple(options["--modes"].split(","))
     for mode in modes:
-        if mode not in tortures.MODES:
-            raise refuse(f"--modes: {mode!r} is none of {', '.join(tortures.MODES)}")
+        if mode not in fault_injection.MODES:
+            raise refuse(f"--modes: {mode!r} is none of {', '.join(fault_injection.MODES)}")
     size = number(options, "--bytes", 10_000, 100_000_000)
     bars: dict[str, _Progress] = {}
 
@@ -355,7 +355,7 @@
 
     start = time.monotonic()
     try:
-        report = tortures.run(
+        report = fault_injection.run(
             size, number(options, "--seed", 0, MOST), modes, number(options, "--workers", 0, 1_024), told
         )
     finally:
--- a/rackhub/fleet/register/disk.py
+++ b/rackhub/fleet/register/disk.py
@@ -43,7 +43,7 @@
         self._in_doubt: list[Callable[[], None]] = []  # of writes that the store accepted before its disk failed
         self.damage = ""
         self._store = self._open_or_replace()
-        self._driver.drive(self._store)
+        self._driver.start(self._store)
         found = self._store.get(IDENTITY_KEY)
         if found is not None:
             self.identity = found.value.decode()
@@ -84,7 +84,7 @@
         from rackhub.store import StoreError
 
         try:
-            self._driver.end()
+            self._driver.close()
         except StoreError as error:
             self._log_failure(error)
 
--- a/rackhub/state/writer.py
+++ b/rackhub/state/writer.py
@@ -77,7 +77,7 @@
 
     def start(self, configured: EndpointSnapshot) -> EndpointSnapshot:
         """Start writing. Returns the endpoint list to start with: the stored one where none is configured."""
-        self._driver.drive(self.store)
+        self._driver.start(self.store)
         initial = records.initial_endpoints(
             configured,
             self._stored_value(records.ENDPOINT_LIST_KEY),
@@ -129,7 +129,7 @@
         self._store_counters()
         self._write()
         try:
-            self._driver.end()
+            self._driver.close()
         except StoreError as error:
             log.error("store: %s", error)
 
--- a/rackhub/store/bench.py
+++ b/rackhub/store/bench.py
@@ -218,7 +218,7 @@
 
 def _reads(path: Path, chance: random.Random, count: int) -> Reads:
     store = _filled(path, chance, count, count)
-    store.settle()
+    store.finish_work()
     for i in range(1_000):
         store.commit(Batch().put(b"memory-%04d" % i, b"x" * 40))
     store.flush()
@@ -251,7 +251,7 @@
     store = _filled(path, chance, commits, keys)
     if keys < commits:
         store.compact(store.revision)
-        store.settle()
+        store.finish_work()
     del store  # as a killed process leaves it: nothing is closed
     gc.collect()
     before = resident()
@@ -274,7 +274,7 @@
         store.commit(Batch().put(key, value))
         if not i % WRITERS:
             store.flush()
-    store.settle()
+    store.finish_work()
     disk = sum(file.stat().st_size for file in (path / "store").iterdir())
     found = Overwrites(
         keys,
--- a/rackhub/store/driver.py
+++ b/rackhub/store/driver.py
@@ -13,10 +13,10 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.failure import Failure
 
+from rackhub.store.driver_policy import DriverPolicy
 from rackhub.store.engine import Store
 from rackhub.store.errors import ReadOnly
 from rackhub.store.files import File
-from rackhub.store.pace import Pace
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
 
 
 class Driver:
-    """Hand `wake` to `Store.open` and the store to `drive`.
+    """Hand `wake` to `Store.open` and the store to `start`.
 
     `recovered` is called each time a store that was read-only takes writes again; all that it had accepted is durable.
     """
@@ -40,15 +40,15 @@
         now: Callable[[], int] = lambda: time.monotonic_ns() // 1_000,
         recovered: Callable[[], None] = lambda: None,
     ):
-        self._reactor, self._now, self.pace = reactor, now, Pace()
+        self._reactor, self._now, self.policy = reactor, now, DriverPolicy()
         self._recovered = recovered
         self._store: Store | None = None
         self._flushing = self._working = self._retrying = False
         self._ended = False
         self.failures = 0  # times that the disk made the store read-only
-        self.threaded = 0  # syncs done in another thread
+        self.threaded_syncs = 0  # syncs done in another thread
 
-    def drive(self, store: Store) -> None:
+    def start(self, store: Store) -> None:
         self._store = store
         self.wake(store)
 
@@ -73,9 +73,9 @@
         file = store.begin_flush()
         if file is None:
             return
-        if self.pace.elsewhere(self._now()):
+        if self.policy.use_thread(self._now()):
             self._flushing = True
-            self.threaded += 1
+            self.threaded_syncs += 1
             self._elsewhere(file).addBoth(self._flushed, store)
         else:
             store.end_flush(self._timed(file))
@@ -87,7 +87,7 @@
             file.sync()
         except OSError as bad:
             fault = bad
-        self.pace.synced(self._now() - began, self._now())
+        self.policy.sync_finished(self._now() - began, self._now())
         return fault
 
     def _elsewhere(self, file: File) -> "Deferred[OSError | None]":
@@ -101,7 +101,7 @@
             return None
 
         def back(fault: OSError | None) -> OSError | None:
-            self.pace.synced(self._now() - began, self._now())
+            self.policy.sync_finished(self._now() - began, self._now())
             return fault
 
         pool = self._reactor.getThreadPool()
@@ -123,7 +123,7 @@
         handed: list[Deferred[OSError | None]] = []
 
         def sync(file: File) -> bool:
-            if self.pace.elsewhere(self._now()):
+            if self.policy.use_thread(self._now()):
                 handed.append(self._elsewhere(file))
                 return False
             fault = self._timed(file)
@@ -140,7 +140,7 @@
         if handed:
             handed[0].addBoth(self._worked, store)
         elif more:
-            self._reactor.callLater(self.pace.rest(self._now() - began) / 1_000_000, self._work)
+            self._reactor.callLater(self.policy.work_pause(self._now() - began) / 1_000_000, self._work)
         else:
             self._working = False
 
@@ -157,7 +157,7 @@
         if not self._retrying and not self._ended and self._store is not None:
             self._retrying = True
             self.failures += 1
-            wait = self.pace.retry_in()
+            wait = self.policy.next_retry_delay()
             log.error("store: read-only: %s; tried again in %.0f s", self._store.fault, wait / 1_000_000)
             self._reactor.callLater(wait / 1_000_000, self._retry)
 
@@ -170,12 +170,12 @@
             store.retry()
         except ReadOnly:
             return self._retry_later()
-        self.pace.mended()
+        self.policy.disk_recovered()
         log.info("store: takes writes again")
         self._recovered()
         self._turn()
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Close the store: a sync in another thread is waited for by the file's own close coming after it."""
         self._ended = True
         if self._store is not None:
--- a/rackhub/store/pace.py
+++ b/rackhub/store/driver_policy.py
@@ -4,7 +4,7 @@
 MS, SECOND = 1_000, 1_000_000
 
 
-class Pace:
+class DriverPolicy:
     """Times in microseconds. A sync in the loop's own thread costs least while the disk is quick; one that is slow
     holds every request up, so it is moved to another thread, at the price of two switches."""
 
@@ -19,25 +19,25 @@
         self._wary_until = 0
         self._retry = self.RETRY_FIRST
 
-    def synced(self, took: int, now: int) -> None:
+    def sync_finished(self, took: int, now: int) -> None:
         """A sync took so long."""
         self._usual += (took - self._usual) / 8
         if took > self.STALL:
             self._wary_until = now + self.WARY
 
-    def elsewhere(self, now: int) -> bool:
+    def use_thread(self, now: int) -> bool:
         """Whether the next sync should be done in another thread. One in so many is tried here again by itself, as
-        `synced` is told of those done elsewhere too."""
+        `sync_finished` is told of those done elsewhere too."""
         return self._usual > self.SLOW or now < self._wary_until
 
-    def rest(self, took: int) -> int:
+    def work_pause(self, took: int) -> int:
         """How long to leave the loop alone after a slice that took so long."""
         return max(self.REST * took, MS)
 
-    def retry_in(self) -> int:
+    def next_retry_delay(self) -> int:
         """How long to wait before a failed disk is tried (again)."""
         now, self._retry = self._retry, min(self._retry * 2, self.RETRY_MOST)
         return now
 
-    def mended(self) -> None:
+    def disk_recovered(self) -> None:
         self._retry = self.RETRY_FIRST
--- a/rackhub/store/engine.py
+++ b/rackhub/store/engine.py
@@ -75,9 +75,9 @@
 
     records: int  # replayed from the log
     torn_bytes: int  # cut off the end of the log: written by a commit that was never acknowledged
-    torn_whole: int  # whole frames among them
+    torn_frames: int = msgspec.field(name="torn_whole")  # whole frames among them
     removed: tuple[str, ...]  # half-made files
-    strange: tuple[str, ...]  # files that are none of a store's, left alone
+    unknown_files: tuple[str, ...] = msgspec.field(name="strange")  # files that are none of a store's, left alone
 
 
 class Info(msgspec.Struct, frozen=True):
@@ -225,7 +225,7 @@
             self._files.sync_names()
         self._number = last
         self.revision = max(self._log.revision, manifest.flushed_revision)
-        self.recovered = Recovered(replayed, tail.torn, tail.later, removed, todo.strange)
+        self.recovered = Recovered(replayed, tail.torn, tail.later, removed, todo.unknown_files)
         self._restore_own(seen)
 
     def _create(self, names: Sequence[str]) -> None:
@@ -254,7 +254,7 @@
                 raise Corrupt(log_name(number), HEADER_SIZE, "holds records, and the manifest does not name it")
 
     def _closed_records(self, segment: SegmentInfo) -> Iterator[Record]:
-        name, due, revision = log_name(segment.number), segment.first, segment.before
+        name, due, revision = log_name(segment.number), segment.first_record, segment.before
         file = self._files.open(name)
         try:
             for start, some in read_segment(name, segment.number, file, HEADER_SIZE, segment.size):
@@ -263,8 +263,8 @@
                     yield record
         finally:
             file.close()
-        if due != segment.last + 1:
-            raise Corrupt(name, segment.size, f"ends with record {due - 1}, not {segment.last}")
+        if due != segment.last_record + 1:
+            raise Corrupt(name, segment.size, f"ends with record {due - 1}, not {segment.last_record}")
 
     def _restore_own(self, seen: int) -> None:
         """Leases and the compacted revision, from the store's own keys."""
@@ -863,7 +863,7 @@
         """What merging ran into; it has ended with that."""
         return self._damage
 
-    def settle(self) -> None:
+    def finish_work(self) -> None:
         """Do all work there is, however long it takes."""
         self.flush()
         while self.work(1_000_000):
@@ -914,7 +914,13 @@
         entries = kept(merged(sources) if len(sources) > 1 else sources[0], floor, bottom)
         count = sum(info.entries for info in infos)
         for step in self._write_table(
-            entries, count, infos[-1].low, infos[0].high, infos[0].revision, floor, tuple(info.number for info in infos)
+            entries,
+            count,
+            infos[-1].first_record,
+            infos[0].last_record,
+            infos[0].revision,
+            floor,
+            tuple(info.number for info in infos),
         ):
             if isinstance(step, Table):
                 manifest = self._manifest
--- a/rackhub/store/torture.py
+++ b/rackhub/store/fault_injection.py
@@ -23,8 +23,8 @@
 from rackhub.store.batch import Batch
 from rackhub.store.engine import Store
 from rackhub.store.errors import Corrupt, ReadOnly, StoreError
-from rackhub.store.faulty import MemoryFiles, PowerCut
 from rackhub.store.manifest import SegmentInfo, load, log_name, number_of
+from rackhub.store.memory_files import MemoryFiles, PowerCut
 from rackhub.store.options import Options
 from rackhub.store.records import KeyValue
 from rackhub.store.table import Table
@@ -367,7 +367,7 @@
     recovery. After each cut the machine is tried in several of the states that it may find."""
     tally = Tally()
     warm = Workload(seed, MemoryFiles(seed))
-    warm.files.lying = lying
+    warm.files.ignore_syncs = lying
     warm.run(warm_bytes)
     warm.store.close()
     image = warm.files.copy()
@@ -380,7 +380,7 @@
         again.files, again.now, again.model = image.copy(), warm.now, Model()
         again.model.states, again.model.changes = list(warm.model.states), list(warm.model.changes)
         again.acknowledged = again.in_doubt = warm.model.revision
-        again.files.lying = lying
+        again.files.ignore_syncs = lying
         again.files.fail_at = n
         try:
             again.open()
@@ -434,7 +434,7 @@
         work.run(warm_bytes)
         work.store.flush()
         files, before = work.files, work.files.steps
-        files.fail_at, files.lasting = before + n, n % 2 == 0
+        files.fail_at, files.keep_failing = before + n, n % 2 == 0
         files.fault = OSError(28, os.strerror(28)) if n % 2 == 0 else OSError(5, os.strerror(5))
         done = 0
         try:
@@ -448,7 +448,7 @@
         tally.tried += 1
         if work.store.info().read_only == "":
             work.store.flush()
-        if files.lasting:
+        if files.keep_failing:
             try:
                 work.store.retry()
                 work.store.commit(Batch().put(b"k000", b"x"))
--- a/rackhub/store/kill.py
+++ b/rackhub/store/kill.py
@@ -27,7 +27,7 @@
 PATIENCE = 60  # seconds without an answer: a child that hangs is a fault of its own
 
 
-class Killed(msgspec.Struct):
+class KillResults(msgspec.Struct):
     """What came of all kills. `found_unsent`, `lost` and `changed` must stay 0."""
 
     kills: int = 0
@@ -53,7 +53,7 @@
     reactor: Any = installed
     driver = Driver(reactor)
     store = Store.open(path, OPTIONS, wake=driver.wake)
-    driver.drive(store)
+    driver.start(store)
 
     class Lines(LineOnlyReceiver):
         delimiter = b"\n"
@@ -91,15 +91,15 @@
         return [(int(line), *self.open.pop(0)) for line in lines]
 
 
-def run(path: Path, kills: int, seed: int, progress: Callable[[int, int], None] = lambda done, of: None) -> Killed:
+def run(path: Path, kills: int, seed: int, progress: Callable[[int, int], None] = lambda done, of: None) -> KillResults:
     """Kill a child `kills` times on one directory, which must not be there yet."""
-    chance, tally = random.Random(seed), Killed()
+    chance, tally = random.Random(seed), KillResults()
     acknowledged: dict[int, tuple[bytes, bytes]] = {}
     sent: set[tuple[bytes, bytes]] = set()
     for cycle in range(kills):
         _one(path, chance, cycle, acknowledged, sent)
         tally.kills += 1
-        _check(path, acknowledged, sent, tally)
+        _check_store(path, acknowledged, sent, tally)
         progress(cycle + 1, kills)
     tally.sent, tally.acknowledged = len(sent), len(acknowledged)
     return tally
@@ -154,8 +154,8 @@
             child.stdout.close()
 
 
-def _check(
-    path: Path, acknowledged: dict[int, tuple[bytes, bytes]], sent: set[tuple[bytes, bytes]], tally: Killed
+def _check_store(
+    path: Path, acknowledged: dict[int, tuple[bytes, bytes]], sent: set[tuple[bytes, bytes]], tally: KillResults
 ) -> None:
     with Store.open(path, OPTIONS) as store:
         tally.torn += store.recovered.torn_bytes > 0
--- a/rackhub/store/manifest.py
+++ b/rackhub/store/manifest.py
@@ -12,11 +12,11 @@
 
 
 class SegmentInfo(msgspec.Struct, frozen=True, array_like=True):
-    """One closed segment of the log: records `first` to `last`, the store's revision before and after them."""
+    """One closed segment of the log: its first and last record, and the store's revision before and after them."""
 
     number: int
-    first: int
-    last: int
+    first_record: int
+    last_record: int
     before: int
     revision: int
     size: int
--- a/rackhub/store/faulty.py
+++ b/rackhub/store/memory_files.py
@@ -72,7 +72,7 @@
 
     def sync(self) -> None:
         self._home.step("sync", 0)
-        if not self._home.lying:
+        if not self._home.ignore_syncs:
             self._inode.disk = bytes(self._inode.now)
             self._inode.pending = []
 
@@ -86,16 +86,17 @@
 
 class MemoryFiles:
     """A directory in memory. `fail_at`: the number of the call, from 1, that fails with `fault`; a `PowerCut` lasts,
-    an `OSError` too while `lasting` is set. `room`: bytes that may be written in all. `lying`: sync does nothing."""
+    an `OSError` too while `keep_failing` is set. `capacity`: bytes that may be written in all.
+    `ignore_syncs`: sync does nothing."""
 
     def __init__(self, seed: int = 0):
         self.random = random.Random(seed)
         self.inodes: dict[str, Inode] = {}
         self.names_on_disk: dict[str, Inode] = {}
         self._name_changes: list[tuple[str, Inode | None]] = []
-        self.steps, self.fail_at, self.lasting, self.lying = 0, 0, False, False
+        self.steps, self.fail_at, self.keep_failing, self.ignore_syncs = 0, 0, False, False
         self.fault: BaseException = PowerCut()
-        self.room: int | None = None
+        self.capacity: int | None = None
         self.locked, self._off = False, False
 
     def alive(self) -> None:
@@ -105,11 +106,11 @@
     def step(self, what: str, size: int) -> None:
         self.alive()
         self.steps += 1
-        if self.room is not None and size:
-            if size > self.room:
+        if self.capacity is not None and size:
+            if size > self.capacity:
                 raise OSError(28, os.strerror(28))
-            self.room -= size
-        if self.fail_at and (self.steps == self.fail_at or self.lasting and self.steps > self.fail_at):
+            self.capacity -= size
+        if self.fail_at and (self.steps == self.fail_at or self.keep_failing and self.steps > self.fail_at):
             if isinstance(self.fault, PowerCut):
                 self._off = True
             raise self.fault
@@ -145,7 +146,7 @@
 
     def sync_names(self) -> None:
         self.step("sync_names", 0)
-        if not self.lying:
+        if not self.ignore_syncs:
             self.names_on_disk = dict(self.inodes)
             self._name_changes = []
 
--- a/rackhub/store/plan.py
+++ b/rackhub/store/plan.py
@@ -64,9 +64,11 @@
     segments = [
         segment
         for segment in manifest.segments
-        if segment.last > manifest.flushed
+        if segment.last_record > manifest.flushed
         or segment.revision > floor
-        or any(table.low <= segment.last and segment.first <= table.high for table in fresh)
+        or any(
+            table.first_record <= segment.last_record and segment.first_record <= table.last_record for table in fresh
+        )
     ]
     # history must stay in one piece: nothing before a segment that goes can be asked for
     gone = [segment for segment in manifest.segments if segment not in segments]
@@ -91,7 +93,7 @@
 
     replay: tuple[SegmentInfo, ...]  # closed segments with records that are in no table
     remove: tuple[str, ...]  # half-made or done-with files
-    strange: tuple[str, ...]  # names that a store never gives: left alone
+    unknown_files: tuple[str, ...]  # names that a store never gives: left alone
     later: tuple[int, ...]  # logs after the active one: looked into before they are removed
 
 
@@ -107,7 +109,7 @@
         raise Corrupt(active, 0, "the manifest names it and it is not there")
     if sizes[active] < manifest.active_durable:
         raise Corrupt(active, sizes[active], f"cut short: {manifest.active_durable} bytes of it were on disk")
-    known, remove, strange, later = named(manifest), [], [], []
+    known, remove, unknown_files, later = named(manifest), [], [], []
     for name in sorted(sizes):
         told = number_of(name)
         if name in known:
@@ -117,9 +119,9 @@
         elif told is not None:
             later.append(told[1])
         else:
-            strange.append(name)
-    replay = tuple(segment for segment in manifest.segments if segment.last > manifest.flushed)
-    return Recovery(replay, tuple(remove), tuple(strange), tuple(later))
+            unknown_files.append(name)
+    replay = tuple(segment for segment in manifest.segments if segment.last_record > manifest.flushed)
+    return Recovery(replay, tuple(remove), tuple(unknown_files), tuple(later))
 
 
 def _whole(name: str, size: int, sizes: Mapping[str, int]) -> None:
@@ -136,21 +138,21 @@
     """Records in a row that were found whole in one log: numbers, and the revisions before and after them."""
 
     log: int
-    first: int
-    last: int
+    first_record: int
+    last_record: int
     before: int
     revision: int
 
 
 class Rescue(msgspec.Struct, frozen=True):
-    """What of a damaged store is provably whole: the state after record `end`, a prefix of all that was written."""
+    """What of a damaged store is provably whole: the state after `last_record`, a prefix of all that was written."""
 
     tables: tuple[TableInfo, ...]  # newest first, an unbroken row from the first record
-    logs: tuple[Stretch, ...]  # oldest first, unbroken, up to `end`; those before the tables' end are history
-    end: int
+    logs: tuple[Stretch, ...]  # oldest first, unbroken, up to `last_record`; those before the tables' end are history
+    last_record: int
     revision: int
     floor: int  # history up to here could not be saved
-    left: tuple[Stretch, ...]  # whole records after a gap: not a prefix, so not taken
+    skipped: tuple[Stretch, ...]  # whole records after a gap: not a prefix, so not taken
 
 
 def rescue(tables: Sequence[TableInfo], stretches: Sequence[Stretch]) -> Rescue:
@@ -164,32 +166,32 @@
     chosen: list[TableInfo] = []
     end, revision = 0, 0
     while True:
-        fitting = [table for table in tables if table.low == end + 1 and table.high > end]
+        fitting = [table for table in tables if table.first_record == end + 1 and table.last_record > end]
         if not fitting:
             break
-        best = max(fitting, key=lambda table: (table.high, table.number))
+        best = max(fitting, key=lambda table: (table.last_record, table.number))
         chosen.insert(0, best)
-        end, revision = best.high, best.revision
+        end, revision = best.last_record, best.revision
     flushed = end
-    ordered = sorted(stretches, key=lambda s: (s.first, -s.last))
+    ordered = sorted(stretches, key=lambda s: (s.first_record, -s.last_record))
     row: list[Stretch] = []
     for stretch in ordered:
-        if stretch.last <= end or stretch.first > end + 1:
+        if stretch.last_record <= end or stretch.first_record > end + 1:
             continue
         row.append(stretch)
-        end, revision = stretch.last, stretch.revision
+        end, revision = stretch.last_record, stretch.revision
     # history: backwards from where the row begins, as far as it is unbroken
-    begin = min((stretch.first for stretch in row), default=flushed + 1)
+    begin = min((stretch.first_record for stretch in row), default=flushed + 1)
     before = row[0].before if row else revision
     history: list[Stretch] = []
-    for stretch in sorted(stretches, key=lambda s: (s.last, -s.first), reverse=True):
-        if stretch in row or stretch.first >= begin or stretch.last < begin - 1:
+    for stretch in sorted(stretches, key=lambda s: (s.last_record, -s.first_record), reverse=True):
+        if stretch in row or stretch.first_record >= begin or stretch.last_record < begin - 1:
             continue
         history.insert(0, stretch)
-        begin, before = stretch.first, stretch.before
+        begin, before = stretch.first_record, stretch.before
     if not chosen and begin > 1:  # the tables' part is gone, and the logs do not go back to the first record
         return Rescue((), (), 0, 0, 0, tuple(stretches))
-    left = tuple(stretch for stretch in ordered if stretch.first > end)
+    left = tuple(stretch for stretch in ordered if stretch.first_record > end)
     # a merge may have gone by a compaction whose own record is among what could not be saved
     floor = max([before if begin > 1 else 0, *(table.floor for table in chosen)])
     return Rescue(tuple(chosen), (*history, *row), end, revision, min(floor, revision), left)
--- a/rackhub/store/salvage.py
+++ b/rackhub/store/salvage.py
@@ -79,8 +79,8 @@
                 findings.append(Finding(name, found.start, bad.why))
                 continue
             first, last = records[0], records[-1]
-            if stretches and places[-1][1] == found.start and stretches[-1].last + 1 == first.number:
-                stretches[-1] = msgspec.structs.replace(stretches[-1], last=last.number, revision=last.revision)
+            if stretches and places[-1][1] == found.start and stretches[-1].last_record + 1 == first.number:
+                stretches[-1] = msgspec.structs.replace(stretches[-1], last_record=last.number, revision=last.revision)
                 places[-1] = (places[-1][0], end)
             else:
                 stretches.append(plan.Stretch(number, first.number, last.number, revision_before(first), last.revision))
@@ -142,13 +142,15 @@
         _copy(source.open(table_name(info.number)), target.create(table_name(info.number)))
     number = max([table.number for table in taken.tables], default=0) + 1
     segments: list[SegmentInfo] = []
-    due, revision = (taken.logs[0].first, taken.logs[0].before) if taken.logs else (taken.end + 1, taken.revision)
+    due, revision = (
+        (taken.logs[0].first_record, taken.logs[0].before) if taken.logs else (taken.last_record + 1, taken.revision)
+    )
     for stretch in taken.logs:
-        if stretch.last < due:  # all of it stands in the one before too
+        if stretch.last_record < due:  # all of it stands in the one before too
             continue
         segment = _write_segment(found, stretch, source, target, number, due, revision)
         segments.append(segment)
-        number, due, revision = number + 1, segment.last + 1, segment.revision
+        number, due, revision = number + 1, segment.last_record + 1, segment.revision
     file = target.create(log_name(number))
     file.append([header(LOG, number)])
     file.sync()
@@ -160,10 +162,10 @@
         Manifest(
             number + 1,
             number,
-            taken.end + 1,
+            taken.last_record + 1,
             taken.revision,
             HEADER_SIZE,
-            flushed.high if flushed else 0,
+            flushed.last_record if flushed else 0,
             flushed.revision if flushed else 0,
             taken.floor,
             seen,
@@ -217,7 +219,7 @@
     source: Files, target: Files, seen: int, progress: Callable[[str], None] = lambda name: None
 ) -> tuple[Survey, plan.Rescue]:
     """Read all that is in `source`, write what is provably whole to `target`. What could not be taken is told by
-    both results: the findings of the one and what the other has `left`."""
+    both results: the findings of the one and what the other has `skipped`."""
     found = survey(source, progress)
     taken = choose(found)
     write(found, taken, source, target, seen)
@@ -262,11 +264,13 @@
         yield from found.findings
         if not found.findings:
             one = found.stretches[0] if len(found.stretches) == 1 else None
-            if one is None or (one.first, one.last) != (segment.first, segment.last):
-                yield Finding(name, HEADER_SIZE, f"does not hold records {segment.first} to {segment.last}")
-        if due is not None and (segment.first, segment.before) != (due, revision):
-            yield Finding(name, HEADER_SIZE, f"begins with record {segment.first} where {due} is due")
-        due, revision = segment.last + 1, segment.revision
+            if one is None or (one.first_record, one.last_record) != (segment.first_record, segment.last_record):
+                yield Finding(
+                    name, HEADER_SIZE, f"does not hold records {segment.first_record} to {segment.last_record}"
+                )
+        if due is not None and (segment.first_record, segment.before) != (due, revision):
+            yield Finding(name, HEADER_SIZE, f"begins with record {segment.first_record} where {due} is due")
+        due, revision = segment.last_record + 1, segment.revision
     yield from _verify_active(files, manifest)
 
 
--- a/rackhub/store/table.py
+++ b/rackhub/store/table.py
@@ -27,13 +27,13 @@
 
 
 class TableInfo(msgspec.Struct, frozen=True, array_like=True):
-    """What the manifest and the table itself tell of it. It holds all records from `low` to `high`, less what a merge
-    was free to drop; `sources` are the tables it was made from, none where it came from the log."""
+    """What the manifest and the table itself tell of it. It holds all records from the first to the last,
+    less what a merge was free to drop; `sources` are the tables it was made from, none where it came from the log."""
 
     number: int
-    low: int
-    high: int
-    revision: int  # the store's after record `high`
+    first_record: int
+    last_record: int
+    revision: int  # the store's after record `last_record`
     floor: int  # history up to here was compacted away when it was made
     entries: int
     size: int
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -24,7 +24,7 @@
 from rackhub.fleet.rules.messages import EditRequest, Trial
 from rackhub.ops import handover_file
 from rackhub.store import Batch, Options, Store
-from rackhub.store.faulty import MemoryFiles
+from rackhub.store.memory_files import MemoryFiles
 from rackhub.trials.fleet import rules_torture
 from rackhub.trials.fleet.twin import SECOND
 
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -22,7 +22,7 @@
 from rackhub.fleet.register.disk import MemoryDisk, StoreDisk
 from rackhub.ops import handover_file
 from rackhub.state import records
-from rackhub.store.faulty import MemoryFiles
+from rackhub.store.memory_files import MemoryFiles
 from rackhub.trials.fleet import rules_torture
 from rackhub.trials.fleet.twin import SECOND
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -28,8 +28,8 @@
 from rackhub.state.writer import StateWriter
 from rackhub.store import Batch, Options, Store, kill
 from rackhub.store.driver import Driver
-from rackhub.store.faulty import MemoryFiles
-from rackhub.store.pace import Pace
+from rackhub.store.driver_policy import DriverPolicy
+from rackhub.store.memory_files import MemoryFiles
 
 TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 LIST = EndpointSnapshot(
@@ -182,7 +182,11 @@
 def test_a_failing_disk_blocks_nothing_and_pending_writes_follow_its_recovery():
     here = StoredCoordinator()
     here.run_iterations()
-    here.files.fault, here.files.fail_at, here.files.lasting = OSError(28, "No space left"), here.files.steps + 1, True
+    here.files.fault, here.files.fail_at, here.files.keep_failing = (
+        OSError(28, "No space left"),
+        here.files.steps + 1,
+        True,
+    )
     for i in range(3):
         here.submit_request(i + 1, token=f"{i:032x}")
         here.run_iterations()
@@ -199,7 +203,7 @@
 def test_pending_writes_for_a_failed_disk_are_bounded():
     here = StoredCoordinator()
     here.run_iterations()
-    here.files.fault, here.files.fail_at, here.files.lasting = OSError(5, "I/O error"), here.files.steps + 1, True
+    here.files.fault, here.files.fail_at, here.files.keep_failing = OSError(5, "I/O error"), here.files.steps + 1, True
     here.submit_request(1)
     here.run_iterations()
     for i in range(11_000):
@@ -221,17 +225,17 @@
 
 
 def test_slow_syncs_go_to_another_thread_and_come_back_when_the_disk_is_quick_again():
-    pace = Pace()
-    pace.synced(200, 0)
-    assert not pace.elsewhere(0)
-    pace.synced(500_000, 0)
-    assert pace.elsewhere(1) and pace.elsewhere(59 * S)
+    pace = DriverPolicy()
+    pace.sync_finished(200, 0)
+    assert not pace.use_thread(0)
+    pace.sync_finished(500_000, 0)
+    assert pace.use_thread(1) and pace.use_thread(59 * S)
     for _ in range(60):
-        pace.synced(200, 0)
-    assert pace.elsewhere(59 * S) and not pace.elsewhere(61 * S)
-    assert [pace.retry_in() for _ in range(8)] == [S, 2 * S, 4 * S, 8 * S, 16 * S, 32 * S, 60 * S, 60 * S]
-    pace.mended()
-    assert pace.retry_in() == S and pace.rest(2_000) == 8_000
+        pace.sync_finished(200, 0)
+    assert pace.use_thread(59 * S) and not pace.use_thread(61 * S)
+    assert [pace.next_retry_delay() for _ in range(8)] == [S, 2 * S, 4 * S, 8 * S, 16 * S, 32 * S, 60 * S, 60 * S]
+    pace.disk_recovered()
+    assert pace.next_retry_delay() == S and pace.work_pause(2_000) == 8_000
 
 
 @pytest.fixture
@@ -249,9 +253,9 @@
 def test_the_driver_syncs_once_a_turn_here_or_in_a_thread(slow, threads):
     driver, files, told_ = Driver(threads, now=lambda: 0), MemoryFiles(), []
     store = Store.open("memory", Options(memtable_bytes=4_096, block_bytes=256, runs=2), files=files, wake=driver.wake)
-    driver.drive(store)
+    driver.start(store)
     if slow:
-        driver.pace.synced(10 * S, 0)
+        driver.policy.sync_finished(10 * S, 0)
     for i in range(300):
         store.commit(Batch().put(b"%04d" % i, b"x" * 40), acknowledged=told_.append)
         if not i % 50:
@@ -260,8 +264,8 @@
         if len(told_) == 300 and not store.needs_work:
             break
         reactor.iterate(0.01)
-    assert told_ == [None] * 300 and store.info().tables and (driver.threaded > 0) is slow
-    driver.end()
+    assert told_ == [None] * 300 and store.info().tables and (driver.threaded_syncs > 0) is slow
+    driver.close()
     with Store.open("memory", files=files.after_power_cut(1)) as again:
         assert again.revision == 300
 
@@ -293,7 +297,7 @@
         for i in range(400):
             store.commit(Batch().put(b"key%02d" % (i % 40), b"%d" % i * 20))
         store.commit(Batch().put(b"\xff\\odd", b"text"))
-        store.settle()
+        store.finish_work()
     return path
 
 
@@ -374,11 +378,11 @@
 
 
 def test_the_kill_test_finds_a_write_that_is_not_there(tmp_path):
-    acknowledged, sent, tally = {}, set(), kill.Killed()
+    acknowledged, sent, tally = {}, set(), kill.KillResults()
     with Store.open(tmp_path / "s", kill.OPTIONS) as store:
         store.commit(Batch().put(b"a", b"1"))
     acknowledged[1], acknowledged[2] = (b"a", b"2"), (b"b", b"1")
-    kill._check(tmp_path / "s", acknowledged, sent, tally)
+    kill._check_store(tmp_path / "s", acknowledged, sent, tally)
     assert tally.lost and tally.changed == 1 and tally.found_unsent == 1 and len(tally.violations) >= 3
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,13 +20,13 @@
     ReadOnly,
     Store,
     When,
+    fault_injection,
     framing,
     plan,
     salvage,
-    torture,
 )
-from rackhub.store.faulty import MemoryFiles
 from rackhub.store.manifest import Manifest, SegmentInfo, load
+from rackhub.store.memory_files import MemoryFiles
 from rackhub.store.table import TableInfo
 
 S = 1_000_000
@@ -51,7 +51,7 @@
     def fill(self, count, size=100):
         for i in range(count):
             self.put(b"fill%04d" % (i % 50), bytes([i % 256]) * size)
-        self.store.settle()
+        self.store.finish_work()
 
 
 # ---- the interface
@@ -136,7 +136,7 @@
         here.put(b"a", b"%d" % i)
     held = here.store.snapshot(at=3)
     here.store.compact(8)
-    here.store.settle()
+    here.store.finish_work()
     with pytest.raises(Compacted) as told:
         here.store.get(b"a", at=7)
     assert told.value.compacted == 8
@@ -158,7 +158,7 @@
     scan, changes = here.store.scan(at=300), here.store.changes(1)
     next(scan), next(changes)
     here.store.compact(399)
-    here.store.settle()
+    here.store.finish_work()
     with pytest.raises(Compacted):
         list(scan)
     with pytest.raises(Compacted):
@@ -278,7 +278,7 @@
     with Store.open(tmp_path, options) as store:
         for i in range(1_000):
             store.commit(Batch().put(b"%03d" % (i % 100), b"%d" % i * 10))
-        store.settle()
+        store.finish_work()
         before = store.range()
         assert store.info().tables
     with Store.open(tmp_path, options) as store:
@@ -342,7 +342,7 @@
     data = bytearray(here.files.inodes[name].now)
     data[ends[0] : ends[1]] = bytes(ends[1] - ends[0])  # the second never came, the third and fourth did
     store = Here(files=MemoryFiles.of({**{n: bytes(i.now) for n, i in here.files.inodes.items()}, name: bytes(data)}))
-    assert store.store.revision == 1 and store.store.recovered.torn_whole == 2
+    assert store.store.revision == 1 and store.store.recovered.torn_frames == 2
 
 
 def test_files_that_are_missing_or_not_named():
@@ -361,7 +361,7 @@
         "log-0000009999": b"",
     }
     opened = Here(files=MemoryFiles.of(more))
-    assert opened.store.recovered.strange == ("notes.txt",) and "notes.txt" in opened.files.names()
+    assert opened.store.recovered.unknown_files == ("notes.txt",) and "notes.txt" in opened.files.names()
     assert set(opened.store.recovered.removed) == {"table-0000009999", "MANIFEST.new", "log-0000009999"}
 
 
@@ -375,7 +375,9 @@
         Here(files=here.files.cut(closed, 100))
     source, target = here.files.cut(closed, 100), MemoryFiles()
     found, taken = salvage.salvage(source, target, 0)
-    assert found.findings and taken.end == here.store.info().records  # tables have it: nothing is lost but history
+    assert (
+        found.findings and taken.last_record == here.store.info().records
+    )  # tables have it: nothing is lost but history
     assert Here(files=target).store.range() == here.store.range()
 
 
@@ -383,7 +385,7 @@
     here = Here()
     here.fill(600)
     here.store.compact(here.store.revision)
-    here.store.settle()
+    here.store.finish_work()
     manifest = load(here.files)
     merged = next(table for table in manifest.tables if table.sources)
     name = plan.table_name(merged.number)
@@ -407,7 +409,7 @@
     here.put(b"a", b"kept")
     here.store.flush()
     here.files.fault, here.files.fail_at = OSError(28, "No space left"), here.files.steps + 1
-    here.files.lasting = lasting
+    here.files.keep_failing = lasting
     told = []
     here.store.commit(Batch().put(b"a", b"in doubt"), acknowledged=told.append)
     here.store.flush()
@@ -460,13 +462,13 @@
         here.put(b"one", b"%d" % i)
         if i % 5_000 == 100:
             held.append(here.store.snapshot())
-    here.store.settle()
+    here.store.finish_work()
     here.store.compact(19_999)
-    here.store.settle()
+    here.store.finish_work()
     assert [snapshot.get(b"one").value for snapshot in held] == [b"100", b"5100", b"10100", b"15100"]
     for snapshot in held:
         snapshot.close()
-    here.store.settle()
+    here.store.finish_work()
     assert here.store.get(b"one").value == b"19999"
     assert sum(table.entries for table in here.store.info().tables) < 10_000  # what nobody can read is gone
     assert here.store.get(b"one", at=19_999).version == 19_999
@@ -508,10 +510,10 @@
     merged, old, newer = table(7, 1, 40, sources=(3, 4)), table(3, 1, 20), table(8, 41, 60)
     log = plan.Stretch(9, 55, 70, 54, 70)
     taken = plan.rescue([old, newer, merged], [log])
-    assert [one.number for one in taken.tables] == [8, 7] and (taken.end, taken.revision) == (70, 70)
-    assert taken.floor == 54 and not taken.left
+    assert [one.number for one in taken.tables] == [8, 7] and (taken.last_record, taken.revision) == (70, 70)
+    assert taken.floor == 54 and not taken.skipped
     without = plan.rescue([old, newer], [log])  # a gap after record 20: a prefix, and the rest told as left
-    assert [one.number for one in without.tables] == [3] and without.end == 20 and without.left == (log,)
+    assert [one.number for one in without.tables] == [3] and without.last_record == 20 and without.skipped == (log,)
     assert plan.rescue([], [log]).end == 0
 
 
@@ -520,11 +522,11 @@
 
 @pytest.fixture(scope="module")
 def bench():
-    return torture.Bench(5, 150_000)
+    return fault_injection.Bench(5, 150_000)
 
 
 def test_no_cut_and_no_flip_invents_or_loses_in_silence(bench):
-    tally, places = torture.Tally(), list(bench.places())
+    tally, places = fault_injection.Tally(), list(bench.places())
     for place in places[::211]:
         bench.try_cut(*place, tally)
         bench.try_flip(*place, tally)
@@ -533,24 +535,24 @@
 
 
 def test_no_power_cut_loses_what_was_acknowledged():
-    tally = torture.try_power(3, 60_000, 200, every=23)
+    tally = fault_injection.try_power(3, 60_000, 200, every=23)
     assert tally.violations == [] and tally.images > 10 and tally.recovered > 30
 
 
 def test_no_failing_call_of_the_disk_loses_what_was_acknowledged():
-    tally = torture.try_faults(4, 40_000, 150, every=17)
+    tally = fault_injection.try_faults(4, 40_000, 150, every=17)
     assert tally.violations == [] and tally.recovered > 5
 
 
 def test_the_torture_finds_a_sync_that_is_left_out():
-    tally = torture.try_power(3, 60_000, 200, every=23, lying=True)
+    tally = fault_injection.try_power(3, 60_000, 200, every=23, lying=True)
     assert tally.violations
 
 
 def test_the_torture_finds_a_checksum_that_is_skipped(bench, monkeypatch):
     monkeypatch.setattr(framing, "crc32c", lambda data, before=0: 0)
-    blind = torture.Bench(5, 60_000)
-    tally, places = torture.Tally(), list(blind.places())
+    blind = fault_injection.Bench(5, 60_000)
+    tally, places = fault_injection.Tally(), list(blind.places())
     for place in places[::61]:
         blind.try_flip(*place, tally)
     assert tally.violations
@@ -621,7 +623,7 @@
 
     @rule()
     def settle(self):
-        self.here.store.settle()
+        self.here.store.finish_work()
 
     @rule(back=st.integers(0, 5))
     def compact(self, back):
--- a/tests/test_voter_disk.py
+++ b/tests/test_voter_disk.py
@@ -18,7 +18,7 @@
 from rackhub.fleet.distribution.rules import encode_value
 from rackhub.fleet.distribution.store import StateStore
 from rackhub.fleet.register.disk import StoreDisk
-from rackhub.store.faulty import MemoryFiles, PowerCut
+from rackhub.store.memory_files import MemoryFiles, PowerCut
 
 LOG = "log"
 MOST_CHANGES = 3  # kept in these tests, so that a few changes trim the history
@@ -159,7 +159,7 @@
     here = VoterDisk(MemoryFiles())
     for revision in range(1, first):
         here.take(revision)
-    here.files.fault, here.files.fail_at, here.files.lasting = fault, here.files.steps + 1, True
+    here.files.fault, here.files.fail_at, here.files.keep_failing = fault, here.files.steps + 1, True
     for revision in range(first, first + changes):
         here.take(revision)
         assert here.learner.synced == first - 1, "nothing is acknowledged that is not on the disk"
@@ -182,7 +182,7 @@
     here = VoterDisk(MemoryFiles())
     here.disk.write({"a/1": b"1", "a/2": b"2"}, lambda: None)
     here.run_iterations()
-    here.files.fault, here.files.fail_at, here.files.lasting = NO_SPACE, here.files.steps + 1, True
+    here.files.fault, here.files.fail_at, here.files.keep_failing = NO_SPACE, here.files.steps + 1, True
     done = []
     for number in range(3, 6):
         here.disk.write({f"a/{number}": b"%d" % number, "a/1": None}, lambda number=number: done.append(number))
@@ -201,7 +201,7 @@
 
 def test_what_waits_for_a_failed_disk_is_bounded_by_its_keys():
     here = VoterDisk(MemoryFiles())
-    here.files.fault, here.files.fail_at, here.files.lasting = IO_ERROR, here.files.steps + 1, True
+    here.files.fault, here.files.fail_at, here.files.keep_failing = IO_ERROR, here.files.steps + 1, True
     done = []
     for number in range(1_000):
         here.disk.put("register/voter", msgspec.msgpack.encode(number), lambda number=number: done.append(number))
@@ -216,7 +216,7 @@
 # Guards against a write that is made while those that waited are written, and that is lost with them.
 def test_a_write_made_by_an_acknowledgement_during_recovery_is_kept():
     here = VoterDisk(MemoryFiles())
-    here.files.fault, here.files.fail_at, here.files.lasting = IO_ERROR, here.files.steps + 1, True
+    here.files.fault, here.files.fail_at, here.files.keep_failing = IO_ERROR, here.files.steps + 1, True
     done = []
 
     def and_then():
