--- a/rackhub/fleet/distribution/coordinator.py
+++ b/rackhub/fleet/distribution/coordinator.py
@@ -3,17 +3,17 @@
 from collections.abc import Callable
 
 from rackhub.fleet.distribution.applying import RuleKeys
-from rackhub.fleet.distribution.endpoint import Endpoint, Inbox
-from rackhub.fleet.distribution.events import Applied, Apply, CheckWanted, Effect, Held, Persist, Persisted
+from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
+from rackhub.fleet.distribution.events import Applied, Apply, Effect, Persist, Persisted, RunCheck, StoredState
 from rackhub.fleet.distribution.limits import FAULT_KEYS, Limits
 from rackhub.fleet.distribution.messages import Check, Checked, Heartbeat, Revision, SnapshotPart, Unavailable, Update
 from rackhub.fleet.distribution.ports import Identity
 from rackhub.fleet.distribution.state import in_scope
-from rackhub.fleet.distribution.store import HeldStore
+from rackhub.fleet.distribution.store import StateStore
 from rackhub.fleet.distribution.watcher import Watcher
-from rackhub.fleet.ports import Fleet, KeyedDisk, RulePart
+from rackhub.fleet.ports import Fleet, KeyedDisk, RuleSection
 
-FROM_UPSTREAM = (Update, SnapshotPart, Heartbeat, Unavailable, Check)
+UPSTREAM_MESSAGE_TYPES = (Update, SnapshotPart, Heartbeat, Unavailable, Check)
 
 
 class Coordinator:
@@ -21,15 +21,15 @@
 
     def __init__(self, fleet: Fleet, identity: Identity, disk: KeyedDisk, limits: Limits):
         self._fleet, self._identity = fleet, identity
-        self._store = HeldStore(disk, identity.scope, fleet.tally)
+        self._store = StateStore(disk, identity.scope, fleet.add_count)
         self._watcher = Watcher(identity, self._store.held, limits, fleet.clock.now())
         entries = in_scope(self._store.held.entries.values(), identity.scope)
         wanted = {entry.key: entry.value for entry in entries if entry.value is not None}
-        self._keys = RuleKeys(wanted, self._store.fallback)
+        self._rule_keys = RuleKeys(wanted, self._store.fallback)
         self._unapplied: dict[str, Revision] = {}  # keys that are persisted, by the newest revision of each
         self.inbox = Inbox(fleet)
-        self._endpoint = Endpoint(fleet, self.inbox, self._watcher, self._perform)
-        self.inbox.route(FROM_UPSTREAM, self._endpoint.received)
+        self._runner = CoreRunner(fleet, self.inbox, self._watcher, self._perform)
+        self.inbox.route(UPSTREAM_MESSAGE_TYPES, self._runner.on_message)
 
     @property
     def version(self) -> int:
@@ -37,7 +37,7 @@
         return self._watcher.revision
 
     @property
-    def held(self) -> Held:
+    def held(self) -> StoredState:
         """The entries on the disk, with their revision."""
         return self._watcher.held
 
@@ -49,28 +49,28 @@
     @property
     def faults(self) -> dict[str, str]:
         """Keys whose newest value can't be taken here, with the reason."""
-        return self._keys.faults
+        return self._rule_keys.faults
 
     @property
     def damage(self) -> str:
         """What of the disk could not be read; empty where all could."""
         return self._store.damage
 
-    def part(self, name: str, part: RulePart) -> None:
+    def add_section(self, name: str, part: RuleSection) -> None:
         """Register the component that takes the rules of this name; before `start`."""
-        self._keys.parts[name] = part
+        self._rule_keys.parts[name] = part
 
     def start(self) -> None:
         """What was held is in force before the first word from a relay."""
-        self._keys.start(self._store.held.revision)
+        self._rule_keys.start(self._store.held.revision)
         self.inbox.start()
-        self._endpoint.start()
+        self._runner.start()
 
     def stop(self) -> None:
         """Watch no longer; the rules in force stay."""
-        self._endpoint.stop()
+        self._runner.stop()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """The metrics, by name."""
         return {
             "distribution_revision": float(self.version),
@@ -88,15 +88,15 @@
                 self._store.persist(effect, self._synced(effect.revision), fallback=self._fallback(effect))
             case Apply():
                 self._apply(effect)
-            case CheckWanted():
+            case RunCheck():
                 self._check(effect)
 
     def _synced(self, revision: int) -> Callable[[], None]:
-        return lambda: self._endpoint.hand(Persisted(revision))
+        return lambda: self._runner.dispatch(Persisted(revision))
 
     def _fallback(self, change: Persist) -> dict[str, bytes | None]:
         """What is in force of all keys that the next process may find a value of that can't be taken."""
-        in_force = self._keys.in_force
+        in_force = self._rule_keys.applied
         values = {entry.key: entry.value for entry in change.entries}
         if change.snapshot:
             values |= {key: None for key in in_force if key not in values}
@@ -105,12 +105,12 @@
         return {key: in_force.get(key) for key in self._unapplied.keys() | self.faults.keys()}
 
     def _apply(self, effect: Apply) -> None:
-        faults = self._keys.apply(effect.entries, effect.snapshot, effect.revision)
+        faults = self._rule_keys.apply(effect.entries, effect.snapshot, effect.revision)
         self._unapplied = {key: newest for key, newest in self._unapplied.items() if newest > effect.revision}
         if faults:
-            self._fleet.tally("distribution_not_taken", 1)
-        self._endpoint.hand(Applied(effect.revision, faults[:FAULT_KEYS]))
+            self._fleet.add_count("distribution_not_taken", 1)
+        self._runner.dispatch(Applied(effect.revision, faults[:FAULT_KEYS]))
 
-    def _check(self, wanted: CheckWanted) -> None:
-        faults = self._keys.check(in_scope(wanted.entries, self._identity.scope))[:FAULT_KEYS]
+    def _check(self, wanted: RunCheck) -> None:
+        faults = self._rule_keys.check(in_scope(wanted.entries, self._identity.scope))[:FAULT_KEYS]
         self.inbox.send(wanted.to, Checked(wanted.mark, self._identity.zone, faults))
--- a/rackhub/fleet/distribution/endpoint.py
+++ b/rackhub/fleet/distribution/core_runner.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.events import Counted, Effect, Event, Received, Send, Tick
+from rackhub.fleet.distribution.events import Effect, Event, IncrementCounter, Received, Send, Tick
 from rackhub.fleet.distribution.messages import KIND, AnyMessage, decode, encode
 from rackhub.fleet.distribution.ports import Core
 from rackhub.fleet.ports import Fleet, Name
@@ -48,13 +48,13 @@
         self._takers |= dict.fromkeys(types, take)
 
     def start(self) -> None:
-        self._fleet.mail.take(KIND, self._mailed)
+        self._fleet.messenger.subscribe(KIND, self._mailed)
 
     def send(self, to: Name, message: AnyMessage) -> None:
-        self._fleet.mail.send(to, KIND, encode(message))
+        self._fleet.messenger.send(to, KIND, encode(message))
 
     def count(self, name: str, sender: Name = "") -> None:
-        self._fleet.tally(name, 1)
+        self._fleet.add_count(name, 1)
         if sender:
             self.sender_counts.add(name, sender)
 
@@ -69,9 +69,9 @@
         take(sender, message)
 
 
-class Endpoint:
-    """Runs one core. `perform` does its effects other than `Send` and `Counted`; it may hand in events at once, which
-    are taken after the effects at hand."""
+class CoreRunner:
+    """Runs one core. `perform` does its effects other than `Send` and `IncrementCounter`; it may hand in events,
+    which are taken after the effects at hand."""
 
     def __init__(self, fleet: Fleet, inbox: Inbox, core: Core, perform: Callable[[Effect], None]):
         self._fleet, self._inbox, self._core, self._perform = fleet, inbox, core, perform
@@ -81,7 +81,7 @@
         self._cancel: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        self.hand(Tick())
+        self.dispatch(Tick())
 
     def stop(self) -> None:
         self._ended = True
@@ -90,12 +90,12 @@
     def replace(self, core: Core) -> None:
         """Go on with another core; events that wait are its."""
         self._core = core
-        self.hand(Tick())
+        self.dispatch(Tick())
 
-    def received(self, sender: Name, message: AnyMessage) -> None:
-        self.hand(Received(sender, message))
+    def on_message(self, sender: Name, message: AnyMessage) -> None:
+        self.dispatch(Received(sender, message))
 
-    def hand(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         """One event in, all its effects done on return, unless this is called while another event's are."""
         self._events.append(event)
         if self._running or self._ended:
@@ -114,7 +114,7 @@
             match effect:
                 case Send(to, message):
                     self._inbox.send(to, message)
-                case Counted(name, sender):
+                case IncrementCounter(name, sender):
                     self._inbox.count(name, sender)
                 case _:
                     self._perform(effect)
@@ -126,8 +126,8 @@
             return
         self._cancel()
         self._wakes_at = at
-        self._cancel = self._fleet.later(at - now, self._tick)
+        self._cancel = self._fleet.call_later(at - now, self._tick)
 
     def _tick(self) -> None:
         self._wakes_at = -1
-        self.hand(Tick())
+        self.dispatch(Tick())
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from rackhub import components
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 from rackhub.config import fleet_settings
 from rackhub.core.component import Component, ComponentContext, ComponentStartError
 from rackhub.core.source import EndpointSnapshot
@@ -22,7 +22,7 @@
 from rackhub.fleet.overload.fault_barrier import FaultBarrier
 from rackhub.fleet.overload.prober import Prober
 from rackhub.fleet.overload.shed import SheddingPolicy
-from rackhub.fleet.ports import Fleet, RulePart
+from rackhub.fleet.ports import Fleet, RuleSection
 from rackhub.fleet.register.disk import StoreDisk
 from rackhub.fleet.roles import RELAY, VOTER, shares_overload
 from rackhub.fleet.rules.timings import TimingsSection
@@ -36,7 +36,7 @@
 log = logging.getLogger(__name__)
 
 
-class FleetPart(Component):
+class FleetComponent(Component):
     def __init__(self, host: ComponentContext):
         super().__init__(host)
         self.told: FleetSettings = fleet_settings(host.operator.fleet or {}, host.source.settings, host.config.name)
@@ -52,7 +52,9 @@
             raise ComponentStartError(f"[fleet] state: {fault}") from None
         self.fleet = self.membership.fleet()
         self.control = (
-            ControlPort(host.reactor, address(self.told.control, "control"), self._tally) if self.told.control else None
+            ControlPort(host.reactor, parse_ipv4_address(self.told.control, "control"), self._tally)
+            if self.told.control
+            else None
         )
         self.prober = Prober(host.reactor, host.clock, host.config.limits)
         self.overload = (
@@ -66,7 +68,7 @@
         self.timings = TimingsSection(lambda: host.source.settings, lambda: host.operator.timings, self._time)
         for name, part in self._rule_parts().items():
             if self.rules is not None:
-                self.rules.part(name, part)
+                self.rules.add_section(name, part)
 
     def _serving(self) -> Fleet:
         """The fleet as overload counts it: voters and relays are members of a zone, and take no part of its load."""
@@ -80,9 +82,9 @@
         """Whoever holds the rule book here: that of a fleet without relays, or what distribution brings."""
         return self.book if self.distribution is None else self.distribution
 
-    def _rule_parts(self) -> dict[str, RulePart]:
+    def _rule_parts(self) -> dict[str, RuleSection]:
         """Those that this part of the daemon has; gathers add theirs. A voter checks the order of shedding, too."""
-        parts: dict[str, RulePart] = {"timings": self.timings}
+        parts: dict[str, RuleSection] = {"timings": self.timings}
         if self.overload is not None:
             parts["shed"] = self.overload.shed
         elif self.told.role == VOTER:
@@ -119,8 +121,8 @@
         if found is None and table.routes:
             found = self.context.components["timings"] = components.load("timings", self.context)
         if found is not None:
-            found.again = self.timings.reload_file
-            found.desk.reload(table)
+            found.reload_override = self.timings.reload_file
+            found.policy.reload(table)
 
     def _tally(self, name: str, by: int = 1) -> None:
         self.counts[name] += by
@@ -152,12 +154,12 @@
             raise ComponentStartError(f"[fleet] {fault}") from None
         if self.overload is not None:
             self.overload.start()
-            self.overload.listed(self.context.source.start)
-        self.prober.listed(self.context.source.start)
+            self.overload.endpoints_changed(self.context.source.initial_snapshot)
+        self.prober.listed(self.context.source.initial_snapshot)
         if self.rules is not None:
             timed: Any = self.context.components.get("timings")
             if timed is not None:
-                timed.again = self.timings.reload_file
+                timed.reload_override = self.timings.reload_file
             self._start_rules()
         log.info("member %s of the fleet %s at %s", self.told.name, self.told.cluster, self.told.listen)
 
@@ -171,7 +173,7 @@
     def endpoints_changed(self, listing: EndpointSnapshot) -> None:
         self.prober.listed(listing)
         if self.overload is not None:
-            self.overload.listed(listing)
+            self.overload.endpoints_changed(listing)
 
     def drain(self) -> None:
         if self.overload is not None:
@@ -192,14 +194,14 @@
     def _end_disk(self) -> None:
         disk, self.disk = self.disk, None
         if disk is not None:
-            disk.end()
+            disk.close()
 
     def metrics(self) -> Mapping[str, float]:
-        told: dict[str, float] = dict(self.membership.figures()) | {name: float(n) for name, n in self.counts.items()}
+        told: dict[str, float] = dict(self.membership.metrics()) | {name: float(n) for name, n in self.counts.items()}
         if self.overload is not None:
-            told |= self.overload.figures()
+            told |= self.overload.metrics()
         if self.rules is not None:
-            told |= self.rules.figures()
+            told |= self.rules.metrics()
         return told
 
     def summary_lines(self) -> Sequence[str]:
@@ -207,5 +209,5 @@
         return ["fleet: " + (" ".join(f"{name}={value:g}" for name, value in counted.items()) or "nothing")]
 
 
-def part(host: ComponentContext) -> FleetPart:
-    return FleetPart(host)
+def create_component(host: ComponentContext) -> FleetComponent:
+    return FleetComponent(host)
--- a/rackhub/fleet/register/disk.py
+++ b/rackhub/fleet/register/disk.py
@@ -43,7 +43,7 @@
         self._in_doubt: list[Callable[[], None]] = []  # of writes that the store accepted before its disk failed
         self.damage = ""
         self._store = self._open_or_replace()
-        self._driver.drive(self._store)
+        self._driver.start(self._store)
         found = self._store.get(IDENTITY_KEY)
         if found is not None:
             self.identity = found.value.decode()
@@ -60,7 +60,7 @@
         return None if found is None else bytes(found.value)
 
     @property
-    def waiting_bytes(self) -> int:
+    def deferred_bytes(self) -> int:
         """The size of the keys and values that wait for the disk."""
         return self._deferred.size
 
@@ -79,12 +79,12 @@
         for stored_key, value in self._deferred.merged_into(stored, start):
             yield stored_key[len(KEY_PREFIX) :].decode(), value
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Close the store; a failure is logged."""
         from rackhub.store import StoreError
 
         try:
-            self._driver.end()
+            self._driver.close()
         except StoreError as error:
             self._log_failure(error)
 
--- a/rackhub/trials/processes/forger.py
+++ b/rackhub/trials/processes/forger.py
@@ -11,7 +11,7 @@
 
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.overload import records
-from rackhub.fleet.ports import DATAGRAM
+from rackhub.fleet.ports import DATAGRAM_LIMIT_BYTES
 from rackhub.fleet.register.acceptor_shell import RULES_REPLY_KIND
 from rackhub.fleet.register.messages import Accepted, decode
 
@@ -32,25 +32,25 @@
         if source != self.whom:
             return packet
         try:
-            told = f.read(packet)
+            told = f.decode_datagram(packet)
             frames = [msgspec.Raw(self._frame(raw)) for raw in told.frames]
-        except f.Damaged:
+        except f.FrameError:
             return packet
-        made = f.datagram(msgspec.structs.replace(told, frames=frames))
-        return made if len(made) < DATAGRAM else None  # lost rather than true
+        made = f.encode_datagram(msgspec.structs.replace(told, frames=frames))
+        return made if len(made) < DATAGRAM_LIMIT_BYTES else None  # lost rather than true
 
     def _frame(self, raw: msgspec.Raw) -> bytes:
-        note = f.frame(raw)
-        if not isinstance(note, f.Note) or note.owner != self.whom:
+        note = f.decode_frame(raw)
+        if not isinstance(note, f.RecordUpdate) or note.owner != self.whom:
             return bytes(raw)
         chance = random.Random(f"{self._seed}/{note.kind}/{note.number}")
-        if note.kind == records.LOAD:
+        if note.kind == records.LOAD_KIND:
             way = chance.choice(self._ways)
             body = msgspec.msgpack.encode(load(way))
-        elif note.kind.startswith(records.PROBES):
+        elif note.kind.startswith(records.HEALTH_KIND):
             way, body = (
                 "all_engines_dead",
-                records.pack_seen(
+                records.pack_health(
                     [records.HealthReport(code, 0, 2, 1, 1 + chance.randrange(256)) for code in self._engines]
                 ),
             )
@@ -62,9 +62,9 @@
 
 def load(way: str) -> records.Load:
     """disordered: figures that no sound gateway tells. The others could be told, and are lies."""
-    most, part = records.MOST, records.PART
+    most, part = records.MAX_VALUE, records.FRACTION_ONE
     if way == "disordered":
-        return records.Load(share=records.Loan(minimum_offered=part, maximum_offered=0))
+        return records.Load(thread_loan=records.Loan(minimum_offered=part, maximum_offered=0))
     if way == "nothing":
         return records.Load(capacity_factor=0)
     lent = records.Loan(part, part, 0, 0) if way == "lends_all" else records.Loan(0, 0, part, part)
@@ -107,8 +107,8 @@
 def accepted(packet: bytes) -> bool:
     """Whether it carries a keeper's `Accepted`."""
     try:
-        for raw in f.read(packet).frames:
-            page = f.frame(raw)
+        for raw in f.decode_datagram(packet).frames:
+            page = f.decode_frame(raw)
             if (
                 isinstance(page, f.Page)
                 and page.kind == RULES_REPLY_KIND
@@ -116,6 +116,6 @@
                 and isinstance(decode(page.body), Accepted)
             ):
                 return True
-    except (f.Damaged, msgspec.MsgspecError):
+    except (f.FrameError, msgspec.MsgspecError):
         pass
     return False
--- a/rackhub/trials/scale/ranking.py
+++ b/rackhub/trials/scale/ranking.py
@@ -126,12 +126,12 @@
         ),
     ]
     limits_of_program = Limits()
-    polls, longest_poll = limits_of_program.fleet_polls, limits_of_program.max_poll_retry_interval / SECOND
+    polls, longest_poll = limits_of_program.max_fleet_polls_per_s, limits_of_program.max_poll_retry_interval / SECOND
     return [
         *(measured_item(data, limit, target["coordinators"]) for limit in limits),
         fixed_item(
             "names of members kept",
-            LinkLimits().members,
+            LinkLimits().max_members,
             "members",
             target["coordinators"],
             "names kept, also of the gone",
@@ -196,8 +196,8 @@
             Limit(
                 "busy connections in one process: descriptors",
                 "data_path.busy_connection_descriptors",
-                limits.sockets,
-                f"{limits.sockets:,} descriptors, the default",
+                limits.file_descriptors,
+                f"{limits.file_descriptors:,} descriptors, the default",
             ),
             connections,
         ),
@@ -206,7 +206,7 @@
             client_connections(),
             "connections",
             connections,
-            f"connections taken with {limits.sockets:,} descriptors, the default",
+            f"connections taken with {limits.file_descriptors:,} descriptors, the default",
         ),
     ]
 
--- a/tests/stands.py
+++ b/tests/harness.py
@@ -1,7 +1,7 @@
 """Stand-ins and a clock for the tests of the wires, from the public protocols; nothing here sleeps.
 
-`Site` is a whole coordinator: fronts, core and engine client on real loopback sockets, with the core's time
-in the test's hands. `spin` turns the reactor until something has come about.
+`CoordinatorTestBed` is a whole coordinator: fronts, core and engine client on real loopback sockets, with the time
+of the core in the test's hands. `spin` turns the reactor until something has come about.
 """
 
 from twisted.internet import reactor
@@ -15,11 +15,11 @@
 from rackhub.limits import Limits
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.resp import resp_pools
-from rackhub.net.resp_protocol import command
+from rackhub.net.resp_protocol import encode_command
 from rackhub.net.tds import codec
 from rackhub.net.tds.engine import tds_pools
 from rackhub.net.tds.front import tds_front
-from rackhub.operatorfile import TdsEngineSettings, TdsFrontSettings, TdsLogin, hashed
+from rackhub.operatorfile import TdsEngineSettings, TdsFrontSettings, TdsLogin, hash_password
 
 S, MS = 1_000_000, 1_000
 CLASSES = (
@@ -45,7 +45,7 @@
     classes=CLASSES,
     tenants=(t.TenantSettings("acme"),),
     kind_cores={"std": 8.0},
-    period=5 * MS,
+    clock_period=5 * MS,
     priorities=True,
     progress_report_interval=S,
     cancel=True,
@@ -53,7 +53,9 @@
     max_retry_after=500 * MS,
 )
 LIMITS = Limits(dial_timeout=60 * S)
-LOGIN = TdsLogin(user="desk", password=hashed("open sesame", b"0123456789abcdef"), cls="lookup", tenants=["acme"])
+LOGIN = TdsLogin(
+    user="desk", password=hash_password("open sesame", b"0123456789abcdef"), cls="lookup", tenants=["acme"]
+)
 TDS = TdsFrontSettings(listen="127.0.0.1:1433", database="rides", login=[LOGIN])
 
 
@@ -101,10 +103,10 @@
 
 
 class RespEngine(LineReceiver):
-    """An engine over RESP: notes every command, answers what the test's `act` says."""
+    """An engine over RESP: notes every command, answers what the test's `on_command` says."""
 
     def __init__(self, stand):
-        self.stand, self.words, self.need, self.due = stand, [], 0, 0
+        self.server, self.words, self.need, self.due = stand, [], 0, 0
 
     def lineReceived(self, line):
         if not self.due:
@@ -122,66 +124,69 @@
         self.words.append(word)
         self.due -= 1
         if not self.due:
-            self.stand.heard.append(tuple(self.words))
-            self.stand.act(self, *self.words)
+            self.server.received.append(tuple(self.words))
+            self.server.on_command(self, *self.words)
         self.setLineMode(rest)
 
-    def say(self, id, word, fields=b"-", body=b""):
-        self.transport.writeSequence(command(id, word, fields, body))
+    def respond(self, id, word, fields=b"-", body=b""):
+        self.transport.writeSequence(encode_command(id, word, fields, body))
 
 
 class TdsEngine(Protocol):
     """An engine over TDS: the same, with its calls noted as if they had come over RESP."""
 
     def __init__(self, stand):
-        self.stand, self.packets = stand, codec.Assembler(1 << 20)
+        self.server, self.packets = stand, codec.MessageAssembler(1 << 20)
 
     def dataReceived(self, data):
         for kind, _, body in self.packets.feed(data):
             if kind == codec.PRELOGIN:
-                self.tell(codec.prelogin())
+                self.tell(codec.encode_prelogin())
             elif kind == codec.LOGIN7:
-                good = codec.login_of(body)[2:4] == ("hub", "secret")
+                good = codec.parse_login7(body)[2:4] == ("hub", "secret")
                 self.tell(
-                    codec.login_ack(codec.VERSION_74, "stand") + codec.done(0)
+                    codec.encode_login_ack(codec.VERSION_74, "stand") + codec.encode_done(0)
                     if good
-                    else codec.notice(codec.ERROR, 18456, 1, 14, "no", "stand") + codec.done(codec.DONE_ERROR)
+                    else codec.encode_notice(codec.ERROR, 18456, 1, 14, "no", "stand")
+                    + codec.encode_done(codec.DONE_ERROR)
                 )
             elif kind == codec.ATTENTION:
-                self.stand.heard.append((b"never_mind",))
-                self.tell(codec.done(codec.DONE_ATTN))
+                self.server.received.append((b"never_mind",))
+                self.tell(codec.encode_done(codec.DONE_ATTN))
             else:
-                given = codec.call_of(body).arguments
+                given = codec.parse_rpc(body).arguments
                 fields = f"profile={given['@class']},max={given['@budget_ms']},level={given['@level']}"
                 fields += f",replay={given['@key']}" if "@key" in given else ""
                 words = b"want", given["@id"].encode(), fields.encode(), given["@statement"].encode()
-                self.stand.heard.append(words)
-                self.stand.act(self, *words)
+                self.server.received.append(words)
+                self.server.on_command(self, *words)
 
     def tell(self, body):
-        self.transport.writeSequence(codec.message(codec.REPLY, body))
+        self.transport.writeSequence(codec.encode_message(codec.REPLY, body))
 
-    def say(self, id, word, fields=b"-", body=b""):
+    def respond(self, id, word, fields=b"-", body=b""):
         if word == b"200":
             rows = [line.split("\t") for line in body.decode().splitlines()]
-            load = codec.notice(codec.INFO, 51010, 1, 0, fields.decode().partition("report=")[2], "stand")
+            load = codec.encode_notice(codec.INFO, 51010, 1, 0, fields.decode().partition("report=")[2], "stand")
             self.tell(
                 load
-                + codec.columns("abc")
-                + b"".join(map(codec.row, rows))
-                + codec.done(codec.DONE_COUNT, len(rows), codec.DONEPROC)
+                + codec.encode_columns("abc")
+                + b"".join(map(codec.encode_row, rows))
+                + codec.encode_done(codec.DONE_COUNT, len(rows), codec.DONEPROC)
             )
         else:
             number = {b"503": 51503, b"504": 51504}.get(word, 51500)
-            self.tell(codec.notice(codec.ERROR, number, 1, 16, "no", "stand") + codec.done(codec.DONE_ERROR))
+            self.tell(
+                codec.encode_notice(codec.ERROR, number, 1, 16, "no", "stand") + codec.encode_done(codec.DONE_ERROR)
+            )
 
 
-class Stand:
-    """A listening engine and all that it heard. `act(connection, *command)` answers."""
+class EngineServer:
+    """A listening engine and all that it heard. `on_command(connection, *command)` answers."""
 
-    def __init__(self, protocol=RespEngine, act=None):
-        self.heard, self.connections = [], []
-        self.act = act or (lambda *_: None)
+    def __init__(self, protocol=RespEngine, on_command=None):
+        self.received, self.connections = [], []
+        self.on_command = on_command or (lambda *_: None)
 
         def build():
             self.connections.append(protocol(self))
@@ -192,7 +197,7 @@
         self.port = reactor.listenTCP(0, self.factory, interface="127.0.0.1")
 
     def wants(self):
-        return [words for words in self.heard if words[0] == b"want"]
+        return [words for words in self.received if words[0] == b"want"]
 
 
 class JsonClient(LineOnlyReceiver):
@@ -211,12 +216,12 @@
     """A client over TDS: whole answers as lists of tokens."""
 
     def __init__(self):
-        self.packets, self.tokens = codec.Assembler(1 << 24), codec.TokenReader(1 << 20)
+        self.packets, self.tokens = codec.MessageAssembler(1 << 24), codec.TokenReader(1 << 20)
         self.answers, self.partial = [], []
         self.greeted = False
 
     def dataReceived(self, data):
-        for _, status, body in self.packets.packets(data):
+        for _, status, body in self.packets.feed_packets(data):
             if not self.greeted and body[:1] == b"\0":  # PRELOGIN's answer, the first of all: VERSION comes first
                 self.greeted = True
                 self.answers.append([])
@@ -227,25 +232,25 @@
                 self.partial = []
 
     def ask(self, kind, body):
-        self.transport.writeSequence(codec.message(kind, body))
+        self.transport.writeSequence(codec.encode_message(kind, body))
 
     def log_in(self, user="desk", password="open sesame"):
-        self.ask(codec.PRELOGIN, codec.prelogin())
+        self.ask(codec.PRELOGIN, codec.encode_prelogin())
         spin(lambda: len(self.answers) == 1)
-        self.ask(codec.LOGIN7, codec.login7(user, password, "rides", 4096))
+        self.ask(codec.LOGIN7, codec.encode_login7(user, password, "rides", 4096))
         spin(lambda: len(self.answers) == 2)
         return self.answers.pop()
 
     def call(self, statement, **more):
         given = {"@statement": statement} | {f"@{name}": value for name, value in more.items()}
-        self.ask(codec.RPC, codec.rpc("rackhub_query", given))
+        self.ask(codec.RPC, codec.encode_rpc("rackhub_query", given))
 
 
-class Site:
+class CoordinatorTestBed:
     """A coordinator on loopback with stand-in engines e0, e1, ... and a clock of the test's."""
 
     def __init__(self, *stands, tds_engines=False, settings=SETTINGS, limits=LIMITS, ids=None):
-        self.clock, self.counters, self.stands = FakeClock(), Counters(), stands
+        self.clock, self.counters, self.engines = FakeClock(), Counters(), stands
         self.core = Coordinator(settings, 7, self.clock, Timers(self.clock, self.clock), limits, self.counters)
         shared = self.clock, limits, self.counters, self.core
         self.pools = (
@@ -273,12 +278,12 @@
 
     def close(self):
         """End it all and wait until it has ended, so that tests do not meet in the reactor."""
-        for port in (*self.ports, *(stand.port for stand in self.stands)):
+        for port in (*self.ports, *(stand.port for stand in self.engines)):
             port.stopListening()
         for front in self.fronts:
             for connection in list(front.connections):
                 connection.transport.abortConnection()
-        for stand in self.stands:
+        for stand in self.engines:
             for connection in stand.connections:
                 connection.transport.abortConnection()
         spin(
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -9,7 +9,7 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
-from model_reach import reaching
+from model_coverage import coverage_test
 from msgspec.structs import replace
 
 from rackhub.fleet.distribution.delivery import DiskDelivery
@@ -28,10 +28,12 @@
 )
 FINDING = settings(STEPS, max_examples=400, phases=[Phase.generate])  # without making the example smaller
 CONVERGED = 16 * SECOND  # the bound that the design note derives
-SCOPES = {"all": ("",), "first": ("a/",), "second": ("b/", "c/1"), "none": ("z/",)}
+MAX_SCOPE_PREFIXES = {"all": ("",), "first": ("a/",), "second": ("b/", "c/1"), "none": ("z/",)}
 KEYS = [f"{prefix}/{number}" for prefix in "abc" for number in range(3)]
 LOSSES = st.sampled_from([0.0, 0.1, 0.3, 0.5])
-LIMITS = Limits(history=6, update_bytes=64)  # so that revisions are compacted, and snapshots in parts of three keys
+LIMITS = Limits(
+    max_log_steps=6, max_update_bytes=64
+)  # so that revisions are compacted, and snapshots in parts of three keys
 
 
 class FleetMachine(RuleBasedStateMachine):
@@ -40,7 +42,7 @@
     @initialize(seed=st.integers(0, 1 << 16), loss=LOSSES)
     def begin(self, seed, loss):
         self.fleet = CheckedFleet(sources=2, limits=LIMITS, seed=seed)
-        for number, (name, scope) in enumerate(SCOPES.items()):
+        for number, (name, scope) in enumerate(MAX_SCOPE_PREFIXES.items()):
             zone = "a" if number % 2 else "b"
             self.fleet.coordinator(f"coordinator-{name}", zone, scope)
         self.names, self.copies = list(self.fleet.processes), {}
@@ -148,7 +150,7 @@
         return self.fleet.processes[self.names[which % len(self.names)]]
 
 
-test_no_fault_breaks_what_holds = reaching(FleetMachine, STEPS)
+test_no_fault_breaks_what_holds = coverage_test(FleetMachine, STEPS)
 
 
 def must_be_found(match):
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -5,9 +5,9 @@
 
 import msgspec
 import pytest
+from harness import MS, FakeClock, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stands import MS, FakeClock, S
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from rackhub import interface as t
@@ -34,7 +34,7 @@
     ),
     tenants=(t.TenantSettings("acme"),),
     kind_cores={"std": 8.0},
-    period=5 * MS,
+    clock_period=5 * MS,
     gossip=True,
     cancel=True,
     max_attempts=2,
@@ -497,7 +497,7 @@
 
 
 class Client:
-    reading_paused = stale = False
+    reading_paused = may_have_unread_input = False
 
     def __init__(self, marks=True):
         self.marks, self.said = marks, []
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -8,12 +8,12 @@
 from types import SimpleNamespace
 
 import pytest
+from harness import CLASSES, LIMITS, LOGIN, MS, TDS, FakeClock, S, TdsClient
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from model_reach import reaching
+from model_coverage import coverage_test
 from msgspec.structs import replace
-from stands import CLASSES, LIMITS, LOGIN, MS, TDS, FakeClock, S, TdsClient
 from twisted.internet.testing import StringTransport
 
 from rackhub.core.request import Attempt, Query
@@ -22,20 +22,20 @@
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.pool import EnginePool, EnginePools
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_protocol import command
+from rackhub.net.resp_protocol import encode_command
 from rackhub.net.tds import codec
 from rackhub.net.tds import front as tds
 
 STEPS = settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None, database=None)
 CUTS = st.lists(st.integers(1, 40), max_size=3)
-HEARD = SimpleNamespace(reading_paused=False, stale=False)  # a client that is read from
+HEARD = SimpleNamespace(reading_paused=False, may_have_unread_input=False)  # a client that is read from
 LOGGED_IN = ("ready", "busy", "rows")  # states of a TDS client
 LATE_PRELOGIN = b"\x12\x01\x00\x09\0\0\0\0\x05"  # also malformed
 BIG_PAGES = [b"a\tb\tc\n" * 100, b"d\te\tf\n" * 100]  # each fills packets of 512 bytes
 BACK = (("served", [b"a\tb\tc\n", b"d\te\tf\n"]), ("rejected", 250_500), ("failed", "why"))
 
 
-class Transport(StringTransport):
+class MemoryTransport(StringTransport):
     """A transport in memory that keeps what was done to it: how many bytes were written, and how many of them are
     gone, all with `flush`; the others it tells of as the reactor's transports do. It is its own socket, which takes
     `room` bytes at once."""
@@ -94,7 +94,7 @@
     def abortConnection(self):
         self.aborted = self.disconnecting = True
 
-    def take(self):
+    def take_output(self):
         said = self.value()
         self.clear()
         return said
@@ -148,7 +148,7 @@
         super().__init__()
         self.core, self.counters = PlayedCore(), Counters()
         self.front = jsonrpc_front(self.core, LIMITS, self.counters)
-        self.connection, self.wire = self.front.buildProtocol(None), Transport()
+        self.connection, self.wire = self.front.buildProtocol(None), MemoryTransport()
         self.connection.makeConnection(self.wire)
         self.open, self.numbers, self.taking, self.lost = {}, itertools.count(1), True, False
         self.used, self.half, self.choked, self.held, self.faults = self.now, 0, 0, 0, 0
@@ -170,7 +170,7 @@
             self.stopped_at = self.now if self.stopped_at is None else self.stopped_at
         elif self.stopped_at is not None:
             resumed_at = max(self.stopped_at, self.unchoked_at, min(self.held, self.now))
-            if resumed_at - self.stopped_at > LIMITS.late_iteration:
+            if resumed_at - self.stopped_at > LIMITS.late_iteration_delay:
                 self.unread_since = self.unread_since or self.stopped_at
             self.stopped_at = None
 
@@ -193,11 +193,11 @@
         return self.heard()
 
     def heard(self):
-        said = [json.loads(line) for line in self.wire.take().splitlines()]
+        said = [json.loads(line) for line in self.wire.take_output().splitlines()]
         for _ in range(sum(answer.get("error", {}).get("code", 0) < -32500 for answer in said)):
             self.faults += 1
-            if self.faults > LIMITS.free_faults:
-                wait = LIMITS.fault_pause * 2 ** min(self.faults - LIMITS.free_faults - 1, 10)
+            if self.faults > LIMITS.faults_before_pause:
+                wait = LIMITS.fault_pause * 2 ** min(self.faults - LIMITS.faults_before_pause - 1, 10)
                 self.held = self.now + min(wait, LIMITS.max_fault_pause)
         return said
 
@@ -211,7 +211,7 @@
     def request(self, cuts, method):
         id = next(self.numbers)
         said = self.say(self.ask(id, f"{id:016x}", method), cuts)
-        if len(self.open) >= LIMITS.open_requests:
+        if len(self.open) >= LIMITS.max_requests_per_client:
             assert [answer["error"]["code"] for answer in said] == [-32600] and said[0]["id"] == id
         else:
             self.open[id], self.asked = f"{id:016x}", True
@@ -265,7 +265,7 @@
         if isinstance(line, dict):
             line = json.dumps(self.ask(900, **{"rid": "00000000000000ff"} | line)).encode()
         (said,) = self.say(line, cuts, raw=True)
-        assert len(self.open) >= LIMITS.open_requests or said["error"]["code"] == code
+        assert len(self.open) >= LIMITS.max_requests_per_client or said["error"]["code"] == code
 
     @precondition(lambda self: self.ready and self.open)
     @rule(cuts=CUTS, data=st.data())
@@ -273,7 +273,7 @@
         id = data.draw(st.sampled_from(sorted(self.open)))
         (said,) = self.say(self.ask(id, "00000000000000fe"), cuts)
         assert said["error"]["code"] == -32600 and said["id"] is None  # under its id it would pass for the answer
-        if len(self.open) < LIMITS.open_requests:
+        if len(self.open) < LIMITS.max_requests_per_client:
             (said,) = self.say(self.ask(901, self.open[id]), cuts)
             assert said["error"]["code"] == -32602 and said["id"] == 901
 
@@ -284,7 +284,7 @@
         query = self.core.open.pop(self.open.pop(id))
         self.used = self.now
         getattr(query.reply, how[0])(query, how[1])
-        (said,) = (json.loads(line) for line in self.wire.take().splitlines())
+        (said,) = (json.loads(line) for line in self.wire.take_output().splitlines())
         assert said["id"] == id
         if how[0] == "served":
             assert base64.b64decode(said["result"]["body"]) == b"".join(how[1])
@@ -373,7 +373,7 @@
     @rule(how=st.integers(0, 9))
     def stop_taking(self, how):
         if how == 0:
-            assert self.say(b"x" * (LIMITS.request_bytes + 1), [], raw=True)[0]["error"]["code"] == -32600
+            assert self.say(b"x" * (LIMITS.max_request_bytes + 1), [], raw=True)[0]["error"]["code"] == -32600
         elif how == 1:
             self.connection.end()
         self.taking = how > 1
@@ -410,8 +410,8 @@
             assert (self.wire.producerState == "producing") == self.reading == (not self.connection.reading_stopped)
             self.track_reading()
             # once no more is taken nothing rests on it
-            stale_since = self.connection.stale_since if self.connection.stale else 0
-            assert not self.taking or stale_since == self.unread_since
+            unread_input_since = self.connection.unread_input_since if self.connection.may_have_unread_input else 0
+            assert not self.taking or unread_input_since == self.unread_since
         assert (self.connection in self.front.connections) != self.lost
 
 
@@ -426,17 +426,17 @@
         self.pool = EnginePool("e0", ("127.0.0.1", 1), self.counters)
         self.connection = EngineConnection(self.pool, self.core.clock, LIMITS, self.counters, self.core)
         self.pool.links.append(self.connection)
-        self.wire, self.state = Transport(), "dialling"
+        self.wire, self.state = MemoryTransport(), "dialling"
         self.attempts, self.stale, self.pages, self.expected = {}, set(), {}, []
         self.numbers, self.heard, self.silent = itertools.count(1), 0, False
         self.ends, self.since, self.last_end, self.half = {}, {}, 0, False
 
-    def reach_state(self):
+    def coverage_state(self):
         return self.state
 
     def say(self, *words, cuts=()):
         self.heard = self.core.clock.now()
-        feed(self.connection, b"".join(command(*words)), cuts)
+        feed(self.connection, b"".join(encode_command(*words)), cuts)
 
     def pick(self, data, where):
         return data.draw(st.sampled_from(sorted(where)))
@@ -458,12 +458,12 @@
             return self.attempts.__delitem__(id)
         self.connection.enqueue(attempt)
         assert not self.connection.accepts(Attempt(query, 1, "e0", 0))  # its id is in use here
-        assert self.wire.take() == b""  # the socket is read first, and asked whether it takes anything
+        assert self.wire.take_output() == b""  # the socket is read first, and asked whether it takes anything
         self.since[id] = self.core.clock.now()
 
     def blocked(self):
         waits = [self.since[id] for id in self.attempts if id in self.since and id not in self.ends]
-        late = waits and min(waits) < self.core.clock.now() - LIMITS.late_iteration
+        late = waits and min(waits) < self.core.clock.now() - LIMITS.late_iteration_delay
         return self.state == "up" and (self.wire.gone < self.last_end or late)
 
     def sent(self):
@@ -476,7 +476,7 @@
         if works:
             self.state, self.heard = "up", self.core.clock.now()
             self.connection.makeConnection(self.wire)
-            assert self.wire.take() == b""
+            assert self.wire.take_output() == b""
             self.since = dict.fromkeys(self.attempts, self.heard)
             if works > 3:
                 self.flush()
@@ -493,13 +493,13 @@
         waiting = [id for id in self.attempts if id not in self.ends]
         self.wire.room = room
         self.wire.flush()
-        said = self.wire.take()
+        said = self.wire.take_output()
         for id in waiting:
             if not room:
                 break
             left = max((self.attempts[id].query.deadline - self.core.clock.now()) // MS, 1)
             fields = b"profile=depot-load,max=%d,level=1,replay=key" % left
-            want = b"".join(command(b"want", id.encode(), fields, b"INSERT"))
+            want = b"".join(encode_command(b"want", id.encode(), fields, b"INSERT"))
             assert said.startswith(want)
             said = said[len(want) :]
             self.ends[id] = self.last_end = self.wire.written - len(said)
@@ -515,8 +515,8 @@
         if id in self.pages:
             return
         self.say(id.encode(), b"200", b"chunks=%d,report=inflight:7;queue:2" % count, b"p0\t\t\n", cuts=cuts)
-        asked = b"".join(b"".join(command(b"turn", id.encode(), b"%d" % page)) for page in range(1, count))
-        assert self.wire.take() == asked  # success waits for all pages
+        asked = b"".join(b"".join(encode_command(b"turn", id.encode(), b"%d" % page)) for page in range(1, count))
+        assert self.wire.take_output() == asked  # success waits for all pages
         if count == 1:
             self.over(id, "GOOD", b"p0\t\t\n")
         else:
@@ -554,7 +554,7 @@
             self.say(id.encode(), b"chunk", b"at=%d" % data.draw(st.sampled_from(came)), b"x\ty\tz\n", cuts=cuts)
         elif not page:
             self.say(id.encode(), b"200", b"chunks=1", b"x\ty\tz\n", cuts=cuts)
-        assert self.wire.take() == b"" and not self.wire.disconnecting
+        assert self.wire.take_output() == b"" and not self.wire.disconnecting
 
     @precondition(lambda self: self.state == "up" and self.sent())
     @rule(
@@ -569,7 +569,7 @@
                 b"a\tb\tc\td\n",
                 b"a\tb\tc\nd\t\n\te\tf\n",
                 b"a\t\xff\tc\n",
-                b"a\tb\t" + b"c" * LIMITS.page + b"\n",
+                b"a\tb\t" + b"c" * LIMITS.max_page_bytes + b"\n",
             ]
         ),
     )
@@ -606,7 +606,7 @@
         """What stands behind such a frame waited for its deadline."""
         if seldom:
             return
-        frame = b"".join(command(b"1" * 16, b"status", b"-", b""))
+        frame = b"".join(encode_command(b"1" * 16, b"status", b"-", b""))
         self.heard = self.core.clock.now()
         feed(self.connection, frame[:part], cuts)
         self.core.clock.advance(LIMITS.frame_timeout)
@@ -637,21 +637,21 @@
         self.pages.pop(id, None)
         sent, left = id in self.ends, self.ends.get(id, 0) <= self.wire.gone
         self.connection.give_up(attempt)
-        assert self.wire.take() == (b"".join(command(word, id.encode())) if sent and left else b"")
+        assert self.wire.take_output() == (b"".join(encode_command(word, id.encode())) if sent and left else b"")
         if sent and not left:  # its rest must not leave any more, and nothing else can follow it
             assert self.wire.aborted and self.counters["engine_cuts"] == 1
             self.lose()
         elif sent:
             self.stale.add(id)
             now = self.core.clock.now()
-            self.silent |= self.heard <= attempt.sent_at and now - attempt.sent_at >= LIMITS.silence_timeout
+            self.silent |= self.heard <= attempt.sent_at and now - attempt.sent_at >= LIMITS.unresponsive_timeout
             assert not self.connection.accepts(attempt)  # an answer that crossed would pass for a later attempt's
 
     @precondition(lambda self: self.state == "up" and self.stale)
     @rule(data=st.data(), cuts=CUTS, word=st.sampled_from([b"200", b"500", b"chunk", b"status"]))
     def crossed(self, data, cuts, word):
         self.say(self.pick(data, self.stale).encode(), word, b"chunks=3,at=1", b"old\n", cuts=cuts)
-        assert self.wire.take() == b""
+        assert self.wire.take_output() == b""
 
     @precondition(lambda self: self.attempts)
     @rule(data=st.data())
@@ -659,7 +659,7 @@
         id = self.pick(data, self.attempts)
         self.connection.promote(self.attempts[id])
         heard = id in self.ends and id not in self.pages
-        assert self.wire.take() == (b"".join(command(b"promote", id.encode(), b"1")) if heard else b"")
+        assert self.wire.take_output() == (b"".join(encode_command(b"promote", id.encode(), b"1")) if heard else b"")
 
     @precondition(lambda self: self.state == "up")
     @rule(
@@ -674,9 +674,9 @@
                 b"*4\r\n$999999\r\n",
                 b"*1\r\n$1\r\nabc",
                 b"*4" + b"4" * 99,
-                b"".join(command(b"1", b"999", b"-", b"")),
-                b"".join(command(b"1", b"200", b"chunks", b"")),
-                b"".join(command(b"1", b"200", b"-")),
+                b"".join(encode_command(b"1", b"999", b"-", b"")),
+                b"".join(encode_command(b"1", b"200", b"chunks", b"")),
+                b"".join(encode_command(b"1", b"200", b"-")),
             ]
         ),
     )
@@ -714,7 +714,7 @@
         self.connect()
 
     def connect(self):
-        self.connection, self.wire, self.client = self.front.buildProtocol(None), Transport(), TdsClient()
+        self.connection, self.wire, self.client = self.front.buildProtocol(None), MemoryTransport(), TdsClient()
         self.connection.makeConnection(self.wire)
         self.state, self.kind, self.rows_due = "prelogin", codec.DONE, []
 
@@ -734,28 +734,28 @@
         self.connect()
         self.begin(logged_in, busy=False)
 
-    def reach_state(self):
+    def coverage_state(self):
         return self.state
 
     def say(self, kind, body, cuts=()):
-        feed(self.connection, b"".join(codec.message(kind, body, 600)), cuts)
+        feed(self.connection, b"".join(codec.encode_message(kind, body, 600)), cuts)
         return self.heard()
 
     def heard(self):
-        self.client.dataReceived(self.wire.take())
+        self.client.dataReceived(self.wire.take_output())
         answers, self.client.answers = self.client.answers, []
         return answers
 
     @precondition(lambda self: self.state == "prelogin")
     @rule(cuts=CUTS)
     def prelogin(self, cuts):
-        assert self.say(codec.PRELOGIN, codec.prelogin(), cuts) == [[]]
+        assert self.say(codec.PRELOGIN, codec.encode_prelogin(), cuts) == [[]]
         self.state = "login"
 
     @precondition(lambda self: self.state == "login")
     @rule(cuts=CUTS, right=st.integers(0, 9))
     def login(self, cuts, right):
-        body = codec.login7("desk", "open sesame" if right else "wrong", "rides", 512)
+        body = codec.encode_login7("desk", "open sesame" if right else "wrong", "rides", 512)
         (answer,) = self.say(codec.LOGIN7, body, cuts)
         if right:
             assert codec.LOGINACK in [kind for kind, _ in answer]
@@ -767,11 +767,11 @@
     @rule(cuts=CUTS, batch=st.booleans())
     def request(self, cuts, batch):
         kind, body = (
-            (codec.SQL_BATCH, codec.batch("SELECT 'é' FROM a_3.b"))
+            (codec.SQL_BATCH, codec.encode_sql_batch("SELECT 'é' FROM a_3.b"))
             if batch
             else (
                 codec.RPC,
-                codec.rpc(
+                codec.encode_rpc(
                     "rackhub_query",
                     {"@statement": "x", "@class": "depot-load", "@key": "k", "@est_ms": 1.5, "@ram_mb": 7},
                 ),
@@ -790,18 +790,18 @@
         cuts=CUTS,
         fault=st.sampled_from(
             [
-                (codec.RPC, codec.rpc("sp_who", {}), 50005),
+                (codec.RPC, codec.encode_rpc("sp_who", {}), 50005),
                 (codec.BULK, b"", 50005),
                 (codec.TRANSACTION, b"abc", 50005),
-                (codec.RPC, codec.rpc("rackhub_query", {}), 50004),
-                (codec.SQL_BATCH, codec.batch(" "), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@class": "depot-load"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@class": "none"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@tenant": "other"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@budget_ms": -5}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@budget_ms": "5"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {"@statement": "x", "@other": "5"}), 50004),
-                (codec.RPC, codec.rpc("rackhub_query", {}) + b"\x00\x00\x24\x10\x00", 50005),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {}), 50004),
+                (codec.SQL_BATCH, codec.encode_sql_batch(" "), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@class": "depot-load"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@class": "none"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@tenant": "other"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@budget_ms": -5}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@budget_ms": "5"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {"@statement": "x", "@other": "5"}), 50004),
+                (codec.RPC, codec.encode_rpc("rackhub_query", {}) + b"\x00\x00\x24\x10\x00", 50005),
             ]
         ),
     )
@@ -868,8 +868,8 @@
                 b"\x01\x01\x00\x04\0\0\0\0",
                 b"\x63\x01\x00\x08\0\0\0\0",
                 LATE_PRELOGIN,
-                b"".join(codec.message(codec.SQL_BATCH, b"\xff\xff\xff\xff")),
-                b"".join(codec.message(codec.RPC, b"abc")),
+                b"".join(codec.encode_message(codec.SQL_BATCH, b"\xff\xff\xff\xff")),
+                b"".join(codec.encode_message(codec.RPC, b"abc")),
             ]
         ),
     )
@@ -898,14 +898,14 @@
             self.state = "closed"
         elif self.state == "rows":  # nor does who never reads its rows
             unread_for = self.core.clock.now() - self.rows_asked_at
-            assert self.wire.aborted == (unread_for >= LIMITS.tds_unread)
+            assert self.wire.aborted == (unread_for >= LIMITS.tds_write_timeout)
             self.state = "closed" if self.wire.aborted else "rows"
 
     @invariant()
     def agrees(self):
         assert len(self.core.open) == (self.state == "busy")
         if self.state in LOGGED_IN:  # its Attention and its end have to show, also while rows are written
-            penalised = self.core.clock.now() < self.connection.penalty_until
+            penalised = self.core.clock.now() < self.connection.fault_pause_until
             assert self.connection.reading_stopped == (self.wire.producerState == "paused") == penalised
         assert self.state not in LOGGED_IN or self.connection.state is tds.ClientConnectionState[self.state.upper()]
 
@@ -936,24 +936,24 @@
 def test_a_tds_client_whose_penalty_ends_while_its_rows_are_written_is_read_from_again():
     model = TdsModel()
     model.begin(logged_in=True, busy=False)
-    for _ in range(LIMITS.free_faults + 1):
-        model.fault(cuts=[], fault=(codec.RPC, codec.rpc("sp_who", {}), 50005))
+    for _ in range(LIMITS.faults_before_pause + 1):
+        model.fault(cuts=[], fault=(codec.RPC, codec.encode_rpc("sp_who", {}), 50005))
     model.request(cuts=[], batch=True)
     model.answered(how="big", late=False)
     assert model.state == "rows" and model.connection.reading_stopped
-    model.core.clock.advance(model.connection.penalty_until - model.core.clock.now())
+    model.core.clock.advance(model.connection.fault_pause_until - model.core.clock.now())
     model.agrees()
     while model.state == "rows":
         model.rows()
     model.agrees()
 
 
-TestJsonRpc = reaching(JsonRpcModel, STEPS)
-TestResp = reaching(RespModel, STEPS, ["dialling", "up", "lost"])
-TestTds = reaching(
+TestJsonRpc = coverage_test(JsonRpcModel, STEPS)
+TestResp = coverage_test(RespModel, STEPS, ["dialling", "up", "lost"])
+TestTds = coverage_test(
     TdsModel, settings(STEPS, max_examples=80), ["prelogin", "login", "ready", "busy", "rows", "closed", "lost"]
 )
-assert LOGIN.accepts("open sesame") and not LOGIN.accepts("wrong")
+assert LOGIN.has_password("open sesame") and not LOGIN.has_password("wrong")
 
 
 class Crowd:
@@ -962,13 +962,13 @@
     def __init__(self):
         self.core, self.counters = PlayedCore(), Counters()
         self.front = jsonrpc_front(
-            self.core, replace(LIMITS, client_connections=4, max_aborted_connections=2), self.counters
+            self.core, replace(LIMITS, max_client_connections=4, max_aborted_connections=2), self.counters
         )
 
     def join(self, said=b""):
         connection = self.front.buildProtocol(None)
         if connection is not None:
-            connection.makeConnection(Transport())
+            connection.makeConnection(MemoryTransport())
             feed(connection, said, ())
         self.core.clock.advance(MS)
         return connection
@@ -1041,7 +1041,7 @@
         made.append(Dialled(pool))
         return made[-1]
 
-    pools = EnginePools(dial, core.clock, LIMITS, counters, core, LIMITS.engine_connections)
+    pools = EnginePools(dial, core.clock, LIMITS, counters, core, LIMITS.max_connections_per_engine)
     place = ("127.0.0.1", 5050)
     pools.update_endpoints({"e0": place})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
@@ -1066,10 +1066,10 @@
     pools = EnginePools(
         lambda pool: made.append(Dialled(pool)) or made[-1],
         core.clock,
-        replace(LIMITS, engine_links=4),
+        replace(LIMITS, max_engine_connections=4),
         counters,
         core,
-        LIMITS.engine_connections,
+        LIMITS.max_connections_per_engine,
     )
     pools.update_endpoints({f"e{i}": ("127.0.0.1", 5050 + i) for i in range(6)})
     query = Query(f"{1:016x}", "lookup", b"x", S, None)
