--- a/rackhub/net/client.py
+++ b/rackhub/net/client.py
@@ -1,4 +1,4 @@
-"""One client's connection as all fronts treat it: its timeouts, flow control and half-close."""
+"""The base class of client connections: timeouts, flow control and the half-close, shared by all fronts."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -15,54 +15,53 @@
 
 
 class Client(Reply):
-    """One client's connection: timeouts, flow control and the half-close. The front's protocol fills in the rest.
+    """One client's connection: timeouts, flow control and the half-close. Each front's protocol is a subclass.
 
-    `incomplete_since` is when a message began that is not complete yet, `write_blocked_since` when the client stopped
-    reading what is written to it, `closed_at` when the writing side was closed, `stale_since` since when bytes of the
-    client may lie unread; 0: it is not so.
+    Times are microseconds of the coordinator's clock; those that end in `_since` or `_at` are 0 while their condition
+    does not hold.
     """
 
-    marks = False  # whether it can answer that a result is partial: see `core.request.Reply`
+    marks = False  # True where the protocol can mark a result as partial, see `core.request.Reply`
     transport: Any  # Twisted's TCP connection
 
     def __init__(self, front: "Front"):
         self.front = front
         self.core = front.core
         self.counters = front.counters
-        self.last_used = front.core.clock.now()  # when it connected, or last sent or received a complete message
-        self.incomplete_since = 0
-        self.write_blocked_since = 0
-        self.penalty_until = 0  # not read from before then
-        self.closed_at = 0
+        self.last_used = front.core.clock.now()  # time of connecting, or of the last complete message or answer
+        self.incomplete_since = 0  # arrival of the first bytes of an incomplete message
+        self.write_blocked_since = 0  # time since which the client has not read its answers
+        self.penalty_until = 0  # end of the pause in reading after invalid messages
+        self.closed_at = 0  # time at which the writing side was closed
         self.reading_stopped = False
-        self.stale_since = 0
+        self.stale_since = 0  # earliest arrival of input that may still be unread in the socket
         self._reading_stopped_at = 0
-        self._reading_changes = 0
+        self._reading_changes = 0  # incremented at each change, which voids the check scheduled before
         self.has_sent_message = False
         self.ending = False
-        self.faults = 0  # invalid messages received
+        self.invalid_messages = 0
 
     def has_open_request(self) -> bool:
-        """Whether a request is open on it."""
+        """Return whether a request is open on this connection."""
         raise NotImplementedError
 
     def end(self) -> None:
-        """Accept no more from now on, answer what is open, then close."""
+        """Accept no further requests, answer the open ones, then close."""
         raise NotImplementedError
 
     def drain(self) -> None:
-        """Close gracefully as the process ends: accept what is on its way, answer it, then close.
+        """Accept and answer the requests already on their way, then close. Called when the process shuts down.
 
-        The same as `end` where the protocol has no better way.
+        Calls `end` by default.
         """
         self.end()
 
     def end_with_error(self, why: str) -> None:
-        """Answer with an error, where the protocol has a place for one, then end the connection."""
+        """Send an error if the protocol allows one here, then end the connection."""
         raise NotImplementedError
 
     def record_received(self, complete: bool, begun: bool) -> None:
-        """Record that bytes came: whether a `complete` message was among them, and whether one has `begun` after it."""
+        """Record received bytes: `complete` if they complete a message, `begun` if they end in an incomplete one."""
         now = self.core.clock.now()
         if complete:
             self.has_sent_message = True
@@ -73,15 +72,15 @@
             self.incomplete_since = now
 
     def close(self) -> None:
-        """Close the writing side, once all that is owed is written.
+        """Close the writing side after the last answer.
 
-        A full close over bytes that are not read yet is a reset, which discards the answer written before it. What
-        still comes is read and discarded until the client closes too; `Front.check_timeouts` bounds the wait.
+        Closing both sides with unread input would send a reset, which discards answers that the client has not read.
+        Further input is read and discarded until the client closes too; `Front.check_timeouts` limits the wait.
         """
         if not self.closed_at and self in self.front.connections:
             self.ending = True
             self.closed_at = self.core.clock.now()
-            log.debug("client_closed", client=self, reason="all is answered")
+            log.debug("client_closed", client=self, reason="all requests are answered")
             self.transport.unregisterProducer()
             self.transport.loseWriteConnection()
 
@@ -91,39 +90,39 @@
         return f"{peer.host}:{peer.port}"
 
     def abort(self) -> None:
-        """Close at once, with nothing owed."""
+        """Reset the connection, discarding unsent answers."""
         self.transport.abortConnection()
 
-    # ---- flow control: a client that does not read is not read from either, which bounds both buffers
+    # ---- flow control: nothing is read from a client that does not read its answers, which bounds both buffers
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop reading while the client does not read its answers (Twisted)."""
+        """Stop reading, as the send buffer is full (Twisted)."""
         self.write_blocked_since = self.core.clock.now()
         self.update_reading()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on reading, as the client has read its answers (Twisted)."""
+        """Resume reading, as the client has read its answers (Twisted)."""
         self.write_blocked_since = 0
         self.update_reading()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Ignore the loss of the connection, which `connectionLost` handles (Twisted)."""
+        """Do nothing: `connectionLost` handles the loss of the connection (Twisted)."""
 
     def record_fault(self) -> None:
-        """Record an invalid message, which was answered.
+        """Count an invalid message, which was answered with an error.
 
-        A few have no consequence; after each further one the client is not read from for a while, which doubles, as
-        clients that send them at full speed would take most of the CPU.
+        After `limits.free_faults` of them, each further one pauses reading for a time that doubles up to
+        `limits.max_fault_pause`: clients that send invalid messages at full speed would take most of the CPU.
         """
-        self.faults += 1
-        excess = self.faults - self.front.limits.free_faults
+        self.invalid_messages += 1
+        excess = self.invalid_messages - self.front.limits.free_faults
         if excess <= 0 or self.ending:
             return
         now = self.core.clock.now()
-        penalised = now < self.penalty_until  # then its timer is running
-        doubled = self.front.limits.fault_pause << min(excess - 1, MAX_PENALTY_DOUBLINGS)
-        self.penalty_until = now + min(doubled, self.front.limits.max_fault_pause)
-        if not penalised:
+        timer_runs = now < self.penalty_until
+        pause = self.front.limits.fault_pause << min(excess - 1, MAX_PENALTY_DOUBLINGS)
+        self.penalty_until = now + min(pause, self.front.limits.max_fault_pause)
+        if not timer_runs:
             self.counters.add("clients_slowed")
             self.core.timers.at(self.penalty_until, self._check_penalty)
             self.update_reading()
@@ -135,15 +134,15 @@
             self.update_reading()
 
     def should_stop_reading(self) -> bool:
-        """Whether it is not to be read from now."""
+        """Return whether reading has to be paused now."""
         return not self.ending and (self.write_blocked_since > 0 or self.is_penalised())
 
     def is_penalised(self) -> bool:
-        """Whether it is not read from for its invalid messages."""
+        """Return whether reading is paused because of invalid messages."""
         return self.core.clock.now() < self.penalty_until
 
     def update_reading(self) -> None:
-        """Stop reading or go on, as it should be now. Nothing else pauses or resumes the transport."""
+        """Pause or resume the transport as `should_stop_reading` says. Nothing else pauses or resumes it."""
         if self.should_stop_reading() == self.reading_stopped:
             return
         self._reading_changes += 1
@@ -151,7 +150,7 @@
             self.stale = self.stale or self.reading_paused
             self.reading_stopped = False
             self.transport.resumeProducing()
-            self._expect_reads()
+            self._check_after_reads()
         else:
             self._reading_stopped_at = self.core.clock.now()
             self.stale_since = self.stale_since or self._reading_stopped_at
@@ -159,31 +158,32 @@
             self.transport.pauseProducing()
 
     def record_read(self, size: int) -> None:
-        """Record that a read of `size` bytes has been handled; a full one may have left more in the kernel."""
+        """Record that `size` bytes of one read have been handled; after a full read more may be left in the kernel."""
         if size >= self.front.limits.read:
-            self._expect_reads()
+            self._check_after_reads()
             return
         self.stale = False
         self.stale_since = self._reading_stopped_at if self.reading_stopped else 0
 
-    def _expect_reads(self) -> None:
-        """Find out whether all is read, as a client that has sent nothing shows by no read."""
+    def _check_after_reads(self) -> None:
+        """Check for unread input after all sockets have been read: an empty socket causes no read event."""
         if self.stale_since and not self.reading_stopped:
             self._reading_changes += 1
-            self.core.timers.call_after_reads(ALWAYS_DEFER, self._reads_made, self._reading_changes)
+            self.core.timers.call_after_reads(ALWAYS_DEFER, self._sockets_read, self._reading_changes)
 
-    def _reads_made(self, reading_changes: int) -> None:
-        """The event loop has read all sockets: unless reading stopped or a full read came since, nothing is unread."""
+    def _sockets_read(self, reading_changes: int) -> None:
+        """Record that nothing is unread, unless reading has stopped or a full read has come since the scheduling."""
         if reading_changes == self._reading_changes:
             self.stale = False
             self.stale_since = 0
 
     @property
     def reading_paused(self) -> bool:  # type: ignore[override]
-        """Whether a cancel or the client's close may be unread.
+        """Whether a cancel or the close of the client may be unread.
 
-        One answer that fills the buffer stops the reading for an event-loop iteration, which does not count. A stop
-        over bytes that were unread before counts from then on: reading may go on and stop again without any read.
+        False for the first `limits.late_iteration` of a pause: one answer that fills the buffer pauses reading for an
+        event-loop iteration. If input was unread already, that time counts from its arrival, as reading can resume and
+        pause again without a read in between.
         """
         unread_for = self.core.clock.now() - self.stale_since
         return self.reading_stopped and unread_for > self.front.limits.late_iteration
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -1,9 +1,9 @@
-"""The listening side of a front: its connections, their maximum, and the client timeouts.
+"""The listening side of a front: its connections, their maximum number, and the client timeouts.
 
-Every client, however it behaves, is answered, rejected or disconnected in time, and none holds a descriptor for good:
-one that sends nothing, stops in the middle of a message, idles or does not read is disconnected, and where descriptors
-run short the clients that have idled longest are evicted. A client that sends invalid messages again and again is read
-from more and more slowly (see `client`).
+Every client is answered, rejected or disconnected in a bounded time, and none keeps its file descriptor for ever. A
+client that sends nothing, stops within a message, idles or does not read its answers is disconnected. When descriptors
+run short, the clients that have idled longest are evicted. Reading slows down for a client that keeps sending invalid
+messages (see `client`).
 """
 
 from collections.abc import Callable
@@ -21,16 +21,16 @@
 
 
 class ClientTimeouts(NamedTuple):
-    """How long a front waits for a client, in microseconds."""
+    """Maximum times that a front waits for a client, in microseconds."""
 
-    first: int  # for the first message
-    half: int  # for the rest of a message
+    first_message: int
+    message: int  # from the first byte of a message to its last
     idle: int  # between messages
-    unread: int  # for the client to read what is written to it
+    write: int  # with a full send buffer
 
 
 class Front(protocol.ServerFactory):
-    """A listening side: its connections, their maximum, and their timeouts."""
+    """The listening side of one front: its connections, their maximum number, and their timeouts."""
 
     noisy = False
 
@@ -43,7 +43,7 @@
         max_connections: int,
         timeouts: ClientTimeouts,
     ):
-        """`make` builds the protocol of one connection."""
+        """`make` builds the protocol object of a new connection."""
         self._make = make
         self._max_connections = max_connections
         self._timeouts = timeouts
@@ -51,23 +51,23 @@
         self.limits = limits
         self.counters = counters
         self.connections: set[Client] = set()
-        self._aborted: set[Client] = set()  # their descriptors are not free yet
-        self.replaced = False  # whether the process ends while another one serves on the same address
+        self._aborted: set[Client] = set()  # aborted connections whose descriptors are not free yet
+        self.replaced = False  # set when the process ends and another one serves on the same address
         core.timers.at(core.clock.now() + limits.client_check_interval, self.check_timeouts)
 
     def buildProtocol(self, addr: object) -> protocol.Protocol | None:  # noqa: N802
-        """Accept a connection, or close it at once: descriptors for engines are kept free (Twisted)."""
+        """Accept a connection, or close it if there are too many: engines need the other descriptors (Twisted)."""
         full = len(self.connections) >= self._max_connections
         if full and (len(self._aborted) >= self.limits.max_aborted_connections or not self._evict_client()):
             self.counters.add("clients_refused")
-            log.debug("client_rejected", reason="no descriptor is left for it")
+            log.debug("client_rejected", reason="too many connections, and none can be evicted")
             return None
         return self._make(self)
 
     def _evict_client(self) -> bool:
-        """Abort the least useful client without an open request; False: there is none.
+        """Abort one client without an open request; returns False if there is none.
 
-        First one that is closed on this side, then one that never sent a message, then the one that idled longest.
+        Clients closed on this side come first, then those that never sent a message, then those idle longest.
         """
         candidates = [client for client in self.connections if not client.has_open_request()]
         if not candidates:
@@ -84,13 +84,13 @@
         client.abort()
 
     def connected(self, client: Client) -> None:
-        """Register a connection that is established."""
+        """Add an established connection."""
         self.counters.add("clients_accepted")
         log.debug("client_connected", client=client)
         self.connections.add(client)
 
     def lost(self, client: Client) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self.counters.add("clients_closed")
         self.connections.discard(client)
         self._aborted.discard(client)
@@ -98,15 +98,18 @@
     def check_timeouts(self) -> None:
         """Disconnect the clients that have timed out. Called periodically.
 
-        By the time now, but in the next event-loop iteration: what the kernel has buffered by now is read first, and
-        may be just what was waited for.
+        The disconnection is deferred to the next event-loop iteration and uses the present time: input that the kernel
+        holds is read first and may be the awaited message.
         """
         now = self.core.clock.now()
         self.core.timers.at(now + self.limits.client_check_interval, self.check_timeouts)
         self.core.timers.at(now, self._end_timed_out, now)
 
     def _end_timed_out(self, now: int) -> None:
-        """Half of the connections are kept free of idle clients, for many may connect at once."""
+        """Apply the timeouts, with a shorter idle timeout while more than half of the connections are in use.
+
+        The other half is kept free, as many clients may connect at once.
+        """
         excess = sum(not client.ending for client in self.connections) - self._max_connections // 2
         for client in sorted(self.connections, key=lambda client: client.last_used):
             idle_timeout = self.limits.crowded_idle_timeout if excess > 0 else self._timeouts.idle
@@ -115,22 +118,22 @@
 
     def _end_if_timed_out(self, client: Client, now: int, idle_timeout: int) -> bool:
         timeouts = self._timeouts
-        if client.write_blocked_since and now - client.write_blocked_since >= timeouts.unread:
+        if client.write_blocked_since and now - client.write_blocked_since >= timeouts.write:
             self._abort(client, "clients_unread")
         elif client.closed_at and now - client.closed_at >= self.limits.linger_timeout:
             self._abort(client, "clients_lingering")
         elif client.ending:
             return False
-        elif client.incomplete_since:  # it is writing, so it is neither silent nor idle
-            if now - client.incomplete_since < timeouts.half:
+        elif client.incomplete_since:  # a client that is sending a message does not time out as silent or idle
+            if now - client.incomplete_since < timeouts.message:
                 return False
             self._count_ended(client, "clients_half")
-            client.end_with_error("the message did not come whole in time")
+            client.end_with_error("timed out in the middle of a message")
         elif client.has_open_request():
             return False
-        elif not client.has_sent_message and now - client.last_used >= timeouts.first:
+        elif not client.has_sent_message and now - client.last_used >= timeouts.first_message:
             self._count_ended(client, "clients_silent")
-            client.end_with_error("nothing came in time")
+            client.end_with_error("timed out before the first message")
         elif now - client.last_used >= idle_timeout:
             self._count_ended(client, "clients_idle")
             client.end()
@@ -143,11 +146,11 @@
         log.debug("client_ended", client=client, reason=counter)
 
     def drain(self) -> None:
-        """Close every connection once what is open and on its way there is answered."""
+        """Close every connection once its requests, open or on their way, are answered."""
         for connection in list(self.connections):
             connection.drain()
 
     def end(self) -> None:
-        """Close every connection once what is open is answered: what comes now is discarded."""
+        """Close every connection once its open requests are answered; further requests are discarded."""
         for connection in list(self.connections):
             connection.end()
--- a/rackhub/net/jsonrpc.py
+++ b/rackhub/net/jsonrpc.py
@@ -1,4 +1,4 @@
-"""The platform's front: JSON-RPC 2.0 over TCP, one message a line, answers in any order."""
+"""The platform's front: JSON-RPC 2.0 over TCP, one message per line, answers in any order."""
 
 import contextlib
 from binascii import b2a_base64
@@ -19,7 +19,7 @@
 
 log = logs.logger(__name__)
 
-# error codes: the first four of JSON-RPC 2.0, the others of the platform
+# error codes: the first four are those of JSON-RPC 2.0, the others the platform's
 PARSE_ERROR = -32700
 INVALID_REQUEST = -32600
 METHOD_NOT_FOUND = -32601
@@ -28,13 +28,13 @@
 REQUEST_REJECTED = -32008
 
 NO_ID = msgspec.UNSET
-# what the decoder raises on bytes that it can't decode as JSON. Thousands of nested brackets are a RecursionError:
-# unhandled, it would end the connection, and with it requests that are owed an answer
-UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+# The exceptions of the JSON decoder for malformed input. Thousands of nested brackets raise RecursionError; unhandled,
+# it would close the connection without an answer to the open requests.
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
 
 class Message(msgspec.Struct):
-    """One message as JSON-RPC defines it; what the method needs is decoded from `params` later."""
+    """One JSON-RPC message. `params` is decoded later, by the method."""
 
     method: str
     jsonrpc: str = ""
@@ -68,21 +68,24 @@
 class JsonRpcConnection(Client, Protocol):
     """The connection of one client.
 
-    States: open; draining (the process ends: it is read on, and ends once nothing is open and no message incomplete);
-    ending (no more is accepted, what is open is answered); closed (all is written: what comes is discarded until the
-    client closes too); lost (what was open is given up).
+    States:
+    - open
+    - draining: the process ends; requests are still accepted until none is open and no message is incomplete
+    - ending: no more requests are accepted, the open ones are answered
+    - closed: all answers are written, and input is discarded until the client closes too
+    - lost: the open requests are disconnected
     """
 
     marks = True
 
     def __init__(self, front: Front):
         super().__init__(front)
-        self.open: dict[Any, Query] = {}  # by JSON-RPC id
-        self.has_accepted = False  # whether a request was ever accepted
+        self.open: dict[Any, Query] = {}  # the open requests by JSON-RPC id
+        self.has_accepted = False  # True after the first accepted request
         self.draining = False
-        self._buffer = b""  # an incomplete line
-        self._processing = False  # inside the loop over the lines received
-        self._discarded = 0  # bytes that came when no more was accepted
+        self._buffer = b""  # the beginning of an incomplete line
+        self._processing_lines = False
+        self._discarded_bytes = 0  # bytes received after the end of acceptance
 
     # ---- Twisted
 
@@ -93,7 +96,7 @@
         self.front.connected(self)
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        """Disconnect the requests that are still open (Twisted)."""
+        """Report the client of each open request as disconnected (Twisted)."""
         self.front.lost(self)
         if self._buffer:
             self.counters.add("halves_dropped")
@@ -104,15 +107,15 @@
             self.core.disconnect_client(query)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Handle the complete lines, and keep the rest for later (Twisted)."""
+        """Handle the complete lines, and buffer the rest (Twisted)."""
         if self.ending:
-            self._discarded += len(data)
+            self._discarded_bytes += len(data)
         else:
             complete = data.rfind(b"\n") + 1
             self.record_received(complete > 0, complete < len(data))
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         max_length = self.front.limits.request_bytes
-        self._processing = True
+        self._processing_lines = True
         for line in lines:
             if self.ending:
                 self._discard(line)
@@ -120,7 +123,7 @@
                 self._too_long()
             else:
                 self.lineReceived(line)
-        self._processing = False
+        self._processing_lines = False
         self.record_read(len(data))
         if len(self._buffer) > max_length:
             self._buffer = self._buffer[:max_length]
@@ -130,22 +133,22 @@
         self._end_if_done()
 
     def should_stop_reading(self) -> bool:
-        """Whether it is not to be read from now.
+        """Return whether reading has to be paused now.
 
-        A client that floods a connection that ends is read from up to a bound. Else it is read on, as its close or its
-        cancels have to be seen.
+        On an ending connection reading goes on, to see the client's close and its cancels, until
+        `limits.max_discarded_bytes` have been discarded.
         """
         if self.ending:
-            return self._discarded > self.front.limits.max_discarded_bytes
+            return self._discarded_bytes > self.front.limits.max_discarded_bytes
         return super().should_stop_reading()
 
     def update_reading(self) -> None:
-        """Stop reading or go on, but only after all lines received are handled."""
-        if not self._processing:
+        """Pause or resume reading, but only after all received lines are handled."""
+        if not self._processing_lines:
             super().update_reading()
 
     def has_open_request(self) -> bool:
-        """Whether a request is open on it."""
+        """Return whether a request is open on this connection."""
         return bool(self.open)
 
     def end_with_error(self, why: str) -> None:
@@ -155,7 +158,7 @@
 
     def _too_long(self) -> None:
         self.counters.add("too_long")
-        self.end_with_error("the line is too long")
+        self.end_with_error(f"the line is longer than {self.front.limits.request_bytes} bytes")
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         """Decode and handle one message."""
@@ -164,15 +167,19 @@
             message = MESSAGE_DECODER.decode(line)
         except msgspec.ValidationError:
             self.counters.add("bad_request")
-            self._error(None, INVALID_REQUEST, "not a request")
+            self._error(None, INVALID_REQUEST, "not a JSON-RPC request")
             return
-        except UNREADABLE:
+        except DECODE_ERRORS:
             self.counters.add("bad_json")
-            self._error(None, PARSE_ERROR, "not JSON")
+            self._error(None, PARSE_ERROR, "the line is not valid JSON")
             return
         if message.jsonrpc != "2.0" or isinstance(message.id, float):
             self.counters.add("bad_request")
-            self._error(None, INVALID_REQUEST, "not a JSON-RPC 2.0 request")
+            self._error(
+                None,
+                INVALID_REQUEST,
+                'not a JSON-RPC 2.0 request: jsonrpc must be "2.0", and the id an integer or a string',
+            )
         elif message.method == "cancelRequest":
             self._cancel(message)
         elif message.method == "alive":
@@ -192,31 +199,35 @@
             self._write(message.id, b'"result":{"pass":%s}' % (b"true" if self.core.accepting else b"false"))
 
     def _reject_notification(self) -> None:
-        """JSON-RPC answers no notification, but here every client is owed an answer or a close.
+        """Answer a notification with an error, which JSON-RPC does not require.
 
-        Without an answer, a client that forgot the id would wait for one.
+        A client that omitted the id by mistake would otherwise wait for an answer.
         """
         self.counters.add("bad_request")
-        self._error(None, INVALID_REQUEST, "the id is missing")
+        self._error(None, INVALID_REQUEST, "the request has no id")
 
     def _request(self, message: Message) -> None:
         id = message.id
         cls = self.core.classes.get(message.method)
-        if id in self.open:  # an error under this id would be mistaken for the answer that is still owed
+        if id in self.open:  # an error with this id would be mistaken for the answer to the open request
             self.counters.add("bad_request")
-            self._error(None, INVALID_REQUEST, "the id is in use")
+            self._error(None, INVALID_REQUEST, "the id is that of an open request")
             return
         if cls is None:
             self.counters.add("bad_method")
-            self._error(id, METHOD_NOT_FOUND, "no such method")
+            self._error(id, METHOD_NOT_FOUND, "unknown method")
             return
         if len(self.open) >= self.front.limits.open_requests:
             self.counters.add("too_many_open")
-            self._error(id, INVALID_REQUEST, "too many open requests")
+            self._error(
+                id,
+                INVALID_REQUEST,
+                f"too many open requests on this connection: at most {self.front.limits.open_requests}",
+            )
             return
         try:
             query = self._decode_query(message, cls.name)
-        except (*UNREADABLE, InvalidRequestError) as invalid:
+        except (*DECODE_ERRORS, InvalidRequestError) as invalid:
             self.counters.add("bad_params")
             self._error(id, INVALID_PARAMS, str(invalid))
             return
@@ -243,17 +254,18 @@
     def _cancel(self, message: Message) -> None:
         try:
             id = CANCEL_PARAMS_DECODER.decode(message.params).id
-        except UNREADABLE:
+        except DECODE_ERRORS:
             self.counters.add("bad_params")
-            self._error(message.id, INVALID_PARAMS, "no id to cancel")
+            self._error(message.id, INVALID_PARAMS, "params has no valid id of the request to cancel")
             return
         self.counters.add("cancels_in")
-        if not self._disconnect(id) and not self.has_accepted:  # else the cancel may have crossed its answer
+        # After a first request this is no error: the cancel may have crossed the answer.
+        if not self._disconnect(id) and not self.has_accepted:
             self.counters.add("bad_params")
-            self._error(message.id, INVALID_PARAMS, "no such request")
+            self._error(message.id, INVALID_PARAMS, "no open request has this id")
 
     def _disconnect(self, id: Any) -> bool:
-        """Cancel an open request; False: there is none with this id."""
+        """Cancel an open request; returns False if none has this id."""
         query = self.open.pop(id, None)
         if query is None:
             return False
@@ -262,11 +274,11 @@
         return True
 
     def _discard(self, line: bytes) -> None:
-        """Accept nothing more but the cancels of what is open."""
+        """Discard a message on an ending connection, unless it cancels an open request."""
         self.counters.add("lines_dropped")
-        log.debug("line_discarded", client=self, reason="the connection ends", size=len(line))
+        log.debug("line_discarded", client=self, reason="the connection is ending", size=len(line))
         if self.open and b"cancelRequest" in line:
-            with contextlib.suppress(*UNREADABLE):
+            with contextlib.suppress(*DECODE_ERRORS):
                 message = MESSAGE_DECODER.decode(line)
                 if message.method == "cancelRequest":
                     self._disconnect(CANCEL_PARAMS_DECODER.decode(message.params).id)
@@ -274,14 +286,17 @@
     # ---- answers
 
     def served(self, query: Query, rows: Sequence[bytes]) -> None:
-        """Answer with the result; beside it the state of a gather, which requests of the platform never have."""
+        """Answer with the result, and with the status of a gathered request if there is one.
+
+        Requests of the platform are never gathered.
+        """
         gather = b""
         if query.gather_status is not None:
             gather = b',"gather":' + msgspec.json.encode(query.gather_status)
         self._answer(query, b'"result":{"body":"', b2a_base64(b"".join(rows), newline=False), b'"', gather, b"}")
 
     def rejected(self, query: Query, backoff: int) -> None:
-        """Answer that the request was rejected, and after how many microseconds to retry."""
+        """Answer that the request was rejected and may be retried after `backoff` microseconds."""
         backoff_ms = -(-backoff // 1_000)
         self._answer(
             query,
@@ -298,7 +313,7 @@
             self.last_used = self.core.clock.now()
             self._write(query.tag, *pieces)
             if self.front.replaced and not self.open:
-                self.drain()  # the close after its answer makes the client reconnect: no request crosses it
+                self.drain()  # makes the client reconnect to the other process, without a request crossing the close
             self._end_if_done()
 
     def _error(self, id: Any, code: int, text: str) -> None:
@@ -310,16 +325,16 @@
     def _write(self, id: Any, *pieces: bytes) -> None:
         self.transport.writeSequence((b'{"jsonrpc":"2.0","id":', msgspec.json.encode(id), b",", *pieces, b"}\n"))
 
-    # ---- the end
+    # ---- closing
 
     def end(self) -> None:
-        """Accept no more from now on, answer what is open, then close."""
+        """Accept no further requests, answer the open ones, then close."""
         self.ending = True
         self.update_reading()
         self._end_if_done()
 
     def drain(self) -> None:
-        """Accept what is on its way, answer it, then close."""
+        """Accept and answer the requests already on their way, then close."""
         self.draining = True
         log.debug("client_draining", client=self, open=len(self.open))
         self._end_if_done()
@@ -328,11 +343,12 @@
         if self.ending and not self.open:
             self.close()
         elif self.draining and not self.open:
-            now = self.core.clock.now()  # twice, as only between two calls everything is read that came
+            # Two timers in a row: only between them are all sockets sure to have been read.
+            now = self.core.clock.now()
             self.core.timers.at(now, self.core.timers.at, now, self._drained)
 
     def _drained(self) -> None:
-        """End it: what the kernel had buffered when the last answer was written has been read, and was accepted."""
+        """End the connection: input that the kernel held at the last answer has been read and accepted."""
         if not self.open and not self._buffer:
             self.end()
 
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -249,7 +249,7 @@
         except BlockingIOError:
             pass
         reactor.iterate(0)
-    assert len(client.served_by._buffer) <= 1_000 and client.served_by._discarded < 50_000 + (1 << 17)
+    assert len(client.served_by._buffer) <= 1_000 and client.served_by._discarded_bytes < 50_000 + (1 << 17)
     here.clock.advance(LIMITS.linger_timeout + LIMITS.client_check_interval)
     spin(lambda: not here.fronts[0].connections)
 
