--- a/rackhub/fleet/control/__init__.py
+++ b/rackhub/fleet/control/__init__.py
@@ -1,5 +1,5 @@
-"""The control port, which the command line talks to: JSON objects, one a line in each direction.
+"""The control port, which serves the command line: JSON objects, one per line in each direction.
 
-`commands` dispatches requests without I/O, `port` is the server's socket, `client` the command line's side,
-`fleet_status` the command `fleet`.
+`commands` dispatches requests without I/O, `port` is the server, `client` the command line's side, and `fleet_status`
+implements the command `fleet`.
 """
--- a/rackhub/fleet/control/commands.py
+++ b/rackhub/fleet/control/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the control port, and one response to each request, without I/O."""
+"""The commands of the control port: dispatches each request and sends exactly one response. No I/O."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -16,7 +16,7 @@
 class CommandDispatcher:
     """Implements `ports.Control`: passes each request to the handler of its command.
 
-    `count` adds one to the counter of that name.
+    `count` adds one to the counter of the given name.
     """
 
     def __init__(self, limits: Limits, count: Callable[[str], None]):
@@ -25,17 +25,17 @@
         self._handlers: dict[str, CommandHandler] = {}
 
     def on(self, command: str, handler: CommandHandler) -> None:
-        """Register a command. Raises `ValueError` where it has a handler already, or there are too many commands."""
+        """Register a command. Raises `ValueError` if it has a handler already, or there are too many commands."""
         if command in self._handlers:
-            raise ValueError(f"call {command!r} is taken already")
+            raise ValueError(f"command {command!r} is already registered")
         if len(self._handlers) >= self._limits.max_commands:
-            raise ValueError(f"call {command!r} is one more than {self._limits.max_commands}")
+            raise ValueError(f"command {command!r}: at most {self._limits.max_commands} commands are allowed")
         self._handlers[command] = handler
 
     def dispatch(self, line: bytes, write: Callable[[bytes], None]) -> None:
-        """Handle one request; `write` gets one response line without its end, now or later, exactly once.
+        """Handle one request, and call `write` exactly once, now or later, with the response line without its end.
 
-        That holds whatever the handler does: its exceptions become errors, and further responses are dropped.
+        An exception of the handler becomes an error response, and further responses are dropped.
         """
         response = _SingleResponse(self._count, lambda body: write(self._encode(body)))
         try:
@@ -49,14 +49,14 @@
         if handler is None:
             self._count("control_unknown")
             known = ", ".join(sorted(self._handlers)) or "none"
-            response.send({"error": f"call: {command!r} is none of {known}"})
+            response.send({"error": f"call: unknown command {command!r}, it is none of {known}"})
             return
         self._count("control_calls")
         try:
             handler(request, response.send)
         except Exception as error:
             self._count("control_faults")
-            log.exception("control: call %r failed", command)
+            log.exception("control: command %r failed", command)
             if not response.sent:
                 response.send({"error": f"{command}: {type(error).__name__}: {error}"})
 
@@ -65,16 +65,16 @@
             body = msgspec.json.encode(response)
         except (TypeError, ValueError, OverflowError) as error:
             self._count("control_faults")
-            return msgspec.json.encode({"error": f"the answer is no JSON: {error}"})
-        most = self._limits.max_response_bytes
-        if len(body) > most:
+            return msgspec.json.encode({"error": f"the response can't be encoded as JSON: {error}"})
+        max_bytes = self._limits.max_response_bytes
+        if len(body) > max_bytes:
             self._count("control_long")
-            return msgspec.json.encode({"error": f"an answer of {len(body)} bytes, more than {most}"})
+            return msgspec.json.encode({"error": f"the response has {len(body)} bytes, more than {max_bytes}"})
         return body
 
 
 class _SingleResponse:
-    """Passes on the first response of a request, and counts and drops any other."""
+    """Forwards the first response to a request, and counts and drops any other."""
 
     def __init__(self, count: Callable[[str], None], write: Callable[[Mapping[str, Any]], None]):
         self.sent = False
@@ -82,7 +82,7 @@
         self._write = write
 
     def send(self, response: Mapping[str, Any]) -> None:
-        """Write the first response; count any other."""
+        """Write the response, or count and drop it if one was written before."""
         if self.sent:
             self._count("control_twice")
             return
--- a/rackhub/fleet/control/fleet_status.py
+++ b/rackhub/fleet/control/fleet_status.py
@@ -1,4 +1,4 @@
-"""The command `fleet`: members, their states and reachability, the published records, and faults to look at."""
+"""The command `fleet`: members, their states and reachability, the published records, and detected faults."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -14,7 +14,7 @@
     """Register the command, which takes no arguments."""
 
     def handle(request: Mapping[str, Any], answer: Answer) -> None:
-        """Answer one request."""
+        """Send the response to one request."""
         arguments = sorted(set(request) - {"call"})
         if arguments:
             answer({"error": f"{COMMAND}: takes no {', '.join(arguments)}"})
@@ -25,7 +25,7 @@
 
 
 def describe_fleet(membership: Membership) -> dict[str, Any]:
-    """The response. Ages are milliseconds by this gateway's clock; in `hears`, None means not known."""
+    """Return the response. Ages are milliseconds by this gateway's clock; in `hears`, None means unknown."""
     members = membership.members
     now = membership.now()
     living = sorted(members.living())
@@ -67,7 +67,7 @@
 
 
 def _records_by_kind(membership: Membership) -> dict[str, list[Record]]:
-    """Sorted by kind, and by owner within each."""
+    """Return the published records by kind, sorted by kind, then by owner."""
     kinds: dict[str, list[Record]] = {}
     for record in membership.records():
         kinds.setdefault(record.kind, []).append(record)
--- a/rackhub/fleet/control/port.py
+++ b/rackhub/fleet/control/port.py
@@ -1,4 +1,4 @@
-"""The control port's socket: requests and responses as lines, in any order of responses, with limits on all of it."""
+"""The server of the control port: requests and responses as lines, with responses in any order."""
 
 import errno
 import logging
@@ -32,7 +32,7 @@
         self.MAX_LENGTH = control.limits.max_request_bytes
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Admit the connection, or reject it where there are too many (Twisted calls this)."""
+        """Admit the connection, or reject it if there are too many (Twisted)."""
         self._admitted = self._control.admit(self)
         if not self._admitted:
             self._send_line(b'{"error":"too many connections"}')
@@ -41,25 +41,25 @@
         self._start_idle_timer()
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Handle one request (Twisted calls this)."""
+        """Handle one request (Twisted)."""
         if not self._admitted:
             return
         self._idle_timer.reset(self._limits.idle_timeout)
         if self._open_requests >= self._limits.max_open_requests:
             self._control.count("control_over")
-            self._send_line(b'{"error":"too many calls without an answer"}')
+            self._send_line(b'{"error":"too many open requests on this connection"}')
             return
         self._open_requests += 1
         self._control.dispatcher.dispatch(line.rstrip(b"\r"), self._write)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        """Reject a request that is too long, and close the connection (Twisted calls this)."""
+        """Reject a request that is too long, and close the connection (Twisted)."""
         self._control.count("control_bad")
-        self._send_line(f'{{"error":"a call of more than {self.MAX_LENGTH} bytes"}}'.encode())
+        self._send_line(f'{{"error":"the request has more than {self.MAX_LENGTH} bytes"}}'.encode())
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Clean up (Twisted calls this)."""
+        """Release the connection and cancel its timer (Twisted)."""
         if self._admitted:
             self._admitted = False
             self._control.release(self)
@@ -88,7 +88,7 @@
 class ControlPort(Factory):
     """The server. Implements `ports.Control`; commands may be registered before or after `start`.
 
-    `bind` is the address to listen on, `count` adds one to the counter of that name.
+    `bind` is the address to listen on; `count` adds one to the counter of the given name.
     """
 
     noisy = False
@@ -104,13 +104,13 @@
         self._retry_timer: Any = None
 
     def on(self, command: str, handler: CommandHandler) -> None:
-        """Register a command. Raises `ValueError` where it has a handler already, or there are too many commands."""
+        """Register a command. Raises `ValueError` if it has a handler already, or there are too many commands."""
         self.dispatcher.on(command, handler)
 
     def start(self) -> None:
-        """Listen. Raises `OSError` where that is impossible.
+        """Start listening. Raises `OSError` if that fails.
 
-        An address in use is retried: it may be that of the process that this one replaces.
+        If the address is in use, listening is retried until it is free: the process that this one replaces may use it.
         """
         try:
             self._listener = self.reactor.listenTCP(self._bind[1], self, interface=self._bind[0])
@@ -119,11 +119,11 @@
             if getattr(failure.socketError, "errno", None) != errno.EADDRINUSE:
                 raise OSError(text) from failure
             if not self._retry_timer:
-                log.warning("%s: tried again until it is free", text)
+                log.warning("%s: retrying until it is free", text)
             self._retry_timer = self.reactor.callLater(LISTEN_RETRY_INTERVAL, self.start)
 
     def stop(self) -> Any:
-        """Close all connections and stop listening; returns Twisted's Deferred of that, None if not listening."""
+        """Close all connections and stop listening. Returns Twisted's Deferred, or None if not listening."""
         if self._retry_timer and self._retry_timer.active():
             self._retry_timer.cancel()
         for connection in list(self._connections):
@@ -133,11 +133,11 @@
         return listener.stopListening() if listener is not None else None
 
     def buildProtocol(self, addr: Any) -> ClientConnection:  # noqa: N802
-        """Return the protocol of a new connection (Twisted calls this)."""
+        """Return the protocol object of a new connection (Twisted)."""
         return ClientConnection(self)
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Whether there is capacity for one more connection, which then counts until `release`."""
+        """Return whether there is capacity for one more connection, which then counts until `release`."""
         if len(self._connections) >= self.limits.max_connections:
             self.count("control_refused")
             return False
@@ -145,5 +145,5 @@
         return True
 
     def release(self, connection: ClientConnection) -> None:
-        """The connection has ended."""
+        """Remove a connection that has ended."""
         self._connections.discard(connection)
