--- a/rackhub/net/__init__.py
+++ b/rackhub/net/__init__.py
@@ -1,1 +1,1 @@
-"""The wires: fronts that clients speak to, clients of engines, and the resolver."""
+"""Network protocols: the fronts for clients, the connections to engines, and the polling of the resolver."""
--- a/rackhub/net/dial.py
+++ b/rackhub/net/dial.py
@@ -1,4 +1,4 @@
-"""A Twisted client factory for one outgoing connection, whose protocol object exists before the connection does."""
+"""A Twisted client factory for one outgoing connection whose protocol object is created before connecting."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,12 +12,12 @@
     noisy = False
 
     def __init__(self, protocol: Any, failed: Callable[[], Any]):
-        """`failed` is called without arguments when the connection is refused or times out."""
+        """`failed` is called without arguments if the connection attempt is refused or times out."""
         self._connection = protocol
         self._failed = failed
 
     def buildProtocol(self, addr: object) -> Any:  # noqa: N802
-        """Return the one protocol object (Twisted)."""
+        """Return the given protocol object (Twisted)."""
         return self._connection
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: N802
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -23,10 +23,10 @@
 class ClientTimeouts(NamedTuple):
     """Maximum times that a front waits for a client, in microseconds."""
 
-    first_message: int
-    message: int  # from the first byte of a message to its last
-    idle: int  # between messages
-    write: int  # with a full send buffer
+    first_message: int  # maximum time from connecting to the first message
+    message: int  # maximum time from the first byte of a message to its last
+    idle: int  # maximum time between messages
+    write: int  # maximum time with a full send buffer
 
 
 class Front(protocol.ServerFactory):
--- a/rackhub/net/listen.py
+++ b/rackhub/net/listen.py
@@ -1,10 +1,9 @@
-"""Listening sockets that the replacement process of a coordinator may share with the one it replaces.
+"""Listening sockets that a coordinator process can share with the process that replaces it.
 
-Both processes bind the same address with SO_REUSEPORT and the kernel distributes new connections over them. What waits
-in the accept queue of a socket that closes is reset by the kernel, and its clients are dropped unanswered (tcp(7);
-Linux moves it to the other socket only with net.ipv4.tcp_migrate_req, which is off by default). So the process that
-exits first has the kernel give all new connections to the other, and accepts what its own queue still holds in the very
-step that closes it.
+Both processes bind the same address with SO_REUSEPORT, and the kernel distributes new connections over them. When a
+socket closes, the kernel resets the connections in its accept queue, and their clients get no answer (tcp(7); Linux
+moves them to the other socket only with net.ipv4.tcp_migrate_req, which is off by default). So the process that exits
+first directs all new connections to the other one, then accepts those left in its own queue as it closes the socket.
 """
 
 import socket
@@ -23,23 +22,25 @@
 
 log = logs.logger(__name__)
 
-# asm-generic/socket.h; the socket module has no names for them
+# constants of asm-generic/socket.h, which the socket module does not define
 SO_ATTACH_REUSEPORT_CBPF = 51
 SO_DETACH_REUSEPORT_BPF = 68
 BPF_RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K of linux/bpf_common.h
-REPLACEMENT_INDEX = 1  # in the address's group of sockets: the process before this one has gone, so this one is at 0
+# Index of the replacement's socket in the reuseport group of the address. This process is at 0, as its predecessor has
+# exited.
+REPLACEMENT_INDEX = 1
 
 
 class DelayedReservation:
-    """Twisted's spare file descriptor, given up only after a sustained shortage.
+    """Wraps Twisted's spare file descriptor, and releases it only after a sustained shortage of descriptors.
 
-    Where accept finds no descriptor free, Twisted gives the spare one up, accepts new connections with it and closes
-    each at once, with the requests that they may have sent. A momentary shortage costs nobody anything if new
-    connections wait in the kernel's queue for its end.
+    When accept finds no free descriptor, Twisted releases the spare one, accepts new connections with it and closes
+    each at once, with the requests they may have sent. During a short shortage it is better to leave new connections
+    in the kernel's queue.
     """
 
-    MIN_SHORTAGE_S = 0.1  # before new connections are closed, as they would wait in vain
-    SHORTAGE_GAP_S = 1.0  # seconds without a shortage after which the next one counts as another
+    MIN_SHORTAGE_S = 0.1  # duration of a shortage after which new connections are closed instead of left waiting
+    SHORTAGE_GAP_S = 1.0  # time without a shortage after which the next one counts as a new one
 
     def __init__(self, spare: Any, seconds: Callable[[], float] = time.monotonic):
         """`spare` is Twisted's reservation, `seconds` a monotonic clock."""
@@ -49,7 +50,7 @@
         self._last_shortage = -self.SHORTAGE_GAP_S
 
     def available(self) -> bool:
-        """Whether to give the spare descriptor up. Called each time that accept finds none."""
+        """Return whether to release the spare descriptor. Called each time that accept finds none."""
         now = self._seconds()
         if now - self._last_shortage > self.SHORTAGE_GAP_S:
             self._shortage_began = now
@@ -68,17 +69,17 @@
 
 
 class SharedPort:
-    """A listening socket that another process may bind too. It listens from its construction on.
+    """A listening socket whose address another process can bind too. It listens from its construction on.
 
-    Twisted's port works on a copy of the descriptor; the one kept here holds the kernel's socket open until the last
-    connection in its queue is accepted.
+    Twisted's port uses a duplicate of the descriptor; the original, kept here, holds the kernel's socket open until the
+    last connection in its queue is accepted.
     """
 
     def __init__(self, reactor: Any, host: str, port: int, factory: Factory, backlog: int):
         """Listen on `host`:`port` (IPv4).
 
-        `reactor` provides Twisted's `IReactorSocket`. Raises `CannotListenError` where the address is taken by a
-        socket without SO_REUSEPORT, or is not available.
+        `reactor` provides Twisted's `IReactorSocket`. Raises `CannotListenError` if the address is in use by a socket
+        without SO_REUSEPORT, or is not available.
         """
         self._reactor = reactor
         self._factory = factory
@@ -90,58 +91,57 @@
             self._socket.bind((host, port))
             self._socket.listen(backlog)
             self._socket.setblocking(False)
-            self._detach_selection()
+            self._detach_program()
             self._port = reactor.adoptStreamPort(self._socket.fileno(), socket.AF_INET, factory)
         except OSError as fault:
             self._socket.close()
             raise CannotListenError(host, port, fault) from None  # type: ignore[no-untyped-call]
 
-    def _detach_selection(self) -> None:
-        """Distribute new connections evenly: a selection attached by a process that has gone is removed."""
+    def _detach_program(self) -> None:
+        """Detach the BPF program of a process that has exited, so that new connections are distributed evenly."""
         try:
             self._socket.setsockopt(socket.SOL_SOCKET, SO_DETACH_REUSEPORT_BPF, 0)
         except OSError:
-            return  # there was none, or the kernel does not support selections: it distributes evenly then
+            return  # No program was attached, or the kernel does not support them: it distributes evenly.
 
     def hand_over(self) -> bool:
-        """Have the kernel give new connections to the process that bound the address second, while there is one.
+        """Direct new connections to the process that bound the address second. Without one they still come here.
 
-        Without one they come here as before. False where the kernel can't: new connections are distributed until this
-        socket closes.
+        Returns False if the kernel does not support this: it then distributes new connections until this socket closes.
 
-        The selection is a classic BPF program of one instruction, which returns the index in the address's group. The
-        kernel ignores the index of an empty place and distributes by hash (net/core/sock_reuseport.c).
+        A classic BPF program of one instruction returns the index of the socket in the address's group. The kernel
+        ignores the index of an empty place and distributes by hash (net/core/sock_reuseport.c).
         """
         program = array("B", struct.pack("HBBI", BPF_RETURN_CONSTANT, 0, 0, REPLACEMENT_INDEX))
         option = struct.pack("HP", 1, program.buffer_info()[0])
         try:
             self._socket.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, option)
         except OSError as fault:
-            log.warning("new connections can't be handed over, they are distributed: %s", fault)
+            log.warning("can't direct new connections to the replacement, the kernel distributes them: %s", fault)
             return False
         return True
 
     def close(self) -> Deferred[None]:
-        """Stop listening. When it fires all queued connections are accepted and the address is released."""
+        """Stop listening. The result fires when all queued connections are accepted and the address is released."""
         closed: Deferred[None] = self._port.stopListening()
-        closed.addCallback(lambda _: self._take_rest())
+        closed.addCallback(lambda _: self._accept_queued())
         return closed
 
-    def _take_rest(self) -> None:
-        """Accept what was queued since Twisted's port stopped, up to the moment of the close."""
+    def _accept_queued(self) -> None:
+        """Accept the connections queued since Twisted's port stopped, then close the socket."""
         while True:
             try:
                 connection, _ = self._socket.accept()
-                with connection:  # the reactor has a copy
+                with connection:  # the reactor duplicates the descriptor
                     connection.setblocking(False)
                     self._reactor.adoptStreamConnection(connection.fileno(), socket.AF_INET, self._factory)
-            except OSError:  # the queue is empty; or no descriptor is left, and what is queued is dropped
+            except OSError:  # The queue is empty, or no descriptor is left and the remaining connections are dropped.
                 break
         self._socket.close()
 
 
 def _delay_reservation() -> None:
-    """Put `DelayedReservation` in the place of Twisted's reservation, once a process."""
+    """Replace Twisted's reservation by a `DelayedReservation`, once per process."""
     twisted_tcp: Any = tcp
     if not isinstance(twisted_tcp._reservedFD, DelayedReservation):
         twisted_tcp._reservedFD = DelayedReservation(twisted_tcp._reservedFD)
--- a/rackhub/net/outgoing.py
+++ b/rackhub/net/outgoing.py
@@ -1,11 +1,10 @@
-"""The sending side of one connection to an engine: what has been sent, and when more may be.
-
-Twisted buffers what is written to a transport until the socket accepts it, and what it buffers can't be taken back. A
-request that was allowed when it was written may be forbidden by the time it is sent: its engine drains, its client has
-disconnected, its retry window is over. So requests are not written ahead. Their owner asks to be called in an
-event-loop iteration in which the socket is writable, which comes after that iteration's read of the same socket,
-decides there, and sends straight to the socket. Only the rest of a request that the socket accepted in part is left
-with the transport.
+"""The sending side of a connection to an engine, which bypasses the transport's buffer and counts the bytes sent.
+
+Twisted buffers written data until the socket accepts it, and buffered data can't be withdrawn. A request that was
+allowed when written may be forbidden by the time it is sent: its engine drains, its client has disconnected, or its
+retry window is over. So requests are not written ahead: their owner requests a callback in an event-loop iteration in
+which the socket is writable, after the same iteration's read of that socket, decides then, and sends directly to the
+socket. Only the rest of a request that the socket accepted in part is left to the transport.
 """
 
 import array
@@ -16,12 +15,12 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-NOT_SENT_LOW_WATER = 25  # TCP_NOTSENT_LOWAT of linux/tcp.h, which the socket module does not name
-MAX_NOT_SENT_BYTES = 1  # the kernel then holds one request that the engine does not read, not many
+NOT_SENT_LOW_WATER = 25  # TCP_NOTSENT_LOWAT of linux/tcp.h, which the socket module does not define
+MAX_NOT_SENT_BYTES = 1  # limits the kernel's buffer to one request that the engine does not read
 
 
 class SocketWriter:
-    """Sends on one connection and counts the bytes since its start. `writable` is called once per `request_write`."""
+    """Sends on one connection and counts the bytes since its start. Calls `writable` once per `request_write`."""
 
     def __init__(self, transport: Any, writable: Callable[[], None]):
         """`transport` is Twisted's TCP connection."""
@@ -29,14 +28,14 @@
         self._writable = writable
         self._write_requested = False
         self._registering = False
-        self.bytes_written = 0  # handed to the socket or the transport so far
+        self.bytes_written = 0  # bytes handed to the socket or the transport so far
         with contextlib.suppress(OSError):
             transport.getHandle().setsockopt(socket.IPPROTO_TCP, NOT_SENT_LOW_WATER, MAX_NOT_SENT_BYTES)
 
-    # ---- a transport's producer: Twisted calls it when the socket is writable and its buffer is empty
+    # ---- pull producer of the transport: Twisted calls it when the socket is writable and the buffer is empty
 
     def request_write(self) -> None:
-        """Have `writable` called in the next event-loop iteration in which the socket is writable."""
+        """Request a call of `writable` in the next event-loop iteration in which the socket is writable."""
         if self._write_requested:
             return
         self._write_requested = True
@@ -46,20 +45,20 @@
         self._transport.startWriting()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Report that the socket is writable (Twisted)."""
-        if self._registering:  # Twisted calls a new producer at once, whatever the state of the socket
+        """Call `writable`, as the socket is writable (Twisted)."""
+        if self._registering:  # Twisted calls a new producer at once, whatever the state of the socket.
             return
         self._transport.unregisterProducer()
         self._write_requested = False
         self._writable()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Ignore the loss of the connection, which its owner is notified of itself (Twisted)."""
+        """Do nothing: the owner is notified of the loss of the connection separately (Twisted)."""
 
     # ---- sending
 
     def send(self, data: bytes) -> bool:
-        """Send now. False: nothing of it was sent, as the socket is full, or broken (which its next read reports)."""
+        """Send now. Returns False if nothing was sent: the socket is full, or broken, as its next read will report."""
         try:
             accepted: int = self._transport.getHandle().send(data)
         except OSError:
@@ -72,30 +71,30 @@
         return True
 
     def write(self, pieces: Iterable[bytes]) -> None:
-        """Send what is valid at any time: now, or behind what the transport has buffered.
+        """Send data that is valid at any time: now, or after the data that the transport has buffered.
 
-        It must not wait for the next event-loop iteration: a cancel that did was sent together with the attempt that
-        was to follow it, where that iteration was a long one.
+        Waiting for the next event-loop iteration would not do: after a long one a cancel was sent together with the
+        attempt that was to follow it.
         """
         data = b"".join(pieces)
         if self.buffered_bytes() or not self.send(data):
             self.bytes_written += len(data)
             self._transport.write(data)
 
-    # ---- what has been sent
+    # ---- progress of the sending
 
     def buffered_bytes(self) -> int:
-        """Return how many bytes the transport has buffered because the socket did not accept them."""
+        """Return the number of bytes in the transport's buffer, which the socket has not accepted yet."""
         transport = self._transport
         buffered: int = len(transport.dataBuffer) - transport.offset + transport._tempDataLen
         return buffered
 
     def has_sent(self, end: int) -> bool:
-        """Whether the first `end` bytes of the connection have all left the process."""
+        """Return whether the first `end` bytes of the connection have all been handed to the kernel."""
         return self.bytes_written - self.buffered_bytes() >= end
 
     def unacknowledged_bytes(self) -> int:
-        """Return how many bytes the process and the kernel hold, as the engine's host has not acknowledged them."""
+        """Return the number of bytes in the buffers of process and kernel, not acknowledged by the engine's host."""
         in_kernel = array.array("i", [0])
         with contextlib.suppress(OSError):
             fcntl.ioctl(self._transport.getHandle(), termios.TIOCOUTQ, in_kernel)
--- a/rackhub/net/platform_source.py
+++ b/rackhub/net/platform_source.py
@@ -1,4 +1,4 @@
-"""The platform as the source of settings and endpoint lists: its file at the start, then its resolver."""
+"""The platform as the source of settings and endpoint lists: its file at startup, then its resolver."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
@@ -15,7 +15,7 @@
 
 
 def merge_events(events: Sequence[EndpointSnapshot]) -> EndpointSnapshot:
-    """Return the list that consecutive events result in; the first is a complete list, removed engines are `Gone`."""
+    """Return the list after consecutive events: a complete list, then changes in which removed engines are `Gone`."""
     entries: dict[str, interface.EngineEntry] = {}
     addresses: dict[str, Address] = {}
     for event in events:
@@ -28,14 +28,14 @@
 
 
 class ReloadedFile(NamedTuple):
-    """What a reload uses of the platform's file: the resolver's address, and the endpoint list as the file has it."""
+    """The parts of the platform's file that a reload applies: the resolver's address and the endpoint list."""
 
     server: Address
     endpoints: EndpointSnapshot
 
 
 class PlatformSource:
-    """Settings and endpoint lists of the platform: see `core.source.Source`."""
+    """The settings and endpoint lists of the platform. Implements `core.source.Source`."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
     ):
         """`reactor` provides Twisted's `IReactorUDP` and `IReactorTime`; `server` is the resolver's address.
 
-        `reread` reads and checks the file again; `ValueError` where it is invalid.
+        `reread` reads and validates the file again, and raises `ValueError` if it is invalid.
         """
         self.settings = settings
         self.start = start
@@ -59,31 +59,33 @@
         self._counters = counters
         self._reread = reread
         self._resolver: Resolver | None = None
-        self._ports: list[Any] = []  # polls go out from the last one; the others may still receive answers
+        self._ports: list[Any] = []  # UDP ports: the last one sends the polls, the others may still receive answers
 
-    def follow(self, notify: Callable[[EndpointSnapshot], None], lease: EndpointPollObserver | None = None) -> None:
-        """Call back with each list that is new from now on; `lease` is notified of polls and good answers."""
+    def follow(
+        self, on_change: Callable[[EndpointSnapshot], None], observer: EndpointPollObserver | None = None
+    ) -> None:
+        """Start polling. Calls `on_change` with each new list, and notifies `observer` of polls and valid answers."""
         self._resolver = Resolver(
             self._reactor,
             self._server,
             self.start,
-            notify,
+            on_change,
             self._limits,
             self._counters,
-            self._renew,
-            lease,
-            self._settle,
+            self._open_new_socket,
+            observer,
+            self._close_old_sockets,
         )
         self._ports = [self._open_port()]
 
     def _open_port(self) -> Any:
         return self._reactor.listenUDP(0, self._resolver, maxPacketSize=self._limits.packet)
 
-    def _renew(self) -> None:
-        """Open a new socket before an old one closes: where no descriptor is free, the last one goes on.
+    def _open_new_socket(self) -> None:
+        """Send further polls from a new socket, or from the present one if no descriptor is free.
 
-        Those before it stay open for a while: answers that take longer than the time between two sockets would never
-        be received.
+        Up to `limits.resolver_sockets` stay open: otherwise an answer that takes longer than the interval between two
+        sockets would never be received.
         """
         try:
             port = self._open_port()
@@ -91,28 +93,28 @@
             log.warning("resolver_socket_kept", reason=str(fault))
             return
         self._counters.add("dns_sockets")
-        log.debug("resolver_socket_renewed", reason="no good answer", port=port.getHost().port)
+        log.debug("resolver_socket_renewed", reason="no valid answer", port=port.getHost().port)
         self._ports.append(port)
         self._close_oldest(self._limits.resolver_sockets)
 
-    def _settle(self) -> None:
+    def _close_old_sockets(self) -> None:
         self._close_oldest(1)
 
     def _close_oldest(self, remaining: int) -> None:
-        """Close the oldest sockets until `remaining` are left."""
+        """Close the oldest sockets until `remaining` of them are open."""
         while len(self._ports) > remaining:
             self._ports.pop(0).stopListening()
 
     def reload(self) -> None:
-        """Read the file again; one that is invalid, or half written, is logged and changes nothing."""
+        """Read the file again. An invalid file, such as a half-written one, is logged and changes nothing."""
         self._counters.add("reloads")
         try:
             server, endpoints = self._reread()
         except ValueError as invalid:
             self._counters.add("reloads_bad")
-            log.error("reload: bad configuration, the old one holds: %s", invalid)
+            log.error("reload: bad configuration, the previous one stays active: %s", invalid)
             return
         log.info("reloaded", resolver=f"{server[0]}:{server[1]}")
         if self._resolver is not None:
-            self._resolver.move(server)
+            self._resolver.change_server(server)
             self._resolver.apply_configured(endpoints)
--- a/rackhub/net/poll_schedule.py
+++ b/rackhub/net/poll_schedule.py
@@ -1,12 +1,12 @@
-"""When the resolver is polled next: a pure state machine without I/O, from answers and their absence to delays.
+"""The schedule of the polls of the resolver: a state machine without I/O that computes the delay until the next poll.
 
 Many coordinators that retry at once keep an overloaded resolver overloaded. So only the first retry is quick, as a
 single packet may be lost; further ones back off exponentially up to a maximum, and every delay is jittered.
 
-The bound: a coordinator makes 1 / (0.8 poll) calls a second at most while it is answered, and while it is not, four in
-the first second and then 1 / (0.8 poll_again_most): 2.5. Forty make 200, and 100 where nothing answers. A socket whose
-answers stop coming, for good or from the first call on, is replaced after polls_silent calls: at the latest
-poll + (2^polls_silent - 1) poll_again, 0.67 s, after its last good answer.
+Bounds with the default limits: a coordinator sends at most 1 / (0.8 poll) polls per second while the resolver answers;
+while it does not, four in the first second and then 1 / (0.8 max_poll_retry_interval) = 2.5 per second. Forty
+coordinators send at most 200 per second, and 100 without answers. A socket that receives no answers is replaced after
+polls_silent polls, at the latest poll + (2^polls_silent - 1) poll_retry_interval = 0.67 s after its last valid answer.
 """
 
 from collections.abc import Callable
@@ -17,38 +17,38 @@
 
 
 class PollSchedule:
-    """Delays between polls, in microseconds."""
+    """Computes the delays between polls, in microseconds."""
 
     def __init__(self, limits: Limits, random: Callable[[], float]):
         """`random` returns numbers from 0 to 1, for the jitter."""
         self._limits = limits
         self._random = random
-        self._unanswered = 0  # polls since the last good answer
+        self._unanswered = 0  # number of polls since the last valid answer
 
     def answer_received(self) -> int:
-        """Record a good answer and return the delay until the next poll."""
+        """Record a valid answer and return the delay until the next poll."""
         self._unanswered = 0
         return self._with_jitter(self._limits.poll)
 
     def poll_sent(self) -> int:
-        """Record a poll and return the delay until the next one, unless a good answer comes before."""
+        """Record a poll and return the delay until the next one, if no valid answer comes before."""
         backoff = self._limits.poll_retry_interval << min(self._unanswered, MAX_BACKOFF_DOUBLINGS)
         self._unanswered += 1
         return self._with_jitter(min(backoff, self._limits.max_poll_retry_interval))
 
     def needs_new_socket(self) -> bool:
-        """Whether the next poll should go out from a new socket.
+        """Return whether to send the next poll from a new socket.
 
-        True for every `polls_silent`th unanswered poll only, so that a slow answer still finds the socket it is for.
+        True only at every `polls_silent`th unanswered poll, so that a slow answer can still reach its socket.
         """
         return self._unanswered > 0 and self._unanswered % self._limits.polls_silent == 0
 
-    def silence_limit(self) -> int:
+    def max_time_to_new_socket(self) -> int:
         """Return the longest time from the first unanswered poll to the first one from a new socket."""
         return self._limits.poll_retry_interval * ((1 << self._limits.polls_silent) - 1)
 
     def server_changed(self) -> None:
-        """Start anew with another resolver: that the old one did not answer says nothing about it."""
+        """Reset the count of unanswered polls, as another resolver is polled from now on."""
         self._unanswered = 0
 
     def _with_jitter(self, delay: int) -> int:
--- a/rackhub/net/pool.py
+++ b/rackhub/net/pool.py
@@ -1,6 +1,6 @@
-"""Connections to engines, pooled by engine: selection of a connection for an attempt, and updates of the endpoint list.
+"""Pools of connections to engines: they select a connection for each attempt and follow the endpoint list.
 
-Independent of the protocol that engines speak: a connection is used through `EngineLink`.
+The pools are independent of the engines' protocol and use connections through `EngineLink`.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -25,72 +25,72 @@
     closed: bool
 
     def accepts(self, attempt: Attempt) -> bool:
-        """Whether a new attempt may go on this connection."""
+        """Return whether a new attempt may use this connection."""
 
     def enqueue(self, attempt: Attempt) -> None:
-        """Accept an attempt, and send it once the connection is up and writable."""
+        """Accept an attempt, which is sent once the connection is up and writable."""
 
     def give_up(self, attempt: Attempt) -> None:
-        """Cancel an attempt. One that is not on this connection any more is ignored."""
+        """Cancel an attempt. Does nothing if it is no longer on this connection."""
 
     def promote(self, attempt: Attempt) -> None:
-        """Notify the engine that the priority of an attempt has changed, where the protocol can."""
+        """Notify the engine that the priority of an attempt has changed, if the protocol supports that."""
 
     def close_if_idle(self) -> None:
         """Close the connection if no attempt is open on it."""
 
     def idle_since(self) -> int:
-        """Return when the connection was used last."""
+        """Return the time of the last use of the connection."""
 
     def load(self) -> int:
         """Return the number of open attempts."""
 
     def retire(self) -> None:
-        """Accept nothing new, return what is not sent yet, and close when what is in flight has ended."""
+        """Accept no attempts, return those not sent yet, and close when those in flight have ended."""
 
     def check_timeouts(self, now: int) -> None:
-        """End what has timed out. Called periodically."""
+        """End the attempts, or the connection, that have timed out. Called periodically."""
 
     def connect_failed(self) -> None:
-        """End the attempts that wait for the connection as not executed."""
+        """End the attempts queued for the connection as not executed."""
 
 
 class EnginePool:
     """The connections to one incarnation of an engine.
 
-    An engine is identified by its name: another one may come to have its address, and one that restarts under its name
-    has none of the connections of before.
+    An engine is identified by its name, as its address may later be that of another engine. A pool is not reused after
+    a restart of the engine under the same name.
     """
 
-    def __init__(self, name: str, address: Address, counters: Counters, started: int = 0):
-        """`started` is when the engine started, by its entry in the endpoint list."""
+    def __init__(self, name: str, address: Address, counters: Counters, started_at: int = 0):
+        """`started_at` is the start time of the engine in the endpoint list."""
         self.name = name
         self.address = address
         self.counters = counters
-        self.started = started
+        self.started_at = started_at
         self.links: list[EngineLink] = []
-        self.dials: dict[EngineLink, Any] = {}  # the connectors (IConnector) of those links that are not up yet
+        self.dials: dict[EngineLink, Any] = {}  # the connectors (IConnector) of the links that are not up yet
 
     def connection_closed(self, link: EngineLink) -> None:
-        """Forget a connection that has closed."""
+        """Remove a connection that has closed."""
         if link in self.links:
             self.links.remove(link)
 
     def retire(self) -> None:
-        """Send nothing new: what waits for a dial was never sent, what is in flight ends, idle connections close."""
+        """Send no more attempts: those queued for a dial return unsent, those in flight end, idle connections close."""
         for link in list(self.links):
             if not self.cancel_dial(link):
                 link.retire()
 
     def cancel_dial(self, link: EngineLink) -> bool:
-        """Stop connecting, as if that had failed. False: the connection is up already."""
+        """Stop connecting, which then counts as failed. Returns False if the connection is up already."""
         dial = self.dials.pop(link, None)
         if dial is not None:
             dial.stopConnecting()
         return dial is not None
 
     def dial_failed(self, link: EngineLink) -> None:
-        """Remove a connection that could not be established, and end what waited for it."""
+        """Remove a connection that could not be established, and end the attempts queued for it."""
         self.counters.add("engine_dial_failures")
         log.debug("engine_dial_failed", engine=self.name, waiting=link.load())
         self.dials.pop(link, None)
@@ -99,7 +99,7 @@
 
 
 class EngineDialFactory(ClientFactory):
-    """The Twisted factory of one dial, which reports its result to the pool."""
+    """The Twisted factory of one dial, which reports the result to the pool."""
 
     noisy = False
 
@@ -109,12 +109,12 @@
         self._link = link
 
     def buildProtocol(self, addr: object) -> Any:  # noqa: N802
-        """Return the one connection, which is established (Twisted)."""
+        """Return the protocol object of the established connection (Twisted)."""
         del self._pool.dials[self._link]
         return self._link
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: N802
-        """Report a dial that was refused, timed out or was cancelled (Twisted)."""
+        """Report a dial that was refused, timed out or cancelled (Twisted)."""
         self._pool.dial_failed(self._link)
 
 
@@ -122,13 +122,13 @@
     """Opens connections of one protocol."""
 
     def __init__(self, reactor: Any, make: Callable[[EnginePool], EngineLink], limits: Limits):
-        """`reactor` provides Twisted's `IReactorTCP`; `make` builds a connection that is not up yet."""
+        """`reactor` provides Twisted's `IReactorTCP`; `make` builds an unconnected link."""
         self._reactor = reactor
         self._make = make
         self._timeout_s = limits.dial_timeout / 1_000_000
 
     def __call__(self, pool: EnginePool) -> EngineLink:
-        """Start to connect to the engine of a pool."""
+        """Start connecting to the engine of a pool."""
         link = self._make(pool)
         factory = EngineDialFactory(pool, link)
         pool.dials[link] = self._reactor.connectTCP(*pool.address, factory, timeout=self._timeout_s)
@@ -136,7 +136,7 @@
 
 
 class EnginePools:
-    """The engine port: one pool for each engine in the endpoint list that is ready."""
+    """The pools of all ready engines in the endpoint list. Implements `core.request.EnginePort`."""
 
     def __init__(
         self,
@@ -147,7 +147,7 @@
         core: Coordinator,
         max_links: int,
     ):
-        """`max_links` bounds the connections to one engine; `limits.engine_links` those to all together."""
+        """`max_links` limits the connections to one engine, `limits.engine_links` those to all engines together."""
         self._dial = dial
         self._clock = clock
         self._limits = limits
@@ -155,13 +155,13 @@
         self._core = core
         self._max_links = max_links
         self.pools: dict[str, EnginePool] = {}
-        self.retired: list[EnginePool] = []  # accept nothing new, while attempts are in flight on their connections
+        self.retired: list[EnginePool] = []  # pools that accept no attempts, but still have connections
 
     def update_endpoints(self, addresses: Mapping[str, Address], entries: Sequence[interface.EngineEntry] = ()) -> None:
-        """Apply the current endpoint list; `entries` as the routing policy knows them.
+        """Apply a new endpoint list. An engine that is not among the `entries` counts as ready.
 
-        Engines that are gone, drain, have restarted or moved get nothing more on the connections that they have. The
-        new pools are there before the old ones retire: what waited for these is sent elsewhere at once.
+        The connections of engines that are gone, drain, have restarted or changed their address get no more attempts.
+        The new pools exist before the old ones retire, as the attempts that these return are sent elsewhere at once.
         """
         entry_by_engine = {entry.engine: entry for entry in entries}
         obsolete = self.pools
@@ -171,7 +171,7 @@
             if entry.state != "Ready":
                 continue
             known = obsolete.get(name)
-            if known is not None and (known.address, known.started) == (address, entry.started_at):
+            if known is not None and (known.address, known.started_at) == (address, entry.started_at):
                 self.pools[name] = obsolete.pop(name)
             else:
                 self.pools[name] = EnginePool(name, address, self._counters, entry.started_at)
@@ -182,10 +182,10 @@
             pool.retire()
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt on the connection with the fewest open ones; it ends with NOCONN where there is none.
+        """Send an attempt on the connection with the fewest open ones. Without a connection it ends with NOCONN.
 
-        More connections are opened than the load needs: whatever ends one, a corrupt answer or a reset, ends all
-        attempts that share it.
+        More connections are opened than the load requires, because a corrupt answer or a reset ends all attempts on a
+        connection.
         """
         pool = self.pools.get(attempt.engine)
         link = None if pool is None else self._select_link(pool, attempt)
@@ -195,7 +195,7 @@
             link.enqueue(attempt)
 
     def _select_link(self, pool: EnginePool, attempt: Attempt) -> EngineLink | None:
-        """Return the connection for an attempt, a new one if need be; None where no more may be opened."""
+        """Return a connection for an attempt, new if necessary, or None if no more may be opened."""
         candidates = [link for link in pool.links if link.accepts(attempt)]
         link = min(candidates, key=lambda link: link.load(), default=None)
         if link is not None and not self._should_add_link(pool, link):
@@ -208,7 +208,7 @@
         return link
 
     def _should_add_link(self, pool: EnginePool, best: EngineLink) -> bool:
-        """Whether one more connection is worth a descriptor, though the `best` one could accept an attempt."""
+        """Return whether to open one more connection, although the `best` one accepts the attempt."""
         crowded = (
             best.load() >= self._limits.attempts_before_spread and len(pool.links) < self._limits.max_spread_connections
         )
@@ -221,15 +221,14 @@
         return [link for pool in self._all_pools() for link in pool.links]
 
     def _reserve_descriptor(self) -> bool:
-        """Whether the descriptors reserved for engines allow one more connection; an idle one is closed for it."""
+        """Return whether one more connection is within `limits.engine_links`, closing an idle one if necessary."""
         links = self._all_links()
         if len(links) < self._limits.engine_links:
             return True
         self._counters.add("over_engine_links")
         idle = [link for link in links if not link.load() and not link.closed]
-        if (
-            not idle or sum(link.closed for link in links) >= self._limits.max_aborted_connections
-        ):  # these hold a descriptor still
+        # Closed links still hold a descriptor until the connection is lost.
+        if not idle or sum(link.closed for link in links) >= self._limits.max_aborted_connections:
             return False
         link = min(idle, key=lambda link: link.idle_since())
         if not any(pool.cancel_dial(link) for pool in self._all_pools()):
@@ -254,9 +253,9 @@
             link.close_if_idle()
 
     def sweep(self) -> None:
-        """Check all connections for timeouts, and close idle ones and retired pools.
+        """Check all connections for timeouts, close idle ones, and remove retired pools without connections.
 
-        A connection closes well before the engine would close it for being idle, as a request could cross that.
+        Connections close after two thirds of the engine's idle timeout, so that no request crosses the engine's close.
         """
         now = self._clock.now()
         idle_limit = now - self._limits.engine_idle * 2 // 3
--- a/rackhub/net/request_validation.py
+++ b/rackhub/net/request_validation.py
@@ -1,4 +1,4 @@
-"""Validation of what clients send as a request, the same for every front."""
+"""Validation of the requests of clients, shared by all fronts."""
 
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Query, Reply
@@ -8,12 +8,12 @@
 HEX_DIGITS = frozenset("0123456789abcdef")
 REQUEST_ID_LENGTH = 16
 MAX_KEY_LENGTH = 256
-MAX_BUDGET_MS = 3_600_000  # no class has a longer deadline
-MAX_ESTIMATE = 1e9  # of milliseconds, and of MB
+MAX_BUDGET_MS = 3_600_000  # longer than the deadline of any class
+MAX_ESTIMATE = 1e9  # maximum of the estimated time in milliseconds and of the estimated memory in MB
 
 
 class InvalidRequestError(ValueError):
-    """A request with an invalid value; the text names the value at fault, and the client receives it."""
+    """A request with an invalid value. The client receives the text, which names the value."""
 
 
 def build_query(
@@ -30,19 +30,19 @@
     ram_mb: float,
     tag: object = None,
 ) -> Query:
-    """Return the validated request of a client; raises `InvalidRequestError`."""
+    """Return the validated request of a client. Raises `InvalidRequestError`."""
     _check_request_id(core, id)
     _check_numbers(budget_ms, est_ms, ram_mb)
     key = _checked_key(core.classes[cls].idempotency, idempotency_key)
     if tenant not in core.tenants:
-        raise InvalidRequestError("the tenant is not known")
-    if not is_text(statement):  # engines answer 'error' to what they can't use, or close on it
-        raise InvalidRequestError("the statement is not text")
+        raise InvalidRequestError("unknown tenant")
+    if not is_text(statement):  # Engines answer other statements with an error, or close the connection.
+        raise InvalidRequestError("the statement is not UTF-8 text without NUL, or is blank")
     return Query(
         id,
         cls,
         statement,
-        deadline(core.clock.now(), reply, int(budget_ms * 1_000)),
+        compute_deadline(core.clock.now(), reply, int(budget_ms * 1_000)),
         reply,
         tag=tag,
         tenant=tenant,
@@ -54,44 +54,45 @@
 
 
 def _check_request_id(core: Coordinator, id: str) -> None:
-    """Ids are written into the engines' protocol as they are, so their characters are restricted."""
+    """Check the characters of an id, which is sent to engines without escaping, and that it is new."""
     if len(id) != REQUEST_ID_LENGTH or not HEX_DIGITS.issuperset(id):
-        raise InvalidRequestError("the request id is not 16 hex digits")
-    if core.is_known_id(id):  # also one that was answered: engines may still know it, with another statement
-        raise InvalidRequestError("the request id is not new")
+        raise InvalidRequestError(f"the request id is not {REQUEST_ID_LENGTH} lower-case hex digits")
+    # The ids of answered requests are known too: engines may still associate them with another statement.
+    if core.is_known_id(id):
+        raise InvalidRequestError("the request id was used before")
 
 
 def _check_numbers(budget_ms: float, est_ms: float, ram_mb: float) -> None:
-    """NaN fails every comparison, and with it this check."""
+    """Check the ranges. NaN is rejected, as it fails every comparison."""
     if not 0 < budget_ms <= MAX_BUDGET_MS:
-        raise InvalidRequestError("the budget is out of range")
+        raise InvalidRequestError(f"the budget is not above 0 and at most {MAX_BUDGET_MS} ms")
     if not (0 <= est_ms <= MAX_ESTIMATE and 0 <= ram_mb <= MAX_ESTIMATE):
-        raise InvalidRequestError("an estimate is out of range")
+        raise InvalidRequestError(f"the estimated time in ms or memory in MB is not from 0 to {MAX_ESTIMATE:g}")
 
 
 def _checked_key(idempotency: str, key: str) -> str:
-    """Return the idempotency key that engines get: none for a class without keys."""
+    """Return the idempotency key for engines, empty for classes without keys."""
     if idempotency != "dedup":
         return ""
-    if not key:  # without it an engine could not recognise a retry, and retries are what the class allows
-        raise InvalidRequestError("the key is missing: this class has one")
+    if not key:  # The class allows retries, which an engine recognises by the key.
+        raise InvalidRequestError("the idempotency key is missing, which this class requires")
     if len(key) > MAX_KEY_LENGTH or not KEY_CHARACTERS.issuperset(key):
-        raise InvalidRequestError("the key holds what a key can't")
+        raise InvalidRequestError(f"the idempotency key has more than {MAX_KEY_LENGTH} characters, or invalid ones")
     return key
 
 
-def deadline(now: int, reply: Reply, budget: int) -> int:
-    """Return when a client's time of `budget` microseconds is over.
+def compute_deadline(now: int, reply: Reply, budget: int) -> int:
+    """Return the deadline of a request that arrived with `budget` microseconds left.
 
-    What was not read for a while may have been sent at any time of that, and engines must not be given more time than
-    the client has left.
+    If input may have waited unread in the socket, the budget counts from its earliest possible arrival: engines must
+    not get more time than the client has left.
     """
     sent_at = reply.stale_since if reply.stale else now
     return max(sent_at + budget, now + 1)
 
 
 def is_text(statement: bytes) -> bool:
-    """Whether a statement is UTF-8 text without NUL that is not blank."""
+    """Return whether a statement is UTF-8 text without NUL that is not blank."""
     if not statement.strip() or b"\0" in statement:
         return False
     try:
--- a/rackhub/net/resolver.py
+++ b/rackhub/net/resolver.py
@@ -1,9 +1,10 @@
-"""The endpoint list by DNS over UDP.
+"""Polls the endpoint list from the resolver, by DNS over UDP.
 
-An event of the list counts as notified some seconds later whether it arrived or not, and UDP loses packets: so the
-resolver is polled often, sooner where no good answer came, every answer to a recent poll counts, and none older than
-the last one does. `poll_schedule` decides when the next poll is due. The network may lose one flow and not others, for
-good: where answers stop, polls go out from a new socket, and the old one is closed.
+The protocol considers coordinators notified of a change some seconds after it, received or not, and UDP loses packets.
+So the resolver is polled often, and sooner after a poll without a valid answer; an answer to any recent poll is
+accepted unless its list is older than the present one. `poll_schedule` computes when the next poll is due. As the
+network may permanently drop the packets of one flow, polls are sent from a new socket when answers stop, and the old
+one is closed.
 """
 
 import random
@@ -26,17 +27,17 @@
 
 
 class PendingPoll(NamedTuple):
-    """One poll: when it was sent, by the reactor's clock in seconds and by that of the lease."""
+    """A poll whose answer is still accepted."""
 
-    sent_at: float
-    lease_time: int
+    sent_at: float  # seconds of the reactor's clock
+    observer_time: int  # time that the observer returned, in microseconds
 
 
 class Resolver(DatagramProtocol):
-    """Polls the resolver and passes on each endpoint list that is new.
+    """Polls the resolver and reports each new endpoint list.
 
-    It outlives its sockets: `renew` gives it another one, and `settled` is called when an answer was quick enough for
-    that one to do alone.
+    One object uses several sockets in turn: `open_new_socket` connects it to another one, and `close_old_sockets` is
+    called when an answer was so quick that the newest socket suffices.
     """
 
     transport: Any  # Twisted's UDP port
@@ -46,47 +47,47 @@
         reactor: Any,
         server: Address,
         start: EndpointSnapshot,
-        notify: Callable[[EndpointSnapshot], None],
+        on_change: Callable[[EndpointSnapshot], None],
         limits: Limits,
         counters: Counters,
-        renew: Callable[[], None] = lambda: None,
-        lease: EndpointPollObserver | None = None,
-        settled: Callable[[], None] = lambda: None,
+        open_new_socket: Callable[[], None] = lambda: None,
+        observer: EndpointPollObserver | None = None,
+        close_old_sockets: Callable[[], None] = lambda: None,
     ):
-        """`reactor` provides Twisted's `IReactorTime`; `start` is the list known at the start."""
+        """`reactor` provides Twisted's `IReactorTime`; `start` is the list known at startup."""
         self._reactor = reactor
         self._server = server
         self._last = start
-        self._notify = notify
-        self._renew = renew
-        self._settled = settled
+        self._on_change = on_change
+        self._open_new_socket = open_new_socket
+        self._close_old_sockets = close_old_sockets
         self._limits = limits
         self._counters = counters
-        self._random = random.SystemRandom()  # ids that can't be guessed; no decision depends on them
+        self._random = random.SystemRandom()  # makes the DNS ids unpredictable; no decision depends on them
         self._schedule = PollSchedule(limits, self._random.random)
-        self._pending: dict[int, PendingPoll] = {}  # those whose answers are accepted, by DNS id
-        self._lease = lease
-        self._last_answer = b""  # the last good answer without its id: most answers repeat it
+        self._pending: dict[int, PendingPoll] = {}  # the latest polls by DNS id
+        self._observer = observer
+        self._last_answer = b""  # the last valid answer without its id, as most answers repeat it
         self._next_poll: Any = None  # an IDelayedCall
 
     def makeConnection(self, transport: Any) -> None:  # noqa: N802
-        """Poll from a new socket from now on (Twisted)."""
+        """Send further polls from a new socket (Twisted)."""
         is_first = self.transport is None
         self.transport = transport
         if is_first:
             self.startProtocol()
 
     def doStop(self) -> None:  # noqa: N802
-        """Ignore that a socket has closed: the one that took its place goes on (Twisted)."""
+        """Do nothing when a socket closes: its successor is in use (Twisted)."""
 
     def startProtocol(self) -> None:  # noqa: N802
         """Send the first poll (Twisted)."""
         self._poll()
 
-    def move(self, server: Address) -> None:
-        """Poll another resolver from now on, and at once, as the old one may have stopped answering.
+    def change_server(self, server: Address) -> None:
+        """Poll another resolver from now on, starting at once, as the old one may have stopped answering.
 
-        The events keep their numbering, so the last list holds until the new resolver has a later one.
+        Both number their lists alike, so the present list stays until the new resolver has a later one.
         """
         if server != self._server:
             self._server = server
@@ -95,9 +96,9 @@
             self._poll_after(0)
 
     def apply_configured(self, snapshot: EndpointSnapshot) -> None:
-        """Apply the list of a reloaded file if it is newer: the resolver may be behind it for a while.
+        """Apply the list of a reloaded file if it is newer, as the resolver may be behind the file for a while.
 
-        It confirms nothing: the list may be older than the file.
+        This does not renew the endpoint lease: the list may be older than the file.
         """
         if snapshot.revision > self._last.revision:
             self._apply(snapshot)
@@ -105,25 +106,25 @@
             self._last_answer = b""
 
     def _poll_after(self, delay: int) -> None:
-        """Schedule the next poll, in place of the one scheduled before; `delay` in microseconds."""
+        """Schedule the next poll after `delay` microseconds, replacing the one scheduled before."""
         if self._next_poll is not None and self._next_poll.active():
             self._next_poll.cancel()
         self._next_poll = self._reactor.callLater(delay / 1_000_000, self._poll)
 
     def _poll(self) -> None:
         needs_new_socket = self._schedule.needs_new_socket()
-        self._poll_after(self._schedule.poll_sent())  # a good answer postpones it: this one is for lost packets
+        self._poll_after(self._schedule.poll_sent())  # A retry in case of a lost packet; a valid answer postpones it.
         if needs_new_socket:
-            self._renew()
+            self._open_new_socket()
         number = self._random.randrange(DNS_IDS)
         while len(self._pending) >= self._limits.polls_open:
             del self._pending[next(iter(self._pending))]
-        lease_time = self._lease.endpoint_poll_started() if self._lease is not None else 0
-        self._pending[number] = PendingPoll(self._reactor.seconds(), lease_time)
+        observer_time = self._observer.endpoint_poll_started() if self._observer is not None else 0
+        self._pending[number] = PendingPoll(self._reactor.seconds(), observer_time)
         self._counters.add("dns_sent")
         try:
             self.transport.write(encode_query(number), self._server)
-        except OSError as fault:  # the next one may get through
+        except OSError as fault:  # The next poll may succeed.
             log.warning("resolver_unreachable", reason=str(fault))
         log.debug("poll_sent", number=number)
 
@@ -135,7 +136,7 @@
         valid_size = DNS_HEADER_SIZE <= len(packet) <= self._limits.packet
         if addr != self._server or not valid_size or number not in self._pending:
             self._counters.add("dns_bad")
-            log.debug("answer_rejected", sender=addr, size=len(packet), reason="not one of the open questions")
+            log.debug("answer_rejected", sender=addr, size=len(packet), reason="not an answer to a pending poll")
             return
         if packet[2:] == self._last_answer:
             self._poll_after(self._schedule.answer_received())
@@ -148,32 +149,32 @@
             self._counters.add("dns_bad")
             log.info("answer_rejected", reason=str(invalid))
             return
-        if snapshot.revision < self._last.revision:  # overtaken on its way, or from a server that is behind
+        if snapshot.revision < self._last.revision:  # a delayed answer, or one of a server that is behind
             log.debug("answer_rejected", rev=snapshot.revision, reason="older than the list in force")
             self._counters.add("dns_old")
             return
         self._poll_after(self._schedule.answer_received())
         self._apply(snapshot)
-        self._last_answer = packet[2:]  # not where applying it failed: the next answer applies it again
+        self._last_answer = packet[2:]  # Only after `_apply`: if that fails, the next answer applies the list again.
         self._last = snapshot
         self._confirm(number)
 
     def _apply(self, snapshot: EndpointSnapshot) -> None:
-        """Pass on a list that differs from the last one."""
+        """Report a list that differs from the last one."""
         if (snapshot.entries, snapshot.addresses) == (self._last.entries, self._last.addresses):
             return
-        if not snapshot.entries:  # valid like any other, but all requests are rejected from now on
+        if not snapshot.entries:  # An empty list is valid, but all requests are rejected from now on.
             self._counters.add("lists_empty")
             log.warning("list_empty", reason=f"the list of event {snapshot.revision} names no engine")
         self._log_changes(snapshot)
-        self._notify(snapshot)
+        self._on_change(snapshot)
 
     def _confirm(self, number: int) -> None:
         poll = self._pending[number]
-        if self._reactor.seconds() - poll.sent_at < self._schedule.silence_limit() / 1_000_000:
-            self._settled()
-        if self._lease is not None:
-            self._lease.endpoint_poll_confirmed(poll.lease_time)
+        if self._reactor.seconds() - poll.sent_at < self._schedule.max_time_to_new_socket() / 1_000_000:
+            self._close_old_sockets()
+        if self._observer is not None:
+            self._observer.endpoint_poll_confirmed(poll.observer_time)
 
     def _log_changes(self, snapshot: EndpointSnapshot) -> None:
         before = set(self._last.entries)
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -1,8 +1,8 @@
-"""Engines over TCP with RESP: many attempts on a connection, results in pages.
+"""Connections to engines by RESP over TCP, with many attempts on a connection and results in pages.
 
-A connection remembers which ids have ended on it without success. A retry of a request has the same id, so an answer
-that crossed a cancel, or a late duplicate of a rejection, would be mistaken for the new attempt's: such an id is not
-sent on that connection again, and what still comes under it is ignored.
+A retry of a request has the same id, so an answer that crossed a cancel, or a late duplicate of a rejection, would be
+mistaken for an answer to the new attempt. So a connection remembers the ids that ended on it without success, does not
+send them again, and ignores answers to them.
 """
 
 from typing import Any
@@ -22,25 +22,25 @@
 
 
 class EngineConnection(AnswerReader):
-    """One connection to an engine and the attempts on it, by the id of their request.
+    """One connection to an engine and the attempts on it, by request id.
 
-    States: dialling, up, closing (lost or dropped). Attempts in `open` that are in `_queued` too are not sent: the
-    connection is not up for them yet, or the socket is not writable.
+    States: dialling, up, closed (lost or dropped). Attempts that are both in `open` and in `_queued` are not sent yet,
+    because the connection is not up or the socket is not writable.
     """
 
     def __init__(self, pool: EnginePool, clock: Clock, limits: Limits, counters: Counters, core: Coordinator):
         super().__init__(pool, clock, limits, counters, core)
-        self.unresponsive = False  # a request timed out and nothing was received since it was sent
+        self.unresponsive = False  # set when a request times out and nothing has been received since its sending
         self.retired = False
         self._retired_at = 0
-        self.used = clock.now()
-        self._queued: dict[bytes, int] = {}  # ids in `open` that are not sent -> since when
-        self._last_sent_end = 0  # of the request that was sent last, in the bytes of the connection
+        self.last_used = clock.now()
+        self._queued: dict[bytes, int] = {}  # the ids in `open` that are not sent -> time of queueing
+        self._last_sent_end = 0  # end of the request sent last, as an offset in the bytes sent on the connection
 
-    # ---- what the pool uses
+    # ---- used by the pool
 
     def accepts(self, attempt: Attempt) -> bool:
-        """Whether a new attempt may go on this connection."""
+        """Return whether a new attempt may use this connection."""
         self._expire_failed_ids()
         id = attempt.query.id.encode()
         return not (
@@ -55,7 +55,7 @@
     def enqueue(self, attempt: Attempt) -> None:
         """Accept an attempt, which is sent in an event-loop iteration in which the socket is writable."""
         id = attempt.query.id.encode()
-        connection: Any = self  # the core does not know the ports' types
+        connection: Any = self  # `Attempt.connection` is untyped, as the core is independent of the ports
         attempt.connection = connection
         attempt.state = AttemptState.QUEUED
         self.open[id] = attempt
@@ -64,7 +64,7 @@
             self._out.request_write()
 
     def is_blocked(self) -> bool:
-        """Whether the engine does not read what was sent to it."""
+        """Return whether the engine does not read its input."""
         late = self._queued_since() < self.clock.now() - self.limits.late_iteration
         return self.up and (late or not self._out.has_sent(self._last_sent_end))
 
@@ -79,8 +79,9 @@
         self._queued.pop(id, None)
         sent_range = self._sent_ranges.pop(id, None)
         if sent_range is not None and self.up and not self.closed:
-            if not self._out.has_sent(sent_range.end):  # its rest would be sent some time, and start what is cancelled
-                self._abort("a request given up that has left in part")
+            # The transport would still send the rest of a request sent in part, and the engine would execute it.
+            if not self._out.has_sent(sent_range.end):
+                self._abort("an attempt was cancelled after a part of its request was sent")
                 return
             self._out.write(encode_command(b"shut" if id in self.partial_results else b"never_mind", id))
             self._attempt_failed(id)
@@ -89,10 +90,10 @@
         self._attempt_removed()
 
     def _check_responsive(self, cancelled: Attempt) -> None:
-        """Detect a host that has vanished, which gives no sign.
+        """Detect the silent loss of the engine's host after a cancelled attempt.
 
-        Otherwise all that follows would wait on the dead connection for its deadline, where a new connection fails in
-        the time to dial and proves that nothing ran.
+        Otherwise further attempts would wait on the dead connection until their deadlines. A new connection fails
+        within the dial timeout, which proves that nothing was executed.
         """
         waited = self.clock.now() - cancelled.sent_at
         nothing_received = self.last_received <= cancelled.sent_at
@@ -101,7 +102,7 @@
             self.counters.add("silent_connections")
 
     def promote(self, attempt: Attempt) -> None:
-        """Notify the engine of an attempt's new priority, if it is sent and has no result yet."""
+        """Notify the engine of an attempt's new priority if it is sent and has no result yet."""
         id = attempt.query.id.encode()
         if self.up and not self.closed and id in self._sent_ranges and id not in self.partial_results:
             self._out.write(encode_command(b"promote", id, b"%d" % attempt.query.priority))
@@ -114,72 +115,72 @@
             self.transport.loseConnection()
 
     def idle_since(self) -> int:
-        """Return when the connection was used last, in microseconds."""
-        return self.used
+        """Return the time of the last use of the connection, in microseconds."""
+        return self.last_used
 
     def load(self) -> int:
         """Return the number of open attempts."""
         return len(self.open)
 
     def retire(self) -> None:
-        """Accept nothing new: what is not sent goes elsewhere, what is in flight ends, then it closes."""
+        """Accept no attempts, return those not sent yet, and close when those in flight have ended."""
         self.retired = True
         self._retired_at = self.clock.now()
         for id in list(self._queued):
-            if id in self._queued:  # the end of one may have ended others
-                self._return_unsent(id, "the engine takes nothing new")
+            if id in self._queued:  # Ending one attempt may end others.
+                self._return_unsent(id, "the connection is retired")
         self.close_if_idle()
 
     def check_timeouts(self, now: int) -> None:
-        """Drop a connection on which a frame has stopped half way, as all that is open on it waits behind that frame.
+        """Return attempts that could not be sent in time, and drop the connection after a timeout.
 
-        Also one whose engine does not read the last bytes; and return what could not be sent in time.
+        A frame that stays incomplete blocks all open attempts. Bytes that a retired engine has not acknowledged could
+        still reach it much later.
         """
-        if self.closed and now - self.used > self.limits.linger_timeout:
+        if self.closed and now - self.last_used > self.limits.linger_timeout:
             self.drop()
         if self.up and not self.closed:
             self._return_timed_out(now)
-            # what the kernel holds for an engine that does not read would reach it whenever it reads again
             retired_long = self.retired and now - self._retired_at >= self.limits.retired_send_timeout
             if retired_long and self._has_unacknowledged():
-                self._abort("the engine takes nothing new and has not taken what was sent")
+                self._abort("the connection is retired and its engine has not acknowledged a request")
         if self.incomplete_since and now - self.incomplete_since > self.limits.frame_timeout and not self.closed:
-            self.malformed(InvalidFrameError("a frame that stops half way"))
+            self.malformed(InvalidFrameError("a frame that is incomplete for too long"))
 
     def connect_failed(self) -> None:
-        """End what waited for the connection, which failed or was cancelled: none of it was ever sent."""
+        """End the queued attempts, none of which was sent, as the dial failed or was cancelled."""
         self.closed = True
         self._end_all()
 
-    # ---- the end of attempts and of the connection
+    # ---- ends of attempts and of the connection
 
     def _return_unsent(self, id: bytes, why: str) -> None:
-        """End an attempt of which nothing was sent, and nothing will be."""
+        """Return an attempt as not executed, of which nothing was sent."""
         del self._queued[id]
         attempt = self.open.pop(id)
         log.debug("attempt_returned", request=attempt.query.id, engine=self.pool.name, reason=why)
         self.core.complete_attempt(attempt, "NOCONN")
 
     def _return_timed_out(self, now: int) -> None:
-        """Return what the socket did not accept for too long, as after a dial that times out."""
+        """Return the attempts for which the socket was not writable in time, as after a dial that times out."""
         for id, since in list(self._queued.items()):
             if id in self._queued and now - since >= self.limits.unwritable_timeout:
-                self._return_unsent(id, "the engine takes no bytes")
+                self._return_unsent(id, "the socket was not writable in time")
 
     def _has_unacknowledged(self) -> bool:
-        """Whether an open attempt may still have to reach the engine, as its first byte is not acknowledged."""
+        """Return whether an open attempt may not have reached the engine, as its first byte is not acknowledged."""
         acknowledged = self._out.bytes_written - self._out.unacknowledged_bytes()
         return any(sent_range.begin >= acknowledged for sent_range in self._sent_ranges.values())
 
     def _abort(self, why: str) -> None:
-        """Close at once, discarding what the process and the kernel hold."""
+        """Reset the connection, discarding unsent bytes of the process and the kernel."""
         log.info("engine_connection_aborted", engine=self.pool.name, open=len(self.open), reason=why)
         self.counters.add("engine_cuts")
         self.closed = True
         self.drop()
 
     def _attempt_removed(self) -> None:
-        self.used = self.clock.now()
+        self.last_used = self.clock.now()
         if self.unresponsive and not self.open:
             self.closed = True
             self.drop()
@@ -198,28 +199,28 @@
     # ---- sending
 
     def _writable(self) -> None:
-        """Send what is queued; after a late event-loop iteration only after reading, as a client may have left."""
+        """Send the queued attempts; after a late event-loop iteration only once clients that left are known."""
         if self.clock.now() - self._queued_since() > self.limits.late_iteration:
             self.core.timers.call_after_reads(self.limits.late_iteration, self._send_queued)
         else:
             self._send_queued()
 
     def _send_queued(self) -> None:
-        """Send what is queued and may still be sent, until the socket accepts no more."""
-        unread = False  # whether an attempt waits for what is still to be read of its client
+        """Send the queued attempts that may still be sent, until the socket accepts no more."""
+        client_unread = False  # True if an attempt waits until the input of its client has been read
         for id in list(self._queued):
             if self.closed or self._out.buffered_bytes():
                 break
             attempt = self.open.get(id)
-            if attempt is None or id not in self._queued:  # the end of one may have ended others
+            if attempt is None or id not in self._queued:  # Ending one attempt may end others.
                 continue
             if why := attempt.send_blocked_by(self.clock.now(), self.core.lease):
                 self._return_blocked(id, attempt, why)
             elif attempt.query.reply.stale:
-                unread = True
+                client_unread = True
             elif not self._send(id, attempt):
                 break
-        if unread:
+        if client_unread:
             self.core.timers.call_after_reads(ALWAYS_DEFER, self._request_write)
         else:
             self._request_write()
@@ -246,7 +247,7 @@
             return False
         del self._queued[id]
         attempt.state = AttemptState.IN_FLIGHT
-        self.used = now
+        self.last_used = now
         self._last_sent_end = self._out.bytes_written
         self._sent_ranges[id] = ByteRange(begin, self._last_sent_end)
         log.debug(
@@ -262,18 +263,18 @@
     # ---- Twisted
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Start to send, once what had come before the connection is read (Twisted)."""
+        """Start sending once the input that came before the connection has been read (Twisted)."""
         self.last_received = self.clock.now()
         log.debug("engine_connected", engine=self.pool.name, waiting=len(self.open))
         self.transport.setTcpNoDelay(True)
         self._out = SocketWriter(self.transport, self._writable)
         for id, attempt in list(self.open.items()):
-            if why := attempt.send_blocked_by(self.last_received, self.core.lease):  # it waited too long for this
+            if why := attempt.send_blocked_by(self.last_received, self.core.lease):  # The dial may have taken too long.
                 self._return_blocked(id, attempt, why)
         self.core.timers.call_after_reads(self.limits.late_iteration, self._opened)
 
     def _opened(self) -> None:
-        if self.closed:  # lost meanwhile, or what came on it was no answer
+        if self.closed:  # lost meanwhile, or dropped after malformed input
             self.transport.abortConnection()
             return
         self.up = True
@@ -284,7 +285,7 @@
             self.close_if_idle()
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        """End what is open on the connection (Twisted)."""
+        """End the open attempts (Twisted)."""
         log.debug("engine_connection_lost", engine=self.pool.name, open=len(self.open), reason=reason)
         if self.open:
             self.counters.add("engine_losses")
@@ -300,7 +301,7 @@
     """Return the engine port over RESP; `reactor` provides Twisted's `IReactorTCP`."""
 
     def make(pool: EnginePool) -> EngineConnection:
-        """Return a connection that is not up yet."""
+        """Return an unconnected link."""
         return EngineConnection(pool, clock, limits, counters, core)
 
     return EnginePools(EngineDialer(reactor, make, limits), clock, limits, counters, core, limits.engine_connections)
--- a/rackhub/net/resp_answers.py
+++ b/rackhub/net/resp_answers.py
@@ -1,7 +1,7 @@
-"""The answers of an engine over RESP: results in pages, progress, overload and errors.
+"""Handling of an engine's RESP answers: results in pages, progress reports, overload and errors.
 
-What comes twice or under an id that is not open is ignored. Bytes that can't be parsed, and an answer that is not what
-the protocol says a result is, end the connection: nothing after them can be trusted.
+Duplicates and answers to ids that are not open are ignored. Malformed bytes and invalid results end the connection, as
+nothing after them can be trusted.
 """
 
 from collections.abc import Sequence
@@ -32,12 +32,12 @@
 
 
 class PartialResult:
-    """A result of which not all pages have come: its pages by number, and the load report that came with page 0."""
+    """A result with missing pages: its pages by number, and the load report of page 0."""
 
     __slots__ = ("pages", "missing", "size", "report")
 
     def __init__(self, first: bytes, count: int, report: dict[str, float]):
-        """`first` is the first of `count` pages."""
+        """`first` is page 0 of `count` pages."""
         self.pages: list[bytes | None] = [first, *[None] * (count - 1)]
         self.missing = count - 1
         self.size = len(first)
@@ -45,46 +45,46 @@
 
 
 class ByteRange(NamedTuple):
-    """The place of a request in the bytes sent on its connection: behind `begin` of them, up to `end`."""
+    """The position of a request in the bytes sent on its connection."""
 
-    begin: int
-    end: int
+    begin: int  # offset of its first byte
+    end: int  # offset behind its last byte
 
 
 class AnswerReader(RespReader):
     """Handles the answers to the attempts that are open on a connection."""
 
-    _out: SocketWriter  # from the time on that the connection is established
+    _out: SocketWriter  # set when the connection is established
 
     def __init__(self, pool: EnginePool, clock: Clock, limits: Limits, counters: Counters, core: Coordinator):
         super().__init__(clock, limits)
         self.pool = pool
         self.counters = counters
         self.core = core
-        self.open: dict[bytes, Attempt] = {}  # by the id of their request
-        self.partial_results: dict[bytes, PartialResult] = {}
-        self._sent_ranges: dict[bytes, ByteRange] = {}  # by those ids in `open` that are sent
-        self.failed_ids: dict[bytes, int] = {}  # ids that ended here without success -> when; oldest first
-        self.up = False
+        self.open: dict[bytes, Attempt] = {}  # the open attempts by request id
+        self.partial_results: dict[bytes, PartialResult] = {}  # the incomplete results by request id
+        self._sent_ranges: dict[bytes, ByteRange] = {}  # the sent attempts in `open` by request id
+        self.failed_ids: dict[bytes, int] = {}  # request id of an attempt without success -> time of its end, in order
+        self.up = False  # True while the connection is established
 
     def give_up(self, attempt: Attempt) -> None:
         """Cancel an attempt."""
         raise NotImplementedError
 
     def _attempt_removed(self) -> None:
-        """Close the connection if nothing is open on it any more and it is of no more use."""
+        """Close the connection if no attempt is open on it and it is unresponsive or retired."""
         raise NotImplementedError
 
     def surely_not_executed(self, id: bytes) -> bool:
-        """Whether an open attempt surely never ran: not all of it has been sent.
+        """Return whether an open attempt surely was not executed, as its request has not been sent completely.
 
-        What was sent may have run, whatever happened to the connection since. What has come and is not read yet is
-        handled in time: a transport is read from before it is written to.
+        A completely sent request may have been executed, whatever happened to the connection since. Its answer can't be
+        waiting unread, as a transport is read before it is written.
         """
         return id not in self._sent_ranges or not self._out.has_sent(self._sent_ranges[id].end)
 
     def _attempt_failed(self, id: bytes) -> None:
-        """Remember an id that ended without success: a retry here could be credited with a duplicate of this end."""
+        """Remember the id of a failed attempt: a duplicate of this answer could be mistaken for that of a retry."""
         self._expire_failed_ids()
         self.failed_ids.pop(id, None)
         self.failed_ids[id] = self.clock.now()
@@ -95,12 +95,12 @@
             del self.failed_ids[oldest]
 
     def drop(self) -> None:
-        """Close at once: what is open on it is lost."""
+        """Reset the connection; its open attempts are lost."""
         if self.up:
             self.transport.abortConnection()
 
     def malformed(self, error: InvalidFrameError) -> None:
-        """Drop the connection, after bytes that can't be parsed or a corrupt answer."""
+        """Drop the connection after malformed bytes or an invalid result."""
         self.counters.add("engine_bad_frames")
         log.warning("engine_connection_dropped", engine=self.pool.name, reason=str(error), open=len(self.open))
         self.closed = True
@@ -108,7 +108,7 @@
         self.drop()
 
     def frame_received(self, strings: list[bytes]) -> None:
-        """Handle one answer; raises `InvalidFrameError`."""
+        """Handle one answer. Raises `InvalidFrameError`."""
         self._frames += 1
         self.counters.add("engine_frames")
         if len(strings) != 4:
@@ -116,10 +116,10 @@
             return
         id, kind, text, body = strings
         if kind not in ANSWER_KINDS:
-            raise InvalidFrameError(f"an answer {kind[:40]!r}")
+            raise InvalidFrameError(f"an answer of the unknown kind {kind[:40]!r}")
         fields = parse_fields(text)
         attempt = self.open.get(id) if id in self._sent_ranges else None
-        if attempt is None:  # not sent, or given up: its end was on its way, and no more comes under this id
+        if attempt is None:  # The attempt was not sent, or its cancellation crossed this answer.
             self.counters.add("engine_strays")
         elif kind == b"200":
             self._result(id, attempt, fields, body)
@@ -129,15 +129,15 @@
             self._progress(attempt, fields)
         elif kind == b"503" and id not in self.partial_results:
             self._complete(id, attempt, "FULL", parse_load_report(fields))
-        elif kind == b"504" and id not in self.partial_results:  # expired before it was read: no time for a retry
+        elif kind == b"504" and id not in self.partial_results:  # expired before execution: no time is left for a retry
             self._complete(id, attempt, "NOP", parse_load_report(fields))
-        elif kind != b"alive":  # an error, or a page that is gone: the result can't be completed any more
+        elif kind != b"alive":  # an error, or a page that is no longer available
             self._complete(id, attempt, "BAD", parse_load_report(fields))
 
     def _check_alive(self, strings: list[bytes]) -> None:
-        """An answer to a health check has two strings; it is not asked for here, but no fault."""
+        """Accept the answer to a health check, of two strings, which is valid although none is sent here."""
         if len(strings) != 2 or strings[1] != b"alive":
-            raise InvalidFrameError(f"an answer of {len(strings)} parts")
+            raise InvalidFrameError(f"an answer of {len(strings)} strings: 4, or 2 with alive, are allowed")
 
     def _progress(self, attempt: Attempt, fields: dict[bytes, bytes]) -> None:
         topic = PROGRESS_TOPICS.get(fields.get(b"remark", b""))
@@ -145,13 +145,13 @@
             self.core.report_progress(attempt, topic, parse_number(fields, b"amount", float))
 
     def _result(self, id: bytes, attempt: Attempt, fields: dict[bytes, bytes], body: bytes) -> None:
-        """Handle the first page: complete the attempt, or fetch the other pages."""
-        if id in self.partial_results:  # a duplicate: the first one counts
+        """Handle page 0 of a result: complete the attempt, or fetch the other pages."""
+        if id in self.partial_results:  # a duplicate
             self.counters.add("engine_extras")
             return
-        count = int(parse_number(fields, b"chunks", int))  # which every engine sends
+        count = int(parse_number(fields, b"chunks", int))
         if count < 1:
-            raise InvalidFrameError(f"a result of {count} pages")
+            raise InvalidFrameError(f"a result of {count} pages, at least 1 expected")
         if not is_valid_page(body, self.limits.page):
             self._corrupt(id, attempt)
         report = parse_load_report(fields)
@@ -186,13 +186,15 @@
             self._complete(id, attempt, "GOOD", partial.report, cast("tuple[bytes, ...]", tuple(partial.pages)))
 
     def _corrupt(self, id: bytes, attempt: Attempt) -> NoReturn:
-        """End the attempt, which has run, and the connection: what came is no result."""
+        """End the attempt as executed and drop the connection, as the page is invalid."""
         self.counters.add("engine_spoilt")
         self._complete(id, attempt, "BAD", {})
-        raise InvalidFrameError("an answer that is no result")
+        raise InvalidFrameError(
+            f"a page that is not complete rows of three columns, or exceeds {self.limits.page} bytes"
+        )
 
     def _too_large(self, attempt: Attempt) -> None:
-        """End an attempt whose result exceeds the limits: memory is bounded, so it has failed after it ran."""
+        """Cancel an attempt whose result exceeds the limits that bound memory. It counts as executed and failed."""
         log.warning("result_too_large", engine=self.pool.name, request=attempt.query.id)
         self.give_up(attempt)
         self.core.complete_attempt(attempt, "BAD")
--- a/rackhub/net/resp_protocol.py
+++ b/rackhub/net/resp_protocol.py
@@ -1,11 +1,11 @@
-"""RESP as engines speak it: arrays of bulk strings, fields, load reports, result pages. Pure functions, no I/O."""
+"""The engines' use of RESP: arrays of bulk strings, fields, load reports, result pages. Pure functions, no I/O."""
 
 import re
 from collections.abc import Callable
 
-# the `remark` of a status answer -> the topic of a progress report
+# `remark` field of a status answer -> topic of the progress report
 PROGRESS_TOPICS = {b"advance": 1, b"disk": 2, b"stall": 3}
-# the names of a load report on the wire -> those of the routing policy
+# names of load values on the wire -> names in the routing policy
 LOAD_REPORT_NAMES = {
     "inflight": "busy_reqs",
     "queue": "pending",
@@ -20,11 +20,11 @@
 
 
 class InvalidFrameError(ValueError):
-    """Bytes that no engine of this protocol sends: nothing after them on the connection can be trusted."""
+    """Input that violates the protocol, so that nothing after it on the connection can be trusted."""
 
 
 def encode_command(*strings: bytes) -> list[bytes]:
-    """Return the pieces of one array of bulk strings, for a gathered write."""
+    """Return the pieces of one array of bulk strings, to be written together."""
     pieces = [b"*%d\r\n" % len(strings)]
     for string in strings:
         pieces += (b"$%d\r\n" % len(string), string, b"\r\n")
@@ -32,7 +32,7 @@
 
 
 def parse_fields(text: bytes) -> dict[bytes, bytes]:
-    """Return the fields of an answer, `name=value,...` or `-`; raises `InvalidFrameError`."""
+    """Return the fields of an answer, encoded as `name=value,...`, or `-` for none. Raises `InvalidFrameError`."""
     if text == b"-":
         return {}
     fields = {}
@@ -45,20 +45,22 @@
 
 
 def parse_number(fields: dict[bytes, bytes], name: bytes, parse: Callable[[bytes], float]) -> float:
-    """Return the number in a field; raises `InvalidFrameError` where it is missing or out of range."""
+    """Return the number in a field. Raises `InvalidFrameError` if it is missing, no number or out of range."""
     try:
         value = parse(fields[name])
     except KeyError:
         raise InvalidFrameError(f"field {name.decode()} is missing") from None
     except ValueError:
-        raise InvalidFrameError(f"field {name.decode()} has the bad value {fields[name][:40]!r}") from None
-    if not -MAX_FIELD_NUMBER < value < MAX_FIELD_NUMBER:  # also NaN, which would spoil the policy's means
-        raise InvalidFrameError(f"field {name.decode()} has the bad value {fields[name][:40]!r}")
+        raise InvalidFrameError(f"field {name.decode()} is {fields[name][:40]!r}, not a number") from None
+    if not -MAX_FIELD_NUMBER < value < MAX_FIELD_NUMBER:  # NaN is rejected too, as it would corrupt averages.
+        raise InvalidFrameError(
+            f"field {name.decode()} is {fields[name][:40]!r}, its magnitude must be less than {MAX_FIELD_NUMBER:g}"
+        )
     return value
 
 
 def parse_load_report(fields: dict[bytes, bytes]) -> dict[str, float]:
-    """Return the load report of an answer, by the policy's names; values that can't be parsed are left out."""
+    """Return the load report of an answer by the policy's names, without values that are malformed or out of range."""
     report = {}
     for part in fields.get(b"report", b"").split(b";"):
         wire_name, _, text = part.partition(b":")
@@ -73,10 +75,9 @@
 
 
 def is_valid_page(body: bytes, max_size: int) -> bool:
-    """Whether this is a page: complete rows of three columns as text, of at most `max_size` bytes.
+    """Return whether this is a page: complete rows of three text columns, at most `max_size` bytes.
 
-    An engine with a fault may send a valid header with noise as its body; forwarded, that would be an answer that no
-    engine made.
+    A faulty engine may send a valid header with noise as the body, which must not be forwarded as a result.
     """
     if len(body) > max_size or not PAGE_ROWS.fullmatch(body):
         return False
--- a/rackhub/net/resp_reader.py
+++ b/rackhub/net/resp_reader.py
@@ -1,4 +1,4 @@
-"""An incremental parser of RESP arrays of bulk strings, which accepts a frame in pieces of any size."""
+"""An incremental parser of RESP arrays of bulk strings, which accepts frames in pieces of any size."""
 
 from typing import Any
 
@@ -8,20 +8,20 @@
 from rackhub.limits import Limits
 from rackhub.net.resp_protocol import InvalidFrameError
 
-ANSWER_HEADER = b"*4\r\n"  # of the array that nearly all answers are
+ANSWER_HEADER = b"*4\r\n"  # the header of nearly all answers
 ANSWER_STRINGS = 4
 BULK_MARK = ord("$")
-MAX_STRINGS = 16  # of one array
-MAX_SIZE_DIGITS = 9  # of a size in a header
+MAX_STRINGS = 16  # maximum length of an array
+MAX_SIZE_DIGITS = 9  # maximum number of digits of a size in a header
 
 
 class RespReader(LineReceiver):
-    """The receiving side of a connection: calls `frame_received` for each array.
+    """The receiving side of a connection, which calls `frame_received` for each array.
 
-    The parser's state is in `_strings_missing`: how many bulk strings the present array still needs, 0 between arrays.
+    `_strings_missing` is the number of bulk strings that the current array still lacks, 0 between arrays.
     """
 
-    MAX_LENGTH = 65_536  # of a header line, in bytes; per instance from the limits
+    MAX_LENGTH = 65_536  # maximum size of a header line in bytes; `__init__` sets it from the limits
     delimiter = b"\r\n"
     transport: Any  # Twisted's TCP connection
 
@@ -29,26 +29,26 @@
         self.clock = clock
         self.limits = limits
         self.MAX_LENGTH = limits.head
-        self.closed = False  # lost, or to be closed: nothing more is read
+        self.closed = False  # set when the connection is lost or to be closed; further input is ignored
         self.last_received = clock.now()
-        self.incomplete_since = 0  # when a frame began that is not complete yet; 0: there is none
+        self.incomplete_since = 0  # arrival of the first bytes of an incomplete frame; 0 without one
         self._strings_missing = 0
         self._strings: list[bytes] = []
-        self._string_size = -1  # of the present bulk string, with its end of line
-        self._chunks: list[bytes] = []  # of the present bulk string
+        self._string_size = -1  # size of the current bulk string with its end of line
+        self._chunks: list[bytes] = []  # the received pieces of the current bulk string
         self._chunks_size = 0
-        self._frames = 0
+        self._frames = 0  # number of received frames
 
     def frame_received(self, strings: list[bytes]) -> None:
-        """Handle one array; raises `InvalidFrameError`."""
+        """Handle one array. Raises `InvalidFrameError`."""
         raise NotImplementedError
 
     def malformed(self, error: InvalidFrameError) -> None:
-        """Handle bytes after which nothing on the connection can be trusted."""
+        """Handle malformed input, after which nothing on the connection can be trusted."""
         raise NotImplementedError
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Parse what came (Twisted)."""
+        """Parse received bytes (Twisted)."""
         if self.closed:
             return
         self.last_received = self.clock.now()
@@ -65,38 +65,38 @@
             self.malformed(error)
 
     def _between_frames(self) -> bool:
-        """Whether no part of a frame has come after the last one."""
+        """Return whether no part of a further frame has been received."""
         return not self._strings_missing and bool(self.line_mode) and not self._buffer
 
     def _read_complete_answers(self, data: bytes) -> bytes:
-        """Handle the answers that are complete at the front of `data`, and return the rest for the parser's states.
+        """Handle the complete answers at the beginning of `data`, and return the rest for the line parser.
 
-        A fast path: the states cost eight callbacks a frame.
+        This is a fast path, as the line parser makes eight callbacks per frame.
         """
-        at = 0
+        frame_start = 0
         size = len(data)
-        while data.startswith(ANSWER_HEADER, at):
+        while data.startswith(ANSWER_HEADER, frame_start):
             strings = []
-            here = at + len(ANSWER_HEADER)
+            position = frame_start + len(ANSWER_HEADER)
             for _ in range(ANSWER_STRINGS):
-                end = data.find(b"\r\n", here, here + self.limits.head)
-                length = data[here + 1 : end] if end > 0 and data[here] == BULK_MARK else b""
+                header_end = data.find(b"\r\n", position, position + self.limits.head)
+                length = data[position + 1 : header_end] if header_end > 0 and data[position] == BULK_MARK else b""
                 if not length.isdigit() or len(length) > MAX_SIZE_DIGITS:
-                    return data[at:]  # incomplete or invalid: the states tell which
-                here = end + 2 + int(length)
-                if here + 2 > size or int(length) > self.limits.frame or data[here : here + 2] != b"\r\n":
-                    return data[at:]
-                strings.append(data[end + 2 : here])
-                here += 2
-            at = here
+                    return data[frame_start:]  # incomplete or invalid, which the line parser finds out
+                position = header_end + 2 + int(length)
+                if position + 2 > size or int(length) > self.limits.frame or data[position : position + 2] != b"\r\n":
+                    return data[frame_start:]
+                strings.append(data[header_end + 2 : position])
+                position += 2
+            frame_start = position
             self.frame_received(strings)
             if self.closed:
                 return b""
-        return data[at:]
+        return data[frame_start:]
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
         """Reject a header that is too long (Twisted)."""
-        raise InvalidFrameError("a head line is too long")
+        raise InvalidFrameError(f"a header line of more than {self.MAX_LENGTH} bytes")
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         """Read the header of an array or of a bulk string (Twisted)."""
@@ -117,11 +117,11 @@
     def _size_in(header: bytes, mark: bytes, maximum: int) -> int:
         digits = header[1:]
         if header[:1] != mark or not digits.isdigit() or len(digits) > MAX_SIZE_DIGITS or int(digits) > maximum:
-            raise InvalidFrameError(f"a head {header[:40]!r}")
+            raise InvalidFrameError(f"header {header[:40]!r}, {mark.decode()} and a size up to {maximum} expected")
         return int(digits)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read a part of a bulk string (Twisted)."""
+        """Read a piece of a bulk string (Twisted)."""
         if self.closed:
             return
         chunk = data[: self._string_size - self._chunks_size]
@@ -131,7 +131,7 @@
             return
         bulk = b"".join(self._chunks) if len(self._chunks) > 1 else chunk
         if bulk[-2:] != b"\r\n":
-            raise InvalidFrameError("a bulk string without its end")
+            raise InvalidFrameError("a bulk string that is not followed by CR LF")
         self._strings.append(bulk[:-2])
         self._strings_missing -= 1
         if not self._strings_missing:
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -680,11 +680,11 @@
 """
 UNLISTENED = """
 import rackhub.net.listen as listen
-inner = listen.SharedPort._take_rest
-def take_rest(self):
+inner = listen.SharedPort._accept_queued
+def accept_queued(self):
     gate(b"unlistened")
     inner(self)
-listen.SharedPort._take_rest = take_rest
+listen.SharedPort._accept_queued = accept_queued
 """
 PATIENT = """
 import rackhub.core.deadline_monitor as deadline_monitor
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -188,7 +188,7 @@
     here = Asked()
     with caplog.at_level("INFO", logger="rackhub"):
         assert here.hear(answer(here.number, 4, A, A)) == []
-    assert here.counters["dns_bad"] == 1 and "'a' is named twice" in caplog.text
+    assert here.counters["dns_bad"] == 1 and "'a' has two SRV records" in caplog.text
 
 
 def test_a_list_that_names_none_is_told_of(caplog):
@@ -203,7 +203,7 @@
     """At a reload the old address stops answering; the numbers go on, so an older list from the new one is none."""
     here = Asked()
     here.hear(answer(here.number, 5, A))
-    here.resolver.move(("127.0.0.8", 53))
+    here.resolver.change_server(("127.0.0.8", 53))
     here.clock.advance(0)
     assert len(here.sent) == 2 and here.server == ("127.0.0.8", 53)
     here.resolver.datagramReceived(answer(here.number, 6, B), ("127.0.0.9", 53))
