--- a/rackhub/fleet/members/part.py
+++ b/rackhub/fleet/members/part.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import defer
 
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 from rackhub.fleet.link.limits import Limits
 from rackhub.fleet.link.port import UdpPort
 from rackhub.fleet.members import boots
@@ -54,18 +54,18 @@
         start = Start(
             settings.cluster,
             settings.name,
-            settings.told,
+            settings.advertised_address,
             boots.first(settings.state),
             serves,
             settings.site,
-            [address(text, "join") for text in settings.join],
+            [parse_ipv4_address(text, "join") for text in settings.join],
             seed,
         )
         self.core = Core(start, timing(settings), self._limits, self._clock.now())
         self.members = MembersView(self.core)
         self.board = BoardView(self.core, self)
         self.mail = MailView(self, self.core.here.count)
-        self.port = UdpPort(reactor, settings.bind, self._came, self.core.here.count)
+        self.port = UdpPort(reactor, settings.listen_address, self._came, self.core.here.count)
         self._timer: Any = None
         self._on = False
         self._waits: Callable[[], None] | None = None  # cancels the next try of an address that is taken
@@ -133,7 +133,7 @@
                     self._safe(self.members.changed, effect)
                 case Posted():
                     self._safe(self.board.posted, effect)
-                case Mailed(sender) if sender == self.members.me:
+                case Mailed(sender) if sender == self.members.local_name:
                     self.later(0, lambda effect=effect: self._safe(self.mail.mailed, effect))  # type: ignore[misc]
                 case Mailed():
                     self._safe(self.mail.mailed, effect)
--- a/rackhub/net/client.py
+++ b/rackhub/net/client.py
@@ -4,7 +4,7 @@
 
 from rackhub import logs
 from rackhub.core.request import Reply
-from rackhub.core.timers import ALWAYS_DEFER
+from rackhub.core.timers import DEFER_UNCONDITIONALLY
 
 if TYPE_CHECKING:
     from rackhub.net.front import Front
@@ -34,7 +34,7 @@
         self.penalty_until = 0  # end of the pause in reading after invalid messages
         self.closed_at = 0  # time at which the writing side was closed
         self.reading_stopped = False
-        self.stale_since = 0  # earliest arrival of input that may still be unread in the socket
+        self.unread_input_since = 0  # earliest arrival of input that may still be unread in the socket
         self._reading_stopped_at = 0
         self._reading_changes = 0  # incremented at each change, which voids the check scheduled before
         self.has_sent_message = False
@@ -111,11 +111,11 @@
     def record_fault(self) -> None:
         """Count an invalid message, which was answered with an error.
 
-        After `limits.free_faults` of them, each further one pauses reading for a time that doubles up to
+        After `limits.faults_before_pause` of them, each further one pauses reading for a time that doubles up to
         `limits.max_fault_pause`: clients that send invalid messages at full speed would take most of the CPU.
         """
         self.invalid_messages += 1
-        excess = self.invalid_messages - self.front.limits.free_faults
+        excess = self.invalid_messages - self.front.limits.faults_before_pause
         if excess <= 0 or self.ending:
             return
         now = self.core.clock.now()
@@ -124,12 +124,12 @@
         self.penalty_until = now + min(pause, self.front.limits.max_fault_pause)
         if not timer_runs:
             self.counters.add("clients_slowed")
-            self.core.timers.at(self.penalty_until, self._check_penalty)
+            self.core.timers.call_at(self.penalty_until, self._check_penalty)
             self.update_reading()
 
     def _check_penalty(self) -> None:
         if self.core.clock.now() < self.penalty_until:
-            self.core.timers.at(self.penalty_until, self._check_penalty)
+            self.core.timers.call_at(self.penalty_until, self._check_penalty)
         else:
             self.update_reading()
 
@@ -147,43 +147,43 @@
             return
         self._reading_changes += 1
         if self.reading_stopped:
-            self.stale = self.stale or self.reading_paused
+            self.may_have_unread_input = self.may_have_unread_input or self.reading_paused
             self.reading_stopped = False
             self.transport.resumeProducing()
             self._check_after_reads()
         else:
             self._reading_stopped_at = self.core.clock.now()
-            self.stale_since = self.stale_since or self._reading_stopped_at
+            self.unread_input_since = self.unread_input_since or self._reading_stopped_at
             self.reading_stopped = True
             self.transport.pauseProducing()
 
     def record_read(self, size: int) -> None:
         """Record that `size` bytes of one read have been handled; after a full read more may be left in the kernel."""
-        if size >= self.front.limits.read:
+        if size >= self.front.limits.socket_read_bytes:
             self._check_after_reads()
             return
-        self.stale = False
-        self.stale_since = self._reading_stopped_at if self.reading_stopped else 0
+        self.may_have_unread_input = False
+        self.unread_input_since = self._reading_stopped_at if self.reading_stopped else 0
 
     def _check_after_reads(self) -> None:
         """Check for unread input after all sockets have been read: an empty socket causes no read event."""
-        if self.stale_since and not self.reading_stopped:
+        if self.unread_input_since and not self.reading_stopped:
             self._reading_changes += 1
-            self.core.timers.call_after_reads(ALWAYS_DEFER, self._sockets_read, self._reading_changes)
+            self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._sockets_read, self._reading_changes)
 
     def _sockets_read(self, reading_changes: int) -> None:
         """Record that nothing is unread, unless reading has stopped or a full read has come since the scheduling."""
         if reading_changes == self._reading_changes:
-            self.stale = False
-            self.stale_since = 0
+            self.may_have_unread_input = False
+            self.unread_input_since = 0
 
     @property
     def reading_paused(self) -> bool:  # type: ignore[override]
         """Whether a cancel or the close of the client may be unread.
 
-        False for the first `limits.late_iteration` of a pause: one answer that fills the buffer pauses reading for an
-        event-loop iteration. If input was unread already, that time counts from its arrival, as reading can resume and
-        pause again without a read in between.
+        False for the first `limits.late_iteration_delay` of a pause: one answer that fills the buffer pauses reading
+        for an event-loop iteration. If input was unread already, that time counts from its arrival, as reading can
+        resume and pause again without a read in between.
         """
-        unread_for = self.core.clock.now() - self.stale_since
-        return self.reading_stopped and unread_for > self.front.limits.late_iteration
+        unread_for = self.core.clock.now() - self.unread_input_since
+        return self.reading_stopped and unread_for > self.front.limits.late_iteration_delay
--- a/rackhub/net/front.py
+++ b/rackhub/net/front.py
@@ -53,7 +53,7 @@
         self.connections: set[Client] = set()
         self._aborted: set[Client] = set()  # aborted connections whose descriptors are not free yet
         self.replaced = False  # set when the process ends and another one serves on the same address
-        core.timers.at(core.clock.now() + limits.client_check_interval, self.check_timeouts)
+        core.timers.call_at(core.clock.now() + limits.client_check_interval, self.check_timeouts)
 
     def buildProtocol(self, addr: object) -> protocol.Protocol | None:  # noqa: N802
         """Accept a connection, or close it if there are too many: engines need the other descriptors (Twisted)."""
@@ -102,8 +102,8 @@
         holds is read first and may be the awaited message.
         """
         now = self.core.clock.now()
-        self.core.timers.at(now + self.limits.client_check_interval, self.check_timeouts)
-        self.core.timers.at(now, self._end_timed_out, now)
+        self.core.timers.call_at(now + self.limits.client_check_interval, self.check_timeouts)
+        self.core.timers.call_at(now, self._end_timed_out, now)
 
     def _end_timed_out(self, now: int) -> None:
         """Apply the timeouts, with a shorter idle timeout while more than half of the connections are in use.
--- a/rackhub/net/jsonrpc.py
+++ b/rackhub/net/jsonrpc.py
@@ -114,7 +114,7 @@
             complete = data.rfind(b"\n") + 1
             self.record_received(complete > 0, complete < len(data))
         *lines, self._buffer = (self._buffer + data).split(b"\n")
-        max_length = self.front.limits.request_bytes
+        max_length = self.front.limits.max_request_bytes
         self._processing_lines = True
         for line in lines:
             if self.ending:
@@ -158,7 +158,7 @@
 
     def _too_long(self) -> None:
         self.counters.add("too_long")
-        self.end_with_error(f"the line is longer than {self.front.limits.request_bytes} bytes")
+        self.end_with_error(f"the line is longer than {self.front.limits.max_request_bytes} bytes")
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         """Decode and handle one message."""
@@ -217,12 +217,12 @@
             self.counters.add("bad_method")
             self._error(id, METHOD_NOT_FOUND, "unknown method")
             return
-        if len(self.open) >= self.front.limits.open_requests:
+        if len(self.open) >= self.front.limits.max_requests_per_client:
             self.counters.add("too_many_open")
             self._error(
                 id,
                 INVALID_REQUEST,
-                f"too many open requests on this connection: at most {self.front.limits.open_requests}",
+                f"too many open requests on this connection: at most {self.front.limits.max_requests_per_client}",
             )
             return
         try:
@@ -345,7 +345,7 @@
         elif self.draining and not self.open:
             # Two timers in a row: only between them are all sockets sure to have been read.
             now = self.core.clock.now()
-            self.core.timers.at(now, self.core.timers.at, now, self._drained)
+            self.core.timers.call_at(now, self.core.timers.call_at, now, self._drained)
 
     def _drained(self) -> None:
         """End the connection: input that the kernel held at the last answer has been read and accepted."""
@@ -358,4 +358,4 @@
     timeouts = ClientTimeouts(
         limits.first_message_timeout, limits.message_timeout, limits.client_idle_timeout, limits.write_timeout
     )
-    return Front(JsonRpcConnection, core, limits, counters, limits.client_connections, timeouts)
+    return Front(JsonRpcConnection, core, limits, counters, limits.max_client_connections, timeouts)
--- a/rackhub/net/platform_source.py
+++ b/rackhub/net/platform_source.py
@@ -52,7 +52,7 @@
         `reread` reads and validates the file again, and raises `ValueError` if it is invalid.
         """
         self.settings = settings
-        self.start = start
+        self.initial_snapshot = start
         self._reactor = reactor
         self._server = server
         self._limits = limits
@@ -61,14 +61,14 @@
         self._resolver: Resolver | None = None
         self._ports: list[Any] = []  # UDP ports: the last one sends the polls, the others may still receive answers
 
-    def follow(
+    def subscribe(
         self, on_change: Callable[[EndpointSnapshot], None], observer: EndpointPollObserver | None = None
     ) -> None:
         """Start polling. Calls `on_change` with each new list, and notifies `observer` of polls and valid answers."""
         self._resolver = Resolver(
             self._reactor,
             self._server,
-            self.start,
+            self.initial_snapshot,
             on_change,
             self._limits,
             self._counters,
@@ -79,13 +79,13 @@
         self._ports = [self._open_port()]
 
     def _open_port(self) -> Any:
-        return self._reactor.listenUDP(0, self._resolver, maxPacketSize=self._limits.packet)
+        return self._reactor.listenUDP(0, self._resolver, maxPacketSize=self._limits.max_dns_response_bytes)
 
     def _open_new_socket(self) -> None:
         """Send further polls from a new socket, or from the present one if no descriptor is free.
 
-        Up to `limits.resolver_sockets` stay open: otherwise an answer that takes longer than the interval between two
-        sockets would never be received.
+        Up to `limits.max_resolver_sockets` stay open: otherwise an answer that takes longer than the interval between
+        two sockets would never be received.
         """
         try:
             port = self._open_port()
@@ -95,7 +95,7 @@
         self._counters.add("dns_sockets")
         log.debug("resolver_socket_renewed", reason="no valid answer", port=port.getHost().port)
         self._ports.append(port)
-        self._close_oldest(self._limits.resolver_sockets)
+        self._close_oldest(self._limits.max_resolver_sockets)
 
     def _close_old_sockets(self) -> None:
         self._close_oldest(1)
--- a/rackhub/net/pool.py
+++ b/rackhub/net/pool.py
@@ -147,7 +147,7 @@
         core: Coordinator,
         max_links: int,
     ):
-        """`max_links` limits the connections to one engine, `limits.engine_links` those to all engines together."""
+        """`max_links` limits the connections to one engine, `limits.max_engine_connections` those to all engines."""
         self._dial = dial
         self._clock = clock
         self._limits = limits
@@ -212,7 +212,7 @@
         crowded = (
             best.load() >= self._limits.attempts_before_spread and len(pool.links) < self._limits.max_spread_connections
         )
-        return crowded and len(self._all_links()) < self._limits.engine_links * 3 // 4
+        return crowded and len(self._all_links()) < self._limits.max_engine_connections * 3 // 4
 
     def _all_pools(self) -> Iterable[EnginePool]:
         return (*self.pools.values(), *self.retired)
@@ -221,9 +221,9 @@
         return [link for pool in self._all_pools() for link in pool.links]
 
     def _reserve_descriptor(self) -> bool:
-        """Return whether one more connection is within `limits.engine_links`, closing an idle one if necessary."""
+        """Return whether one more connection is within `limits.max_engine_connections`, after closing an idle one."""
         links = self._all_links()
-        if len(links) < self._limits.engine_links:
+        if len(links) < self._limits.max_engine_connections:
             return True
         self._counters.add("over_engine_links")
         idle = [link for link in links if not link.load() and not link.closed]
@@ -258,7 +258,7 @@
         Connections close after two thirds of the engine's idle timeout, so that no request crosses the engine's close.
         """
         now = self._clock.now()
-        idle_limit = now - self._limits.engine_idle * 2 // 3
+        idle_limit = now - self._limits.engine_idle_timeout * 2 // 3
         for link in self._all_links():
             link.check_timeouts(now)
             if link.idle_since() < idle_limit:
--- a/rackhub/net/request_validation.py
+++ b/rackhub/net/request_validation.py
@@ -87,7 +87,7 @@
     If input may have waited unread in the socket, the budget counts from its earliest possible arrival: engines must
     not get more time than the client has left.
     """
-    sent_at = reply.stale_since if reply.stale else now
+    sent_at = reply.unread_input_since if reply.may_have_unread_input else now
     return max(sent_at + budget, now + 1)
 
 
--- a/rackhub/net/resolver.py
+++ b/rackhub/net/resolver.py
@@ -117,7 +117,7 @@
         if needs_new_socket:
             self._open_new_socket()
         number = self._random.randrange(DNS_IDS)
-        while len(self._pending) >= self._limits.polls_open:
+        while len(self._pending) >= self._limits.max_pending_polls:
             del self._pending[next(iter(self._pending))]
         observer_time = self._observer.endpoint_poll_started() if self._observer is not None else 0
         self._pending[number] = PendingPoll(self._reactor.seconds(), observer_time)
@@ -133,7 +133,7 @@
         number = int.from_bytes(packet[:2], "big")
         self._counters.add("dns_in")
         log.debug("poll_answered", number=number, size=len(packet))
-        valid_size = DNS_HEADER_SIZE <= len(packet) <= self._limits.packet
+        valid_size = DNS_HEADER_SIZE <= len(packet) <= self._limits.max_dns_response_bytes
         if addr != self._server or not valid_size or number not in self._pending:
             self._counters.add("dns_bad")
             log.debug("answer_rejected", sender=addr, size=len(packet), reason="not an answer to a pending poll")
--- a/rackhub/net/resp_reader.py
+++ b/rackhub/net/resp_reader.py
@@ -28,7 +28,7 @@
     def __init__(self, clock: Clock, limits: Limits):
         self.clock = clock
         self.limits = limits
-        self.MAX_LENGTH = limits.head
+        self.MAX_LENGTH = limits.max_resp_header_bytes
         self.closed = False  # set when the connection is lost or to be closed; further input is ignored
         self.last_received = clock.now()
         self.incomplete_since = 0  # arrival of the first bytes of an incomplete frame; 0 without one
@@ -79,12 +79,16 @@
             strings = []
             position = frame_start + len(ANSWER_HEADER)
             for _ in range(ANSWER_STRINGS):
-                header_end = data.find(b"\r\n", position, position + self.limits.head)
+                header_end = data.find(b"\r\n", position, position + self.limits.max_resp_header_bytes)
                 length = data[position + 1 : header_end] if header_end > 0 and data[position] == BULK_MARK else b""
                 if not length.isdigit() or len(length) > MAX_SIZE_DIGITS:
                     return data[frame_start:]  # incomplete or invalid, which the line parser finds out
                 position = header_end + 2 + int(length)
-                if position + 2 > size or int(length) > self.limits.frame or data[position : position + 2] != b"\r\n":
+                if (
+                    position + 2 > size
+                    or int(length) > self.limits.max_resp_string_bytes
+                    or data[position : position + 2] != b"\r\n"
+                ):
                     return data[frame_start:]
                 strings.append(data[header_end + 2 : position])
                 position += 2
@@ -108,7 +112,7 @@
             if not self._strings_missing:
                 raise InvalidFrameError("an empty array")
         else:
-            self._string_size = self._size_in(line, b"$", self.limits.frame) + len(self.delimiter)
+            self._string_size = self._size_in(line, b"$", self.limits.max_resp_string_bytes) + len(self.delimiter)
             self._chunks = []
             self._chunks_size = 0
             self.setRawMode()  # type: ignore[no-untyped-call]
--- a/rackhub/trials/virtual/rig.py
+++ b/rackhub/trials/virtual/rig.py
@@ -302,7 +302,7 @@
             settings, number + 1, self, Timers(self, ReactorWaker(world.clock)), limits, self.counters
         )
         self.pools = EnginePools(
-            lambda pool: Wire(self, pool), self, limits, self.counters, self.core, limits.engine_connections
+            lambda pool: Wire(self, pool), self, limits, self.counters, self.core, limits.max_connections_per_engine
         )
         self.asking, self._next = PollSchedule(limits, self.random.random), None
         self.gone: dict[str, float] = {}  # engines that it was told are gone, and when
@@ -390,7 +390,7 @@
             tenants=(t.TenantSettings("one"),),
             gateways=scene.coordinators,
             kind_cores={"std": scene.cores},
-            period=5 * MS,
+            clock_period=5 * MS,
             priorities=True,
             progress_report_interval=SECOND,
             cancel=True,
