--- a/rackhub/fleet/control/fleet_status.py
+++ b/rackhub/fleet/control/fleet_status.py
@@ -28,14 +28,14 @@
     """Return the response. Ages are milliseconds by this gateway's clock; in `hears`, None means unknown."""
     members = membership.members
     now = membership.now()
-    living = sorted(members.live())
+    live = sorted(members.live())
     table = membership.core.table
     return {
         "me": members.local_name,
         "members": {name: _describe_member(member, now) for name, member in sorted(members.all().items())},
         "heard": sorted(members.reachable()),
         "hears": {
-            one: {other: members.receives_from(one, other) for other in living if other != one} for one in living
+            one: {other: members.receives_from(one, other) for other in live if other != one} for one in live
         },
         "board": {
             kind: {record.owner: _describe_record(record) for record in records}
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -18,7 +18,7 @@
 from msgspec.structs import replace
 from replacement_harness import CoordinatorProcess, DelayedEngine, free_ports, start_resolver, wait_until
 from test_config import SETTINGS, endpoint, platform_config, watch_notice
-from test_listen import Adopting
+from test_listen import AdoptingReactor
 from twisted.internet import reactor
 
 from rackhub.net.jsonrpc import JsonRpcConnection
@@ -889,7 +889,7 @@
     """accept took it, so that there was none for the reactor's copy: the fault went into the Deferred that the end of
     the process waits for, and it never came."""
 
-    class Full(Adopting):
+    class Full(AdoptingReactor):
         def adoptStreamConnection(self, fd, family, factory):  # noqa: N802 - Twisted's name
             raise OSError(errno.EMFILE, "too many open files")
 
--- a/tests/test_listen.py
+++ b/tests/test_listen.py
@@ -1,4 +1,4 @@
-"""Two processes of one coordinator on one client port while one replaces the other."""
+"""Two processes of a coordinator on one client port while one replaces the other."""
 
 import os
 import socket
@@ -10,26 +10,28 @@
 from rackhub.net.listen import SharedPort
 
 
-class Adopting:
-    """What the reactor does with sockets handed to it: keeps a copy of their descriptor. It accepts nothing itself,
-    as Twisted's port does whose bound for a turn is reached."""
+class AdoptingReactor:
+    """A reactor that duplicates the descriptors of adopted sockets, and accepts no connections by itself.
+
+    Twisted's port does the same in an event-loop iteration in which it has reached its maximum.
+    """
 
     def __init__(self):
-        self.listening = self.taken = None
+        self.listening = self.adopted = None
 
     def adoptStreamPort(self, fd, family, factory):  # noqa: N802 - Twisted's name
-        self.listening, self.taken = socket.socket(family, socket.SOCK_STREAM, fileno=os.dup(fd)), []
+        self.listening, self.adopted = socket.socket(family, socket.SOCK_STREAM, fileno=os.dup(fd)), []
         return self
 
     def adoptStreamConnection(self, fd, family, factory):  # noqa: N802 - Twisted's name
-        self.taken.append(socket.socket(family, socket.SOCK_STREAM, fileno=os.dup(fd)))
+        self.adopted.append(socket.socket(family, socket.SOCK_STREAM, fileno=os.dup(fd)))
 
     def stopListening(self):  # noqa: N802 - Twisted's name
         self.listening.close()
         return defer.succeed(None)
 
     def accept(self):
-        """How many connections wait in the queue; they are taken."""
+        """Accept the queued connections and return their number."""
         self.listening.setblocking(False)
         count = 0
         while True:
@@ -40,8 +42,8 @@
             count += 1
 
 
-class Place:
-    """A port, and the processes that share it."""
+class SharedAddress:
+    """A port with the processes that share it."""
 
     def __init__(self):
         with socket.socket() as probe:
@@ -50,17 +52,17 @@
         self.reactors, self.ports = [], []
 
     def process(self):
-        reactor = Adopting()
+        reactor = AdoptingReactor()
         self.ports.append(SharedPort(reactor, "127.0.0.1", self.port, None, 128))
         self.reactors.append(reactor)
         return reactor, self.ports[-1]
 
-    def dial(self, count):
+    def connect(self, count):
         return [socket.create_connection(("127.0.0.1", self.port)) for _ in range(count)]
 
-    def spread(self, *reactors):
-        """How 64 connections are spread over the processes."""
-        clients = self.dial(64)
+    def count_accepted(self, *reactors):
+        """Return how many of 64 connections the kernel gives to each process."""
+        clients = self.connect(64)
         counts = [reactor.accept() for reactor in reactors]
         for client in clients:
             client.close()
@@ -69,57 +71,61 @@
 
 
 @pytest.fixture
-def place():
-    here = Place()
-    yield here
-    for reactor, port in zip(here.reactors, here.ports, strict=True):
+def address():
+    shared = SharedAddress()
+    yield shared
+    for reactor, port in zip(shared.reactors, shared.ports, strict=True):
         port._socket.close()
-        for each in (reactor.listening, *reactor.taken):
+        for each in (reactor.listening, *reactor.adopted):
             each.close()
 
 
-def test_a_second_process_binds_beside_the_first_and_both_take_connections(place):
-    old, _ = place.process()
-    new, _ = place.process()
-    assert min(place.spread(old, new)) > 0  # by hash: all on one side is a chance of 1 in 2**63
+def test_two_processes_share_new_connections(address):
+    old, _ = address.process()
+    new, _ = address.process()
+    # The kernel distributes by hash: all go to one process with a probability of 2**-63.
+    assert min(address.count_accepted(old, new)) > 0
 
 
-def test_newcomers_are_handed_over_to_the_second_process_and_the_third_starts_from_a_spread(place):
-    old, port = place.process()
+def test_hand_over_directs_new_connections_to_the_second_process_until_a_third_binds(address):
+    old, port = address.process()
     assert port.hand_over()
-    assert place.spread(old) == [64]  # nobody is there to hand them to
-    new, second = place.process()
-    assert min(place.spread(old, new)) > 0  # its start undoes the choice
+    assert address.count_accepted(old) == [64]  # There is no second process yet.
+    new, second = address.process()
+    assert min(address.count_accepted(old, new)) > 0  # Its start detaches the program.
     assert port.hand_over()
-    assert place.spread(old, new) == [0, 64]
+    assert address.count_accepted(old, new) == [0, 64]
     port.close()
-    assert place.spread(new) == [64]
-    third, _ = place.process()
-    assert min(place.spread(new, third)) > 0
+    assert address.count_accepted(new) == [64]
+    third, _ = address.process()
+    assert min(address.count_accepted(new, third)) > 0
     assert second.hand_over()
-    assert place.spread(new, third) == [0, 64]
+    assert address.count_accepted(new, third) == [0, 64]
+
 
+def test_queued_connections_are_accepted_before_the_socket_closes(address):
+    """Guards against connections that are reset because they are still queued when Twisted's port closes.
 
-def test_what_waits_in_the_queue_is_taken_before_the_socket_closes(place):
-    """Twisted's port takes as many connections a turn as it took the turn before, and closes a turn later: of those
-    that came within 0.9 s after SIGTERM up to six in a replacement were reset."""
-    old, port = place.process()
-    clients = place.dial(40)
+    The port accepts as many connections in an iteration as in the one before, and closes one iteration later. Up to six
+    connections per replacement, made within 0.9 s after SIGTERM, were reset.
+    """
+    old, port = address.process()
+    clients = address.connect(40)
     for client in clients:
         client.sendall(b"hello")
     port.close()
-    assert len(old.taken) == 40
-    heard = [taken.recv(16) for taken in old.taken]
-    assert heard == [b"hello"] * 40
+    assert len(old.adopted) == 40
+    received = [adopted.recv(16) for adopted in old.adopted]
+    assert received == [b"hello"] * 40
     for client in clients:
         client.close()
     with pytest.raises(ConnectionRefusedError):
-        place.dial(1)
+        address.connect(1)
 
 
-def test_an_address_held_without_sharing_is_a_fault_that_names_it(place):
+def test_binding_an_address_in_use_without_reuseport_fails_and_names_the_port(address):
     with socket.socket() as other:
-        other.bind(("127.0.0.1", place.port))
+        other.bind(("127.0.0.1", address.port))
         other.listen(1)
-        with pytest.raises(CannotListenError, match=str(place.port)):
-            place.process()
+        with pytest.raises(CannotListenError, match=str(address.port)):
+            address.process()
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -1,4 +1,4 @@
-"""The list of engines by DNS: what an answer means, and packets that must change nothing."""
+"""Polling the endpoint list by DNS: the parsing of answers, the schedule of polls, and answers to be ignored."""
 
 import random
 
@@ -17,7 +17,10 @@
 
 
 def answer(number, serial, *engines, rcode=0, drop=()):
-    """A packet as the resolver sends it, names compressed; an engine is (name, address, priority, started[, port])."""
+    """Return an answer of the resolver with compressed names.
+
+    An engine is (name, address, priority, started[, port]).
+    """
     message = dns.Message(id=number, answer=1, rCode=rcode, maxSize=65_000)
     message.queries = [dns.Query(SERVICE, dns.SRV, dns.IN)]
     for name, address, priority, started, *port in engines:
@@ -37,8 +40,8 @@
 A, B = ("a", "127.0.0.1", 0, 0), ("b", "127.0.0.2", 1, 1_700_000_000_123)
 
 
-class Asked:
-    """A resolver's client on a wire in memory."""
+class PolledResolver:
+    """A `Resolver` with its transport in memory."""
 
     def __init__(self, seed=1):
         self.clock, self.counters, self.lists, self.sent = Clock(), Counters(), [], []
@@ -57,21 +60,21 @@
     def number(self):
         return int.from_bytes(self.sent[-1][:2], "big")
 
-    def hear(self, packet):
+    def receive(self, packet):
         self.resolver.datagramReceived(packet, self.server)
         return self.lists
 
 
-def test_the_question_is_one_that_a_resolver_reads():
+def test_encode_query_is_a_valid_srv_query():
     message = dns.Message()
     message.fromStr(encode_query(513))
     assert message.id == 513 and message.recDes and len(message.queries) == 1
     assert (message.queries[0].name.name, message.queries[0].type) == (SERVICE, dns.SRV)
 
 
-def test_an_answer_is_the_whole_list():
-    listing = parse_answer(answer(1, 41, A, B))
-    first, second = listing.entries
+def test_parse_answer_returns_all_entries():
+    snapshot = parse_answer(answer(1, 41, A, B))
+    first, second = snapshot.entries
     assert (first.engine, first.zone, first.kind, first.cell, first.state, first.size, first.started_at) == (
         "a",
         "east",
@@ -82,10 +85,10 @@
         0,
     )
     assert (second.state, second.started_at) == ("Terminating", 1_700_000_000_123_000)
-    assert listing.revision == 41 and listing.addresses == {"a": ("127.0.0.1", 5050), "b": ("127.0.0.2", 5050)}
+    assert snapshot.revision == 41 and snapshot.addresses == {"a": ("127.0.0.1", 5050), "b": ("127.0.0.2", 5050)}
 
 
-def test_an_empty_list_is_an_answer_too():
+def test_parse_answer_accepts_an_empty_list():
     assert parse_answer(answer(1, 41)).entries == ()
 
 
@@ -102,14 +105,14 @@
         b"\0" * 12,
     ],
 )
-def test_half_an_answer_is_none(packet):
+def test_parse_answer_rejects_incomplete_answers(packet):
     with pytest.raises(InvalidAnswerError):
         parse_answer(packet)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
 @given(st.data())
-def test_bytes_changed_or_cut_never_raise_anything_else(data):
+def test_parse_answer_raises_only_invalid_answer_error(data):
     packet = bytearray(answer(1, 41, A, B))
     for _ in range(data.draw(st.integers(0, 4))):
         packet[data.draw(st.integers(0, len(packet) - 1))] = data.draw(st.integers(0, 255))
@@ -119,115 +122,114 @@
         pass
 
 
-def test_it_asks_again_and_again_and_takes_the_answer_to_any_recent_query():
-    """A lost packet must not cost the seconds after which news counts as told."""
-    here = Asked()
-    first = here.number
-    for turn in range(5):
-        here.clock.advance((LIMITS.poll_retry_interval << turn) / 1e6)
-    assert len(here.sent) == 6 and here.server == ("127.0.0.9", 53)
-    assert len(here.hear(answer(first, 4, A))) == 1
-
-
-def test_it_asks_seldom_once_it_is_answered_and_soon_where_the_answer_was_none():
-    here = Asked()
-    here.hear(answer(here.number, 4, A))
-    here.clock.advance(LIMITS.poll_retry_interval / 1e6)
-    assert len(here.sent) == 1
-    here.clock.advance(LIMITS.poll_interval / 1e6)
-    assert len(here.sent) == 2
-    here.hear(answer(here.number, 5, A, rcode=2))
-    here.hear(answer(here.number, 3, A))  # from a server that is behind
-    here.clock.advance(LIMITS.poll_retry_interval / 1e6)
-    assert len(here.sent) == 3
-    here.hear(answer(here.number, 4, A))
-    here.clock.advance(LIMITS.poll_retry_interval / 1e6)
-    assert len(here.sent) == 3
-
-
-@pytest.mark.parametrize("answers, least, most", [(True, 150, 200), (False, 60, 110)])
-def test_what_a_fleet_of_forty_asks_is_bounded_and_spread(answers, least, most):
-    """Each asked again 60 ms after every call that failed: 660 calls a second at a resolver that could not keep up."""
-    fleet = [Asked(seed) for seed in range(40)]
-    calls = []
+def test_polls_are_retried_and_an_answer_to_any_recent_one_is_accepted():
+    """Guards against a lost packet that delays a list until the coordinator counts as notified of it."""
+    polled = PolledResolver()
+    first = polled.number
+    for step in range(5):
+        polled.clock.advance((LIMITS.poll_retry_interval << step) / 1e6)
+    assert len(polled.sent) == 6 and polled.server == ("127.0.0.9", 53)
+    assert len(polled.receive(answer(first, 4, A))) == 1
+
+
+def test_polls_are_rare_after_a_valid_answer_and_frequent_after_an_invalid_one():
+    polled = PolledResolver()
+    polled.receive(answer(polled.number, 4, A))
+    polled.clock.advance(LIMITS.poll_retry_interval / 1e6)
+    assert len(polled.sent) == 1
+    polled.clock.advance(LIMITS.poll_interval / 1e6)
+    assert len(polled.sent) == 2
+    polled.receive(answer(polled.number, 5, A, rcode=2))
+    polled.receive(answer(polled.number, 3, A))  # an answer of a server that is behind
+    polled.clock.advance(LIMITS.poll_retry_interval / 1e6)
+    assert len(polled.sent) == 3
+    polled.receive(answer(polled.number, 4, A))
+    polled.clock.advance(LIMITS.poll_retry_interval / 1e6)
+    assert len(polled.sent) == 3
+
+
+@pytest.mark.parametrize("answers, min_rate, max_rate", [(True, 150, 200), (False, 60, 110)])
+def test_forty_coordinators_poll_at_a_bounded_and_even_rate(answers, min_rate, max_rate):
+    """Guards against retries 60 ms after every failed poll: an overloaded resolver received 660 polls per second."""
+    fleet = [PolledResolver(seed) for seed in range(40)]
+    polls = []
     for _ in range(400):
-        for here in fleet:
-            before = len(here.sent)
-            here.clock.advance(0.01)
-            if answers and len(here.sent) > before:
-                here.hear(answer(here.number, 4, A))
-        calls.append(sum(len(here.sent) for here in fleet))
-    seconds = [calls[at + 100] - calls[at] for at in range(100, 300)]
-    assert least <= min(seconds) and max(seconds) <= most
-    turns = [calls[at + 1] - calls[at] for at in range(200, 399)]
-    assert max(turns) <= 12  # of 40: they do not ask in step
-
-
-def test_after_a_silence_news_comes_within_the_time_that_the_rule_on_drains_leaves():
-    here = Asked()
-    here.clock.advance(20)
+        for polled in fleet:
+            before = len(polled.sent)
+            polled.clock.advance(0.01)
+            if answers and len(polled.sent) > before:
+                polled.receive(answer(polled.number, 4, A))
+        polls.append(sum(len(polled.sent) for polled in fleet))
+    seconds = [polls[at + 100] - polls[at] for at in range(100, 300)]
+    assert min_rate <= min(seconds) and max(seconds) <= max_rate
+    per_step = [polls[at + 1] - polls[at] for at in range(200, 399)]
+    assert max(per_step) <= 12  # The 40 coordinators do not poll in step.
+
+
+def test_polls_after_a_long_outage_are_at_most_the_maximum_interval_apart():
+    polled = PolledResolver()
+    polled.clock.advance(20)
     for _ in range(10):
-        here.clock.advance(0.06)
-    before = len(here.sent)
-    here.clock.advance(LIMITS.max_poll_retry_interval / 1e6)
-    assert len(here.sent) > before  # each call may now be answered: at most half a second after it can be
+        polled.clock.advance(0.06)
+    before = len(polled.sent)
+    polled.clock.advance(LIMITS.max_poll_retry_interval / 1e6)
+    assert len(polled.sent) > before  # The list comes at most half a second after the resolver answers again.
 
 
-def test_the_longest_answer_is_read():
+def test_the_longest_answer_is_accepted():
     engines = [(f"s-{i:08x}", f"127.0.{i // 250}.{i % 250 + 1}", 0, 0) for i in range(100)]
     packet = answer(1, 4, *engines)
     while len(packet) > 8_000:
         engines.pop()
         packet = answer(1, 4, *engines)
-    here = Asked()
-    listed = here.hear(answer(here.number, 4, *engines))
+    polled = PolledResolver()
+    listed = polled.receive(answer(polled.number, 4, *engines))
     assert len(engines) >= 60 and len(listed[0].entries) == len(engines)
 
 
-def test_a_list_that_names_an_engine_twice_is_none_and_the_last_one_holds(caplog):
-    here = Asked()
+def test_a_list_with_an_engine_twice_is_rejected(caplog):
+    polled = PolledResolver()
     with caplog.at_level("INFO", logger="rackhub"):
-        assert here.hear(answer(here.number, 4, A, A)) == []
-    assert here.counters["dns_bad"] == 1 and "'a' has two SRV records" in caplog.text
+        assert polled.receive(answer(polled.number, 4, A, A)) == []
+    assert polled.counters["dns_bad"] == 1 and "'a' has two SRV records" in caplog.text
 
 
-def test_a_list_that_names_none_is_told_of(caplog):
-    here = Asked()
-    here.hear(answer(here.number, 4, A))
+def test_an_empty_list_is_applied_and_logged(caplog):
+    polled = PolledResolver()
+    polled.receive(answer(polled.number, 4, A))
     with caplog.at_level("INFO", logger="rackhub"):
-        assert here.hear(answer(here.number, 5))[-1].entries == ()
-    assert here.counters["lists_empty"] == 1 and "event 5 names no engine" in caplog.text
-
-
-def test_a_moved_resolver_is_asked_at_once_and_the_old_one_is_heard_no_more():
-    """At a reload the old address stops answering; the numbers go on, so an older list from the new one is none."""
-    here = Asked()
-    here.hear(answer(here.number, 5, A))
-    here.resolver.change_server(("127.0.0.8", 53))
-    here.clock.advance(0)
-    assert len(here.sent) == 2 and here.server == ("127.0.0.8", 53)
-    here.resolver.datagramReceived(answer(here.number, 6, B), ("127.0.0.9", 53))
-    here.hear(answer(here.number, 4, B))
-    assert [listing.revision for listing in here.lists] == [5]
-    here.hear(answer(here.number, 6, A, B))
-    assert [listing.revision for listing in here.lists] == [5, 6]
-    before = len(here.sent)
+        assert polled.receive(answer(polled.number, 5))[-1].entries == ()
+    assert polled.counters["lists_empty"] == 1 and "event 5 names no engine" in caplog.text
+
+
+def test_a_changed_resolver_is_polled_at_once_and_the_old_one_ignored():
+    """After a reload the revisions continue, so an older list of the new resolver is ignored."""
+    polled = PolledResolver()
+    polled.receive(answer(polled.number, 5, A))
+    polled.resolver.change_server(("127.0.0.8", 53))
+    polled.clock.advance(0)
+    assert len(polled.sent) == 2 and polled.server == ("127.0.0.8", 53)
+    polled.resolver.datagramReceived(answer(polled.number, 6, B), ("127.0.0.9", 53))
+    polled.receive(answer(polled.number, 4, B))
+    assert [snapshot.revision for snapshot in polled.lists] == [5]
+    polled.receive(answer(polled.number, 6, A, B))
+    assert [snapshot.revision for snapshot in polled.lists] == [5, 6]
+    before = len(polled.sent)
     for _ in range(10):
-        here.clock.advance(LIMITS.poll_interval / 1e6)
-    assert (
-        len(here.sent) - before <= 10 * LIMITS.poll_interval / LIMITS.max_poll_retry_interval * 1.25 + 4
-    )  # one chain, not two
-
-
-def test_what_was_not_asked_for_is_older_or_the_same_changes_nothing():
-    here = Asked()
-    here.hear(answer(here.number ^ 1, 9, A))
-    assert here.lists == [] and here.counters["dns_bad"] == 1
-    here.hear(answer(here.number, 5, A))
-    here.hear(answer(here.number, 5, A))
-    here.hear(answer(here.number, 4, A, B))  # overtaken by the newer one
-    here.hear(answer(here.number, 6, A)[:-9])
-    assert [listing.revision for listing in here.lists] == [5]
-    assert (here.counters["dns_same"], here.counters["dns_old"], here.counters["dns_bad"]) == (1, 1, 2)
-    here.hear(answer(here.number, 6, A, B))
-    assert [listing.revision for listing in here.lists] == [5, 6]
+        polled.clock.advance(LIMITS.poll_interval / 1e6)
+    # There is one sequence of polls, not two.
+    assert len(polled.sent) - before <= 10 * LIMITS.poll_interval / LIMITS.max_poll_retry_interval * 1.25 + 4
+
+
+def test_unrequested_older_and_identical_answers_change_nothing():
+    polled = PolledResolver()
+    polled.receive(answer(polled.number ^ 1, 9, A))
+    assert polled.lists == [] and polled.counters["dns_bad"] == 1
+    polled.receive(answer(polled.number, 5, A))
+    polled.receive(answer(polled.number, 5, A))
+    polled.receive(answer(polled.number, 4, A, B))  # an older list that arrives late
+    polled.receive(answer(polled.number, 6, A)[:-9])
+    assert [snapshot.revision for snapshot in polled.lists] == [5]
+    assert (polled.counters["dns_same"], polled.counters["dns_old"], polled.counters["dns_bad"]) == (1, 1, 2)
+    polled.receive(answer(polled.number, 6, A, B))
+    assert [snapshot.revision for snapshot in polled.lists] == [5, 6]
