--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,7 +1,7 @@
-"""Stand-ins and a clock for the tests of the wires, from the public protocols; nothing here sleeps.
+"""Engines, clients and a clock for tests on loopback sockets, written from the public protocols. Nothing here sleeps.
 
-`CoordinatorTestBed` is a whole coordinator: fronts, core and engine client on real loopback sockets, with the time
-of the core in the test's hands. `spin` turns the reactor until something has come about.
+`CoordinatorTestBed` is a whole coordinator with fronts, core and engine pools, whose core runs on a clock that the test
+advances. `spin` runs the reactor until a condition holds.
 """
 
 from twisted.internet import reactor
@@ -60,7 +60,7 @@
 
 
 class FakeClock:
-    """A clock that a test moves, and the wake-up of the core's timers."""
+    """A clock that a test advances; it also implements the wake-up of the core's timers."""
 
     def __init__(self):
         self.time, self._wake = 1_000_000 * S, None
@@ -74,27 +74,27 @@
     def advance(self, span):
         until = self.time + span
         while self._wake and self._wake[0] <= until:
-            (due, call), self._wake = self._wake, None
-            self.time = max(self.time, due)
+            (strings_missing, call), self._wake = self._wake, None
+            self.time = max(self.time, strings_missing)
             call()
         self.time = until
 
     def step(self):
-        """To the next wake-up."""
+        """Advance to the next wake-up."""
         self.advance(max(self._wake[0] - self.time, 0))
 
 
 def spin(condition, turns=1_000):
-    """Turn the reactor until the condition holds; that it never does is a failure, whatever the machine's pace."""
+    """Run the reactor until the condition holds; fail after `turns` event-loop iterations, however slow the machine is."""
     for _ in range(turns):
         if condition():
             return
         reactor.iterate(0.01)
-    raise AssertionError("it did not come about")
+    raise AssertionError(f"the condition does not hold after {turns} event-loop iterations")
 
 
 def dial(port, protocol):
-    """Connect a stand-in; its `up` is set by then."""
+    """Connect a client protocol to a local port, wait until it is connected, and return it."""
     factory = ClientFactory()
     factory.noisy, factory.protocol = False, lambda: protocol
     reactor.connectTCP("127.0.0.1", port, factory)
@@ -103,86 +103,86 @@
 
 
 class RespEngine(LineReceiver):
-    """An engine over RESP: notes every command, answers what the test's `on_command` says."""
+    """An engine over RESP, which records every command and calls the server's `on_command`."""
 
-    def __init__(self, stand):
-        self.stand, self.words, self.need, self.due = stand, [], 0, 0
+    def __init__(self, server):
+        self.server, self.command, self.string_size, self.strings_missing = server, [], 0, 0
 
     def lineReceived(self, line):
-        if not self.due:
-            self.due, self.words = int(line[1:]), []
+        if not self.strings_missing:
+            self.strings_missing, self.command = int(line[1:]), []
         else:
-            self.need = int(line[1:]) + 2
-            self.held = b""
+            self.string_size = int(line[1:]) + 2
+            self.buffer = b""
             self.setRawMode()
 
     def rawDataReceived(self, data):
-        self.held += data
-        if len(self.held) < self.need:
+        self.buffer += data
+        if len(self.buffer) < self.string_size:
             return
-        word, rest = self.held[: self.need - 2], self.held[self.need :]
-        self.words.append(word)
-        self.due -= 1
-        if not self.due:
-            self.stand.received.append(tuple(self.words))
-            self.stand.on_command(self, *self.words)
+        string, rest = self.buffer[: self.string_size - 2], self.buffer[self.string_size :]
+        self.command.append(string)
+        self.strings_missing -= 1
+        if not self.strings_missing:
+            self.server.received.append(tuple(self.command))
+            self.server.on_command(self, *self.command)
         self.setLineMode(rest)
 
-    def respond(self, id, word, fields=b"-", body=b""):
-        self.transport.writeSequence(encode_command(id, word, fields, body))
+    def respond(self, id, kind, fields=b"-", body=b""):
+        self.transport.writeSequence(encode_command(id, kind, fields, body))
 
 
 class TdsEngine(Protocol):
-    """An engine over TDS: the same, with its calls noted as if they had come over RESP."""
+    """An engine over TDS, which records calls in the form of RESP commands and calls the server's `on_command`."""
 
-    def __init__(self, stand):
-        self.stand, self.packets = stand, codec.MessageAssembler(1 << 20)
+    def __init__(self, server):
+        self.server, self.packets = server, codec.MessageAssembler(1 << 20)
 
     def dataReceived(self, data):
         for kind, _, body in self.packets.feed(data):
             if kind == codec.PRELOGIN:
-                self.tell(codec.encode_prelogin())
+                self.send_message(codec.encode_prelogin())
             elif kind == codec.LOGIN7:
-                good = codec.parse_login7(body)[2:4] == ("hub", "secret")
-                self.tell(
+                valid_login = codec.parse_login7(body)[2:4] == ("hub", "secret")
+                self.send_message(
                     codec.encode_login_ack(codec.VERSION_74, "stand") + codec.encode_done(0)
-                    if good
+                    if valid_login
                     else codec.encode_notice(codec.ERROR, 18456, 1, 14, "no", "stand")
                     + codec.encode_done(codec.DONE_ERROR)
                 )
             elif kind == codec.ATTENTION:
-                self.stand.received.append((b"never_mind",))
-                self.tell(codec.encode_done(codec.DONE_ATTN))
+                self.server.received.append((b"never_mind",))
+                self.send_message(codec.encode_done(codec.DONE_ATTN))
             else:
-                given = codec.parse_rpc(body).arguments
+                arguments = codec.parse_rpc(body).arguments
                 fields = f"profile={given['@class']},max={given['@budget_ms']},level={given['@level']}"
-                fields += f",replay={given['@key']}" if "@key" in given else ""
-                words = b"want", given["@id"].encode(), fields.encode(), given["@statement"].encode()
-                self.stand.received.append(words)
-                self.stand.on_command(self, *words)
+                fields += f",replay={given['@key']}" if "@key" in arguments else ""
+                command = b"want", arguments["@id"].encode(), fields.encode(), arguments["@statement"].encode()
+                self.server.received.append(command)
+                self.server.on_command(self, *command)
 
-    def tell(self, body):
+    def send_message(self, body):
         self.transport.writeSequence(codec.encode_message(codec.REPLY, body))
 
-    def respond(self, id, word, fields=b"-", body=b""):
-        if word == b"200":
+    def respond(self, id, kind, fields=b"-", body=b""):
+        if kind == b"200":
             rows = [line.split("\t") for line in body.decode().splitlines()]
             load = codec.encode_notice(codec.INFO, 51010, 1, 0, fields.decode().partition("report=")[2], "stand")
-            self.tell(
+            self.send_message(
                 load
                 + codec.encode_columns("abc")
                 + b"".join(map(codec.encode_row, rows))
                 + codec.encode_done(codec.DONE_COUNT, len(rows), codec.DONEPROC)
             )
         else:
-            number = {b"503": 51503, b"504": 51504}.get(word, 51500)
-            self.tell(
+            number = {b"503": 51503, b"504": 51504}.get(kind, 51500)
+            self.send_message(
                 codec.encode_notice(codec.ERROR, number, 1, 16, "no", "stand") + codec.encode_done(codec.DONE_ERROR)
             )
 
 
 class EngineServer:
-    """A listening engine and all that it heard. `on_command(connection, *command)` answers."""
+    """A listening engine with the commands it received. `on_command(connection, *command)` may respond to them."""
 
     def __init__(self, protocol=RespEngine, on_command=None):
         self.received, self.connections = [], []
@@ -197,11 +197,11 @@
         self.port = reactor.listenTCP(0, self.factory, interface="127.0.0.1")
 
     def wants(self):
-        return [words for words in self.received if words[0] == b"want"]
+        return [command for command in self.received if command[0] == b"want"]
 
 
 class JsonClient(LineOnlyReceiver):
-    """A client of the platform: its answers by id."""
+    """A JSON-RPC client, which collects the received lines."""
 
     delimiter, MAX_LENGTH = b"\n", 1 << 20
 
@@ -213,23 +213,25 @@
 
 
 class TdsClient(Protocol):
-    """A client over TDS: whole answers as lists of tokens."""
+    """A TDS client, which collects complete answers as lists of tokens."""
 
     def __init__(self):
         self.packets, self.tokens = codec.MessageAssembler(1 << 24), codec.TokenReader(1 << 20)
-        self.answers, self.partial = [], []
+        self.answers, self.tokens_of_answer = [], []
         self.greeted = False
 
     def dataReceived(self, data):
         for _, status, body in self.packets.feed_packets(data):
-            if not self.greeted and body[:1] == b"\0":  # PRELOGIN's answer, the first of all: VERSION comes first
+            if (
+                not self.greeted and body[:1] == b"\0"
+            ):  # The first answer is that to PRELOGIN; it begins with the VERSION option, 0.
                 self.greeted = True
                 self.answers.append([])
                 continue
-            self.partial += self.tokens.feed(body)
+            self.tokens_of_answer += self.tokens.feed(body)
             if status & codec.EOM:
-                self.answers.append(self.partial)
-                self.partial = []
+                self.answers.append(self.tokens_of_answer)
+                self.tokens_of_answer = []
 
     def ask(self, kind, body):
         self.transport.writeSequence(codec.encode_message(kind, body))
@@ -242,15 +244,15 @@
         return self.answers.pop()
 
     def call(self, statement, **more):
-        given = {"@statement": statement} | {f"@{name}": value for name, value in more.items()}
-        self.ask(codec.RPC, codec.encode_rpc("rackhub_query", given))
+        arguments = {"@statement": statement} | {f"@{name}": value for name, value in more.items()}
+        self.ask(codec.RPC, codec.encode_rpc("rackhub_query", arguments))
 
 
 class CoordinatorTestBed:
-    """A coordinator on loopback with stand-in engines e0, e1, ... and a clock of the test's."""
+    """A coordinator on loopback with the engines e0, e1, ... and a clock that the test advances."""
 
-    def __init__(self, *stands, tds_engines=False, settings=SETTINGS, limits=LIMITS, ids=None):
-        self.clock, self.counters, self.engines = FakeClock(), Counters(), stands
+    def __init__(self, *servers, tds_engines=False, settings=SETTINGS, limits=LIMITS, ids=None):
+        self.clock, self.counters, self.engines = FakeClock(), Counters(), servers
         self.core = Coordinator(settings, 7, self.clock, Timers(self.clock, self.clock), limits, self.counters)
         shared = self.clock, limits, self.counters, self.core
         self.pools = (
@@ -264,9 +266,9 @@
         )
         self.ports = [reactor.listenTCP(0, front, interface="127.0.0.1") for front in self.fronts]
         self.pools.update_endpoints(
-            {f"e{i}": ("127.0.0.1", stand.port.getHost().port) for i, stand in enumerate(stands)}
+            {f"e{i}": ("127.0.0.1", server.port.getHost().port) for i, server in enumerate(servers)}
         )
-        self.core.start(self.pools, [t.EngineEntry(f"e{i}", "z", "std") for i in range(len(stands))], 1)
+        self.core.start(self.pools, [t.EngineEntry(f"e{i}", "z", "std") for i in range(len(servers))], 1)
 
     def json_client(self):
         return dial(self.ports[0].getHost().port, JsonClient())
@@ -277,14 +279,14 @@
         return client
 
     def close(self):
-        """End it all and wait until it has ended, so that tests do not meet in the reactor."""
-        for port in (*self.ports, *(stand.port for stand in self.engines)):
+        """Close all connections and wait until they are closed, so that tests do not interfere in the shared reactor."""
+        for port in (*self.ports, *(server.port for server in self.engines)):
             port.stopListening()
         for front in self.fronts:
             for connection in list(front.connections):
                 connection.transport.abortConnection()
-        for stand in self.engines:
-            for connection in stand.connections:
+        for server in self.engines:
+            for connection in server.connections:
                 connection.transport.abortConnection()
         spin(
             lambda: (
