--- a/tests/harness.py
+++ b/tests/harness.py
@@ -85,12 +85,12 @@
 
 
 def spin(condition, turns=1_000):
-    """Run the reactor until the condition holds; fail after `turns` event-loop iterations, however slow the machine is."""
+    """Run the reactor until the condition holds; fails after `turns` iterations, however slow the machine is."""
     for _ in range(turns):
         if condition():
             return
         reactor.iterate(0.01)
-    raise AssertionError(f"the condition does not hold after {turns} event-loop iterations")
+    raise AssertionError("the condition did not hold in time")
 
 
 def dial(port, protocol):
@@ -154,10 +154,10 @@
                 self.server.received.append((b"never_mind",))
                 self.send_message(codec.encode_done(codec.DONE_ATTN))
             else:
-                arguments = codec.parse_rpc(body).arguments
-                fields = f"profile={given['@class']},max={given['@budget_ms']},level={given['@level']}"
-                fields += f",replay={given['@key']}" if "@key" in arguments else ""
-                command = b"want", arguments["@id"].encode(), fields.encode(), arguments["@statement"].encode()
+                parameters = codec.parse_rpc(body).arguments
+                fields = f"profile={parameters['@class']},max={parameters['@budget_ms']},level={parameters['@level']}"
+                fields += f",replay={parameters['@key']}" if "@key" in parameters else ""
+                command = b"want", parameters["@id"].encode(), fields.encode(), parameters["@statement"].encode()
                 self.server.received.append(command)
                 self.server.on_command(self, *command)
 
@@ -244,8 +244,8 @@
         return self.answers.pop()
 
     def call(self, statement, **more):
-        arguments = {"@statement": statement} | {f"@{name}": value for name, value in more.items()}
-        self.ask(codec.RPC, codec.encode_rpc("rackhub_query", arguments))
+        parameters = {"@statement": statement} | {f"@{name}": value for name, value in more.items()}
+        self.ask(codec.RPC, codec.encode_rpc("rackhub_query", parameters))
 
 
 class CoordinatorTestBed:
@@ -279,7 +279,7 @@
         return client
 
     def close(self):
-        """Close all connections and wait until they are closed, so that tests do not interfere in the shared reactor."""
+        """Close all connections and wait for that, so that tests do not interfere in the shared reactor."""
         for port in (*self.ports, *(server.port for server in self.engines)):
             port.stopListening()
         for front in self.fronts:
