--- a/rackhub/fleet/control/fleet_status.py
+++ b/rackhub/fleet/control/fleet_status.py
@@ -34,9 +34,7 @@
         "me": members.local_name,
         "members": {name: _describe_member(member, now) for name, member in sorted(members.all().items())},
         "heard": sorted(members.reachable()),
-        "hears": {
-            one: {other: members.receives_from(one, other) for other in live if other != one} for one in live
-        },
+        "hears": {one: {other: members.receives_from(one, other) for other in live if other != one} for one in live},
         "board": {
             kind: {record.owner: _describe_record(record) for record in records}
             for kind, records in _records_by_kind(membership).items()
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -1,7 +1,7 @@
-"""Two events that cross on the way of the list: silence, a new resolver, a drain told first thing, lists out of order.
+"""Races in polling the endpoint list: lost answers, a changed resolver, a drain after an outage, lists out of order.
 
-The resolver's client on real sockets, with a resolver in the test's hands: it keeps each question until the test has it
-answered, and knows from which socket it came.
+`PlatformSource` polls a fake resolver over real sockets. The fake records each poll with its sender and
+answers when the test says so.
 """
 
 import errno
@@ -27,255 +27,255 @@
 from rackhub.net.resolver import PendingPoll, Resolver
 
 A, B = ("a", "127.0.0.1", 0, 0), ("b", "127.0.0.2", 0, 0)
-DRAINS = ("b", "127.0.0.2", 1, 0)
+B_DRAINING = ("b", "127.0.0.2", 1, 0)
 
 
-class Desk(DatagramProtocol):
-    """A resolver: `asked` holds the questions by number and sender, `deaf` the senders it has stopped answering."""
+class FakeResolver(DatagramProtocol):
+    """A resolver. `polls` holds the id and sender of each poll; it does not answer the `ignored_senders`."""
 
     def __init__(self):
-        self.asked, self.deaf, self.silent = [], set(), False
+        self.polls, self.ignored_senders, self.unresponsive = [], set(), False
         self.rev, self.engines = 3, (A, B)
         self.port = reactor.listenUDP(0, self, interface="127.0.0.1")
         self.address = ("127.0.0.1", self.port.getHost().port)
 
     def datagramReceived(self, packet, addr):
-        self.asked.append((int.from_bytes(packet[:2], "big"), addr))
-        if not self.silent and addr not in self.deaf:
-            self.say()
+        self.polls.append((int.from_bytes(packet[:2], "big"), addr))
+        if not self.unresponsive and addr not in self.ignored_senders:
+            self.send_list()
 
-    def say(self, which=-1, rev=None, engines=None):
-        number, addr = self.asked[which]
+    def send_list(self, which=-1, rev=None, engines=None):
+        number, addr = self.polls[which]
         self.transport.write(answer(number, rev or self.rev, *(self.engines if engines is None else engines)), addr)
 
     def senders(self):
-        return list(dict.fromkeys(addr for _, addr in self.asked))
+        return list(dict.fromkeys(addr for _, addr in self.polls))
 
 
-class Timed:
-    """The reactor's sockets with the time in the test's hands."""
+class TimedReactor:
+    """The reactor's sockets with a clock that the test advances."""
 
     def __init__(self):
-        self.clock, self.full, self.ports = Clock(), False, []
+        self.clock, self.out_of_descriptors, self.ports = Clock(), False, []
         self.callLater, self.seconds = self.clock.callLater, self.clock.seconds
 
     def listenUDP(self, *args, **more):
-        if self.full:
+        if self.out_of_descriptors:
             raise CannotListenError("", 0, OSError(errno.EMFILE, "too many open files"))
         self.ports.append(reactor.listenUDP(*args, **more))
         return self.ports[-1]
 
 
-class Watch:
-    def __init__(self, desk, start=None, told=None):
-        self.time, self.counters, self.lists = Timed(), Counters(), []
-        self.moved = desk.address
+class WatchedList:
+    def __init__(self, resolver, start=None, on_change=None):
+        self.time, self.counters, self.lists = TimedReactor(), Counters(), []
+        self.server = resolver.address
         self.configured = start or EndpointSnapshot(3, (), {})
         self.platform = PlatformSource(
             self.time,
             SETTINGS,
             start or EndpointSnapshot(3, (), {}),
-            desk.address,
+            resolver.address,
             LIMITS,
             self.counters,
-            lambda: ReloadedFile(self.moved, self.configured),
+            lambda: ReloadedFile(self.server, self.configured),
         )
-        self.platform.subscribe(told or self.lists.append)
+        self.platform.subscribe(on_change or self.lists.append)
 
-    def heard(self):
+    def answers_received(self):
         return self.counters["dns_in"]
 
-    def open(self):
+    def open_ports(self):
         return [port for port in self.time.ports if port.connected]
 
-    def pass_by(self, micros, *desks, step=5 * MS):
-        """Time goes by; what is asked meanwhile reaches the resolver, and what that answers is read."""
+    def advance_time(self, micros, *resolvers, step=5 * MS):
+        """Advance the clock in steps, exchanging packets after each."""
         for _ in range(micros // step):
             self.time.clock.advance(step / 1e6)
-            self.settle(*desks)
+            self.exchange_packets(*resolvers)
 
-    def settle(self, *desks):
-        """Until all that was sent is where it was sent to. Loopback holds it in the kernel: one turn reads it."""
-        spin(lambda: self.counters["dns_sent"] <= sum(len(desk.asked) for desk in desks))
+    def exchange_packets(self, *resolvers):
+        """Wait until the resolvers have received all polls, then read their answers in one event-loop iteration."""
+        spin(lambda: self.counters["dns_sent"] <= sum(len(resolver.polls) for resolver in resolvers))
         reactor.iterate(0)
 
 
 @pytest.fixture
-def desk():
-    made = Desk()
+def resolver():
+    made = FakeResolver()
     yield made
     made.port.stopListening()
 
 
 @pytest.fixture
-def watches():
+def make_watch():
     made = []
 
     def build(*args, **more):
-        made.append(Watch(*args, **more))
+        made.append(WatchedList(*args, **more))
         return made[-1]
 
     yield build
     for watch in made:
-        for port in watch.open():
+        for port in watch.open_ports():
             port.stopListening()
-    spin(lambda: not any(watch.open() for watch in made))
+    spin(lambda: not any(watch.open_ports() for watch in made))
 
 
-@pytest.mark.parametrize("begun", [False, True], ids=["from the first call", "after an answer"])
-def test_a_socket_whose_answers_stop_for_ever_is_left_and_the_list_goes_on(desk, watches, begun):
-    """It is noticed within 0.67 s, and a drain told then is here in the 1.5 s after which it counts as told."""
-    desk.silent = not begun
-    watch = watches(desk)
-    watch.settle(desk)
-    if begun:
+@pytest.mark.parametrize("answered_before", [False, True], ids=["from the first call", "after an answer"])
+def test_a_socket_that_receives_no_more_answers_is_replaced_in_time(resolver, make_watch, answered_before):
+    """It is replaced within 0.67 s, so a drain comes within the 1.5 s to its notification."""
+    resolver.unresponsive = not answered_before
+    watch = make_watch(resolver)
+    watch.exchange_packets(resolver)
+    if answered_before:
         spin(lambda: watch.lists)
     else:
-        assert watch.heard() == 0
-    desk.silent, desk.rev, desk.engines = False, 4, (A, DRAINS)
-    desk.deaf = set(desk.senders())
-    watch.pass_by(LIMITS.poll_interval + 7 * LIMITS.poll_retry_interval + 10 * MS, desk)
+        assert watch.answers_received() == 0
+    resolver.unresponsive, resolver.rev, resolver.engines = False, 4, (A, B_DRAINING)
+    resolver.ignored_senders = set(resolver.senders())
+    watch.advance_time(LIMITS.poll_interval + 7 * LIMITS.poll_retry_interval + 10 * MS, resolver)
     spin(lambda: watch.lists and watch.lists[-1].revision == 4)
     assert {entry.engine: entry.state for entry in watch.lists[-1].entries} == {"a": "Ready", "b": "Terminating"}
-    spin(lambda: len(watch.open()) == 1)  # the one before is closed
-    assert watch.counters["dns_sockets"] == 1 and len(desk.senders()) == 2
+    spin(lambda: len(watch.open_ports()) == 1)  # The former socket is closed.
+    assert watch.counters["dns_sockets"] == 1 and len(resolver.senders()) == 2
 
 
-def test_a_resolver_that_is_away_is_asked_for_ever_at_a_bounded_rate_on_a_few_sockets(desk, watches):
-    desk.silent = True
-    watch = watches(desk)
-    watch.pass_by(20_000 * MS, desk, step=20 * MS)
-    before, sockets = len(desk.asked), watch.counters["dns_sockets"]
-    watch.pass_by(20_000 * MS, desk, step=20 * MS)
-    assert 20 <= len(desk.asked) - before <= 60
-    assert 5 <= watch.counters["dns_sockets"] - sockets <= 20 and len(watch.open()) == LIMITS.max_resolver_sockets
-    desk.silent, desk.rev, desk.engines = False, 9, (A, DRAINS)  # and the first list of the one that is back counts
-    watch.pass_by(LIMITS.max_poll_retry_interval + 20 * MS, desk, step=20 * MS)
-    spin(lambda: [listing.revision for listing in watch.lists] == [9] and len(watch.open()) == 1)
+def test_an_unreachable_resolver_is_polled_at_a_bounded_rate_on_few_sockets(resolver, make_watch):
+    resolver.unresponsive = True
+    watch = make_watch(resolver)
+    watch.advance_time(20_000 * MS, resolver, step=20 * MS)
+    before, sockets = len(resolver.polls), watch.counters["dns_sockets"]
+    watch.advance_time(20_000 * MS, resolver, step=20 * MS)
+    assert 20 <= len(resolver.polls) - before <= 60
+    assert 5 <= watch.counters["dns_sockets"] - sockets <= 20 and len(watch.open_ports()) == LIMITS.max_resolver_sockets
+    resolver.unresponsive, resolver.rev, resolver.engines = False, 9, (A, B_DRAINING)  # The resolver is back.
+    watch.advance_time(LIMITS.max_poll_retry_interval + 20 * MS, resolver, step=20 * MS)
+    spin(lambda: [snapshot.revision for snapshot in watch.lists] == [9] and len(watch.open_ports()) == 1)
 
 
 @pytest.mark.parametrize("delay", [500 * MS, 1_400 * MS])
-def test_answers_that_are_always_slower_than_the_step_to_another_socket_are_heard(desk, watches, delay):
-    """Each one came to a socket that was closed by then, and no list was ever heard."""
-    desk.silent = True
-    watch = watches(desk)
-    due, said = [], 0
+def test_answers_slower_than_the_change_of_sockets_are_received(resolver, make_watch, delay):
+    """Guards against sockets that are closed before a slow answer arrives: no list was ever received."""
+    resolver.unresponsive = True
+    watch = make_watch(resolver)
+    due_times, answered = [], 0
     for _ in range(5_000 // 20):
-        watch.pass_by(20 * MS, desk, step=20 * MS)
-        due += [watch.time.clock.seconds() + delay / 1e6] * (len(desk.asked) - len(due))
-        while said < len(due) and due[said] <= watch.time.clock.seconds():
-            desk.say(said, rev=5)
-            said += 1
+        watch.advance_time(20 * MS, resolver, step=20 * MS)
+        due_times += [watch.time.clock.seconds() + delay / 1e6] * (len(resolver.polls) - len(due_times))
+        while answered < len(due_times) and due_times[answered] <= watch.time.clock.seconds():
+            resolver.send_list(answered, rev=5)
+            answered += 1
             reactor.iterate(0)
-    spin(lambda: [listing.revision for listing in watch.lists] == [5])
+    spin(lambda: [snapshot.revision for snapshot in watch.lists] == [5])
 
 
-def test_an_answer_that_is_slow_still_finds_who_asked(desk, watches):
-    """Later than any repeat of the question, and before its socket is left."""
-    desk.silent = True
-    watch = watches(desk)
-    watch.pass_by(4_000 * MS, desk, step=20 * MS)
-    calls, sockets = len(desk.asked), watch.counters["dns_sockets"]
+def test_a_slow_answer_to_a_former_socket_is_received(resolver, make_watch):
+    """The answer comes after later polls and a change of sockets, while its socket is still open."""
+    resolver.unresponsive = True
+    watch = make_watch(resolver)
+    watch.advance_time(4_000 * MS, resolver, step=20 * MS)
+    calls, sockets = len(resolver.polls), watch.counters["dns_sockets"]
     for _ in range(200):
         if watch.counters["dns_sockets"] == sockets:
-            watch.pass_by(20 * MS, desk, step=20 * MS)
-    first = len(desk.asked) - 1
-    watch.pass_by(LIMITS.max_poll_retry_interval + 200 * MS, desk, step=20 * MS)
-    assert len(desk.asked) > first + 1 > calls and watch.counters["dns_sockets"] == sockets + 1
-    desk.say(first, rev=5)
-    spin(lambda: [listing.revision for listing in watch.lists] == [5])
-
-
-def test_where_no_descriptor_is_free_the_socket_that_is_there_goes_on(desk, watches):
-    desk.silent = True
-    watch = watches(desk)
-    watch.time.full = True
-    watch.pass_by(3_000 * MS, desk, step=20 * MS)
-    assert len(watch.time.ports) == 1 and len(desk.senders()) == 1
-    desk.silent, desk.rev = False, 7
-    watch.pass_by(LIMITS.max_poll_retry_interval + 20 * MS, desk, step=20 * MS)
-    spin(lambda: [listing.revision for listing in watch.lists] == [7])
-
-
-def test_answers_that_cross_change_nothing_back(desk, watches):
-    """An older list after a newer one, a packet read twice, one that can't be read: the newest holds."""
-    desk.silent = True
-    watch = watches(desk)
-    watch.pass_by(250 * MS, desk)
-    assert len(desk.asked) >= 3
-    desk.say(2, rev=6, engines=(A, DRAINS))
-    desk.say(0, rev=5, engines=(A, B))
-    desk.say(1, rev=6, engines=(A, DRAINS))
-    desk.transport.write(answer(desk.asked[1][0], 7, A)[:-3], desk.asked[1][1])
-    spin(lambda: watch.heard() == 4)
-    assert [listing.revision for listing in watch.lists] == [6]
+            watch.advance_time(20 * MS, resolver, step=20 * MS)
+    first = len(resolver.polls) - 1
+    watch.advance_time(LIMITS.max_poll_retry_interval + 200 * MS, resolver, step=20 * MS)
+    assert len(resolver.polls) > first + 1 > calls and watch.counters["dns_sockets"] == sockets + 1
+    resolver.send_list(first, rev=5)
+    spin(lambda: [snapshot.revision for snapshot in watch.lists] == [5])
+
+
+def test_without_a_free_descriptor_the_present_socket_stays_in_use(resolver, make_watch):
+    resolver.unresponsive = True
+    watch = make_watch(resolver)
+    watch.time.out_of_descriptors = True
+    watch.advance_time(3_000 * MS, resolver, step=20 * MS)
+    assert len(watch.time.ports) == 1 and len(resolver.senders()) == 1
+    resolver.unresponsive, resolver.rev = False, 7
+    watch.advance_time(LIMITS.max_poll_retry_interval + 20 * MS, resolver, step=20 * MS)
+    spin(lambda: [snapshot.revision for snapshot in watch.lists] == [7])
+
+
+def test_late_duplicate_and_malformed_answers_do_not_undo_the_newest_list(resolver, make_watch):
+    """An older list after a newer one, a duplicate and a truncated packet change nothing."""
+    resolver.unresponsive = True
+    watch = make_watch(resolver)
+    watch.advance_time(250 * MS, resolver)
+    assert len(resolver.polls) >= 3
+    resolver.send_list(2, rev=6, engines=(A, B_DRAINING))
+    resolver.send_list(0, rev=5, engines=(A, B))
+    resolver.send_list(1, rev=6, engines=(A, B_DRAINING))
+    resolver.transport.write(answer(resolver.polls[1][0], 7, A)[:-3], resolver.polls[1][1])
+    spin(lambda: watch.answers_received() == 4)
+    assert [snapshot.revision for snapshot in watch.lists] == [6]
     assert (watch.counters["dns_old"], watch.counters["dns_same"], watch.counters["dns_bad"]) == (1, 1, 1)
 
 
-@pytest.mark.parametrize("planted", [False, True])
-def test_an_answer_of_the_old_resolver_that_is_on_its_way_at_a_reload_is_dropped(desk, watches, planted):
-    """It is in the kernel as SIGHUP moves discovery; also where the new one is asked by the same number."""
-    other = Desk()
-    desk.silent = other.silent = True
-    watch = watches(desk)
-    watch.settle(desk)
-    desk.say(rev=9, engines=(A,))
-    spin(lambda: desk.transport is not None)
-    resolver = watch.platform._resolver
-    watch.moved = other.address
+@pytest.mark.parametrize("bug", [False, True])
+def test_an_answer_of_the_old_resolver_after_a_reload_is_dropped(resolver, make_watch, bug):
+    """The answer is in the kernel when SIGHUP changes the resolver, and a poll of the new one has the same id."""
+    other = FakeResolver()
+    resolver.unresponsive = other.unresponsive = True
+    watch = make_watch(resolver)
+    watch.exchange_packets(resolver)
+    resolver.send_list(rev=9, engines=(A,))
+    spin(lambda: resolver.transport is not None)
+    client = watch.platform._resolver
+    watch.server = other.address
     watch.platform.reload()
-    if planted:  # a reload that forgets where it asks
-        resolver._server = desk.address
-    resolver._random.randrange = lambda most: desk.asked[0][0]
-    resolver._pending = {desk.asked[0][0]: PendingPoll(0.0, 0)}
-    spin(lambda: watch.heard())
-    assert [listing.revision for listing in watch.lists] == [9] * planted
-    if not planted:
-        watch.pass_by(10 * MS, desk, other)
-        other.say(rev=4, engines=(A, DRAINS))
-        spin(lambda: [listing.revision for listing in watch.lists] == [4])
+    if bug:  # a reload that does not change the address
+        client._server = resolver.address
+    client._random.randrange = lambda limit: resolver.polls[0][0]
+    client._pending = {resolver.polls[0][0]: PendingPoll(0.0, 0)}
+    spin(lambda: watch.answers_received())
+    assert [snapshot.revision for snapshot in watch.lists] == [9] * bug
+    if not bug:
+        watch.advance_time(10 * MS, resolver, other)
+        other.send_list(rev=4, engines=(A, B_DRAINING))
+        spin(lambda: [snapshot.revision for snapshot in watch.lists] == [4])
     other.port.stopListening()
 
 
-def test_a_list_that_could_not_be_taken_in_is_told_again(desk, watches):
-    """A fault where it is taken in must not leave the process with half of it for good, nor end the asking."""
-    took = []
+def test_a_list_whose_application_failed_is_applied_again(resolver, make_watch):
+    """Guards against a process that keeps a partly applied list, or stops polling, after an exception."""
+    applied = []
 
-    def told(listing):
-        took.append(listing.revision)
-        if len(took) == 1:
-            raise RuntimeError("half taken in")
+    def on_change(snapshot):
+        applied.append(snapshot.revision)
+        if len(applied) == 1:
+            raise RuntimeError("partly applied")
 
-    watch = watches(desk, told=told)
-    watch.settle(desk)
-    spin(lambda: took == [3])
-    watch.pass_by(2 * LIMITS.poll_interval, desk)
-    assert took == [3, 3]
+    watch = make_watch(resolver, on_change=on_change)
+    watch.exchange_packets(resolver)
+    spin(lambda: applied == [3])
+    watch.advance_time(2 * LIMITS.poll_interval, resolver)
+    assert applied == [3, 3]
 
 
-def test_a_resolver_s_port_that_nobody_listens_on_ends_nothing(desk, watches):
-    """What the kernel tells of it is no reason to stop asking."""
-    other = Desk()
+def test_polling_continues_when_the_resolver_s_port_is_closed(resolver, make_watch):
+    """Guards against polling that ends at the kernel's report of an unreachable port."""
+    other = FakeResolver()
     gone = other.address
     other.port.stopListening()
     spin(lambda: not other.port.connected)
-    watch = watches(desk)
-    watch.settle(desk)
-    watch.moved = gone
+    watch = make_watch(resolver)
+    watch.exchange_packets(resolver)
+    watch.server = gone
     watch.platform.reload()
     for _ in range(200):
         watch.time.clock.advance(0.02)
         reactor.iterate(0)
     sent = watch.counters["dns_sent"]
     assert sent > 6
-    desk.rev, desk.engines, watch.moved = 8, (A, DRAINS), desk.address
+    resolver.rev, resolver.engines, watch.server = 8, (A, B_DRAINING), resolver.address
     watch.platform.reload()
     watch.time.clock.advance(0.02)
     spin(lambda: watch.lists[-1].revision == 8)
 
 
-def test_the_first_list_after_a_silence_may_tell_of_a_drain_and_nothing_more_is_sent_there(desk, watches):
-    """A drain and a new engine in one list: what comes then goes to the new one."""
+def test_a_drain_in_the_first_list_after_an_outage_stops_sending_to_that_engine(resolver, make_watch):
+    """One list reports the drain of an engine and a new engine, which then gets all requests."""
     clock, sent = FakeClock(), []
 
     class Port:
@@ -286,11 +286,11 @@
 
     core = Coordinator(SETTINGS, 7, clock, Timers(clock, clock), LIMITS, Counters())
     core.start(Port(), [t.EngineEntry(name, "z", "std") for name in ("b", "c")], 3)
-    desk.silent = True
-    watch = watches(desk, told=lambda listing: core.update_endpoints(listing.entries, listing.revision))
-    watch.pass_by(5_000 * MS, desk, step=20 * MS)
-    desk.silent, desk.rev, desk.engines = False, 8, (A, DRAINS)
-    watch.pass_by(LIMITS.max_poll_retry_interval + 20 * MS, desk, step=20 * MS)
+    resolver.unresponsive = True
+    watch = make_watch(resolver, on_change=lambda snapshot: core.update_endpoints(snapshot.entries, snapshot.revision))
+    watch.advance_time(5_000 * MS, resolver, step=20 * MS)
+    resolver.unresponsive, resolver.rev, resolver.engines = False, 8, (A, B_DRAINING)
+    watch.advance_time(LIMITS.max_poll_retry_interval + 20 * MS, resolver, step=20 * MS)
     spin(lambda: core.counters["lists_told"] == 1)
     from rackhub.core.request import Query
 
@@ -308,24 +308,24 @@
     assert {attempt.engine for attempt in sent} == {"a"} and len(sent) == 20
 
 
-def test_the_bound_on_how_long_a_dead_socket_is_asked_on_is_the_one_written():
-    """The worst draw of chance: no call is brought forward."""
+def test_the_time_to_a_new_socket_is_the_documented_bound():
+    """Computes the bound for the longest possible delays, without jitter."""
     for polls in (2, 3, 5):
         limits = limits_with(LIMITS, failed_polls_before_new_socket=polls)
-        asking = PollSchedule(limits, lambda: 0.0)
-        spent, calls = asking.answer_received(), 0
-        while not asking.needs_new_socket():
-            spent, calls = spent + asking.poll_sent(), calls + 1
-        assert calls == polls and spent == limits.poll_interval + sum(
-            min(limits.poll_retry_interval << turn, limits.max_poll_retry_interval) for turn in range(polls)
+        schedule = PollSchedule(limits, lambda: 0.0)
+        elapsed, calls = schedule.answer_received(), 0
+        while not schedule.needs_new_socket():
+            elapsed, calls = elapsed + schedule.poll_sent(), calls + 1
+        assert calls == polls and elapsed == limits.poll_interval + sum(
+            min(limits.poll_retry_interval << step, limits.max_poll_retry_interval) for step in range(polls)
         )
     assert LIMITS.poll_interval + 7 * LIMITS.poll_retry_interval < 700 * MS
 
 
-# ---- planted mistakes: each of these tests can fail
+# ---- injected bugs, which the tests above have to detect
 
 
-def test_a_planted_list_that_goes_back_is_seen(desk, watches, monkeypatch):
+def test_an_injected_bug_that_accepts_older_lists_is_detected(resolver, make_watch, monkeypatch):
     inner = Resolver.datagramReceived
 
     def forgets(self, packet, addr):
@@ -334,10 +334,10 @@
 
     monkeypatch.setattr(Resolver, "datagramReceived", forgets)
     with pytest.raises(AssertionError):
-        test_answers_that_cross_change_nothing_back(desk, watches)
+        test_late_duplicate_and_malformed_answers_do_not_undo_the_newest_list(resolver, make_watch)
 
 
-def test_a_planted_module_that_is_not_told_of_drains_is_seen(desk, watches, monkeypatch):
+def test_an_injected_bug_that_ignores_drains_is_detected(resolver, make_watch, monkeypatch):
     inner = Coordinator.update_endpoints
     monkeypatch.setattr(
         Coordinator,
@@ -345,4 +345,4 @@
         lambda self, entries, rev: inner(self, [replace(entry, state="Ready") for entry in entries], rev),
     )
     with pytest.raises(AssertionError):
-        test_the_first_list_after_a_silence_may_tell_of_a_drain_and_nothing_more_is_sent_there(desk, watches)
+        test_a_drain_in_the_first_list_after_an_outage_stops_sending_to_that_engine(resolver, make_watch)
