--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -1,5 +1,7 @@
-"""Events that cross the end of a client's connection or of the process, on loopback sockets: each bad order is made to
-happen by a peer that holds back or by the clock that the test holds, never by a wait."""
+"""Races with the end of a client connection or of the process, on loopback sockets.
+
+Each order of events is produced by a peer that holds back, or by a clock that the test advances, never by waiting.
+"""
 
 import base64
 import contextlib
@@ -27,33 +29,35 @@
 ROWS = b"a\tb\tc\n"
 
 
-class LoopClock(FakeClock):
-    """Time in the test's hands, but what is due is called by the reactor, a turn of the loop each, as it is in the
-    daemon: what lies in a socket is read between two calls."""
+class ReactorClock(FakeClock):
+    """A clock that the test advances, while the reactor makes the due calls, one per event-loop iteration.
+
+    As in the daemon, sockets are read between two calls.
+    """
 
     _call = None
 
     def wake_after(self, delay, call):
         self._wake = (self.time + delay, call)
-        self._look()
+        self._schedule_due()
 
     def advance(self, span):
         self.time += span
-        self._look()
+        self._schedule_due()
 
-    def _look(self):
+    def _schedule_due(self):
         if self._call is not None and self._call.active():
             self._call.cancel()
         if self._wake and self._wake[0] <= self.time:
-            self._call = reactor.callLater(0, self._due)
+            self._call = reactor.callLater(0, self._call_due)
 
-    def _due(self):
+    def _call_due(self):
         (_, call), self._wake = self._wake, None
         call()
 
 
-class Raw:
-    """A client on a plain socket: it sends and reads when the test says so, and knows a close from a reset."""
+class RawClient:
+    """A client on a plain socket, which sends and reads when the test says so, and tells a close from a reset."""
 
     def __init__(self, site):
         self.front = site.fronts[0]
@@ -62,59 +66,62 @@
         self.socket.setblocking(False)
         spin(lambda: self.front.connections - before)
         (self.served_by,) = self.front.connections - before
-        self.got, self.end = b"", ""
+        self.received, self.end_reason = b"", ""
 
     def send(self, *messages):
         data = b"".join(each if isinstance(each, bytes) else json.dumps(each).encode() + b"\n" for each in messages)
         assert self.socket.send(data) == len(data)
 
     def read(self):
-        """All that has come; True once the connection has ended."""
-        while not self.end:
+        """Read all received bytes; return True if the connection has ended."""
+        while not self.end_reason:
             try:
                 data = self.socket.recv(1 << 16)
             except BlockingIOError:
                 return False
             except ConnectionError:
-                data, self.end = b"", "reset"
-            self.got += data
-            self.end = self.end or ("" if data else "closed")
+                data, self.end_reason = b"", "reset"
+            self.received += data
+            self.end_reason = self.end_reason or ("" if data else "closed")
         return True
 
     def answers(self):
         self.read()
-        return [json.loads(line) for line in self.got.splitlines()]
+        return [json.loads(line) for line in self.received.splitlines()]
+
+    def wait_for_end(self):
+        """Wait for the end and return "closed" or "reset".
 
-    def until_ended(self):
-        """How it ended. Twisted's close sends FIN and RST in one step, so that the end reads as a close, and what the
-        reset takes with it is chance: the socket tells of it."""
+        Twisted's close sends FIN and RST in one step, so reading reports a close although the reset may discard data.
+        The error status of the socket shows the reset.
+        """
         spin(self.read)
-        return "reset" if self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) else self.end
+        return "reset" if self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) else self.end_reason
 
 
 @pytest.fixture
 def site(monkeypatch):
-    """Sites that are closed whatever becomes of the test, and raw clients of theirs."""
+    """Build test beds and clients on plain sockets, which are closed after the test."""
     made, clients = [], []
 
     def make(*engines, loop=False, **limits):
         if loop:
-            monkeypatch.setattr(harness, "FakeClock", LoopClock)
-        here = CoordinatorTestBed(*engines, limits=replace(LIMITS, **limits))
-        made.append(here)
+            monkeypatch.setattr(harness, "FakeClock", ReactorClock)
+        bed = CoordinatorTestBed(*engines, limits=replace(LIMITS, **limits))
+        made.append(bed)
 
         def client():
-            clients.append(Raw(here))
+            clients.append(RawClient(bed))
             return clients[-1]
 
-        here.client, here.patch = client, monkeypatch
-        return here
+        bed.client, bed.patch = client, monkeypatch
+        return bed
 
     yield make
-    for one in clients:
-        one.socket.close()
-    for one in made:
-        one.close()
+    for client in clients:
+        client.socket.close()
+    for bed in made:
+        bed.close()
 
 
 def ask(id, method="lookup", **params):
@@ -130,118 +137,118 @@
 ALIVE = {"jsonrpc": "2.0", "id": 950, "method": "alive"}
 
 
-def answer(engine, word, id, *rest):
-    if word == b"want":
+def answer(engine, kind, id, *rest):
+    if kind == b"want":
         engine.respond(id, b"200", b"chunks=1", ROWS)
 
 
-def gone(client):
-    """The test's side of the connection closes, and the coordinator's is gone with it."""
+def close_client(client):
+    """Close the client's side of a connection and wait until the coordinator has closed its own."""
     client.socket.close()
     spin(lambda: client.served_by not in client.front.connections and client.served_by not in client.front._aborted)
 
 
-# ---- a close over unread bytes
+# ---- a close with unread input
 
 
-def test_the_error_of_a_line_too_long_reaches_a_client_that_has_sent_on(site):
-    """The rest of the line lay unread at the close: the reset that this makes eats the error before it."""
-    here = site(max_request_bytes=1_000)
-    client = here.client()
-    client.served_by.transport.bufferSize = 2_000  # what one read of its socket takes
+def test_the_error_for_a_long_line_reaches_a_client_that_keeps_sending(site):
+    """Guards against a close with unread input: it sends a reset, which discards the error written before."""
+    bed = site(max_request_bytes=1_000)
+    client = bed.client()
+    client.served_by.transport.bufferSize = 2_000  # the size of one read of the socket
     client.send(b"x" * 20_000)
-    assert client.until_ended() == "closed"
-    assert [said["error"]["code"] for said in client.answers()] == [-32600]
-    gone(client)
-    assert here.counters["too_long"] == 1 and here.counters["halves_dropped"] == 1
+    assert client.wait_for_end() == "closed"
+    assert [reply["error"]["code"] for reply in client.answers()] == [-32600]
+    close_client(client)
+    assert bed.counters["too_long"] == 1 and bed.counters["halves_dropped"] == 1
 
 
-def test_a_request_that_crosses_the_idle_close_is_dropped_and_its_client_hears_of_a_close(site):
-    """A resting client sends at the moment of the close: it is to send again, and its request must not be sent on."""
-    stand = EngineServer(on_command=answer)
-    here = site(stand)
-    client = here.client()
+def test_a_request_that_crosses_the_idle_close_is_dropped_and_the_connection_closed(site):
+    """An idle client sends a request as it is closed: the client has to retry, so the request must not be executed."""
+    server = EngineServer(on_command=answer)
+    bed = site(server)
+    client = bed.client()
     client.send(ALIVE)
     spin(client.answers)
-    here.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval)
-    assert here.counters["clients_idle"] == 1 and client.served_by.ending
+    bed.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval)
+    assert bed.counters["clients_idle"] == 1 and client.served_by.ending
     client.send(ask(1), b'{"half')
-    assert client.until_ended() == "closed" and len(client.answers()) == 1
-    spin(lambda: here.counters["lines_dropped"] == 1)
-    gone(client)
-    assert here.counters["requests_in"] == 0 and not stand.received and here.counters["halves_dropped"] == 1
+    assert client.wait_for_end() == "closed" and len(client.answers()) == 1
+    spin(lambda: bed.counters["lines_dropped"] == 1)
+    close_client(client)
+    assert bed.counters["requests_in"] == 0 and not server.received and bed.counters["halves_dropped"] == 1
 
 
-def test_an_answer_before_a_close_reaches_a_client_that_sends_on(site):
-    """A breach with a request open: its answer is owed, the close follows it, and what comes meanwhile is dropped."""
-    stand = EngineServer()
-    here = site(stand, max_request_bytes=1_000)
-    client = here.client()
+def test_an_answer_before_the_close_reaches_a_client_that_keeps_sending(site):
+    """A line that is too long ends the connection: the open request is answered, later ones are dropped."""
+    server = EngineServer()
+    bed = site(server, max_request_bytes=1_000)
+    client = bed.client()
     client.send(ask(1), b"x" * 1_500 + b"\n", ask(2))
-    spin(lambda: stand.wants())
+    spin(lambda: server.wants())
     client.send(ask(3), ask(4))
-    spin(lambda: here.counters["lines_dropped"] == 3)
-    (id,) = (words[1] for words in stand.wants())
-    stand.connections[0].respond(id, b"200", b"chunks=1", ROWS)
+    spin(lambda: bed.counters["lines_dropped"] == 3)
+    (id,) = (command[1] for command in server.wants())
+    server.connections[0].respond(id, b"200", b"chunks=1", ROWS)
     spin(lambda: client.served_by.closed_at)
     client.send(ask(5))
-    assert client.until_ended() == "closed"
-    assert [said["id"] for said in client.answers()] == [None, 1] and "result" in client.answers()[1]
-    gone(client)
-    assert here.counters["requests_in"] == 1 and len(stand.wants()) == 1
-
-
-@pytest.mark.parametrize("how", ["goes", "cancels"])
-def test_who_goes_from_a_connection_that_ends_is_heard(site, how):
-    """Such a connection was not read from: a close or cancel did not show until the answer was written."""
-    stand = EngineServer()
-    here = site(stand, max_request_bytes=1_000)
-    client = here.client()
+    assert client.wait_for_end() == "closed"
+    assert [reply["id"] for reply in client.answers()] == [None, 1] and "result" in client.answers()[1]
+    close_client(client)
+    assert bed.counters["requests_in"] == 1 and len(server.wants()) == 1
+
+
+@pytest.mark.parametrize("departure", ["goes", "cancels"])
+def test_a_cancel_or_close_on_an_ending_connection_is_noticed(site, departure):
+    """Guards against an ending connection that is not read, so that a close or cancel is noticed too late."""
+    server = EngineServer()
+    bed = site(server, max_request_bytes=1_000)
+    client = bed.client()
     client.send(ask(1), b"x" * 1_500 + b"\n")
-    spin(lambda: stand.wants() and here.counters["too_long"])
-    if how == "goes":
+    spin(lambda: server.wants() and bed.counters["too_long"])
+    if departure == "goes":
         client.socket.close()
     else:
         client.send(cancel(1))
-    spin(lambda: not here.core.queries)
-    assert here.counters["left"] == 1
-    spin(lambda: any(words[0] == b"never_mind" for words in stand.received))
-    if how == "cancels":
-        assert client.until_ended() == "closed" and [said["id"] for said in client.answers()] == [None]
-
-
-def test_who_does_not_close_after_the_half_close_is_cut(site):
-    here = site()
-    client = here.client()
-    here.clock.advance(LIMITS.first_message_timeout + LIMITS.client_check_interval)
-    assert client.until_ended() == "closed"
-    here.clock.advance(LIMITS.linger_timeout - 2 * LIMITS.client_check_interval)
-    assert client.served_by in here.fronts[0].connections
-    here.clock.advance(3 * LIMITS.client_check_interval)
-    spin(lambda: here.counters["clients_closed"] == 1)
-    assert here.counters["clients_lingering"] == 1 and not here.fronts[0].connections
-
-
-def test_where_descriptors_are_short_who_lingers_makes_way_first(site):
-    here = site(max_client_connections=2)
-    lingers, silent = here.client(), here.client()
-    lingers.send(ALIVE)  # it spoke, so by the rule for open connections the silent one would go first
-    spin(lingers.answers)
-    lingers.served_by.end()
-    assert lingers.until_ended() == "closed"
-    newcomer = here.client()
-    newcomer.send(ALIVE)
-    spin(newcomer.answers)
-    assert silent.served_by in here.fronts[0].connections and not silent.read()
-    spin(lambda: lingers.served_by not in here.fronts[0]._aborted)
-
-
-def test_a_flood_on_a_connection_that_ends_is_read_up_to_a_bound(site):
-    here = site(max_request_bytes=1_000, max_discarded_bytes=50_000)
-    client = here.client()
+    spin(lambda: not bed.core.queries)
+    assert bed.counters["left"] == 1
+    spin(lambda: any(command[0] == b"never_mind" for command in server.received))
+    if departure == "cancels":
+        assert client.wait_for_end() == "closed" and [reply["id"] for reply in client.answers()] == [None]
+
+
+def test_a_client_that_does_not_close_after_the_half_close_is_reset(site):
+    bed = site()
+    client = bed.client()
+    bed.clock.advance(LIMITS.first_message_timeout + LIMITS.client_check_interval)
+    assert client.wait_for_end() == "closed"
+    bed.clock.advance(LIMITS.linger_timeout - 2 * LIMITS.client_check_interval)
+    assert client.served_by in bed.fronts[0].connections
+    bed.clock.advance(3 * LIMITS.client_check_interval)
+    spin(lambda: bed.counters["clients_closed"] == 1)
+    assert bed.counters["clients_lingering"] == 1 and not bed.fronts[0].connections
+
+
+def test_a_lingering_connection_is_evicted_first(site):
+    bed = site(max_client_connections=2)
+    lingering, silent = bed.client(), bed.client()
+    lingering.send(ALIVE)  # By the rule for open connections the silent client would be evicted first.
+    spin(lingering.answers)
+    lingering.served_by.end()
+    assert lingering.wait_for_end() == "closed"
+    new_client = bed.client()
+    new_client.send(ALIVE)
+    spin(new_client.answers)
+    assert silent.served_by in bed.fronts[0].connections and not silent.read()
+    spin(lambda: lingering.served_by not in bed.fronts[0]._aborted)
+
+
+def test_a_flood_on_an_ending_connection_is_discarded_up_to_a_limit(site):
+    bed = site(max_request_bytes=1_000, max_discarded_bytes=50_000)
+    client = bed.client()
     client.send(b"x" * 1_500)
     spin(lambda: client.read())
-    assert client.end == "closed"
+    assert client.end_reason == "closed"
     sent = 0
     while not client.served_by.reading_stopped:
         try:
@@ -250,230 +257,235 @@
             pass
         reactor.iterate(0)
     assert len(client.served_by._buffer) <= 1_000 and client.served_by._discarded_bytes < 50_000 + (1 << 17)
-    here.clock.advance(LIMITS.linger_timeout + LIMITS.client_check_interval)
-    spin(lambda: not here.fronts[0].connections)
+    bed.clock.advance(LIMITS.linger_timeout + LIMITS.client_check_interval)
+    spin(lambda: not bed.fronts[0].connections)
 
 
-# ---- a close against what lies in the kernel
+# ---- timeouts with unread input in the kernel
 
 
-@pytest.mark.parametrize("rested", [True, False])
-def test_a_request_that_lay_unread_when_the_close_was_decided_is_served(site, rested):
-    """The loop was late: the request came before the time was up, and is no crossing of a close."""
-    stand = EngineServer(on_command=answer)
-    here = site(stand, loop=True, max_event_loop_delay=60 * S)
-    client = here.client()
-    if rested:
+@pytest.mark.parametrize("was_idle", [True, False])
+def test_a_request_unread_when_the_idle_timeout_expires_is_served(site, was_idle):
+    """The event loop is late: the request arrived before the timeout expired."""
+    server = EngineServer(on_command=answer)
+    bed = site(server, loop=True, max_event_loop_delay=60 * S)
+    client = bed.client()
+    if was_idle:
         client.send(ALIVE)
         spin(client.answers)
     client.send(ask(1))
-    here.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval)
-    spin(lambda: any(said["id"] == 1 for said in client.answers()) or client.end)
-    assert "result" in client.answers()[-1] and not client.end
+    bed.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval)
+    spin(lambda: any(reply["id"] == 1 for reply in client.answers()) or client.end_reason)
+    assert "result" in client.answers()[-1] and not client.end_reason
 
 
-def test_the_rest_of_a_message_that_lay_unread_when_its_time_was_up_is_taken(site):
-    here = site(loop=True)
-    client = here.client()
+def test_the_rest_of_a_message_unread_when_its_timeout_expires_is_accepted(site):
+    bed = site(loop=True)
+    client = bed.client()
     client.send(b'{"jsonrpc":"2.0",')
     spin(lambda: client.served_by.incomplete_since)
-    here.clock.advance(LIMITS.message_timeout)
+    bed.clock.advance(LIMITS.message_timeout)
     client.send(b'"id":950,"method":"alive"}\n')
-    here.clock.advance(LIMITS.client_check_interval)
+    bed.clock.advance(LIMITS.client_check_interval)
     spin(client.answers)
-    assert "result" in client.answers()[0] and not client.end
+    assert "result" in client.answers()[0] and not client.end_reason
 
 
-def test_an_answer_and_an_idle_close_in_one_turn(site):
-    """The answer counts as the client's last word with the coordinator: the close comes a whole idle time later."""
-    stand = EngineServer()
-    here = site(stand)
-    client = here.client()
+def test_an_answer_restarts_the_idle_timeout(site):
+    """The connection is closed a full idle timeout after the answer."""
+    server = EngineServer()
+    bed = site(server)
+    client = bed.client()
     client.send(ask(1, "report", budget=19_000))
-    spin(lambda: stand.wants())
-    here.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval - MS)
-    stand.connections[0].respond(stand.wants()[0][1], b"200", b"chunks=1", ROWS)
+    spin(lambda: server.wants())
+    bed.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval - MS)
+    server.connections[0].respond(server.wants()[0][1], b"200", b"chunks=1", ROWS)
     spin(client.answers)
-    here.clock.advance(2 * MS)  # the look is due in just this moment
+    bed.clock.advance(2 * MS)  # The check of the timeouts is due now.
     assert not client.served_by.ending
-    here.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval)
-    assert client.until_ended() == "closed" and "result" in client.answers()[0]
+    bed.clock.advance(LIMITS.client_idle_timeout + LIMITS.client_check_interval)
+    assert client.wait_for_end() == "closed" and "result" in client.answers()[0]
 
 
-def test_what_lay_unread_when_the_last_answer_of_a_drain_was_written_is_taken(site):
-    """Pipelined requests: one is read only after the answer to the one before has been written. A close then would
-    have turned it back, though it had come long before."""
-    stand = EngineServer(on_command=answer)
-    here = site(stand, loop=True)
-    client = here.client()
+def test_a_request_unread_at_the_last_answer_of_a_drain_is_accepted(site):
+    """Guards against a pipelined request that is rejected, although it arrived before the last answer was written."""
+    server = EngineServer(on_command=answer)
+    bed = site(server, loop=True)
+    client = bed.client()
     client.send(ask(1))
-    spin(lambda: here.core.queries)
+    spin(lambda: bed.core.queries)
     client.served_by.drain()
     second = json.dumps(ask(2)).encode() + b"\n"
     inner = client.served_by.served
 
-    def served(query, rows):  # it comes in the very step in which the answer is written
+    def served(query, rows):  # The second request arrives as the first answer is written.
         if query.tag == 1:
             client.send(second)
         inner(query, rows)
 
     client.served_by.served = served
-    assert client.until_ended() == "closed"
-    assert [said["id"] for said in client.answers()] == [1, 2]
+    assert client.wait_for_end() == "closed"
+    assert [reply["id"] for reply in client.answers()] == [1, 2]
 
 
-def test_half_a_message_at_the_end_of_a_drain_is_dropped_and_counted(site):
-    stand = EngineServer(on_command=answer)
-    here = site(stand, loop=True)
-    client = here.client()
-    whole = json.dumps(ask(1)).encode() + b"\n"
-    client.send(whole[:40])
+def test_an_incomplete_message_at_the_end_of_a_drain_is_dropped_and_counted(site):
+    server = EngineServer(on_command=answer)
+    bed = site(server, loop=True)
+    client = bed.client()
+    complete = json.dumps(ask(1)).encode() + b"\n"
+    client.send(complete[:40])
     spin(lambda: client.served_by.incomplete_since)
-    here.fronts[0].drain()
+    bed.fronts[0].drain()
     for _ in range(5):
         reactor.iterate(0)
-    assert not client.served_by.ending  # the rest may be on its way
-    here.fronts[0].end()
-    client.send(whole[40:])
-    assert client.until_ended() == "closed" and not client.answers()
-    spin(lambda: here.counters["lines_dropped"] == 1)
-    gone(client)
-    assert not stand.received and here.counters["requests_in"] == 0
-
-
-def test_half_a_message_at_a_drain_does_not_hold_its_connection_beyond_its_time(site):
-    here = site()
-    client = here.client()
+    assert not client.served_by.ending  # The rest of the message may still arrive.
+    bed.fronts[0].end()
+    client.send(complete[40:])
+    assert client.wait_for_end() == "closed" and not client.answers()
+    spin(lambda: bed.counters["lines_dropped"] == 1)
+    close_client(client)
+    assert not server.received and bed.counters["requests_in"] == 0
+
+
+def test_an_incomplete_message_during_a_drain_times_out(site):
+    bed = site()
+    client = bed.client()
     client.send(b'{"jsonrpc"')
     spin(lambda: client.served_by.incomplete_since)
-    here.fronts[0].drain()
-    here.clock.advance(LIMITS.message_timeout + LIMITS.client_check_interval)
-    assert client.until_ended() == "closed" and here.counters["clients_half"] == 1
-    assert [said["error"]["code"] for said in client.answers()] == [-32600]
+    bed.fronts[0].drain()
+    bed.clock.advance(LIMITS.message_timeout + LIMITS.client_check_interval)
+    assert client.wait_for_end() == "closed" and bed.counters["clients_half"] == 1
+    assert [reply["error"]["code"] for reply in client.answers()] == [-32600]
 
 
-# ---- clients that go
+# ---- clients that disconnect
 
 
-@pytest.mark.parametrize("how", ["closes", "resets"])
-def test_a_client_that_closes_with_a_request_open_has_gone(site, how):
-    stand = EngineServer()
-    here = site(stand)
-    client = here.client()
+@pytest.mark.parametrize("departure", ["closes", "resets"])
+def test_a_close_with_open_requests_disconnects_them(site, departure):
+    server = EngineServer()
+    bed = site(server)
+    client = bed.client()
     client.send(ask(1), ask(2))
-    spin(lambda: len(stand.wants()) == 2)
-    if how == "resets":
+    spin(lambda: len(server.wants()) == 2)
+    if departure == "resets":
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         client.socket.close()
     else:
-        client.socket.shutdown(socket.SHUT_WR)  # its own half-close: no answer is read any more
-    spin(lambda: not here.core.queries)
-    spin(lambda: sum(words[0] == b"never_mind" for words in stand.received) == 2)
-    assert here.counters["left"] == 2 and not here.fronts[0].connections
+        client.socket.shutdown(socket.SHUT_WR)  # A half-close by the client counts as a close.
+    spin(lambda: not bed.core.queries)
+    spin(lambda: sum(command[0] == b"never_mind" for command in server.received) == 2)
+    assert bed.counters["left"] == 2 and not bed.fronts[0].connections
 
 
-def test_a_client_that_is_taken_for_open_after_its_close_is_missed(site, monkeypatch):
-    """The mistake planted that the test above must find."""
+def test_an_injected_bug_that_ignores_the_client_s_close_is_detected(site, monkeypatch):
+    """The test above has to detect it."""
     monkeypatch.setattr(JsonRpcConnection, "readConnectionLost", lambda self: None, raising=False)
     monkeypatch.setattr(JsonRpcConnection, "connectionLost", lambda self, reason=None: self.front.lost(self))
-    with pytest.raises(AssertionError, match="it did not come about"):
-        test_a_client_that_closes_with_a_request_open_has_gone(site, "closes")
+    with pytest.raises(AssertionError, match="the condition did not hold in time"):
+        test_a_close_with_open_requests_disconnects_them(site, "closes")
 
 
-def test_a_client_is_told_as_deaf_to_while_it_is_not_read_from(site):
-    """Its close and its cancels don't show then, so nothing new may begin for it."""
-    here = site(EngineServer())
-    client = here.client()
+def test_reading_paused_is_reported_for_a_penalised_client(site):
+    """Its close and cancels are not read meanwhile, so no attempt may start for it."""
+    bed = site(EngineServer())
+    client = bed.client()
     client.send(ask(1))
-    spin(lambda: here.core.queries)
+    spin(lambda: bed.core.queries)
     assert not client.served_by.reading_paused
     client.send(*[b"{\n"] * (LIMITS.faults_before_pause + 1), ask(2))
-    spin(lambda: here.counters["requests_in"] == 2)
+    spin(lambda: bed.counters["requests_in"] == 2)
     assert client.served_by.reading_stopped and not client.served_by.reading_paused
-    assert here.counters["clients_slowed"] == 1
-    here.clock.advance(LIMITS.late_iteration_delay + 1)
+    assert bed.counters["clients_slowed"] == 1
+    bed.clock.advance(LIMITS.late_iteration_delay + 1)
     assert client.served_by.reading_paused
     client.socket.close()
-    here.clock.advance(LIMITS.fault_pause)
-    spin(lambda: not here.core.queries)
-    assert here.counters["left"] == 2
+    bed.clock.advance(LIMITS.fault_pause)
+    spin(lambda: not bed.core.queries)
+    assert bed.counters["left"] == 2
+
 
+def test_a_client_that_floods_and_leaves_has_all_its_requests_cancelled(site):
+    """Its invalid messages slow down reading, so its close is read late.
 
-def test_a_client_that_sends_much_at_once_and_goes_is_given_up_whole(site):
-    """Its faults have it read from slowly, so that its close shows late: nothing is held without bound meanwhile, and
-    as it shows all is given up."""
-    stand = EngineServer()
-    here = site(stand)
-    client = here.client()
+    Until then the buffer is bounded; then all its requests are cancelled.
+    """
+    server = EngineServer()
+    bed = site(server)
+    client = bed.client()
     client.send(*[ask(number, "report", budget=19_000) for number in range(1, 21)])
-    spin(lambda: len(stand.wants()) == 20)
-    left = b"".join(b"{%0998d\n" % number for number in range(200))
-    held = []
-    while left:
+    spin(lambda: len(server.wants()) == 20)
+    unsent = b"".join(b"{%0998d\n" % number for number in range(200))
+    buffered = []
+    while unsent:
         with contextlib.suppress(BlockingIOError):
-            left = left[client.socket.send(left) :]
+            unsent = unsent[client.socket.send(unsent) :]
         reactor.iterate(0)
-        here.clock.advance(100 * MS)
-        held.append(len(client.served_by._buffer))
+        bed.clock.advance(100 * MS)
+        buffered.append(len(client.served_by._buffer))
     client.socket.close()
-    while client.served_by in here.fronts[0].connections:
-        assert len(here.core.queries) == 20 and here.counters["left"] == 0
+    while client.served_by in bed.fronts[0].connections:
+        assert len(bed.core.queries) == 20 and bed.counters["left"] == 0
         reactor.iterate(0)
-        here.clock.advance(100 * MS)
-        held.append(len(client.served_by._buffer))
-        assert here.clock.now() < 1_000_000 * S + 15 * S
-    assert max(held) <= here.core.limits.max_request_bytes
-    assert not here.core.queries and here.counters["left"] == 20 and here.counters["clients_slowed"]
-    spin(lambda: sum(words[0] == b"never_mind" for words in stand.received) == 20)
-    assert len(stand.wants()) == 20
+        bed.clock.advance(100 * MS)
+        buffered.append(len(client.served_by._buffer))
+        assert bed.clock.now() < 1_000_000 * S + 15 * S
+    assert max(buffered) <= bed.core.limits.max_request_bytes
+    assert not bed.core.queries and bed.counters["left"] == 20 and bed.counters["clients_slowed"]
+    spin(lambda: sum(command[0] == b"never_mind" for command in server.received) == 20)
+    assert len(server.wants()) == 20
 
 
-def test_a_client_that_does_not_read_is_told_as_deaf_to(site):
-    big = b"".join(b"%040d\tb\tc\n" % number for number in range(100))
+def test_reading_paused_is_reported_for_a_client_that_does_not_read(site):
+    page = b"".join(b"%040d\tb\tc\n" % number for number in range(100))
 
-    def act(engine, word, id, *rest):
-        if word in (b"want", b"turn"):
-            at = int(rest[0]) if word == b"turn" else 0
-            engine.respond(id, *((b"chunk", b"at=%d" % at) if at else (b"200", b"chunks=10")), big)
+    def send_pages(engine, kind, id, *rest):
+        if kind in (b"want", b"turn"):
+            at = int(rest[0]) if kind == b"turn" else 0
+            engine.respond(id, *((b"chunk", b"at=%d" % at) if at else (b"200", b"chunks=10")), page)
 
-    here = site(EngineServer(on_command=act), EngineServer(on_command=act))
-    client = here.client()
+    bed = site(EngineServer(on_command=send_pages), EngineServer(on_command=send_pages))
+    client = bed.client()
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     client.served_by.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     client.send(*[ask(number) for number in range(1, 9)])
-    spin(lambda: here.counters["served"] == 8)
+    spin(lambda: bed.counters["served"] == 8)
     assert client.served_by.write_blocked_since
-    here.clock.advance(LIMITS.late_iteration_delay + 1)
+    bed.clock.advance(LIMITS.late_iteration_delay + 1)
     assert client.served_by.reading_paused
-    spin(lambda: client.read() or client.got.count(b"\n") == 8)
+    spin(lambda: client.read() or client.received.count(b"\n") == 8)
     assert len(client.answers()) == 8
     spin(lambda: not client.served_by.reading_paused)
     client.send(ask(9))
-    spin(lambda: here.clock.advance(0) or here.counters["served"] == 9)  # held until all that had waited is read
+    spin(
+        lambda: bed.clock.advance(0) or bed.counters["served"] == 9
+    )  # It is deferred until all earlier input has been read.
 
 
-def test_small_writes_are_not_held_back(site):
-    here = site()
-    assert here.client().served_by.transport.getTcpNoDelay()
-    assert here.tds_client().transport.connected
-    (served_by,) = here.fronts[1].connections
+def test_nagle_s_algorithm_is_off_for_clients(site):
+    bed = site()
+    assert bed.client().served_by.transport.getTcpNoDelay()
+    assert bed.tds_client().transport.connected
+    (served_by,) = bed.fronts[1].connections
     assert served_by.transport.getTcpNoDelay()
 
 
-# ---- the end of the process
+# ---- shutdown
 
 
-def test_a_request_read_after_the_end_began_is_refused_and_never_sent_on(site):
-    """It was taken where it could be answered by SIGKILL. What was taken before is served, also what waits for a
-    dial just then."""
-    stand = EngineServer(on_command=answer)
-    here = site(stand)
-    client, late = here.client(), here.client()
+def test_requests_received_after_the_shutdown_began_are_rejected(site):
+    """Guards against a request that is accepted only because it can be answered before SIGKILL.
+
+    Requests accepted before the shutdown are served, even if they wait for a dial at that time.
+    """
+    server = EngineServer(on_command=answer)
+    bed = site(server)
+    client, late = bed.client(), bed.client()
     dials, connect = [], reactor.connectTCP
-    here.patch.setattr(reactor, "connectTCP", lambda *given, **more: dials.append((given, more)))
+    bed.patch.setattr(reactor, "connectTCP", lambda *given, **more: dials.append((given, more)))
     client.send(ask(1))
     spin(lambda: dials)
-    here.core.start_draining(300 * MS)
+    bed.core.start_draining(300 * MS)
     for each in (client, late):
         each.send(ask(2, budget=200) if each is client else ask(3), ALIVE)
     spin(lambda: len(client.answers()) == len(late.answers()) == 2)
@@ -485,16 +497,16 @@
         connect(*given, **more)
     spin(lambda: len(client.answers()) == 3)
     assert client.answers()[-1]["id"] == 1 and "result" in client.answers()[-1]
-    assert len(stand.wants()) == 1 and here.counters["refused_ending"] == 2
+    assert len(server.wants()) == 1 and bed.counters["refused_ending"] == 2
 
 
-# what the process does at a point of its start that the test names; the gate is a pipe, so the order is the test's
-GATED = """
+# A program that stops at a gate, a point of its run that the test chooses; the gate is a pair of pipes.
+GATED_PROGRAM = """
 import os, runpy, sys
 def gate(name, write=os.write, read=os.read):
-    write({say}, name + b"\\n")
-    read({hear}, 1)
-{plant}
+    write({report}, name + b"\\n")
+    read({wait}, 1)
+{patch}
 sys.argv = ["rackhub", "serve", "--config", {config!r}]
 runpy.run_module("rackhub", run_name="__main__", alter_sys=False)
 """
@@ -530,33 +542,33 @@
 """
 
 
-class Gated:
-    """A process of the program that stops at a point of its start until it is let on."""
+class GatedProcess:
+    """A process of the program that stops at a gate until the test opens it."""
 
-    def __init__(self, place, plant, engine=("127.0.0.1", 1), **more):
-        self.place, self.engine = place, engine
+    def __init__(self, directory, patch, engine=("127.0.0.1", 1), **more):
+        self.directory, self.engine = directory, engine
         self.nameserver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.nameserver.bind(("127.0.0.1", 0))
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             self.port = probe.getsockname()[1]
         self.write(**more)
-        (self.said, say), (hear, self.let) = os.pipe(), os.pipe()
-        program = GATED.format(say=say, hear=hear, plant=plant, config=str(place / "c.json"))
+        (self.gate_output, report), (wait, self.gate_input) = os.pipe(), os.pipe()
+        program = GATED_PROGRAM.format(report=report, wait=wait, patch=patch, config=str(directory / "c.json"))
         self.child = subprocess.Popen(
             [sys.executable, "-c", program],
             stderr=subprocess.PIPE,
-            pass_fds=(say, hear),
+            pass_fds=(report, wait),
             cwd=os.path.dirname(os.path.dirname(os.path.abspath(__file__))),
-            env=os.environ | {"TMPDIR": str(place)},
+            env=os.environ | {"TMPDIR": str(directory)},
             text=True,
         )
-        os.close(say)
-        os.close(hear)
+        os.close(report)
+        os.close(wait)
 
     def write(self, **more):
         entry = endpoint("a") | {"address": "{}:{}".format(*self.engine)}
-        (self.place / "c.json").write_text(
+        (self.directory / "c.json").write_text(
             json.dumps(
                 platform_config(
                     listen=f"127.0.0.1:{self.port}",
@@ -567,22 +579,22 @@
             )
         )
 
-    def at(self, name):
-        assert os.read(self.said, 64).decode().strip() == name, self.child.communicate(timeout=60)[1]
+    def wait_for_gate(self, name):
+        assert os.read(self.gate_output, 64).decode().strip() == name, self.child.communicate(timeout=60)[1]
 
-    def go_on(self):
-        with contextlib.suppress(BrokenPipeError):  # a signal may have ended it at its gate
-            os.write(self.let, b"x")
+    def open_gate(self):
+        with contextlib.suppress(BrokenPipeError):  # A signal may have ended the process at its gate.
+            os.write(self.gate_input, b"x")
 
-    def until(self, text):
-        lines, bound = [], threading.Timer(60, self.child.kill)
-        bound.start()
+    def read_until(self, text):
+        lines, timer = [], threading.Timer(60, self.child.kill)
+        timer.start()
         try:
             while not lines or text not in lines[-1]:
                 lines.append(self.child.stderr.readline())
                 assert lines[-1], "".join(lines)
         finally:
-            bound.cancel()
+            timer.cancel()
         return "".join(lines)
 
     def ended(self):
@@ -590,56 +602,58 @@
         return self.child.returncode, rest
 
     def client(self):
-        there = socket.create_connection(("127.0.0.1", self.port), 60)
-        there.settimeout(60)
-        return there, there.makefile("rwb")
+        connection = socket.create_connection(("127.0.0.1", self.port), 60)
+        connection.settimeout(60)
+        return connection, connection.makefile("rwb")
 
     def close(self):
         self.child.kill()
         self.child.wait()
         self.child.stderr.close()
         self.nameserver.close()
-        for each in (self.said, self.let):
+        for each in (self.gate_output, self.gate_input):
             os.close(each)
 
 
 @pytest.fixture
-def gated(tmp_path):
+def start_gated(tmp_path):
     made = []
 
-    def make(plant="", **more):
-        made.append(Gated(tmp_path, plant, **more))
+    def make(patch="", **more):
+        made.append(GatedProcess(tmp_path, patch, **more))
         return made[-1]
 
     yield make
-    for one in made:
-        one.close()
-
-
-@pytest.mark.parametrize("where, plant", [("importing", IMPORTING), ("listening", LISTENING), ("running", RUNNING)])
-def test_signals_before_ready_are_kept_for_it(gated, where, plant):
-    """SIGHUP during the imports ended the process: a crash of one that was just restarted. What SIGHUP brings is taken
-    up once the handlers stand."""
-    process = gated(plant)
-    process.at(where)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as moved:
-        moved.bind(("127.0.0.1", 0))
-        moved.settimeout(60)
-        if where != "importing":  # it has read the file by now
-            process.write(nameserver=f"127.0.0.1:{moved.getsockname()[1]}")
+    for process in made:
+        process.close()
+
+
+@pytest.mark.parametrize("gate, patch", [("importing", IMPORTING), ("listening", LISTENING), ("running", RUNNING)])
+def test_signals_before_the_process_is_ready_are_handled_later(start_gated, gate, patch):
+    """Guards against SIGHUP during the imports that ends the process, as if it had crashed after its restart.
+
+    A configuration announced by SIGHUP is applied once the handlers are installed.
+    """
+    process = start_gated(patch)
+    process.wait_for_gate(gate)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as new_resolver:
+        new_resolver.bind(("127.0.0.1", 0))
+        new_resolver.settimeout(60)
+        if gate != "importing":  # The process has read the file by now.
+            process.write(nameserver=f"127.0.0.1:{new_resolver.getsockname()[1]}")
         for number in (signal.SIGHUP, signal.SIGUSR1):
             process.child.send_signal(number)
-        process.go_on()
-        process.until("counters: ")
-        if where != "importing":
-            assert b"_app" in moved.recv(512)
+        process.open_gate()
+        process.read_until("counters: ")
+        if gate != "importing":
+            assert b"_app" in new_resolver.recv(512)
     process.child.send_signal(signal.SIGTERM)
     assert process.ended()[0] == 0
 
 
-@pytest.mark.parametrize("where, plant", [("importing", IMPORTING), ("listening", LISTENING), ("running", RUNNING)])
+@pytest.mark.parametrize("gate, patch", [("importing", IMPORTING), ("listening", LISTENING), ("running", RUNNING)])
 @pytest.mark.parametrize(
-    "numbers",
+    "signals",
     [
         (signal.SIGTERM,),
         (signal.SIGTERM, signal.SIGTERM),
@@ -648,24 +662,24 @@
     ],
     ids=["once", "twice", "after SIGHUP", "before SIGHUP"],
 )
-def test_sigterm_before_ready_ends_the_process_in_order(gated, where, plant, numbers):
-    process = gated(plant)
-    process.at(where)
-    for number in numbers:
+def test_sigterm_before_the_process_is_ready_ends_it_cleanly(start_gated, gate, patch, signals):
+    process = start_gated(patch)
+    process.wait_for_gate(gate)
+    for number in signals:
         process.child.send_signal(number)
-    process.go_on()
-    status, said = process.ended()
-    assert status == 0 and "Traceback" not in said
+    process.open_gate()
+    status, output = process.ended()
+    assert status == 0 and "Traceback" not in output
 
 
-def test_signals_as_the_interpreter_ends_change_nothing(gated):
-    process = gated(ENDING)
-    process.until("serves on")
+def test_signals_at_interpreter_shutdown_are_ignored(start_gated):
+    process = start_gated(ENDING)
+    process.read_until("serves on")
     process.child.send_signal(signal.SIGTERM)
-    process.at("ending")  # Python has put its handlers back by now
+    process.wait_for_gate("ending")  # Python has restored its handlers by now.
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1):
         process.child.send_signal(number)
-    process.go_on()
+    process.open_gate()
     assert process.ended()[0] == 0
 
 
@@ -678,7 +692,7 @@
     inner(self)
 front.Client.close = close
 """
-UNLISTENED = """
+STOPPED_LISTENING = """
 import rackhub.net.listen as listen
 inner = listen.SharedPort._accept_queued
 def accept_queued(self):
@@ -686,22 +700,22 @@
     inner(self)
 listen.SharedPort._accept_queued = accept_queued
 """
-PATIENT = """
+NO_OVERLOAD = """
 import rackhub.core.deadline_monitor as deadline_monitor
 inner = deadline_monitor.DeadlineMonitor.sweep
 def sweep(self):
     inner(self)
     self._state.loop_overloaded = False
 deadline_monitor.DeadlineMonitor.sweep = sweep
-"""  # on a machine that does ten things at once a late loop refuses what the test needs taken
+"""  # On a busy machine a late event loop would reject the requests of the test.
 
 
 def line(message):
     return json.dumps(message).encode() + b"\n"
 
 
-class Unreachable:
-    """An engine whose machine took the dial and says nothing."""
+class UnresponsiveEngine:
+    """An engine whose kernel accepts connections, but which sends nothing."""
 
     def __init__(self):
         self.port = socket.socket()
@@ -710,90 +724,99 @@
         self.port.settimeout(60)
         self.address = self.port.getsockname()
 
-    def heard(self):
-        """All that has come on its connections, which have all ended."""
+    def received_bytes(self):
+        """Return all bytes received on its connections, which have all ended."""
         self.port.setblocking(False)
-        said = b""
+        received = b""
         while True:
             try:
                 connection, _ = self.port.accept()
             except BlockingIOError:
-                return said
+                return received
             with connection:
                 connection.settimeout(60)
                 try:
                     while data := connection.recv(1 << 16):
-                        said += data
+                        received += data
                 except ConnectionResetError:
                     pass
 
 
 @pytest.fixture
-def unreachable():
-    engine = Unreachable()
+def unresponsive():
+    engine = UnresponsiveEngine()
     yield engine
     engine.port.close()
 
 
-def test_a_resting_client_that_sends_as_the_process_closes_its_connection_hears_of_a_close(gated, unreachable):
-    process = gated(CLOSING, engine=unreachable.address)
-    process.until("serves on")
-    resting, lines = process.client()
-    with resting, lines:
+def test_a_request_that_crosses_the_close_at_shutdown_is_dropped_and_the_connection_closed(start_gated, unresponsive):
+    process = start_gated(CLOSING, engine=unresponsive.address)
+    process.read_until("serves on")
+    idle_client, lines = process.client()
+    with idle_client, lines:
         lines.write(line(ALIVE))
         lines.flush()
         assert json.loads(lines.readline())["result"] == {"pass": True}
         process.child.send_signal(signal.SIGTERM)
-        process.at("closing")  # it is decided, and not done
+        process.wait_for_gate("closing")  # The close is decided, but not done yet.
         lines.write(line(ask(1)))
         lines.flush()
-        process.go_on()
-        assert lines.readline() == b"" and resting.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
-    status, said = process.ended()
-    assert status == 0 and "lines_dropped=1" in said and "requests_in" not in said and not unreachable.heard()
+        process.open_gate()
+        assert lines.readline() == b"" and idle_client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
+    status, output = process.ended()
+    assert (
+        status == 0
+        and "lines_dropped=1" in output
+        and "requests_in" not in output
+        and not unresponsive.received_bytes()
+    )
 
 
-def test_what_came_as_the_listener_closes_is_answered(gated, unreachable):
-    process = gated(UNLISTENED, engine=unreachable.address)
-    process.until("serves on")
+def test_a_connection_made_as_the_listener_closes_is_answered(start_gated, unresponsive):
+    process = start_gated(STOPPED_LISTENING, engine=unresponsive.address)
+    process.read_until("serves on")
     process.child.send_signal(signal.SIGTERM)
-    process.at("unlistened")  # Twisted's port has let go of the socket, and the kernel still takes newcomers
+    process.wait_for_gate("unlistened")  # Twisted's port has stopped, while the kernel still queues new connections.
     late, lines = process.client()
     with late, lines:
         lines.write(line(ask(1)))
         lines.flush()
-        process.go_on()
+        process.open_gate()
         assert json.loads(lines.readline())["error"]["code"] == -32008 and lines.readline() == b""
-    status, said = process.ended()
-    assert status == 0 and "refused_ending=1" in said and not unreachable.heard()
-
-
-def test_half_a_request_at_sigterm_is_dropped_and_what_was_taken_is_answered(gated, unreachable):
-    """Discovery and the engines are silent, so that the request waits up to its time."""
-    process = gated(PATIENT, engine=unreachable.address)
-    process.until("serves on")
-    (whole, said_whole), (half, said_half) = process.client(), process.client()
-    with whole, said_whole, half, said_half:
-        for there, message in ((said_whole, ask(1, budget=1500)), (said_whole, ALIVE), (said_half, ALIVE)):
-            there.write(line(message))
-            there.flush()
-        for there in (said_whole, said_half):
-            assert json.loads(there.readline())["result"] == {"pass": True}
-        said_half.write(line(ask(2))[:-30])
-        said_half.flush()
+    status, output = process.ended()
+    assert status == 0 and "refused_ending=1" in output and not unresponsive.received_bytes()
+
+
+def test_an_incomplete_request_at_sigterm_is_dropped_and_open_requests_are_answered(start_gated, unresponsive):
+    """The resolver and the engines do not answer, so that the request waits until its deadline."""
+    process = start_gated(NO_OVERLOAD, engine=unresponsive.address)
+    process.read_until("serves on")
+    (complete, complete_lines), (partial, partial_lines) = process.client(), process.client()
+    with complete, complete_lines, partial, partial_lines:
+        for connection, message in (
+            (complete_lines, ask(1, budget=1500)),
+            (complete_lines, ALIVE),
+            (partial_lines, ALIVE),
+        ):
+            connection.write(line(message))
+            connection.flush()
+        for connection in (complete_lines, partial_lines):
+            assert json.loads(connection.readline())["result"] == {"pass": True}
+        partial_lines.write(line(ask(2))[:-30])
+        partial_lines.flush()
         process.child.send_signal(signal.SIGTERM)
-        answer = json.loads(said_whole.readline())
-        assert answer["id"] == 1 and "error" in answer and said_whole.readline() == b""
-        told = said_half.read()  # it hears of its half message, if its time is up before the process is done
-        assert b'"result"' not in told
-    status, said = process.ended()
-    assert status == 0 and "requests_in=1 " in said and "halves_dropped=1" in said
-    assert f"{2:016x}".encode() not in unreachable.heard()
-
-
-def test_requests_that_wait_for_engines_that_refuse_are_answered_at_sigterm(gated):
-    process = gated()  # nothing listens where its engine is, and discovery is down
-    process.until("serves on")
+        answer = json.loads(complete_lines.readline())
+        assert answer["id"] == 1 and "error" in answer and complete_lines.readline() == b""
+        last_lines = partial_lines.read()  # an error if the message times out before the process ends
+        assert b'"result"' not in last_lines
+    status, output = process.ended()
+    assert status == 0 and "requests_in=1 " in output and "halves_dropped=1" in output
+    assert f"{2:016x}".encode() not in unresponsive.received_bytes()
+
+
+def test_requests_waiting_for_engines_that_refuse_connections_are_answered_at_sigterm(start_gated):
+    process = start_gated()  # Nothing listens at the engine's address, and the resolver does not answer.
+    process.read_until("serves on")
     client, lines = process.client()
     with client, lines:
         lines.write(line(ask(1, budget=1500)) + line(ALIVE))
@@ -802,34 +825,34 @@
         process.child.send_signal(signal.SIGTERM)
         process.child.send_signal(signal.SIGTERM)
         answers.append(json.loads(lines.readline()))
-        assert {said["id"] for said in answers} == {1, ALIVE["id"]} and lines.readline() == b""
+        assert {reply["id"] for reply in answers} == {1, ALIVE["id"]} and lines.readline() == b""
     assert process.ended()[0] == 0
 
 
 # ---- descriptors
 
 
-FEW = """
+FEW_DESCRIPTORS = """
 import resource
 resource.setrlimit(resource.RLIMIT_NOFILE, ({files}, {files}))
 """
 
 
-def crowd(process, count):
-    """Idle clients, each with a word said, so that none is closed for its silence, and how many were answered."""
-    made, heard = [], 0
+def open_idle_clients(process, count):
+    """Open idle clients that have sent one message each; return them and the number of those answered."""
+    made, answered = [], 0
     for _ in range(count):
-        there = socket.create_connection(("127.0.0.1", process.port), 60)
-        there.settimeout(60)
-        made.append(there)
+        connection = socket.create_connection(("127.0.0.1", process.port), 60)
+        connection.settimeout(60)
+        made.append(connection)
         with contextlib.suppress(ConnectionError):
-            there.sendall(line(ALIVE))
-            heard += b"true" in there.recv(256)
-    return made, heard
+            connection.sendall(line(ALIVE))
+            answered += b"true" in connection.recv(256)
+    return made, answered
 
 
-def say(process, *messages):
-    """A newcomer's answers; none where it is turned away."""
+def send_lines(process, *messages):
+    """Send messages from a new client and return the answers, none if the connection is closed."""
     client, lines = process.client()
     with client, lines:
         try:
@@ -840,37 +863,37 @@
             return []
 
 
-def test_idle_clients_fill_the_descriptors_while_discovery_is_down(gated, unreachable, planted=""):
-    """A newcomer's `alive` comes through, its request reaches an engine, and the resolver is asked still."""
-    process = gated(
-        PATIENT + FEW.format(files=96) + planted,
-        engine=unreachable.address,
+def test_new_clients_and_polls_get_descriptors_when_idle_clients_use_them_all(start_gated, unresponsive, injected=""):
+    """The `alive` of a new client is answered, its request reaches an engine, and the resolver is still polled."""
+    process = start_gated(
+        NO_OVERLOAD + FEW_DESCRIPTORS.format(files=96) + injected,
+        engine=unresponsive.address,
         limits={"cores": 1.0, "memory_mb": 192, "sockets": 96},
     )
-    process.until("serves on")
-    idle, heard = crowd(process, 60)  # over twice of what there is room for
+    process.read_until("serves on")
+    idle, answered = open_idle_clients(process, 60)  # more than twice as many as there are descriptors for
     try:
-        assert heard == 60
-        newcomer, lines = process.client()
-        with newcomer, lines:
+        assert answered == 60
+        new_client, lines = process.client()
+        with new_client, lines:
             lines.write(line(ALIVE) + line(ask(1, budget=9_000)))
             lines.flush()
             assert json.loads(lines.readline())["result"] == {"pass": True}
-            engine, _ = unreachable.port.accept()
+            engine, _ = unresponsive.port.accept()
             with engine:
                 engine.settimeout(60)
                 assert f"{1:016x}".encode() in engine.recv(1 << 16)
                 process.nameserver.setblocking(False)
                 with contextlib.suppress(BlockingIOError):
-                    while process.nameserver.recv(512):  # asked up to now
+                    while process.nameserver.recv(512):  # earlier polls
                         pass
                 process.nameserver.settimeout(60)
                 assert b"_app" in process.nameserver.recv(512)
                 process.child.send_signal(signal.SIGUSR1)
-                said = process.until("counters: ")
+                output = process.read_until("counters: ")
                 engine.sendall(b"*4\r\n$16\r\n%016x\r\n$3\r\n200\r\n$8\r\nchunks=1\r\n$6\r\na\tb\tc\n\r\n" % 1)
                 assert "result" in json.loads(lines.readline())
-        assert "clients_evicted" in said and "over_engine_links" not in said
+        assert "clients_evicted" in output and "over_engine_links" not in output
     finally:
         for each in idle:
             each.close()
@@ -878,25 +901,27 @@
     assert process.ended()[0] == 0
 
 
-def test_without_room_made_for_newcomers_they_are_missed(gated, unreachable):
-    """The mistake planted that the test above must find."""
-    planted = "import rackhub.net.front as front\nfront.Front._evict_client = lambda self: False\n"
+def test_an_injected_bug_that_evicts_no_idle_client_is_detected(start_gated, unresponsive):
+    """The test above has to detect it."""
+    injected = "import rackhub.net.front as front\nfront.Front._evict_client = lambda self: False\n"
     with pytest.raises(AssertionError, match="assert 24 == 60"):
-        test_idle_clients_fill_the_descriptors_while_discovery_is_down(gated, unreachable, planted)
+        test_new_clients_and_polls_get_descriptors_when_idle_clients_use_them_all(start_gated, unresponsive, injected)
+
 
+def test_the_port_closes_without_a_descriptor_for_the_queued_connections():
+    """Guards against an exception in the Deferred that the shutdown waits for, so that the process never ends.
 
-def test_the_last_descriptor_taken_as_the_listener_closes_does_not_keep_the_process_from_its_end():
-    """accept took it, so that there was none for the reactor's copy: the fault went into the Deferred that the end of
-    the process waits for, and it never came."""
+    Accepting a connection takes the last descriptor, so that the reactor can't duplicate it.
+    """
 
-    class Full(AdoptingReactor):
+    class DescriptorlessReactor(AdoptingReactor):
         def adoptStreamConnection(self, fd, family, factory):  # noqa: N802 - Twisted's name
             raise OSError(errno.EMFILE, "too many open files")
 
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         number = probe.getsockname()[1]
-    port, ended = SharedPort(Full(), "127.0.0.1", number, None, 16), []
+    port, ended = SharedPort(DescriptorlessReactor(), "127.0.0.1", number, None, 16), []
     with socket.create_connection(("127.0.0.1", number), 60), socket.create_connection(("127.0.0.1", number), 60):
         port.close().addBoth(ended.append)
         assert ended == [None]
@@ -904,15 +929,15 @@
         socket.create_connection(("127.0.0.1", number), 60)
 
 
-def test_no_descriptor_for_a_newcomer_ends_nothing(gated):
-    """The process has fewer than it was told: accept fails, and goes on once there are some."""
-    process = gated(FEW.format(files=40))
-    process.until("serves on")
-    idle, heard = crowd(process, 60)
-    assert 0 < heard < 60  # those beyond were turned back
+def test_the_process_continues_when_accept_finds_no_descriptor(start_gated):
+    """The process has fewer descriptors than configured: accept fails, and succeeds again once some are free."""
+    process = start_gated(FEW_DESCRIPTORS.format(files=40))
+    process.read_until("serves on")
+    idle, answered = open_idle_clients(process, 60)
+    assert 0 < answered < 60  # The others were rejected.
     for each in idle:
         each.close()
-    while not say(process, ALIVE):
+    while not send_lines(process, ALIVE):
         pass
     process.child.send_signal(signal.SIGTERM)
     assert process.ended()[0] == 0
@@ -921,44 +946,45 @@
 # ---- settings
 
 
-def test_a_request_holds_the_settings_of_its_start_over_a_reload(gated, unreachable):
-    """Half of it is read before the reload, which names other classes and tenants, and the rest after it."""
-    process = gated(PATIENT, engine=unreachable.address)
-    process.until("serves on")
+def test_a_request_received_across_a_reload_is_served_by_the_settings_of_the_start(start_gated, unresponsive):
+    """A part of the request is read before the reload, which changes classes and tenants, and the rest after it."""
+    process = start_gated(NO_OVERLOAD, engine=unresponsive.address)
+    process.read_until("serves on")
     client, lines = process.client()
     with client, lines:
-        whole = line(ask(1, budget=9_000))
-        lines.write(line(ALIVE) + whole[:50])
+        complete = line(ask(1, budget=9_000))
+        lines.write(line(ALIVE) + complete[:50])
         lines.flush()
         assert json.loads(lines.readline())["result"] == {"pass": True}
         report = {"Name": "report", "Deadline": 1_000_000, "Effect": "retryable", "Worth": 1.0}
         other = SETTINGS | {"Services": [report], "Tenants": [{"Name": "others", "Fraction": 0.5}]}
         process.write(settings=other)
         process.child.send_signal(signal.SIGHUP)
-        process.until("settings changed too, which takes a restart")
-        lines.write(whole[50:])
+        process.read_until("settings changed too, which takes a restart")
+        lines.write(complete[50:])
         lines.flush()
-        engine, _ = unreachable.port.accept()
+        engine, _ = unresponsive.port.accept()
         with engine:
             engine.settimeout(60)
             want = engine.recv(1 << 16)
             assert f"{1:016x}".encode() in want and b"profile=lookup" in want
             engine.sendall(b"*4\r\n$16\r\n%016x\r\n$3\r\n200\r\n$8\r\nchunks=1\r\n$6\r\na\tb\tc\n\r\n" % 1)
             assert "result" in json.loads(lines.readline())
-            lines.write(line(ask(2, "report")) + line(ask(3, acct="others")))  # the next as well
+            lines.write(
+                line(ask(2, "report")) + line(ask(3, acct="others"))
+            )  # The classes and tenants stay for later requests too.
             lines.flush()
             assert {json.loads(lines.readline())["error"]["code"] for _ in range(2)} == {-32601, -32602}
     process.child.send_signal(signal.SIGTERM)
     assert process.ended()[0] == 0
 
 
-# ---- hand-over
+# ---- replacement of a process
 
 
 @pytest.fixture
-def pair(tmp_path):
-    """Two processes of one coordinator that serve side by side, as while one replaces the other, each with a second
-    address that the test can call by itself."""
+def start_pair(tmp_path):
+    """Start two processes of a coordinator, of which one replaces the other, each with its own operators' address."""
     (listen,) = free_ports(1)
     engines, made = [DelayedEngine(0) for _ in range(2)], []
     resolver = start_resolver(engines)
@@ -978,85 +1004,88 @@
     wait_until(lambda: not any(connection.connected for engine in engines for connection in engine.connections))
 
 
-def avoided(process):
-    """How many engines a process sends nothing new to."""
+def count_ejected(process):
+    """Return the number of engines that a process has ejected."""
     with socket.create_connection(("127.0.0.1", process.operator_port), 60) as call:
         call.settimeout(60)
         call.sendall(b"DUMP\n")
-        said = b"".join(iter(lambda: call.recv(1 << 16), b""))
-    (found,) = (text.split() for text in said.decode().splitlines() if text.startswith("balancer_pool_ejected "))
+        dump = b"".join(iter(lambda: call.recv(1 << 16), b""))
+    (found,) = (text.split() for text in dump.decode().splitlines() if text.startswith("balancer_pool_ejected "))
     return int(float(found[-1]))
 
 
 @pytest.mark.parametrize("to_old", [True, False])
-def test_a_ban_told_to_one_of_two_processes_holds_in_both(pair, to_old):
-    """It lay with the one that was called: told to the old one it was gone with it, and what the old one kept later,
-    with each new list, took the new one's from the file."""
-    start, _ = pair
+def test_an_ejection_ordered_from_one_of_two_processes_applies_in_both(start_pair, to_old):
+    """Guards against an operator's ejection that is known only to the process that was called.
+
+    One ordered from the old process was lost with it. One ordered from the new process was overwritten in the file when
+    the old process stored its own with the next list.
+    """
+    start, _ = start_pair
     old, new = start("old"), start("new")
     called, other = (old, new) if to_old else (new, old)
     assert called.send_command("OFFLINE e0").startswith("YES")
-    wait_until(lambda: avoided(other) == 1)
-    assert other.send_command("OFFLINE e1").startswith("YES")  # and each adds to what the other was told
-    wait_until(lambda: avoided(called) == 2)
+    wait_until(lambda: count_ejected(other) == 1)
+    assert other.send_command("OFFLINE e1").startswith("YES")  # The ejections of both processes add up.
+    wait_until(lambda: count_ejected(called) == 2)
     assert called.send_command("ONLINE e0").startswith("YES")
-    wait_until(lambda: avoided(other) == 1)
+    wait_until(lambda: count_ejected(other) == 1)
     old.terminate()
     assert old.wait_for_exit() == 0
-    assert avoided(new) == 1
+    assert count_ejected(new) == 1
     third = start("third")
-    assert avoided(third) == 1
+    assert count_ejected(third) == 1
 
 
-# ---- planted mistakes: each of these tests can fail
+# ---- injected bugs, which the tests above have to detect
 
 
-def test_a_planted_answer_that_an_idle_close_forgets_is_seen(site, monkeypatch):
+def test_an_injected_bug_that_ignores_the_time_of_an_answer_is_detected(site, monkeypatch):
     inner = JsonRpcConnection._answer
 
-    def forgets(self, *given):
-        used = self.last_used
+    def answer_without_use(self, *given):
+        last_used = self.last_used
         inner(self, *given)
-        self.last_used = used
+        self.last_used = last_used
 
-    monkeypatch.setattr(JsonRpcConnection, "_answer", forgets)
+    monkeypatch.setattr(JsonRpcConnection, "_answer", answer_without_use)
     with pytest.raises(AssertionError):
-        test_an_answer_and_an_idle_close_in_one_turn(site)
+        test_an_answer_restarts_the_idle_timeout(site)
 
 
-def test_planted_small_writes_that_are_held_back_are_seen(site, monkeypatch):
+def test_an_injected_bug_that_leaves_nagle_s_algorithm_on_for_clients_is_detected(site, monkeypatch):
     monkeypatch.setattr("twisted.internet.tcp.Connection.setTcpNoDelay", lambda self, on: None)
     with pytest.raises(AssertionError):
-        test_small_writes_are_not_held_back(site)
+        test_nagle_s_algorithm_is_off_for_clients(site)
 
 
-def test_a_planted_flood_whose_end_is_not_heard_is_seen(site, monkeypatch):
+def test_an_injected_bug_that_misses_the_end_of_a_flood_is_detected(site, monkeypatch):
     monkeypatch.setattr(JsonRpcConnection, "connectionLost", lambda self, reason=None: self.front.lost(self))
     with pytest.raises(AssertionError):
-        test_a_client_that_sends_much_at_once_and_goes_is_given_up_whole(site)
+        test_a_client_that_floods_and_leaves_has_all_its_requests_cancelled(site)
 
 
-STOPS = """
+STOP_AT_ONCE = """
 from twisted.internet import reactor
 import rackhub.daemon
 rackhub.daemon.Daemon._begin_shutdown = lambda self: reactor.stop()
 """
 
 
-def test_a_request_whose_engine_is_silent_at_sigterm_is_answered(gated, unreachable, plant=""):
-    process = gated(PATIENT + plant, engine=unreachable.address)
-    process.until("serves on")
+def test_a_request_whose_engine_is_unresponsive_at_sigterm_is_answered(start_gated, unresponsive, patch=""):
+    process = start_gated(NO_OVERLOAD + patch, engine=unresponsive.address)
+    process.read_until("serves on")
     client, lines = process.client()
     with client, lines:
         lines.write(line(ask(1, budget=1500)) + line(ALIVE))
         lines.flush()
-        assert json.loads(lines.readline())["id"] == ALIVE["id"]  # the request is open, and its engine says nothing
+        assert json.loads(lines.readline())["id"] == ALIVE["id"]  # The request is open, and its engine does not answer.
         process.child.send_signal(signal.SIGTERM)
-        said = json.loads(lines.readline())
-        assert said["id"] == 1 and said["error"]["code"] == -32008 and lines.readline() == b""
+        reply = json.loads(lines.readline())
+        assert reply["id"] == 1 and reply["error"]["code"] == -32008 and lines.readline() == b""
     assert process.ended()[0] == 0
 
 
-def test_a_planted_end_at_once_is_seen(gated, unreachable):
-    with pytest.raises(ValueError):  # the answer that is owed is no JSON, as it never came
-        test_a_request_whose_engine_is_silent_at_sigterm_is_answered(gated, unreachable, STOPS)
+def test_an_injected_bug_that_stops_at_sigterm_at_once_is_detected(start_gated, unresponsive):
+    with pytest.raises(ValueError):  # There is no answer to parse.
+        test_a_request_whose_engine_is_unresponsive_at_sigterm_is_answered(start_gated, unresponsive, STOP_AT_ONCE)
