--- a/rackhub/net/client.py
+++ b/rackhub/net/client.py
@@ -11,7 +11,7 @@
 
 log = logs.logger(__name__)
 
-MAX_PENALTY_DOUBLINGS = 10
+MAX_FAULT_PAUSE_DOUBLINGS = 10
 
 
 class Client(Reply):
@@ -31,7 +31,7 @@
         self.last_used = front.core.clock.now()  # time of connecting, or of the last complete message or answer
         self.incomplete_since = 0  # arrival of the first bytes of an incomplete message
         self.write_blocked_since = 0  # time since which the client has not read its answers
-        self.penalty_until = 0  # end of the pause in reading after invalid messages
+        self.fault_pause_until = 0  # end of the pause in reading after invalid messages
         self.closed_at = 0  # time at which the writing side was closed
         self.reading_stopped = False
         self.unread_input_since = 0  # earliest arrival of input that may still be unread in the socket
@@ -39,7 +39,7 @@
         self._reading_changes = 0  # incremented at each change, which voids the check scheduled before
         self.has_sent_message = False
         self.ending = False
-        self.invalid_messages = 0
+        self.faults = 0
 
     def has_open_request(self) -> bool:
         """Return whether a request is open on this connection."""
@@ -114,32 +114,32 @@
         After `limits.faults_before_pause` of them, each further one pauses reading for a time that doubles up to
         `limits.max_fault_pause`: clients that send invalid messages at full speed would take most of the CPU.
         """
-        self.invalid_messages += 1
-        excess = self.invalid_messages - self.front.limits.faults_before_pause
+        self.faults += 1
+        excess = self.faults - self.front.limits.faults_before_pause
         if excess <= 0 or self.ending:
             return
         now = self.core.clock.now()
-        timer_runs = now < self.penalty_until
-        pause = self.front.limits.fault_pause << min(excess - 1, MAX_PENALTY_DOUBLINGS)
-        self.penalty_until = now + min(pause, self.front.limits.max_fault_pause)
+        timer_runs = now < self.fault_pause_until
+        pause = self.front.limits.fault_pause << min(excess - 1, MAX_FAULT_PAUSE_DOUBLINGS)
+        self.fault_pause_until = now + min(pause, self.front.limits.max_fault_pause)
         if not timer_runs:
             self.counters.add("clients_slowed")
-            self.core.timers.call_at(self.penalty_until, self._check_penalty)
+            self.core.timers.call_at(self.fault_pause_until, self._check_fault_pause)
             self.update_reading()
 
-    def _check_penalty(self) -> None:
-        if self.core.clock.now() < self.penalty_until:
-            self.core.timers.call_at(self.penalty_until, self._check_penalty)
+    def _check_fault_pause(self) -> None:
+        if self.core.clock.now() < self.fault_pause_until:
+            self.core.timers.call_at(self.fault_pause_until, self._check_fault_pause)
         else:
             self.update_reading()
 
     def should_stop_reading(self) -> bool:
         """Return whether reading has to be paused now."""
-        return not self.ending and (self.write_blocked_since > 0 or self.is_penalised())
+        return not self.ending and (self.write_blocked_since > 0 or self.is_paused_for_faults())
 
-    def is_penalised(self) -> bool:
+    def is_paused_for_faults(self) -> bool:
         """Return whether reading is paused because of invalid messages."""
-        return self.core.clock.now() < self.penalty_until
+        return self.core.clock.now() < self.fault_pause_until
 
     def update_reading(self) -> None:
         """Pause or resume the transport as `should_stop_reading` says. Nothing else pauses or resumes it."""
