--- a/rackhub/net/client.py
+++ b/rackhub/net/client.py
@@ -21,7 +21,7 @@
     does not hold.
     """
 
-    marks = False  # True where the protocol can mark a result as partial, see `core.request.Reply`
+    marks = False  # True if the protocol can tell the client that a result is partial, which allows partial results
     transport: Any  # Twisted's TCP connection
 
     def __init__(self, front: "Front"):
@@ -30,16 +30,16 @@
         self.counters = front.counters
         self.last_used = front.core.clock.now()  # time of connecting, or of the last complete message or answer
         self.incomplete_since = 0  # arrival of the first bytes of an incomplete message
-        self.write_blocked_since = 0  # time since which the client has not read its answers
-        self.fault_pause_until = 0  # end of the pause in reading after invalid messages
+        self.write_blocked_since = 0  # time at which the send buffer became full
+        self.fault_pause_until = 0  # end of the pause in reading after faults
         self.closed_at = 0  # time at which the writing side was closed
-        self.reading_stopped = False
+        self.reading_stopped = False  # True while the transport is paused
         self.unread_input_since = 0  # earliest arrival of input that may still be unread in the socket
         self._reading_stopped_at = 0
-        self._reading_changes = 0  # incremented at each change, which voids the check scheduled before
+        self._check_number = 0  # number of the latest scheduled check for unread input; earlier ones do nothing
         self.has_sent_message = False
-        self.ending = False
-        self.faults = 0
+        self.ending = False  # True once no further requests are accepted
+        self.faults = 0  # number of invalid messages received
 
     def has_open_request(self) -> bool:
         """Return whether a request is open on this connection."""
@@ -50,9 +50,9 @@
         raise NotImplementedError
 
     def drain(self) -> None:
-        """Accept and answer the requests already on their way, then close. Called when the process shuts down.
+        """Close the connection as the process shuts down.
 
-        Calls `end` by default.
+        A subclass may first accept the requests that the client has already sent. The default, `end`, accepts none.
         """
         self.end()
 
@@ -93,15 +93,15 @@
         """Reset the connection, discarding unsent answers."""
         self.transport.abortConnection()
 
-    # ---- flow control: nothing is read from a client that does not read its answers, which bounds both buffers
+    # ---- flow control: by default reading pauses while the send buffer is full, which bounds both buffers
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop reading, as the send buffer is full (Twisted)."""
+        """Record that the send buffer is full (Twisted)."""
         self.write_blocked_since = self.core.clock.now()
         self.update_reading()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Resume reading, as the client has read its answers (Twisted)."""
+        """Record that the send buffer has been sent (Twisted)."""
         self.write_blocked_since = 0
         self.update_reading()
 
@@ -109,10 +109,10 @@
         """Do nothing: `connectionLost` handles the loss of the connection (Twisted)."""
 
     def record_fault(self) -> None:
-        """Count an invalid message, which was answered with an error.
+        """Count an invalid message. The caller answers it with an error.
 
         After `limits.faults_before_pause` of them, each further one pauses reading for a time that doubles up to
-        `limits.max_fault_pause`: clients that send invalid messages at full speed would take most of the CPU.
+        `limits.max_fault_pause`: clients that send faults at full speed would otherwise take most of the CPU.
         """
         self.faults += 1
         excess = self.faults - self.front.limits.faults_before_pause
@@ -138,19 +138,19 @@
         return not self.ending and (self.write_blocked_since > 0 or self.is_paused_for_faults())
 
     def is_paused_for_faults(self) -> bool:
-        """Return whether reading is paused because of invalid messages."""
+        """Return whether reading is paused because of faults."""
         return self.core.clock.now() < self.fault_pause_until
 
     def update_reading(self) -> None:
         """Pause or resume the transport as `should_stop_reading` says. Nothing else pauses or resumes it."""
         if self.should_stop_reading() == self.reading_stopped:
             return
-        self._reading_changes += 1
+        self._check_number += 1
         if self.reading_stopped:
             self.may_have_unread_input = self.may_have_unread_input or self.reading_paused
             self.reading_stopped = False
             self.transport.resumeProducing()
-            self._check_after_reads()
+            self._clear_unread_input_after_reads()
         else:
             self._reading_stopped_at = self.core.clock.now()
             self.unread_input_since = self.unread_input_since or self._reading_stopped_at
@@ -160,30 +160,30 @@
     def record_read(self, size: int) -> None:
         """Record that `size` bytes of one read have been handled; after a full read more may be left in the kernel."""
         if size >= self.front.limits.socket_read_bytes:
-            self._check_after_reads()
+            self._clear_unread_input_after_reads()
             return
         self.may_have_unread_input = False
         self.unread_input_since = self._reading_stopped_at if self.reading_stopped else 0
 
-    def _check_after_reads(self) -> None:
-        """Check for unread input after all sockets have been read: an empty socket causes no read event."""
+    def _clear_unread_input_after_reads(self) -> None:
+        """Record that nothing is unread once all sockets have been read, as an empty socket causes no read event."""
         if self.unread_input_since and not self.reading_stopped:
-            self._reading_changes += 1
-            self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._sockets_read, self._reading_changes)
+            self._check_number += 1
+            self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._clear_unread_input, self._check_number)
 
-    def _sockets_read(self, reading_changes: int) -> None:
-        """Record that nothing is unread, unless reading has stopped or a full read has come since the scheduling."""
-        if reading_changes == self._reading_changes:
+    def _clear_unread_input(self, check_number: int) -> None:
+        """Record that nothing is unread, unless reading was paused or another check was scheduled meanwhile."""
+        if check_number == self._check_number:
             self.may_have_unread_input = False
             self.unread_input_since = 0
 
     @property
     def reading_paused(self) -> bool:  # type: ignore[override]
-        """Whether a cancel or the close of the client may be unread.
+        """Whether reading has been paused for so long that a cancel or the close of the client may be unread.
 
-        False for the first `limits.late_iteration_delay` of a pause: one answer that fills the buffer pauses reading
-        for an event-loop iteration. If input was unread already, that time counts from its arrival, as reading can
-        resume and pause again without a read in between.
+        Pauses up to `limits.late_iteration_delay` don't count, as one answer that fills the send buffer causes a pause
+        of one event-loop iteration. The time counts from `unread_input_since`, not from the start of this pause:
+        reading can resume and pause again without a read in between.
         """
         unread_for = self.core.clock.now() - self.unread_input_since
         return self.reading_stopped and unread_for > self.front.limits.late_iteration_delay
--- a/rackhub/net/platform_source.py
+++ b/rackhub/net/platform_source.py
@@ -9,7 +9,7 @@
 from rackhub.core.source import Address, EndpointPollObserver, EndpointSnapshot
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.resolver import Resolver
+from rackhub.net.resolver import ResolverClient
 
 log = logs.logger(__name__)
 
@@ -58,14 +58,14 @@
         self._limits = limits
         self._counters = counters
         self._reread = reread
-        self._resolver: Resolver | None = None
+        self._resolver: ResolverClient | None = None
         self._ports: list[Any] = []  # UDP ports: the last one sends the polls, the others may still receive answers
 
     def subscribe(
         self, on_change: Callable[[EndpointSnapshot], None], observer: EndpointPollObserver | None = None
     ) -> None:
         """Start polling. Calls `on_change` with each new list, and notifies `observer` of polls and valid answers."""
-        self._resolver = Resolver(
+        self._resolver = ResolverClient(
             self._reactor,
             self._server,
             self.initial_snapshot,
@@ -116,5 +116,5 @@
             return
         log.info("reloaded", resolver=f"{server[0]}:{server[1]}")
         if self._resolver is not None:
-            self._resolver.change_server(server)
+            self._resolver.change_resolver(server)
             self._resolver.apply_configured(endpoints)
--- a/rackhub/net/poll_schedule.py
+++ b/rackhub/net/poll_schedule.py
@@ -49,7 +49,7 @@
         """Return the longest time from the first unanswered poll to the first one from a new socket."""
         return self._limits.poll_retry_interval * ((1 << self._limits.failed_polls_before_new_socket) - 1)
 
-    def server_changed(self) -> None:
+    def resolver_changed(self) -> None:
         """Reset the count of unanswered polls, as another resolver is polled from now on."""
         self._unanswered = 0
 
--- a/rackhub/net/resolver.py
+++ b/rackhub/net/resolver.py
@@ -1,10 +1,12 @@
 """Polls the endpoint list from the resolver, by DNS over UDP.
 
-The protocol considers coordinators notified of a change some seconds after it, received or not, and UDP loses packets.
-So the resolver is polled often, and sooner after a poll without a valid answer; an answer to any recent poll is
-accepted unless its list is older than the present one. `poll_schedule` computes when the next poll is due. As the
-network may permanently drop the packets of one flow, polls are sent from a new socket when answers stop, and the old
-one is closed.
+Some seconds after a change of the list (`limits.notification_time`) a coordinator counts as notified of it, whether it
+received the list or not (see `core.lease`). As UDP loses packets, the resolver is polled more often than that, and
+sooner after a poll without a valid answer; an answer to any recent poll is accepted unless its list is older than the
+present one. `poll_schedule` computes when the next poll is due.
+
+As the network may permanently drop the packets of one flow, polls are sent from a new socket when answers stop. Old
+sockets stay open for late answers until an answer is quick again.
 """
 
 import random
@@ -27,17 +29,18 @@
 
 
 class PendingPoll(NamedTuple):
-    """A poll whose answer is still accepted."""
+    """A poll whose answers are still accepted."""
 
     sent_at: float  # seconds of the reactor's clock
-    observer_time: int  # time that the observer returned, in microseconds
+    observer_time: int  # result of `endpoint_poll_started`, which `endpoint_poll_confirmed` gets
 
 
-class Resolver(DatagramProtocol):
+class ResolverClient(DatagramProtocol):
     """Polls the resolver and reports each new endpoint list.
 
-    One object uses several sockets in turn: `open_new_socket` connects it to another one, and `close_old_sockets` is
-    called when an answer was so quick that the newest socket suffices.
+    It uses several UDP sockets in turn: `open_new_socket` opens another one, which becomes `transport`, and
+    `close_old_sockets` closes all but the newest. The latter is called when an answer arrives within the time after
+    which an unresponsive socket would be replaced.
     """
 
     transport: Any  # Twisted's UDP port
@@ -45,7 +48,7 @@
     def __init__(
         self,
         reactor: Any,
-        server: Address,
+        resolver_address: Address,
         start: EndpointSnapshot,
         on_change: Callable[[EndpointSnapshot], None],
         limits: Limits,
@@ -54,18 +57,21 @@
         observer: EndpointPollObserver | None = None,
         close_old_sockets: Callable[[], None] = lambda: None,
     ):
-        """`reactor` provides Twisted's `IReactorTime`; `start` is the list known at startup."""
+        """`reactor` provides Twisted's `IReactorTime`; `start` is the list known at startup.
+
+        `on_change` gets each list that differs from the one before, `observer` is notified of polls and valid answers.
+        """
         self._reactor = reactor
-        self._server = server
+        self._resolver_address = resolver_address
         self._last = start
         self._on_change = on_change
         self._open_new_socket = open_new_socket
         self._close_old_sockets = close_old_sockets
         self._limits = limits
         self._counters = counters
-        self._random = random.SystemRandom()  # makes the DNS ids unpredictable; no decision depends on them
+        self._random = random.SystemRandom()  # for DNS ids that are hard to guess, and for the jitter
         self._schedule = PollSchedule(limits, self._random.random)
-        self._pending: dict[int, PendingPoll] = {}  # the latest polls by DNS id
+        self._pending: dict[int, PendingPoll] = {}  # the latest polls by DNS id, answered or not
         self._observer = observer
         self._last_answer = b""  # the last valid answer without its id, as most answers repeat it
         self._next_poll: Any = None  # an IDelayedCall
@@ -84,21 +90,21 @@
         """Send the first poll (Twisted)."""
         self._poll()
 
-    def change_server(self, server: Address) -> None:
+    def change_resolver(self, address: Address) -> None:
         """Poll another resolver from now on, starting at once, as the old one may have stopped answering.
 
-        Both number their lists alike, so the present list stays until the new resolver has a later one.
+        Both number the revisions of the list in the same way, so the present list stays until there is a later one.
         """
-        if server != self._server:
-            self._server = server
+        if address != self._resolver_address:
+            self._resolver_address = address
             self._pending = {}
-            self._schedule.server_changed()
+            self._schedule.resolver_changed()
             self._poll_after(0)
 
     def apply_configured(self, snapshot: EndpointSnapshot) -> None:
         """Apply the list of a reloaded file if it is newer, as the resolver may be behind the file for a while.
 
-        This does not renew the endpoint lease: the list may be older than the file.
+        This does not renew the endpoint lease, as the file does not say when its list was current.
         """
         if snapshot.revision > self._last.revision:
             self._apply(snapshot)
@@ -123,7 +129,7 @@
         self._pending[number] = PendingPoll(self._reactor.seconds(), observer_time)
         self._counters.add("dns_sent")
         try:
-            self.transport.write(encode_query(number), self._server)
+            self.transport.write(encode_query(number), self._resolver_address)
         except OSError as fault:  # The next poll may succeed.
             log.warning("resolver_unreachable", reason=str(fault))
         log.debug("poll_sent", number=number)
@@ -134,9 +140,14 @@
         self._counters.add("dns_in")
         log.debug("poll_answered", number=number, size=len(packet))
         valid_size = DNS_HEADER_SIZE <= len(packet) <= self._limits.max_dns_response_bytes
-        if addr != self._server or not valid_size or number not in self._pending:
+        if addr != self._resolver_address or not valid_size or number not in self._pending:
             self._counters.add("dns_bad")
-            log.debug("answer_rejected", sender=addr, size=len(packet), reason="not an answer to a pending poll")
+            log.debug(
+                "answer_rejected",
+                sender=addr,
+                size=len(packet),
+                reason="not a valid packet of the resolver for a recent poll",
+            )
             return
         if packet[2:] == self._last_answer:
             self._poll_after(self._schedule.answer_received())
@@ -149,7 +160,7 @@
             self._counters.add("dns_bad")
             log.info("answer_rejected", reason=str(invalid))
             return
-        if snapshot.revision < self._last.revision:  # a delayed answer, or one of a server that is behind
+        if snapshot.revision < self._last.revision:  # a delayed answer, or one of a resolver that is behind
             log.debug("answer_rejected", rev=snapshot.revision, reason="older than the list in force")
             self._counters.add("dns_old")
             return
@@ -165,11 +176,12 @@
             return
         if not snapshot.entries:  # An empty list is valid, but all requests are rejected from now on.
             self._counters.add("lists_empty")
-            log.warning("list_empty", reason=f"the list of event {snapshot.revision} names no engine")
+            log.warning("list_empty", reason=f"the list of revision {snapshot.revision} names no engine")
         self._log_changes(snapshot)
         self._on_change(snapshot)
 
     def _confirm(self, number: int) -> None:
+        """Renew the endpoint lease as of the start of this poll, and close old sockets after a quick answer."""
         poll = self._pending[number]
         if self._reactor.seconds() - poll.sent_at < self._schedule.max_time_to_new_socket() / 1_000_000:
             self._close_old_sockets()
@@ -177,6 +189,7 @@
             self._observer.endpoint_poll_confirmed(poll.observer_time)
 
     def _log_changes(self, snapshot: EndpointSnapshot) -> None:
+        """Log the removed and changed engines, without changes of the address alone."""
         before = set(self._last.entries)
         after = set(snapshot.entries)
         log.info(
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -24,13 +24,14 @@
 class EngineConnection(AnswerReader):
     """One connection to an engine and the attempts on it, by request id.
 
-    States: dialling, up, closed (lost or dropped). Attempts that are both in `open` and in `_queued` are not sent yet,
+    `up` means that the connection is established, `closed` that it accepts no attempts, is closing or is lost. While
+    neither is set, the connection is dialled. Attempts that are both in `open` and in `_queued` are not sent yet,
     because the connection is not up or the socket is not writable.
     """
 
     def __init__(self, pool: EnginePool, clock: Clock, limits: Limits, counters: Counters, core: Coordinator):
         super().__init__(pool, clock, limits, counters, core)
-        self.unresponsive = False  # set when a request times out and nothing has been received since its sending
+        self.unresponsive = False  # set by `_check_responsive`; no further attempts are accepted then
         self.retired = False
         self._retired_at = 0
         self.last_used = clock.now()
@@ -64,11 +65,16 @@
             self._out.request_write()
 
     def is_blocked(self) -> bool:
-        """Return whether the engine does not read its input."""
-        late = self._queued_since() < self.clock.now() - self.limits.late_iteration_delay
-        return self.up and (late or not self._out.has_sent(self._last_sent_end))
+        """Return whether sending is blocked, for example because the engine does not read.
+
+        That is so if the last request is not completely handed to the kernel, or the oldest queued attempt has waited
+        longer than `limits.late_iteration_delay`.
+        """
+        waits_long = self._queued_since() < self.clock.now() - self.limits.late_iteration_delay
+        return self.up and (waits_long or not self._out.has_sent(self._last_sent_end))
 
     def _queued_since(self) -> int:
+        """Return when the oldest queued attempt was queued, or the present time if there is none."""
         return next(iter(self._queued.values()), self.clock.now())
 
     def give_up(self, attempt: Attempt) -> None:
@@ -90,10 +96,11 @@
         self._attempt_removed()
 
     def _check_responsive(self, cancelled: Attempt) -> None:
-        """Detect the silent loss of the engine's host after a cancelled attempt.
+        """Mark the connection as unresponsive if nothing has been received since the cancelled attempt was sent.
 
-        Otherwise further attempts would wait on the dead connection until their deadlines. A new connection fails
-        within the dial timeout, which proves that nothing was executed.
+        That attempt must have been sent at least `limits.unresponsive_timeout` ago; the engine's host may be down.
+        Otherwise further attempts would wait on this connection until their deadlines. On a new connection to a host
+        that is down, the dial times out, so its attempts are known not to have been executed.
         """
         waited = self.clock.now() - cancelled.sent_at
         nothing_received = self.last_received <= cancelled.sent_at
@@ -127,25 +134,26 @@
         self.retired = True
         self._retired_at = self.clock.now()
         for id in list(self._queued):
-            if id in self._queued:  # Ending one attempt may end others.
-                self._return_unsent(id, "the connection is retired")
+            if id in self._queued:  # Completing an attempt may make the policy cancel others.
+                self._complete_unsent(id, "the connection is retired")
         self.close_if_idle()
 
     def check_timeouts(self, now: int) -> None:
-        """Return attempts that could not be sent in time, and drop the connection after a timeout.
+        """Complete attempts that could not be sent in time, and reset the connection if it has timed out.
 
-        A frame that stays incomplete blocks all open attempts. Bytes that a retired engine has not acknowledged could
-        still reach it much later.
+        It is reset if its close takes longer than `limits.linger_timeout`, or if a frame stays incomplete for
+        `limits.frame_timeout`, as all open attempts wait behind that. It is also reset if it is retired and a request
+        is unacknowledged after `limits.retired_send_timeout`, as the request could reach the engine much later.
         """
         if self.closed and now - self.last_used > self.limits.linger_timeout:
             self.drop()
         if self.up and not self.closed:
-            self._return_timed_out(now)
+            self._complete_timed_out(now)
             retired_long = self.retired and now - self._retired_at >= self.limits.retired_send_timeout
             if retired_long and self._has_unacknowledged():
-                self._abort("the connection is retired and its engine has not acknowledged a request")
+                self._abort("the connection is retired and its engine has not acknowledged a request in time")
         if self.incomplete_since and now - self.incomplete_since > self.limits.frame_timeout and not self.closed:
-            self.malformed(InvalidFrameError("a frame that is incomplete for too long"))
+            self.malformed(InvalidFrameError("a frame that was not complete in time"))
 
     def connect_failed(self) -> None:
         """End the queued attempts, none of which was sent, as the dial failed or was cancelled."""
@@ -154,27 +162,27 @@
 
     # ---- ends of attempts and of the connection
 
-    def _return_unsent(self, id: bytes, why: str) -> None:
-        """Return an attempt as not executed, of which nothing was sent."""
+    def _complete_unsent(self, id: bytes, reason: str) -> None:
+        """Complete an unsent attempt with NOCONN, so that the request may be sent to another engine."""
         del self._queued[id]
         attempt = self.open.pop(id)
-        log.debug("attempt_returned", request=attempt.query.id, engine=self.pool.name, reason=why)
+        log.debug("attempt_returned", request=attempt.query.id, engine=self.pool.name, reason=reason)
         self.core.complete_attempt(attempt, "NOCONN")
 
-    def _return_timed_out(self, now: int) -> None:
-        """Return the attempts for which the socket was not writable in time, as after a dial that times out."""
+    def _complete_timed_out(self, now: int) -> None:
+        """Complete the attempts for which the socket was not writable in time, with the outcome of a timed-out dial."""
         for id, since in list(self._queued.items()):
             if id in self._queued and now - since >= self.limits.unwritable_timeout:
-                self._return_unsent(id, "the socket was not writable in time")
+                self._complete_unsent(id, "the socket was not writable in time")
 
     def _has_unacknowledged(self) -> bool:
         """Return whether an open attempt may not have reached the engine, as its first byte is not acknowledged."""
         acknowledged = self._out.bytes_written - self._out.unacknowledged_bytes()
         return any(sent_range.begin >= acknowledged for sent_range in self._sent_ranges.values())
 
-    def _abort(self, why: str) -> None:
-        """Reset the connection, discarding unsent bytes of the process and the kernel."""
-        log.info("engine_connection_aborted", engine=self.pool.name, open=len(self.open), reason=why)
+    def _abort(self, reason: str) -> None:
+        """Log, count and reset the connection, discarding unsent bytes of the process and the kernel."""
+        log.info("engine_connection_aborted", engine=self.pool.name, open=len(self.open), reason=reason)
         self.counters.add("engine_cuts")
         self.closed = True
         self.drop()
@@ -188,6 +196,7 @@
             self.close_if_idle()
 
     def _end_all(self) -> None:
+        """Complete all open attempts: with NOCONN if they surely were not executed, else with RST."""
         ended = [(attempt, self.surely_not_executed(id)) for id, attempt in self.open.items()]
         self.open.clear()
         self._queued.clear()
@@ -199,7 +208,11 @@
     # ---- sending
 
     def _writable(self) -> None:
-        """Send the queued attempts; after a late event-loop iteration only once clients that left are known."""
+        """Send the queued attempts.
+
+        If the oldest one has waited longer than `limits.late_iteration_delay`, the sockets of clients are read first:
+        attempts of clients that have disconnected must not be sent.
+        """
         if self.clock.now() - self._queued_since() > self.limits.late_iteration_delay:
             self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._send_queued)
         else:
@@ -207,20 +220,20 @@
 
     def _send_queued(self) -> None:
         """Send the queued attempts that may still be sent, until the socket accepts no more."""
-        client_unread = False  # True if an attempt waits until the input of its client has been read
+        waits_for_client_input = False  # True if an attempt waits until the input of its client has been read
         for id in list(self._queued):
             if self.closed or self._out.buffered_bytes():
                 break
             attempt = self.open.get(id)
-            if attempt is None or id not in self._queued:  # Ending one attempt may end others.
+            if attempt is None or id not in self._queued:  # Completing an attempt may make the policy cancel others.
                 continue
-            if why := attempt.send_blocked_by(self.clock.now(), self.core.lease):
-                self._return_blocked(id, attempt, why)
+            if outcome := attempt.send_blocked_by(self.clock.now(), self.core.lease):
+                self._complete_blocked(id, attempt, outcome)
             elif attempt.query.reply.may_have_unread_input:
-                client_unread = True
+                waits_for_client_input = True
             elif not self._send(id, attempt):
                 break
-        if client_unread:
+        if waits_for_client_input:
             self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._request_write)
         else:
             self._request_write()
@@ -229,11 +242,12 @@
         if self._queued and not self.closed:
             self._out.request_write()
 
-    def _return_blocked(self, id: bytes, attempt: Attempt, why: str) -> None:
+    def _complete_blocked(self, id: bytes, attempt: Attempt, outcome: str) -> None:
+        """Complete an attempt that must not be sent, with this outcome."""
         del self.open[id]
         del self._queued[id]
-        log.debug("attempt_blocked", request=attempt.query.id, engine=self.pool.name, reason=why)
-        self.core.complete_attempt(attempt, why)
+        log.debug("attempt_blocked", request=attempt.query.id, engine=self.pool.name, reason=outcome)
+        self.core.complete_attempt(attempt, outcome)
 
     def _send(self, id: bytes, attempt: Attempt) -> bool:
         query = attempt.query
@@ -263,14 +277,19 @@
     # ---- Twisted
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Start sending once the input that came before the connection has been read (Twisted)."""
+        """Prepare for sending (Twisted).
+
+        If the event loop is late, sending starts only after the sockets of clients have been read, as a client may have
+        disconnected meanwhile.
+        """
         self.last_received = self.clock.now()
         log.debug("engine_connected", engine=self.pool.name, waiting=len(self.open))
         self.transport.setTcpNoDelay(True)
         self._out = SocketWriter(self.transport, self._writable)
         for id, attempt in list(self.open.items()):
-            if why := attempt.send_blocked_by(self.last_received, self.core.lease):  # The dial may have taken too long.
-                self._return_blocked(id, attempt, why)
+            # The dial may have outlasted `Attempt.send_by` or the endpoint lease.
+            if outcome := attempt.send_blocked_by(self.last_received, self.core.lease):
+                self._complete_blocked(id, attempt, outcome)
         self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._opened)
 
     def _opened(self) -> None:
@@ -279,6 +298,7 @@
             return
         self.up = True
         if self._queued:
+            # The time of dialling does not count towards `limits.unwritable_timeout`.
             self._queued = dict.fromkeys(self._queued, self.clock.now())
             self._out.request_write()
         elif self.retired:
--- a/rackhub/net/resp_answers.py
+++ b/rackhub/net/resp_answers.py
@@ -95,7 +95,7 @@
             del self.failed_ids[oldest]
 
     def drop(self) -> None:
-        """Reset the connection; its open attempts are lost."""
+        """Reset the connection if it is up; its open attempts are lost."""
         if self.up:
             self.transport.abortConnection()
 
--- a/rackhub/net/resp_protocol.py
+++ b/rackhub/net/resp_protocol.py
@@ -1,4 +1,13 @@
-"""The engines' use of RESP: arrays of bulk strings, fields, load reports, result pages. Pure functions, no I/O."""
+"""The engines' use of RESP: arrays of bulk strings, fields, load reports, result pages. Pure functions, no I/O.
+
+Commands to engines:
+- `want ID FIELDS STATEMENT`: execute a statement. Its fields are `profile` (the class), `max` (milliseconds until the
+  deadline), `level` (the priority) and `replay` (the idempotency key).
+- `never_mind ID`: cancel a request before page 0 of its result
+- `shut ID`: release a result of which pages are missing
+- `promote ID PRIORITY`: change the priority
+- `turn ID PAGE`: fetch a further page of a result
+"""
 
 import re
 from collections.abc import Callable
--- a/tests/test_crossings_close.py
+++ b/tests/test_crossings_close.py
@@ -386,7 +386,7 @@
         test_a_close_with_open_requests_disconnects_them(site, "closes")
 
 
-def test_reading_paused_is_reported_for_a_penalised_client(site):
+def test_reading_paused_is_reported_for_a_client_paused_for_faults(site):
     """Its close and cancels are not read meanwhile, so no attempt may start for it."""
     bed = site(EngineServer())
     client = bed.client()
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -24,7 +24,7 @@
 from rackhub.counters import Counters
 from rackhub.net.platform_source import PlatformSource, ReloadedFile
 from rackhub.net.poll_schedule import PollSchedule
-from rackhub.net.resolver import PendingPoll, Resolver
+from rackhub.net.resolver import PendingPoll, ResolverClient
 
 A, B = ("a", "127.0.0.1", 0, 0), ("b", "127.0.0.2", 0, 0)
 B_DRAINING = ("b", "127.0.0.2", 1, 0)
@@ -225,7 +225,7 @@
     watch.server = other.address
     watch.platform.reload()
     if bug:  # a reload that does not change the address
-        client._server = resolver.address
+        client._resolver_address = resolver.address
     client._random.randrange = lambda limit: resolver.polls[0][0]
     client._pending = {resolver.polls[0][0]: PendingPoll(0.0, 0)}
     spin(lambda: watch.answers_received())
@@ -326,13 +326,13 @@
 
 
 def test_an_injected_bug_that_accepts_older_lists_is_detected(resolver, make_watch, monkeypatch):
-    inner = Resolver.datagramReceived
+    inner = ResolverClient.datagramReceived
 
     def forgets(self, packet, addr):
         self._last = self._last._replace(revision=0)
         inner(self, packet, addr)
 
-    monkeypatch.setattr(Resolver, "datagramReceived", forgets)
+    monkeypatch.setattr(ResolverClient, "datagramReceived", forgets)
     with pytest.raises(AssertionError):
         test_late_duplicate_and_malformed_answers_do_not_undo_the_newest_list(resolver, make_watch)
 
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -13,7 +13,7 @@
 from rackhub.counters import Counters
 from rackhub.net.dns_protocol import SERVICE, InvalidAnswerError, encode_query, parse_answer
 from rackhub.net.poll_schedule import PollSchedule
-from rackhub.net.resolver import Resolver
+from rackhub.net.resolver import ResolverClient
 
 
 def answer(number, serial, *engines, rcode=0, drop=()):
@@ -41,11 +41,11 @@
 
 
 class PolledResolver:
-    """A `Resolver` with its transport in memory."""
+    """A `ResolverClient` with its transport in memory."""
 
     def __init__(self, seed=1):
         self.clock, self.counters, self.lists, self.sent = Clock(), Counters(), [], []
-        self.resolver = Resolver(
+        self.resolver = ResolverClient(
             self.clock, ("127.0.0.9", 53), EndpointSnapshot(3, (), {}), self.lists.append, LIMITS, self.counters
         )
         self.resolver._schedule = PollSchedule(LIMITS, random.Random(seed).random)
@@ -199,14 +199,14 @@
     polled.receive(answer(polled.number, 4, A))
     with caplog.at_level("INFO", logger="rackhub"):
         assert polled.receive(answer(polled.number, 5))[-1].entries == ()
-    assert polled.counters["lists_empty"] == 1 and "event 5 names no engine" in caplog.text
+    assert polled.counters["lists_empty"] == 1 and "revision 5 names no engine" in caplog.text
 
 
 def test_a_changed_resolver_is_polled_at_once_and_the_old_one_ignored():
     """After a reload the revisions continue, so an older list of the new resolver is ignored."""
     polled = PolledResolver()
     polled.receive(answer(polled.number, 5, A))
-    polled.resolver.change_server(("127.0.0.8", 53))
+    polled.resolver.change_resolver(("127.0.0.8", 53))
     polled.clock.advance(0)
     assert len(polled.sent) == 2 and polled.server == ("127.0.0.8", 53)
     polled.resolver.datagramReceived(answer(polled.number, 6, B), ("127.0.0.9", 53))
