--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -203,17 +203,17 @@
     store.persist(Persist("log", 2, (entry("a", b"1", 1), entry("b", b"2", 2)), True), lambda: None)
     store.persist(Persist("log", 3, (entry("a", None, 3),), False), lambda: None)
     identity = disk.identity
-    disk.end()
+    disk.close()
     disk = StoreDisk(reactor, path)
     assert disk.identity == identity and sorted(loaded(disk).held.entries) == ["b"]
     assert loaded(disk).held.revision == 3
-    disk.end()
+    disk.close()
     for file in path.iterdir():
         if file.stat().st_size:
             file.write_bytes(b"\xff" * file.stat().st_size)
     disk = StoreDisk(reactor, path)
     assert disk.damage and disk.identity != identity and loaded(disk).held == StoredState()
-    disk.end()
+    disk.close()
     assert any(aside.name.startswith("distribution.damaged-") for aside in tmp_path.iterdir())
 
 
@@ -307,7 +307,7 @@
     for coordinator, part in stands:
         assert part.held[-1] == (2, {"first": 1, "second": 2})
         assert list(coordinator.faults) == ["rules/p/first"] and coordinator.version == 2
-        assert coordinator.figures()["distribution_refused_keys"] == 1
+        assert coordinator.metrics()["distribution_refused_keys"] == 1
     assert net.time.run(16 * SECOND, lambda: voter.status().fault_count == 2)
 
 
@@ -379,6 +379,6 @@
 def test_a_relay_counts_the_coordinators_of_its_zone_by_the_members_word():
     net, voter, disks = fleet_of()
     relay = relay_on(net, "r0")
-    assert relay.figures()["distribution_members"] == 2
+    assert relay.metrics()["distribution_members"] == 2
     net.nodes["r0"].say("c1", MemberState.GONE)
-    assert relay.figures()["distribution_members"] == 1
+    assert relay.metrics()["distribution_members"] == 1
