--- a/tests/test_unread_clients.py
+++ b/tests/test_unread_clients.py
@@ -204,7 +204,7 @@
     query = Query("1" * 16, "report", b"SELECT 1", gateway.clock.now() + 3 * S, client, tenant="acme")
     gateway.core.submit(query)
     gateway.clock.advance(3 * S)
-    assert gateway.engines.writer == [] and not gateway.reactor.tcpClients, "neither here nor at another gateway"
+    assert gateway.engines.out == [] and not gateway.reactor.tcpClients, "neither here nor at another gateway"
     assert not gateway.core.queries and len(client.said) == 1
 
 
