--- a/rackhub/fleet/control/fleet_status.py
+++ b/rackhub/fleet/control/fleet_status.py
@@ -1,4 +1,4 @@
-"""The command `fleet`: members, their states and reachability, the published records, and faults to look at."""
+"""The command `fleet`: members, their states and reachability, the published records, and detected faults."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -14,7 +14,7 @@
     """Register the command, which takes no arguments."""
 
     def handle(request: Mapping[str, Any], answer: Answer) -> None:
-        """Answer one request."""
+        """Send the response to one request."""
         arguments = sorted(set(request) - {"call"})
         if arguments:
             answer({"error": f"{COMMAND}: takes no {', '.join(arguments)}"})
@@ -25,18 +25,16 @@
 
 
 def describe_fleet(membership: Membership) -> dict[str, Any]:
-    """The response. Ages are milliseconds by this gateway's clock; in `hears`, None means not known."""
+    """Return the response. Ages are milliseconds by this gateway's clock; in `hears`, None means unknown."""
     members = membership.members
     now = membership.now()
-    living = sorted(members.live())
+    live = sorted(members.live())
     table = membership.core.table
     return {
         "me": members.local_name,
         "members": {name: _describe_member(member, now) for name, member in sorted(members.all().items())},
         "heard": sorted(members.reachable()),
-        "hears": {
-            one: {other: members.receives_from(one, other) for other in living if other != one} for one in living
-        },
+        "hears": {one: {other: members.receives_from(one, other) for other in live if other != one} for one in live},
         "board": {
             kind: {record.owner: _describe_record(record) for record in records}
             for kind, records in _records_by_kind(membership).items()
@@ -69,7 +67,7 @@
 
 
 def _records_by_kind(membership: Membership) -> dict[str, list[Record]]:
-    """Sorted by kind, and by owner within each."""
+    """Return the published records by kind, sorted by kind, then by owner."""
     kinds: dict[str, list[Record]] = {}
     for record in membership.published_records():
         kinds.setdefault(record.kind, []).append(record)
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -1,8 +1,8 @@
-"""Engines over TCP with RESP: many attempts on a connection, results in pages.
+"""Connections to engines by RESP over TCP, with many attempts on a connection and results in pages.
 
-A connection remembers which ids have ended on it without success. A retry of a request has the same id, so an answer
-that crossed a cancel, or a late duplicate of a rejection, would be mistaken for the new attempt's: such an id is not
-sent on that connection again, and what still comes under it is ignored.
+A retry of a request has the same id, so an answer that crossed a cancel, or a late duplicate of a rejection, would be
+mistaken for an answer to the new attempt. So a connection remembers the ids that ended on it without success, does not
+send them again, and ignores answers to them.
 """
 
 from typing import Any
@@ -22,25 +22,26 @@
 
 
 class EngineConnection(AnswerReader):
-    """One connection to an engine and the attempts on it, by the id of their request.
+    """One connection to an engine and the attempts on it, by request id.
 
-    States: dialling, up, closing (lost or dropped). Attempts in `open` that are in `_queued` too are not sent: the
-    connection is not up for them yet, or the socket is not writable.
+    `up` means that the connection is established, `closed` that it accepts no attempts, is closing or is lost. While
+    neither is set, the connection is dialled. Attempts that are both in `open` and in `_queued` are not sent yet,
+    because the connection is not up or the socket is not writable.
     """
 
     def __init__(self, pool: EnginePool, clock: Clock, limits: Limits, counters: Counters, core: Coordinator):
         super().__init__(pool, clock, limits, counters, core)
-        self.unresponsive = False  # a request timed out and nothing was received since it was sent
+        self.unresponsive = False  # set by `_check_responsive`; no further attempts are accepted then
         self.retired = False
         self._retired_at = 0
-        self.used = clock.now()
-        self._queued: dict[bytes, int] = {}  # ids in `open` that are not sent -> since when
-        self._last_sent_end = 0  # of the request that was sent last, in the bytes of the connection
+        self.last_used = clock.now()
+        self._queued: dict[bytes, int] = {}  # the ids in `open` that are not sent -> time of queueing
+        self._last_sent_end = 0  # end of the request sent last, as an offset in the bytes sent on the connection
 
-    # ---- what the pool uses
+    # ---- used by the pool
 
     def accepts(self, attempt: Attempt) -> bool:
-        """Whether a new attempt may go on this connection."""
+        """Return whether a new attempt may use this connection."""
         self._expire_failed_ids()
         id = attempt.query.id.encode()
         return not (
@@ -55,7 +56,7 @@
     def enqueue(self, attempt: Attempt) -> None:
         """Accept an attempt, which is sent in an event-loop iteration in which the socket is writable."""
         id = attempt.query.id.encode()
-        connection: Any = self  # the core does not know the ports' types
+        connection: Any = self  # `Attempt.connection` is untyped, as the core is independent of the ports
         attempt.connection = connection
         attempt.state = AttemptState.QUEUED
         self.open[id] = attempt
@@ -64,11 +65,16 @@
             self._out.request_write()
 
     def is_blocked(self) -> bool:
-        """Whether the engine does not read what was sent to it."""
-        late = self._queued_since() < self.clock.now() - self.limits.late_iteration_delay
-        return self.up and (late or not self._out.has_sent(self._last_sent_end))
+        """Return whether sending is blocked, for example because the engine does not read.
+
+        That is so if the last request is not completely handed to the kernel, or the oldest queued attempt has waited
+        longer than `limits.late_iteration_delay`.
+        """
+        waits_long = self._queued_since() < self.clock.now() - self.limits.late_iteration_delay
+        return self.up and (waits_long or not self._out.has_sent(self._last_sent_end))
 
     def _queued_since(self) -> int:
+        """Return when the oldest queued attempt was queued, or the present time if there is none."""
         return next(iter(self._queued.values()), self.clock.now())
 
     def give_up(self, attempt: Attempt) -> None:
@@ -79,8 +85,9 @@
         self._queued.pop(id, None)
         sent_range = self._sent_ranges.pop(id, None)
         if sent_range is not None and self.up and not self.closed:
-            if not self._out.has_sent(sent_range.end):  # its rest would be sent some time, and start what is cancelled
-                self._abort("a request given up that has left in part")
+            # The transport would still send the rest of a request sent in part, and the engine would execute it.
+            if not self._out.has_sent(sent_range.end):
+                self._abort("an attempt was cancelled after a part of its request was sent")
                 return
             self._out.write(encode_command(b"shut" if id in self.partial_results else b"never_mind", id))
             self._attempt_failed(id)
@@ -89,10 +96,11 @@
         self._attempt_removed()
 
     def _check_responsive(self, cancelled: Attempt) -> None:
-        """Detect a host that has vanished, which gives no sign.
+        """Mark the connection as unresponsive if nothing has been received since the cancelled attempt was sent.
 
-        Otherwise all that follows would wait on the dead connection for its deadline, where a new connection fails in
-        the time to dial and proves that nothing ran.
+        That attempt must have been sent at least `limits.unresponsive_timeout` ago; the engine's host may be down.
+        Otherwise further attempts would wait on this connection until their deadlines. On a new connection to a host
+        that is down, the dial times out, so its attempts are known not to have been executed.
         """
         waited = self.clock.now() - cancelled.sent_at
         nothing_received = self.last_received <= cancelled.sent_at
@@ -101,7 +109,7 @@
             self.counters.add("silent_connections")
 
     def promote(self, attempt: Attempt) -> None:
-        """Notify the engine of an attempt's new priority, if it is sent and has no result yet."""
+        """Notify the engine of an attempt's new priority if it is sent and has no result yet."""
         id = attempt.query.id.encode()
         if self.up and not self.closed and id in self._sent_ranges and id not in self.partial_results:
             self._out.write(encode_command(b"promote", id, b"%d" % attempt.query.priority))
@@ -114,72 +122,73 @@
             self.transport.loseConnection()
 
     def idle_since(self) -> int:
-        """Return when the connection was used last, in microseconds."""
-        return self.used
+        """Return the time of the last use of the connection, in microseconds."""
+        return self.last_used
 
     def load(self) -> int:
         """Return the number of open attempts."""
         return len(self.open)
 
     def retire(self) -> None:
-        """Accept nothing new: what is not sent goes elsewhere, what is in flight ends, then it closes."""
+        """Accept no attempts, return those not sent yet, and close when those in flight have ended."""
         self.retired = True
         self._retired_at = self.clock.now()
         for id in list(self._queued):
-            if id in self._queued:  # the end of one may have ended others
-                self._return_unsent(id, "the engine takes nothing new")
+            if id in self._queued:  # Completing an attempt may make the policy cancel others.
+                self._complete_unsent(id, "the connection is retired")
         self.close_if_idle()
 
     def check_timeouts(self, now: int) -> None:
-        """Drop a connection on which a frame has stopped half way, as all that is open on it waits behind that frame.
+        """Complete attempts that could not be sent in time, and reset the connection if it has timed out.
 
-        Also one whose engine does not read the last bytes; and return what could not be sent in time.
+        It is reset if its close takes longer than `limits.linger_timeout`, or if a frame stays incomplete for
+        `limits.frame_timeout`, as all open attempts wait behind that. It is also reset if it is retired and a request
+        is unacknowledged after `limits.retired_send_timeout`, as the request could reach the engine much later.
         """
-        if self.closed and now - self.used > self.limits.linger_timeout:
+        if self.closed and now - self.last_used > self.limits.linger_timeout:
             self.drop()
         if self.up and not self.closed:
-            self._return_timed_out(now)
-            # what the kernel holds for an engine that does not read would reach it whenever it reads again
+            self._complete_timed_out(now)
             retired_long = self.retired and now - self._retired_at >= self.limits.retired_send_timeout
             if retired_long and self._has_unacknowledged():
-                self._abort("the engine takes nothing new and has not taken what was sent")
+                self._abort("the connection is retired and its engine has not acknowledged a request in time")
         if self.incomplete_since and now - self.incomplete_since > self.limits.frame_timeout and not self.closed:
-            self.malformed(InvalidFrameError("a frame that stops half way"))
+            self.malformed(InvalidFrameError("a frame that was not complete in time"))
 
     def connect_failed(self) -> None:
-        """End what waited for the connection, which failed or was cancelled: none of it was ever sent."""
+        """End the queued attempts, none of which was sent, as the dial failed or was cancelled."""
         self.closed = True
         self._end_all()
 
-    # ---- the end of attempts and of the connection
+    # ---- ends of attempts and of the connection
 
-    def _return_unsent(self, id: bytes, why: str) -> None:
-        """End an attempt of which nothing was sent, and nothing will be."""
+    def _complete_unsent(self, id: bytes, reason: str) -> None:
+        """Complete an unsent attempt with NOCONN, so that the request may be sent to another engine."""
         del self._queued[id]
         attempt = self.open.pop(id)
-        log.debug("attempt_returned", request=attempt.query.id, engine=self.pool.name, reason=why)
+        log.debug("attempt_returned", request=attempt.query.id, engine=self.pool.name, reason=reason)
         self.core.complete_attempt(attempt, "NOCONN")
 
-    def _return_timed_out(self, now: int) -> None:
-        """Return what the socket did not accept for too long, as after a dial that times out."""
+    def _complete_timed_out(self, now: int) -> None:
+        """Complete the attempts for which the socket was not writable in time, with the outcome of a timed-out dial."""
         for id, since in list(self._queued.items()):
             if id in self._queued and now - since >= self.limits.unwritable_timeout:
-                self._return_unsent(id, "the engine takes no bytes")
+                self._complete_unsent(id, "the socket was not writable in time")
 
     def _has_unacknowledged(self) -> bool:
-        """Whether an open attempt may still have to reach the engine, as its first byte is not acknowledged."""
+        """Return whether an open attempt may not have reached the engine, as its first byte is not acknowledged."""
         acknowledged = self._out.bytes_written - self._out.unacknowledged_bytes()
         return any(sent_range.begin >= acknowledged for sent_range in self._sent_ranges.values())
 
-    def _abort(self, why: str) -> None:
-        """Close at once, discarding what the process and the kernel hold."""
-        log.info("engine_connection_aborted", engine=self.pool.name, open=len(self.open), reason=why)
+    def _abort(self, reason: str) -> None:
+        """Log, count and reset the connection, discarding unsent bytes of the process and the kernel."""
+        log.info("engine_connection_aborted", engine=self.pool.name, open=len(self.open), reason=reason)
         self.counters.add("engine_cuts")
         self.closed = True
         self.drop()
 
     def _attempt_removed(self) -> None:
-        self.used = self.clock.now()
+        self.last_used = self.clock.now()
         if self.unresponsive and not self.open:
             self.closed = True
             self.drop()
@@ -187,6 +196,7 @@
             self.close_if_idle()
 
     def _end_all(self) -> None:
+        """Complete all open attempts: with NOCONN if they surely were not executed, else with RST."""
         ended = [(attempt, self.surely_not_executed(id)) for id, attempt in self.open.items()]
         self.open.clear()
         self._queued.clear()
@@ -198,28 +208,32 @@
     # ---- sending
 
     def _writable(self) -> None:
-        """Send what is queued; after a late event-loop iteration only after reading, as a client may have left."""
+        """Send the queued attempts.
+
+        If the oldest one has waited longer than `limits.late_iteration_delay`, the sockets of clients are read first:
+        attempts of clients that have disconnected must not be sent.
+        """
         if self.clock.now() - self._queued_since() > self.limits.late_iteration_delay:
             self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._send_queued)
         else:
             self._send_queued()
 
     def _send_queued(self) -> None:
-        """Send what is queued and may still be sent, until the socket accepts no more."""
-        unread = False  # whether an attempt waits for what is still to be read of its client
+        """Send the queued attempts that may still be sent, until the socket accepts no more."""
+        waits_for_client_input = False  # True if an attempt waits until the input of its client has been read
         for id in list(self._queued):
             if self.closed or self._out.buffered_bytes():
                 break
             attempt = self.open.get(id)
-            if attempt is None or id not in self._queued:  # the end of one may have ended others
+            if attempt is None or id not in self._queued:  # Completing an attempt may make the policy cancel others.
                 continue
-            if why := attempt.send_blocked_by(self.clock.now(), self.core.lease):
-                self._return_blocked(id, attempt, why)
+            if outcome := attempt.send_blocked_by(self.clock.now(), self.core.lease):
+                self._complete_blocked(id, attempt, outcome)
             elif attempt.query.reply.may_have_unread_input:
-                unread = True
+                waits_for_client_input = True
             elif not self._send(id, attempt):
                 break
-        if unread:
+        if waits_for_client_input:
             self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._request_write)
         else:
             self._request_write()
@@ -228,11 +242,12 @@
         if self._queued and not self.closed:
             self._out.request_write()
 
-    def _return_blocked(self, id: bytes, attempt: Attempt, why: str) -> None:
+    def _complete_blocked(self, id: bytes, attempt: Attempt, outcome: str) -> None:
+        """Complete an attempt that must not be sent, with this outcome."""
         del self.open[id]
         del self._queued[id]
-        log.debug("attempt_blocked", request=attempt.query.id, engine=self.pool.name, reason=why)
-        self.core.complete_attempt(attempt, why)
+        log.debug("attempt_blocked", request=attempt.query.id, engine=self.pool.name, reason=outcome)
+        self.core.complete_attempt(attempt, outcome)
 
     def _send(self, id: bytes, attempt: Attempt) -> bool:
         query = attempt.query
@@ -246,7 +261,7 @@
             return False
         del self._queued[id]
         attempt.state = AttemptState.IN_FLIGHT
-        self.used = now
+        self.last_used = now
         self._last_sent_end = self._out.bytes_written
         self._sent_ranges[id] = ByteRange(begin, self._last_sent_end)
         log.debug(
@@ -262,29 +277,35 @@
     # ---- Twisted
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Start to send, once what had come before the connection is read (Twisted)."""
+        """Prepare for sending (Twisted).
+
+        If the event loop is late, sending starts only after the sockets of clients have been read, as a client may have
+        disconnected meanwhile.
+        """
         self.last_received = self.clock.now()
         log.debug("engine_connected", engine=self.pool.name, waiting=len(self.open))
         self.transport.setTcpNoDelay(True)
         self._out = SocketWriter(self.transport, self._writable)
         for id, attempt in list(self.open.items()):
-            if why := attempt.send_blocked_by(self.last_received, self.core.lease):  # it waited too long for this
-                self._return_blocked(id, attempt, why)
+            # The dial may have outlasted `Attempt.send_by` or the endpoint lease.
+            if outcome := attempt.send_blocked_by(self.last_received, self.core.lease):
+                self._complete_blocked(id, attempt, outcome)
         self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._opened)
 
     def _opened(self) -> None:
-        if self.closed:  # lost meanwhile, or what came on it was no answer
+        if self.closed:  # lost meanwhile, or dropped after malformed input
             self.transport.abortConnection()
             return
         self.up = True
         if self._queued:
+            # The time of dialling does not count towards `limits.unwritable_timeout`.
             self._queued = dict.fromkeys(self._queued, self.clock.now())
             self._out.request_write()
         elif self.retired:
             self.close_if_idle()
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        """End what is open on the connection (Twisted)."""
+        """End the open attempts (Twisted)."""
         log.debug("engine_connection_lost", engine=self.pool.name, open=len(self.open), reason=reason)
         if self.open:
             self.counters.add("engine_losses")
@@ -300,7 +321,7 @@
     """Return the engine port over RESP; `reactor` provides Twisted's `IReactorTCP`."""
 
     def make(pool: EnginePool) -> EngineConnection:
-        """Return a connection that is not up yet."""
+        """Return an unconnected link."""
         return EngineConnection(pool, clock, limits, counters, core)
 
     return EnginePools(
