--- a/rackhub/fleet/__init__.py
+++ b/rackhub/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""What gateways share where a site's settings allow peers: members, a board, a level, a rule book.
+"""What gateways share if the site's settings allow peers: members, gossip state, overload handling, a rule set.
 
-Nothing of it is imported, and no socket opens, where `[fleet]` is not in the operator's file; where the settings forbid
-peers that part is refused. `ports` has the types that its parts know one another by.
+Without `[fleet]` in the operator's file no module of this package is imported and none of its sockets is opened. With
+`[fleet]`, but without peers in the settings, the start fails. `ports` has the types that the components share.
 """
--- a/rackhub/fleet/ports.py
+++ b/rackhub/fleet/ports.py
@@ -1,8 +1,8 @@
-"""The types that the parts of a fleet know one another by: members, board, mail, clock, control.
+"""The types by which the components of a fleet use each other: members, gossip state, messenger, clock, control.
 
-Times are microseconds of this process's own monotonic clock. What came from elsewhere carries its age, which each
-holder counts on by its own clock; two machines' clocks are never compared. Everything here is called and calls back in
-the reactor's thread, and nothing waits.
+Times are microseconds of this process's own monotonic clock. Received data carries its age, which each receiver adds to
+by its own clock; the clocks of two machines are never compared. All functions are called, and call back, in the
+reactor's thread, and none of them blocks.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -13,21 +13,26 @@
 
 from rackhub.core.source import Address
 
-Name = str  # of a gateway: the configuration's `name`, the same after a restart
+Name = str  # name of a gateway: `name` in its configuration, the same after a restart
 
-DATAGRAM_LIMIT_BYTES = 1_400  # bytes that no datagram may reach
-MAX_RECORD_BYTES = 900  # most bytes of one record's body on the board
-MAX_MESSAGE_BYTES = 262_144  # most bytes of one piece of mail
+DATAGRAM_LIMIT_BYTES = 1_400  # every datagram is shorter than this
+MAX_RECORD_BYTES = 900  # maximum size of the body of one gossip record
+MAX_MESSAGE_BYTES = 262_144  # maximum size of the body of one message
 
 
 class Clock(Protocol):
+    """A monotonic clock."""
+
     def now(self) -> int:
-        """Microseconds; only advances."""
+        """Microseconds; never goes back."""
 
 
 class MemberState(Enum):
-    """What this gateway holds of another one. `CUT`: it lives by others' word, and this one does not hear it or is not
-    heard by it. `LEFT`: it said that it ends. `GONE`: nobody has heard of it for long enough."""
+    """The state of another gateway as this one sees it.
+
+    `CUT`: other members report it alive, but this gateway does not receive from it or is not received by it.
+    `LEFT`: it announced its end. `GONE`: nothing was heard from it until the suspicion of it timed out.
+    """
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -37,20 +42,26 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One gateway as this one sees it. `boot` grows with each start of its process, `incarnation` within one."""
+    """One gateway as this one sees it.
+
+    `generation` grows with each start of its process, `incarnation` (as in SWIM) within one generation.
+    """
 
     name: Name
     address: Address
     generation: int
     incarnation: int
     state: MemberState
-    since: int  # when this state began, by the own clock
-    client_address: Address | None = None  # where its clients connect
-    site: str = ""  # where it stands
+    since: int  # local time at which `state` began
+    client_address: Address | None = None  # where clients connect to this gateway
+    site: str = ""  # name of its installation, from the settings
 
 
 class Record(NamedTuple):
-    """One small record of the board: of `owner`, under `kind`; the newest number wins. `age` is at this moment."""
+    """One gossip record of `owner` under `kind`: the one with the highest generation and number replaces all others.
+
+    `age` is in microseconds at the time of the call that returned the record.
+    """
 
     owner: Name
     kind: str
@@ -61,118 +72,133 @@
 
 
 class Members(Protocol):
-    """Who is in the fleet. The own gateway is always among them, alive."""
+    """The members of the fleet. The local gateway is always one of them, and alive."""
 
     local_name: Name
 
-    def all(self) -> Mapping[Name, Member]: ...
+    def all(self) -> Mapping[Name, Member]:
+        """Return all known members by name, whatever their state."""
 
     def live(self) -> frozenset[Name]:
-        """All that live, the own one too, also those cut off from this one: alive, suspect or cut."""
+        """Return the members that are alive, suspect or cut, the local one included."""
 
     def reachable(self) -> frozenset[Name]:
-        """Those of the living that this one hears and is heard by, the own one too."""
+        """Return the live members with which messages pass in both directions, the local one included."""
 
     def receives_from(self, one: Name, other: Name) -> bool | None:
-        """Whether `one` hears `other`, as far as it is known here; None: not known."""
+        """Return whether member `one` receives from member `other`; None if that is not known here."""
 
     def follow(self, call: Callable[[Member], None]) -> None:
-        """Call back with each member whose state, boot number or incarnation changes, after the change."""
+        """Call back with each member whose state, generation or incarnation changed, after the change."""
 
 
 class GossipState(Protocol):
-    """Small records, spread to all members with the probes. A record of a process before the present one of its owner
-    goes when the new one is heard of; those of members gone for good go with them."""
+    """Small records that SWIM's probes spread to all members.
+
+    When a new generation of their owner is known, the records of the previous one are dropped; those of members that
+    are gone for good are dropped with the member.
+    """
 
     def publish(self, kind: str, body: bytes) -> None:
-        """This gateway's newest record of that kind, in place of the one before; at most `MAX_RECORD_BYTES` bytes."""
+        """Replace the local record of that kind; `body` has at most `MAX_RECORD_BYTES` bytes."""
 
     def read(self, kind: str) -> Mapping[Name, Record]:
-        """The newest of each owner, the own one too."""
+        """Return the newest record of each owner, the local one included."""
 
     def follow(self, kind: str, call: Callable[[Record], None]) -> None:
-        """Call back with each newer record of that kind that others posted."""
+        """Call back with each newer record of that kind that another member published."""
 
 
 class Messenger(Protocol):
-    """Messages between two members, at most once each and in no order: lost, late or twice sent is for the caller to
-    bear. Paged by the link where they are larger than a datagram."""
+    """Messages between two members, each delivered at most once and in no order.
+
+    A message may be lost or late; callers repeat what they need to. The link splits large messages into pages.
+    """
 
     def send(self, to: Name, kind: str, body: bytes) -> None:
-        """At most `MAX_MESSAGE_BYTES` bytes; to one that is not known it is dropped and counted."""
+        """Send at most `MAX_MESSAGE_BYTES` bytes; a message to an unknown member is dropped and counted."""
 
     def subscribe(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
-        """Who gets the mail of that kind, with its sender."""
+        """Set the receiver of messages of that kind; it gets the name of the sender and the body."""
 
 
 Answer = Callable[[Mapping[str, Any]], None]
 
 
 class Control(Protocol):
-    """The port that the command line speaks to: one JSON object a line each way, on `[fleet] control`."""
+    """The control port of the command line at `[fleet] control`: one JSON object a line in each direction."""
+
+    def on(self, command: str, handler: Callable[[Mapping[str, Any], Answer], None]) -> None:
+        """Set the handler of a command; it gets the request and answers it once, now or later.
 
-    def on(self, word: str, call: Callable[[Mapping[str, Any], Answer], None]) -> None:
-        """`call` gets the words of each call of that name and answers once, now or later. An answer with `error` is
-        exit status 1 at the command line."""
+        After an answer with the key `error` the command line exits with status 1.
+        """
 
 
 class Disk(Protocol):
-    """What must outlive a restart, synced when `put` calls back: on the embedded store, or in memory for tests.
-    `identity` is drawn when the disk is first used: one that is new is not the disk that was."""
+    """Keys and values that outlive a restart: on the embedded store, or in memory for tests.
+
+    `identity` is drawn when the disk is first used, so that a replaced disk is recognised.
+    """
 
     identity: str
 
-    def get(self, key: str) -> bytes | None: ...
+    def get(self, key: str) -> bytes | None:
+        """Return the value of a key, None if there is none."""
 
-    def put(self, key: str, body: bytes, done: Callable[[], None]) -> None: ...
+    def put(self, key: str, body: bytes, done: Callable[[], None]) -> None:
+        """Set the value of a key; `done` is called when it is synced."""
 
 
 class KeyedDisk(Disk, Protocol):
-    """A disk that changes many keys at once, and tells which there are."""
+    """A disk that changes several keys at once and lists its keys."""
 
     def write(self, changes: Mapping[str, bytes | None], done: Callable[[], None]) -> None:
-        """All of them or none, over a crash too; None deletes the key. `done` as that of `put`, in order with it."""
+        """Make all changes or none, also across a crash; None deletes a key.
+
+        `done` is called when they are synced, in the order of all calls of `write` and `put`.
+        """
 
     def scan(self, prefix: str) -> Iterator[tuple[str, bytes]]:
-        """Keys that begin so and their values, in order of key."""
+        """Yield the keys with that prefix and their values, in the order of the keys."""
 
 
 class Fleet(NamedTuple):
-    """What a part of the fleet is handed."""
+    """The ports that each component of the fleet gets."""
 
     members: Members
     gossip_state: GossipState
     messenger: Messenger
     clock: Clock
     add_count: Callable[[str, int], None]  # adds to the fleet's counter of that name
-    call_later: Callable[[int, Callable[[], None]], Callable[[], None]]  # after so many microseconds; gives its cancel
-    seed: int  # of random streams: parts add a word of theirs
+    call_later: Callable[[int, Callable[[], None]], Callable[[], None]]  # by a delay in microseconds; returns a cancel
+    seed: int  # seed of random streams; each component mixes in a name of its own
 
 
 class RuleSection(Protocol):
-    """Who a part of the rule book is for: `timings`, `gather` or `shed`."""
+    """The component that a section of the rule set is for: `timings`, `gather` or `shed`."""
 
-    def check(self, part: Mapping[str, Any] | None) -> None:
-        """Raises `ValueError` that names each key at fault; None: the book has no such part. Changes nothing."""
+    def check(self, section: Mapping[str, Any] | None) -> None:
+        """Raise `ValueError` that names each invalid key; change nothing. None: the rule set has no such section."""
 
-    def apply(self, part: Mapping[str, Any] | None, version: int) -> None:
-        """It holds for requests that come from now on; open ones end under what they began with."""
+    def apply(self, section: Mapping[str, Any] | None, version: int) -> None:
+        """Apply the section to requests that are received from now on; open requests keep the previous rules."""
 
 
 class Rules(Protocol):
-    """The rule book as this gateway holds it."""
+    """The versioned rule set as this gateway applies it."""
 
-    version: int  # 0: none yet, what the files say holds
+    version: int  # 0: none is applied yet, and the rules of the files are active
 
-    def add_section(self, name: str, part: RuleSection) -> None:
-        """Says who a part is for, before the start."""
+    def add_section(self, name: str, section: RuleSection) -> None:
+        """Set the component that a section is for, before the start."""
 
 
 class OverloadStatus(Protocol):
-    """What the fleet's overload means for work that can be left out: gathers leave `spare` parts out first."""
+    """The fleet's overload for optional work: gathers leave out their `spare` subrequests first."""
 
     def is_shedding(self) -> bool:
-        """Whether the fleet is over its level at this moment."""
+        """Return whether the fleet sheds requests now."""
 
     def try_spend_retry(self) -> bool:
-        """Take one further attempt from the fleet's budget; False: there is none left now."""
+        """Spend one retry of the fleet's budget; return False if none is available."""
