--- a/rackhub/fleet/disk.py
+++ b/rackhub/fleet/disk.py
@@ -1,4 +1,4 @@
-"""Opens the disks of the fleet's parts: a store of its own for each, in the state directory."""
+"""Opens the disks of the fleet's components: each has its own embedded store in the state directory."""
 
 from pathlib import Path
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 def open_disk(reactor: Any, state: str, name: str) -> StoreDisk:
-    """The disk of that name. Raises `ComponentStartError`."""
+    """Open the store `name` in the directory `state`. Raises `ComponentStartError` if it can't be opened."""
     try:
         from rackhub.store import StoreError
 
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -1,4 +1,4 @@
-"""The fleet as a part of the daemon: members and board, the control port, and on them overload and the rule book."""
+"""The fleet component of the daemon: membership, gossip state, control port, overload and the versioned rules."""
 
 import logging
 from collections import Counter
@@ -37,175 +37,201 @@
 
 
 class FleetComponent(Component):
-    def __init__(self, host: ComponentContext):
-        super().__init__(host)
-        self.told: FleetSettings = fleet_settings(host.operator.fleet or {}, host.source.settings, host.config.name)
+    """Creates, starts and stops what `[fleet]` turns on; `fleet` has the ports that other components use."""
+
+    def __init__(self, context: ComponentContext):
+        super().__init__(context)
+        self.settings: FleetSettings = fleet_settings(
+            context.operator.fleet or {}, context.source.settings, context.config.name
+        )
         self.counts = Counter[str]()
         try:
-            if self.told.state:
-                Path(self.told.state).mkdir(parents=True, exist_ok=True)
-            zone_settings = msgspec.structs.replace(self.told, cluster=self.told.zone_cluster)
+            if self.settings.state:
+                Path(self.settings.state).mkdir(parents=True, exist_ok=True)
+            zone_settings = msgspec.structs.replace(self.settings, cluster=self.settings.zone_cluster)
             self.membership = Membership(
-                host.reactor, zone_settings, host.config.listen, host.clock, host.config.seed, self._tally
+                context.reactor,
+                zone_settings,
+                context.config.listen,
+                context.clock,
+                context.config.seed,
+                self._add_count,
             )
-        except OSError as fault:
-            raise ComponentStartError(f"[fleet] state: {fault}") from None
+        except OSError as error:
+            raise ComponentStartError(f"[fleet] state: {error}") from None
         self.fleet = self.membership.fleet()
         self.control = (
-            ControlPort(host.reactor, address(self.told.control, "control"), self._tally) if self.told.control else None
+            ControlPort(context.reactor, address(self.settings.control, "control"), self._add_count)
+            if self.settings.control
+            else None
         )
-        self.prober = Prober(host.reactor, host.clock, host.config.limits)
+        self.health_checker = Prober(context.reactor, context.clock, context.config.limits)
         self.overload = (
-            Overload(self._serving(), host.source.settings, host.config.limits, host.core, self.prober, self.told)
-            if shares_overload(self.told)
+            Overload(
+                self._overload_fleet(),
+                context.source.settings,
+                context.config.limits,
+                context.core,
+                self.health_checker,
+                self.settings,
+            )
+            if shares_overload(self.settings)
             else None
         )
         self.disk: StoreDisk | None = None
-        self.distribution = self._distribution() if self.told.role else None
-        self.book = self._book() if self.told.keepers and not self.told.role else None
-        self.timings = TimingsSection(lambda: host.source.settings, lambda: host.operator.timings, self._time)
-        for name, part in self._rule_parts().items():
+        self.distribution = self._create_distribution() if self.settings.role else None
+        self.versioned_rules = (
+            self._create_versioned_rules() if self.settings.keepers and not self.settings.role else None
+        )
+        self.timings = TimingsSection(
+            lambda: context.source.settings, lambda: context.operator.timings, self._apply_timings
+        )
+        for name, section in self._rule_sections().items():
             if self.rules is not None:
-                self.rules.add_section(name, part)
+                self.rules.add_section(name, section)
 
-    def _serving(self) -> Fleet:
-        """The fleet as overload counts it: voters and relays are members of a zone, and take no part of its load."""
-        nodes = frozenset(node.name for node in self.told.node)
+    def _overload_fleet(self) -> Fleet:
+        """Return the fleet without voters and relays: they are members of the zone, but carry no load."""
+        nodes = frozenset(node.name for node in self.settings.node)
         if not nodes:
             return self.fleet
         return self.fleet._replace(members=MembersWithout(self.fleet.members, nodes))
 
     @property
     def rules(self) -> "VersionedRules | Distribution | None":
-        """Whoever holds the rule book here: that of a fleet without relays, or what distribution brings."""
-        return self.book if self.distribution is None else self.distribution
+        """The source of the rule set: the register of a fleet without relays, or distribution; None if it is off."""
+        return self.versioned_rules if self.distribution is None else self.distribution
 
-    def _rule_parts(self) -> dict[str, RuleSection]:
-        """Those that this part of the daemon has; gathers add theirs. A voter checks the order of shedding, too."""
-        parts: dict[str, RuleSection] = {"timings": self.timings}
+    def _rule_sections(self) -> dict[str, RuleSection]:
+        """Return the sections that this component applies or, as a voter, checks; the gather component adds its own."""
+        sections: dict[str, RuleSection] = {"timings": self.timings}
         if self.overload is not None:
-            parts["shed"] = self.overload.shed
-        elif self.told.role == VOTER:
-            parts["shed"] = SheddingPolicy(self.context.source.settings)
-        return parts
+            sections["shed"] = self.overload.shed
+        elif self.settings.role == VOTER:
+            sections["shed"] = SheddingPolicy(self.context.source.settings)
+        return sections
 
-    def _distribution(self) -> "Distribution":
+    def _create_distribution(self) -> "Distribution":
         from rackhub.fleet.distribution.part import Distribution
 
-        if self.told.role != RELAY:
-            self.disk = open_disk(self.context.reactor, self.told.state, "distribution")
+        if self.settings.role != RELAY:
+            self.disk = open_disk(self.context.reactor, self.settings.state, "distribution")
         try:
-            return Distribution(self.context.reactor, self.fleet, self.told, self.control, self.disk)
-        except ValueError as bad:
-            raise ComponentStartError(f"[fleet] state: {bad}") from None
-
-    def _book(self) -> VersionedRules:
-        """The rule book of a fleet without relays, kept on a store of its own where there is a directory for it."""
-        if self.told.state:
-            self.disk = open_disk(self.context.reactor, self.told.state, "register")
+            return Distribution(self.context.reactor, self.fleet, self.settings, self.control, self.disk)
+        except ValueError as error:
+            raise ComponentStartError(f"[fleet] state: {error}") from None
+
+    def _create_versioned_rules(self) -> VersionedRules:
+        """Create the rules of a fleet without relays; with a state directory they are kept on a store of their own."""
+        if self.settings.state:
+            self.disk = open_disk(self.context.reactor, self.settings.state, "register")
         try:
-            return VersionedRules(self.fleet, self.told, self.control, self.disk, self._counts)
-        except ValueError as bad:
-            raise ComponentStartError(f"[fleet] state: {bad}") from None
+            return VersionedRules(self.fleet, self.settings, self.control, self.disk, self._request_counts)
+        except ValueError as error:
+            raise ComponentStartError(f"[fleet] state: {error}") from None
 
-    def _counts(self) -> tuple[int, int, int]:
-        """Requests over, refused, and failed or over time, of all classes since the start."""
+    def _request_counts(self) -> tuple[int, int, int]:
+        """Return the completed, the rejected, and the failed or late requests of all classes since the start."""
         sums = [sum(counts) for counts in zip(*self.context.core.counts_by_class.values(), strict=True)]
         return sum(sums[:3]), sums[1], sums[2]
 
-    def _time(self, table: Table) -> None:
-        """Other routes hold; where none ever did and there are none, nothing is loaded for them."""
-        found: Any = self.context.components.get("timings")
-        if found is None and table.routes:
-            found = self.context.components["timings"] = components.load("timings", self.context)
-        if found is not None:
-            found.again = self.timings.reload_file
-            found.desk.reload(table)
+    def _apply_timings(self, table: Table) -> None:
+        """Apply the routes of a rule set. Without routes, a timings component that is not loaded stays unloaded."""
+        timings_component: Any = self.context.components.get("timings")
+        if timings_component is None and table.routes:
+            timings_component = self.context.components["timings"] = components.load("timings", self.context)
+        if timings_component is not None:
+            timings_component.again = self.timings.reload_file
+            timings_component.desk.reload(table)
 
-    def _tally(self, name: str, by: int = 1) -> None:
+    def _add_count(self, name: str, by: int = 1) -> None:
         self.counts[name] += by
 
-    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
+    def begin(self, snapshot: EndpointSnapshot) -> EndpointSnapshot:
+        """Attach the overload component to the core, behind a barrier for its faults."""
         if self.overload is not None:
-            self.context.core.fleet_coordinator = FaultBarrier(self.overload, self._tally)
-        return listing
+            self.context.core.fleet_coordinator = FaultBarrier(self.overload, self._add_count)
+        return snapshot
 
     def open(self) -> None:
+        """Join the fleet and open the control port. Raises `ComponentStartError` if an address can't be bound."""
         try:
             self.membership.start()
             if self.control is not None:
                 fleet_status.register_command(self.control, self.membership)
                 self.control.on(
                     "figures",
-                    lambda words, answer: answer(
+                    lambda request, answer: answer(
                         {
                             "figures": {
                                 name: value
-                                for part in self.context.components.values()
-                                for name, value in part.metrics().items()
+                                for component in self.context.components.values()
+                                for name, value in component.metrics().items()
                             }
                         }
                     ),
                 )
                 self.control.start()
-        except OSError as fault:
-            raise ComponentStartError(f"[fleet] {fault}") from None
+        except OSError as error:
+            raise ComponentStartError(f"[fleet] {error}") from None
         if self.overload is not None:
             self.overload.start()
             self.overload.endpoints_changed(self.context.source.start)
-        self.prober.listed(self.context.source.start)
+        self.health_checker.listed(self.context.source.start)
         if self.rules is not None:
-            timed: Any = self.context.components.get("timings")
-            if timed is not None:
-                timed.again = self.timings.reload_file
+            timings_component: Any = self.context.components.get("timings")
+            if timings_component is not None:
+                timings_component.again = self.timings.reload_file
             self._start_rules()
-        log.info("member %s of the fleet %s at %s", self.told.name, self.told.cluster, self.told.listen)
+        log.info("member %s of the fleet %s at %s", self.settings.name, self.settings.cluster, self.settings.listen)
 
     def _start_rules(self) -> None:
         try:
             if self.rules is not None:
                 self.rules.start()
-        except OSError as fault:
-            raise ComponentStartError(f"[fleet] {fault.strerror or fault}") from None
+        except OSError as error:
+            raise ComponentStartError(f"[fleet] {error.strerror or error}") from None
 
-    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
-        self.prober.listed(listing)
+    def endpoints_changed(self, snapshot: EndpointSnapshot) -> None:
+        self.health_checker.listed(snapshot)
         if self.overload is not None:
-            self.overload.endpoints_changed(listing)
+            self.overload.endpoints_changed(snapshot)
 
     def drain(self) -> None:
+        """Announce the end of this process to the other members."""
         if self.overload is not None:
             self.overload.drain()
-        if self.book is not None:
-            self.book.drain()
-        if self.distribution is not None:  # what replaces this process waits for its address and its disk
+        if self.versioned_rules is not None:
+            self.versioned_rules.drain()
+        # A process that replaces this one waits for the addresses and the disk, so they are released now.
+        if self.distribution is not None:
             self.distribution.stop()
-            self._end_disk()
-        # what replaces this process waits for the address
+            self._close_disk()
         self.membership.leave().addCallback(lambda _: self.membership.stop())
 
     def stop(self) -> None:
         if self.rules is not None:
             self.rules.stop()
-        self._end_disk()
+        self._close_disk()
 
-    def _end_disk(self) -> None:
+    def _close_disk(self) -> None:
         disk, self.disk = self.disk, None
         if disk is not None:
             disk.end()
 
     def metrics(self) -> Mapping[str, float]:
-        told: dict[str, float] = dict(self.membership.figures()) | {name: float(n) for name, n in self.counts.items()}
+        values: dict[str, float] = dict(self.membership.figures()) | {name: float(n) for name, n in self.counts.items()}
         if self.overload is not None:
-            told |= self.overload.figures()
+            values |= self.overload.figures()
         if self.rules is not None:
-            told |= self.rules.figures()
-        return told
+            values |= self.rules.figures()
+        return values
 
     def summary_lines(self) -> Sequence[str]:
-        counted: Any = {name: value for name, value in sorted(self.metrics().items()) if value}
-        return ["fleet: " + (" ".join(f"{name}={value:g}" for name, value in counted.items()) or "nothing")]
+        nonzero: Any = {name: value for name, value in sorted(self.metrics().items()) if value}
+        return ["fleet: " + (" ".join(f"{name}={value:g}" for name, value in nonzero.items()) or "nothing")]
 
 
-def create_component(host: ComponentContext) -> FleetComponent:
-    return FleetComponent(host)
+def create_component(context: ComponentContext) -> FleetComponent:
+    """Create the component."""
+    return FleetComponent(context)
--- a/rackhub/fleet/settings.py
+++ b/rackhub/fleet/settings.py
@@ -1,6 +1,6 @@
-"""The `[fleet]` part of the operator's file: one type, filled and checked here, handed down.
+"""The `[fleet]` table of the operator's file: its type and its checks. Each error names the key and the value.
 
-Docs: docs/operators/fleet.md. Each fault names its key and value.
+Docs: docs/operators/fleet.md.
 """
 
 from pathlib import Path
@@ -10,85 +10,92 @@
 
 from rackhub import interface
 from rackhub.address import address
-from rackhub.fleet.roles import NAME, FleetNode, check_role
+from rackhub.fleet.roles import NAME_PATTERN, FleetNode, check_role
 
-SEEDS, KEEPERS = 64, (1, 3, 5)
+MAX_JOIN_ADDRESSES = 64
+KEEPER_COUNTS = (1, 3, 5)
 
 
 class FleetSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Times are milliseconds, as an operator words them."""
+    """The keys of `[fleet]`. Times are in milliseconds."""
 
-    cluster: str  # packets of another one are dropped
-    listen: str  # UDP, for the other gateways: an address and port that only they reach
-    advertise: str = ""  # the address and port at which the others reach `listen`, where it is another one
-    name: str = ""  # of this gateway; the configuration's without it
-    site: str = ""  # where it stands, for gathers and for the reader
-    join: tuple[str, ...] = ()  # peers' addresses to begin with; the own one among them is passed over
-    control: str = ""  # TCP, where the command line speaks to this gateway; none without it
-    state: str = ""  # a directory for what must outlive a restart; nothing is kept without it
-    keepers: tuple[str, ...] = ()  # names of the gateways that keep the rule book: three or five; none: no rule book
-    probe_ms: int = 500  # how often each gateway probes another
-    timeout_ms: int = 200  # for the answer to a probe
-    records_ms: int = 3_000  # older records of another gateway do not count: it stands at its even slice
-    overload: bool = True  # one level, budgets and probes for all
-    role: str = ""  # in a fleet with relays: "voter", "relay" or "coordinator"; empty: a fleet without relays
-    zone: str = ""  # with a role: membership is among the processes of one zone
-    watch: str = ""  # with a role: UDP, where changes of configuration come and go
-    watch_advertise: str = ""  # the address and port at which the others reach `watch`, where it is another one
-    scope: tuple[str, ...] = ("",)  # prefixes of the keys that this coordinator gets
-    node: tuple[FleetNode, ...] = ()  # with a role: all voters and relays, the same at every process
-    worth_guard: float = 0.1  # of the fleet's share, that is left to tenants below their part whatever they ask
+    cluster: str  # name of the fleet; packets of another cluster are dropped
+    listen: str  # UDP address and port for the other gateways; only they should be able to reach it
+    advertise: str = ""  # address and port at which the others reach `listen`, if that is a different one
+    name: str = ""  # name of this gateway; by default `name` of the configuration
+    site: str = ""  # name of the installation, for gathers and in the output of the command `fleet`
+    join: tuple[str, ...] = ()  # addresses of other members to contact at the start; the local address is ignored
+    control: str = ""  # TCP address and port of the control port for the command line; empty: there is none
+    state: str = ""  # directory for data that outlives a restart; empty: nothing is kept
+    keepers: tuple[str, ...] = ()  # names of the gateways that keep the rule set, an odd number; empty: no rule set
+    probe_ms: int = 500  # interval between SWIM probes
+    timeout_ms: int = 200  # timeout of a SWIM probe
+    records_ms: int = (
+        3_000  # maximum age of a load record; its gateway then counts as unresponsive: with an equal share
+    )
+    overload: bool = True  # share the overload decisions, retry budget and health checks among the gateways
+    role: str = ""  # role in a fleet with relays: "voter", "relay" or "coordinator"; empty: a fleet without relays
+    zone: str = ""  # zone of this process, with a role; its members are the processes of this zone
+    watch: str = ""  # UDP address and port of configuration changes, with a role
+    watch_advertise: str = ""  # address and port at which the others reach `watch`, if that is a different one
+    scope: tuple[str, ...] = ("",)  # prefixes of the keys that this coordinator receives
+    node: tuple[FleetNode, ...] = ()  # all voters and relays, with a role; the same at every process
+    worth_guard: float = 0.1  # fraction of the fleet's capacity reserved for tenants below their quota
 
     @property
     def listen_address(self) -> tuple[str, int]:
+        """The address and port that the membership socket binds."""
         return address(self.listen, "listen")
 
     @property
     def advertised_address(self) -> tuple[str, int]:
-        """Where the others find this gateway."""
+        """The address and port at which the others reach this gateway."""
         return address(self.advertise, "advertise") if self.advertise else self.listen_address
 
     @property
     def zone_cluster(self) -> str:
-        """The cluster's name on the members' link: with a role, each zone is a cluster of its own."""
+        """The name of the cluster in membership packets: with a role, each zone is a cluster of its own."""
         return f"{self.cluster}.{self.zone}" if self.role else self.cluster
 
 
-def fleet_settings(part: dict[str, Any], settings: interface.Settings, name: str) -> FleetSettings:
-    """The part as it is used. Raises `ValueError` or `msgspec.ValidationError`, worded with the key."""
-    told = msgspec.convert(part, FleetSettings, strict=True)
-    told = msgspec.structs.replace(told, name=told.name or name)
+def fleet_settings(table: dict[str, Any], settings: interface.Settings, name: str) -> FleetSettings:
+    """Return the checked table; `name` is the default of its key `name`.
+
+    Raises `ValueError` or `msgspec.ValidationError` that names the key.
+    """
+    fleet = msgspec.convert(table, FleetSettings, strict=True)
+    fleet = msgspec.structs.replace(fleet, name=fleet.name or name)
     for key, text in (
-        ("cluster", told.cluster),
-        ("name", told.name),
-        *((f"keepers[{i}]", keeper) for i, keeper in enumerate(told.keepers)),
+        ("cluster", fleet.cluster),
+        ("name", fleet.name),
+        *((f"keepers[{i}]", keeper) for i, keeper in enumerate(fleet.keepers)),
     ):
-        if not NAME.match(text):
+        if not NAME_PATTERN.match(text):
             raise ValueError(f"{key}: {text!r} is not 1 to 63 letters, digits, dots, dashes or underscores")
-    address(told.listen, "listen")
-    if told.advertise:
-        address(told.advertise, "advertise")
-    if told.control:
-        address(told.control, "control")
-    for i, seed in enumerate(told.join):
-        address(seed, f"join[{i}]")
-    if len(told.join) > SEEDS:
-        raise ValueError(f"join: {len(told.join)} addresses, more than {SEEDS}")
-    if told.keepers and (len(set(told.keepers)) != len(told.keepers) or len(told.keepers) not in KEEPERS):
-        raise ValueError(f"keepers: {list(told.keepers)!r}: one, three or five names, each once, are needed")
-    if told.name in told.keepers and not told.state:
-        raise ValueError(f"state: not set, and {told.name!r} is one of keepers, which must outlive a restart")
-    if told.state and not Path(told.state).is_absolute():
-        raise ValueError(f"state: {told.state!r} is not an absolute path")
+    address(fleet.listen, "listen")
+    if fleet.advertise:
+        address(fleet.advertise, "advertise")
+    if fleet.control:
+        address(fleet.control, "control")
+    for i, peer in enumerate(fleet.join):
+        address(peer, f"join[{i}]")
+    if len(fleet.join) > MAX_JOIN_ADDRESSES:
+        raise ValueError(f"join: {len(fleet.join)} addresses, at most {MAX_JOIN_ADDRESSES} are allowed")
+    if fleet.keepers and (len(set(fleet.keepers)) != len(fleet.keepers) or len(fleet.keepers) not in KEEPER_COUNTS):
+        raise ValueError(f"keepers: {list(fleet.keepers)!r}: has to be one, three or five different names")
+    if fleet.name in fleet.keepers and not fleet.state:
+        raise ValueError(f"state: not set, and {fleet.name!r} is one of keepers, whose votes must outlive a restart")
+    if fleet.state and not Path(fleet.state).is_absolute():
+        raise ValueError(f"state: {fleet.state!r} is not an absolute path")
     ranges = (
-        ("probe_ms", told.probe_ms, 50, 60_000),
-        ("records_ms", told.records_ms, 200, 60_000),
-        ("timeout_ms", told.timeout_ms, 10, told.probe_ms),
+        ("probe_ms", fleet.probe_ms, 50, 60_000),
+        ("records_ms", fleet.records_ms, 200, 60_000),
+        ("timeout_ms", fleet.timeout_ms, 10, fleet.probe_ms),
     )
-    for key, value, least, most in ranges:
-        if not least <= value <= most:
-            raise ValueError(f"{key}: {value} is not from {least} to {most}")
-    if not 0 <= told.worth_guard <= 0.5:
-        raise ValueError(f"worth_guard: {told.worth_guard} is not from 0 to 0.5")
-    check_role(told)
-    return told
+    for key, value, minimum, maximum in ranges:
+        if not minimum <= value <= maximum:
+            raise ValueError(f"{key}: {value} is not from {minimum} to {maximum}")
+    if not 0 <= fleet.worth_guard <= 0.5:
+        raise ValueError(f"worth_guard: {fleet.worth_guard} is not from 0 to 0.5")
+    check_role(fleet)
+    return fleet
