--- a/rackhub/fleet/overload/rendezvous.py
+++ b/rackhub/fleet/overload/rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: members with the same membership view rank themselves alike for a key, without messages.
+"""Rendezvous hashing: gateways with the same view of the membership compute the same ranking for a key.
 
-A member that joins or leaves moves only the keys that it ranks first for.
+When a member joins or leaves, only the keys for which it ranks first move.
 """
 
 import zlib
@@ -8,7 +8,8 @@
 
 from rackhub.fleet.ports import Name
 
-MULTIPLIER = 0x9E3779B1  # CRC-32 is linear in its input: two rounds with a product between them are not
+# CRC-32 is linear in its input; two rounds with a product between them are not.
+MULTIPLIER = 0x9E3779B1
 FINAL_MULTIPLIER = 0x85EBCA6B
 MASK = 0xFFFFFFFF
 
