--- a/rackhub/fleet/overload/shedding_threshold.py
+++ b/rackhub/fleet/overload/shedding_threshold.py
@@ -1,7 +1,7 @@
-"""One priority order of all classes and tenants, and the threshold in it: cells above are admitted, cells below shed.
+"""The priority order of all cells (class and tenant), and the threshold in it: cells below the threshold are shed.
 
-Every gateway computes it from the same records. The position of a cell goes by the priority of a thread-second of its
-class, reduced by how far its tenant exceeds its quota; a reserve is admitted for tenants below their quota whatever the
+Every gateway computes it from the same records. The position of a cell depends on the priority of a thread-second of
+its class, reduced if its tenant exceeds its quota. A reserve is admitted for tenants below their quota, whatever the
 others request. In the cell at the threshold a hash of the request decides, so that every gateway decides alike.
 """
 
@@ -13,33 +13,37 @@
 Key = tuple[str, str]  # class and tenant
 
 STEPS = 64  # the admitted fraction of a cell is a multiple of 1 / STEPS
-HYSTERESIS = 0.75  # in steps, by which the computed fraction must differ before the held one moves
+HYSTERESIS = 0.75  # minimum difference in steps between the computed and the present fraction before it changes
 BEGIN_RATIO = 1.15  # demand over capacity at which the threshold becomes active
 END_RATIO = 1.05  # demand over capacity at which it ends
-POSITIONS_PER_OCTAVE = 4  # of the priority per thread-second
-BEGIN_USAGE = 0.9  # threads in use over those configured; with fewer no threshold becomes active
-END_USAGE = 0.4
-EXCESS_POWER = 1.0  # by which a tenant's excess over its quota reduces its priority
-HASH_RANGE = 65_536  # a request is admitted if its hash is below the mark of its cell
-HASH_MULTIPLIER = 0x9E3779B1  # CRC-32 is linear: the upper bits of the product are distributed evenly
+POSITIONS_PER_OCTAVE = 4  # positions in the order per doubling of the priority per thread-second
+BEGIN_USAGE = 0.9  # threads in use over those configured, below which the threshold does not become active
+END_USAGE = 0.4  # threads in use over those configured, below which it ends
+EXCESS_POWER = 1.0  # power of a tenant's excess over its quota by which its priority is divided
+HASH_RANGE = 65_536  # hashes are below this value; a request is admitted if its hash is below the mark of its cell
+# CRC-32 is linear in its input; the upper bits of its product with this number are distributed evenly.
+HASH_MULTIPLIER = 0x9E3779B1
 
 
 class Demand(NamedTuple):
-    """The demand in one cell in threads (thread-seconds per second), and the priority of each."""
+    """The demand in one cell in threads (thread-seconds per second), and the priority of each thread-second."""
 
     threads: float
     density: float
 
 
 def tenant_quotas(demand: Mapping[Key, Demand], fractions: Mapping[str, float], capacity: float) -> dict[str, float]:
-    """Return the quota of each tenant with demand in threads, by the configured fractions, else equal."""
+    """Return the quota in threads of each tenant with demand, by the configured fractions.
+
+    A tenant without a fraction counts as 1.
+    """
     active = {tenant for (_, tenant), cell in demand.items() if cell.threads > 0}
     total = sum(fractions.get(tenant) or 1.0 for tenant in active)
     return {tenant: capacity * (fractions.get(tenant) or 1.0) / total for tenant in sorted(active)}
 
 
 def shedding_order(demand: Mapping[Key, Demand], quotas: Mapping[str, float]) -> list[list[Key]]:
-    """Return all cells in groups of one position, those to shed last first.
+    """Return all cells in groups of one position; the group that is shed last comes first.
 
     Positions are a quarter octave apart, so that small differences between views change few of them.
     """
@@ -72,7 +76,7 @@
     total_shortfall = sum(shortfall.values())
     reserve = capacity * guard
     used = 0.0
-    for tenant in quotas if total_shortfall else ():  # each gets the same fraction of its shortfall
+    for tenant in quotas if total_shortfall else ():  # each tenant gets the same fraction of its shortfall
         threads = shortfall[tenant] * min(reserve / total_shortfall, 1.0)
         own_groups = [[key for key in keys if key[1] == tenant] for keys in groups]
         admitted = admit(demand, own_groups, admitted, threads)
@@ -83,7 +87,7 @@
 def _shortfall(
     demand: Mapping[Key, Demand], quotas: Mapping[str, float], admitted: Mapping[Key, float]
 ) -> dict[str, float]:
-    """Return for each tenant the threads that it requests and lacks below its quota."""
+    """Return for each tenant the threads that it requests and lacks within its quota."""
     got = dict.fromkeys(quotas, 0.0)
     left = dict.fromkeys(quotas, 0.0)
     for key, cell in demand.items():
@@ -100,7 +104,7 @@
     admitted: Mapping[Key, float],
     capacity: float,
 ) -> dict[Key, float]:
-    """Admit the groups in order until `capacity` threads are used, each cell of a group by the same fraction."""
+    """Admit the groups in order until `capacity` threads are used, and the same fraction of each cell of a group."""
     result = dict(admitted)
     for keys in groups:
         left = sum(demand[key].threads * (1 - result[key]) for key in keys)
@@ -112,14 +116,14 @@
 
 
 class SheddingThreshold:
-    """The threshold held by this gateway.
+    """The threshold of this gateway.
 
-    It moves late and in steps, so that it does not oscillate and gateways with similar records hold the same.
+    It moves in steps and with hysteresis, so that it does not oscillate and is equal at gateways with similar records.
     """
 
     def __init__(self) -> None:
         self.active = False
-        self.marks: dict[Key, int] = {}  # of each cell that is not admitted entirely
+        self.marks: dict[Key, int] = {}  # mark of each cell that is not admitted entirely
         self.admitted_share = 1.0  # fraction of the demand above the threshold
         self.moves = 0
 
@@ -133,8 +137,8 @@
     ) -> None:
         """Recompute the threshold.
 
-        `usage`: threads in use by the fleet over those configured. As demand is an estimate, nothing is shed while
-        engines are idle.
+        `usage` is the number of the fleet's threads in use over those configured. As demand is an estimate, nothing is
+        shed while engines are idle.
         """
         total = sum(cell.threads for cell in demand.values())
         if not self._is_overload(total, capacity, usage):
@@ -157,8 +161,8 @@
     def _next_marks(self, admitted: Mapping[Key, float]) -> dict[Key, int]:
         marks = {}
         for key, fraction in admitted.items():
-            held = self.marks.get(key, HASH_RANGE) * STEPS / HASH_RANGE
-            step = held if abs(fraction * STEPS - held) <= HYSTERESIS else round(fraction * STEPS)
+            present = self.marks.get(key, HASH_RANGE) * STEPS / HASH_RANGE
+            step = present if abs(fraction * STEPS - present) <= HYSTERESIS else round(fraction * STEPS)
             if fraction <= 0:
                 step = 0
             if step < STEPS:
