--- a/rackhub/fleet/overload/quota.py
+++ b/rackhub/fleet/overload/quota.py
@@ -1,9 +1,9 @@
 """The share of one gateway in a fleet-wide resource: its equal share, less what it offers, plus what others offer.
 
-Gateways hold each other's records at different ages. Two rules keep the sum of all shares at one or below, see the
-proof in docs/design/overload.md. Each gateway publishes the minimum and maximum that it offered and wanted over the
-last `hold` microseconds, and each computes with the more cautious bound. A silent gateway counts as offering nothing
-and wanting everything.
+Each gateway has the others' records at a different age. Two rules keep the sum of all shares at one or below; the proof
+is in docs/design/overload.md. First, each gateway publishes the minimum and maximum that it offered and wanted over the
+last `hold` microseconds, and all compute with the more cautious bound. Second, an unresponsive gateway counts as
+offering nothing and wanting everything.
 """
 
 import math
@@ -12,10 +12,10 @@
 
 from rackhub.fleet.overload.records import FRACTION_ONE, Loan
 
-HEADROOM = 1.25  # retained per unit of need, as a need grows before the others learn of it
+HEADROOM = 1.25  # share retained per unit of need: the need may grow before the others learn of it
 RETAINED = 0.5  # fraction of the equal share that is never offered, so that first requests need not wait for gossip
-BASE = 0.25  # fraction of the equal share that each wants in any case, so that unused shares go to all
-STEP = 0.25  # relative change of the need that is published: a steady need costs nothing
+BASE = 0.25  # fraction of the equal share that each gateway always wants, so that unused shares go to all
+STEP = 0.25  # minimum relative change of the need that is published, so that a steady need does not change the loans
 
 
 class SlidingRange:
@@ -23,7 +23,7 @@
 
     def __init__(self, hold: int, value: float = 0.0):
         self._hold, self.value = hold, value
-        self._former: deque[tuple[int, float]] = deque()  # until when each former value held
+        self._former: deque[tuple[int, float]] = deque()  # former values, each with the time of its end
 
     def set(self, now: int, value: float) -> None:
         """Set the value and drop former values older than `hold`."""
@@ -34,7 +34,7 @@
             self._former.popleft()
 
     def record_until_now(self, now: int, value: float) -> None:
-        """Count `value` as if it had held until now."""
+        """Count `value` as if it had been set until now."""
         self._former.append((now, value))
 
     def bounds(self) -> tuple[float, float]:
@@ -44,7 +44,11 @@
 
 
 class Quota:
-    """The share of one gateway in a resource divided by need: running threads, or retries."""
+    """The share of one gateway in a resource that is divided by need: running threads, or retries.
+
+    `hold` is the time in microseconds over which the published bounds reach back. `retained` is the fraction of the
+    equal share that is never offered.
+    """
 
     def __init__(self, hold: int, retained: float = RETAINED):
         self.offered = SlidingRange(hold)
@@ -54,11 +58,11 @@
         self._digest = 0
 
     def update_need(self, now: int, need: float, equal_share: float, digest: int, lacking: bool = True) -> None:
-        """Update what this gateway would use, as a fraction of the whole.
+        """Update the need of this gateway, as a fraction of the whole resource.
 
-        `digest` identifies the counted participants. When it changes, nothing is offered until every gateway that may
-        still take by the previous record has lost it. Without `lacking` (another gateway needs more than its share)
-        nothing is offered, as a loan costs both sides a part of it.
+        `digest` identifies the counted participants. When it changes, nothing is offered until no gateway uses the
+        previous record any more. `lacking`: another gateway needs more than its share; otherwise nothing is offered, as
+        a loan costs both sides a part of it.
         """
         if digest != self._digest:
             self._digest = digest
@@ -72,11 +76,11 @@
 
     @staticmethod
     def wants_more(loan: Loan, equal_share: float) -> bool:
-        """Return whether the gateway that published `loan` wants more than each does in any case."""
+        """Return whether the gateway that published `loan` wants more than the base that each gateway always wants."""
         return loan.maximum_wanted > 1.5 * BASE * equal_share * FRACTION_ONE
 
     def loan(self) -> Loan:
-        """Return the record to publish, rounded to the more cautious bound."""
+        """Return the loan to publish, rounded to the more cautious bound."""
         minimum_offered, maximum_offered = self.offered.bounds()
         minimum_wanted, maximum_wanted = self.wanted.bounds()
         return Loan(
@@ -89,12 +93,12 @@
     def share(self, equal_share: float, peer_loans: Iterable[Loan | None]) -> float:
         """Return the share of this gateway.
 
-        `peer_loans` has the loan of each other counted member, None if it is silent or counts other participants.
+        `peer_loans` has the loan of each other participant; None if it is unresponsive or counts other participants.
         """
-        own = self.loan()
-        keep = max(equal_share - own.maximum_offered / FRACTION_ONE, 0.0)
-        pool, wants = own.minimum_offered, own.minimum_wanted
+        local = self.loan()
+        keep = max(equal_share - local.maximum_offered / FRACTION_ONE, 0.0)
+        pool, wants = local.minimum_offered, local.minimum_wanted
         for other in peer_loans:
             pool += other.minimum_offered if other is not None else 0
             wants += other.maximum_wanted if other is not None else FRACTION_ONE
-        return keep + (pool / FRACTION_ONE) * own.minimum_wanted / wants if wants else keep
+        return keep + (pool / FRACTION_ONE) * local.minimum_wanted / wants if wants else keep
--- a/rackhub/fleet/overload/retry_budget.py
+++ b/rackhub/fleet/overload/retry_budget.py
@@ -1,7 +1,7 @@
 """The retry budget of the fleet: a fraction of the served requests and a floor, divided by need.
 
-The shares are divided like threads (see `quota`), so their sum never exceeds one. A gateway accrues its share for a
-short time. A fraction of one retry is decided by a random draw, so that a small share is neither lost nor rounded up at
+It is divided like threads (see `quota`), so the sum of all shares never exceeds one. A gateway accrues its share for a
+short time. A random draw decides on a fraction of one retry, so that a small share is neither lost nor rounded up at
 each of many gateways.
 """
 
@@ -11,14 +11,14 @@
 from rackhub.fleet.overload.quota import Quota
 
 SECOND = 1_000_000
-# defaults where the site configures no budget
+# defaults if the site configures no budget
 RATIO = 0.1  # retries per served request
-FLOOR = 3.0  # retries in each window
+FLOOR = 3.0  # retries per window, whatever is served
 WINDOW = 10 * SECOND
 RETAINED = 0.1  # fraction of the equal share that an idle gateway keeps: a late retry costs less than a rejection
-ACCRUAL_TIME = SECOND  # of its share that a gateway accumulates at most
+ACCRUAL_TIME = SECOND  # maximum time for which a gateway accrues its share
 NEED_MARGIN = 1.5  # need per recently wanted retry
-MAXIMUM_DEBT = 2.0  # retries: two callers may spend at the same moment
+MAXIMUM_DEBT = 2.0  # maximum number of retries on credit: two callers may spend at the same moment
 
 
 class RetryBudget:
@@ -28,37 +28,44 @@
         configured = settings.retry_budget_ratio is not None or settings.retry_budget_minimum is not None
         self._ratio = (settings.retry_budget_ratio or 0.0) if configured else RATIO
         self._floor = (settings.retry_budget_minimum or 0.0) if configured else FLOOR
-        self._over = settings.retry_budget_window or WINDOW
+        self._window = settings.retry_budget_window or WINDOW
         self._random = random.Random(seed)
         self.quota = Quota(hold, RETAINED)
-        self.budget = self.rate = 0.0  # a second: the fleet's, and this gateway's part of it
-        self._accrued = 0.0  # less than a whole one
-        self.available = 0.0  # whole ones that may be spent now
+        self.budget = self.rate = 0.0  # retries per second: of the fleet, and the share of this gateway
+        self._accrued = 0.0  # accrued fraction of a retry
+        self.available = 0.0  # number of whole retries that may be spent now
 
     def tick(
-        self, now: int, took: int, served: float, wanted: float, equal_share: float, digest: int, lacking: bool = True
+        self,
+        now: int,
+        elapsed: int,
+        served: float,
+        wanted: float,
+        equal_share: float,
+        digest: int,
+        lacking: bool = True,
     ) -> None:
         """Update the budget and accrue this gateway's share.
 
-        `served` is the rate of all reachable gateways and `wanted` the retries this gateway wants, both per second;
-        `took` is in microseconds. The others are those of `Quota.update_need`.
+        `elapsed` is in microseconds. `served` is the rate of all reachable gateways and `wanted` the number of retries
+        that this gateway wants, both per second. The other arguments are those of `Quota.update_need`.
         """
-        self.budget = self._ratio * served + self._floor * SECOND / self._over
+        self.budget = self._ratio * served + self._floor * SECOND / self._window
         need = wanted * NEED_MARGIN / self.budget if self.budget else 0.0
         self.quota.update_need(now, need, equal_share, digest, lacking)
-        self._accrued += self.rate * took / SECOND
+        self._accrued += self.rate * elapsed / SECOND
 
     def set_share(self, share: float, wanting: bool) -> None:
         """Set this gateway's share of the budget.
 
-        With `wanting` (retries are wanted) an accrued fraction is decided by a draw.
+        `wanting`: retries are wanted, so that a random draw decides on an accrued fraction of one.
         """
         self.rate = self.budget * share
         maximum = self.rate * ACCRUAL_TIME / SECOND
         capacity = max(maximum, 1.0) - max(self.available, 0.0)
         self._accrued = min(self._accrued, max(capacity, 0.0), max(maximum, 0.0))
         whole = int(self._accrued)
-        if wanting and self.available < 1 and not whole:  # the fraction is used up by the draw, won or lost
+        if wanting and self.available < 1 and not whole:  # the draw uses up the fraction, won or lost
             self.available += self._random.random() < self._accrued
             self._accrued = 0.0
         self._accrued -= whole
