--- a/rackhub/fleet/overload/component.py
+++ b/rackhub/fleet/overload/component.py
@@ -1,7 +1,7 @@
-"""The overload component of one gateway: hooks of the core, and a tick that posts records and applies allocations.
+"""The overload component of one gateway: hooks of the core, and a tick that publishes records and applies allocations.
 
-Per request it does integer sums, a look-up and, in the cell at the threshold, one CRC-32. All else is computed once a
-tick from the records on the gossip board.
+For each request it does integer sums, a look-up and, in the cell at the threshold, one CRC-32. All else is computed
+once a tick from the published records of all gateways.
 """
 
 import logging
@@ -14,8 +14,8 @@
 from rackhub.core.source import EndpointSnapshot
 from rackhub.fleet import ports
 from rackhub.fleet.overload import records
+from rackhub.fleet.overload.health_check_schedule import PAGES, HealthCheckSchedule
 from rackhub.fleet.overload.load_controller import LoadController
-from rackhub.fleet.overload.probing import PAGES, HealthCheckSchedule
 from rackhub.fleet.overload.recovery_trials import RecoveryTrials
 from rackhub.fleet.overload.view import listed_threads
 from rackhub.fleet.settings import FleetSettings
@@ -26,15 +26,17 @@
 MS = 1_000
 SECOND = 1_000_000
 TICK = 200 * MS
-POST_INTERVAL = 400 * MS  # between regular load records
-MINIMUM_POST_INTERVAL = 50 * MS  # before a load record about a recovery trial
-EARLY_POST_FRACTION = 0.3  # change of the threads in use, of the limit, that is posted at the next tick
-EARLY_POST_THREADS = 4  # minimum of that change
-LATE_TICK = 2 * TICK  # a tick so late is run before the next request, as the last decisions are out of date
-UNSCHEDULED_INTERVAL = 1 * SECOND  # between own health checks of an engine that other members check
-MODULE_REPORT_BYTES = 5  # the CRC-32 of the engine's name, and a level
-NO_ANSWER_LEVEL = 100
-MAXIMUM_WARNINGS = 1_000
+PUBLISH_INTERVAL = 400 * MS  # interval of the regular load records
+MINIMUM_PUBLISH_INTERVAL = 50 * MS  # minimum interval before a load record with a change of a recovery trial
+# A load record is published at the next tick if the threads in use changed by more than this fraction of the limit and
+# by more than this number of threads.
+EARLY_PUBLISH_FRACTION = 0.3
+EARLY_PUBLISH_THREADS = 4
+LATE_TICK = 2 * TICK  # a tick that is this late runs before the next request, as the decisions are out of date
+UNSCHEDULED_INTERVAL = 1 * SECOND  # minimum interval of local health checks of an engine that other members check
+MODULE_REPORT_BYTES = 5  # size of the policy module's report: the CRC-32 of the engine's name, and a load level
+NO_ANSWER_LEVEL = 100  # load level passed to the policy module for an engine that did not answer a health check
+MAXIMUM_WARNINGS = 1_000  # maximum number of logged senders of invalid records
 
 
 class Core(Protocol):
@@ -54,12 +56,12 @@
         """Receive the message of a peer."""
 
 
-# called with GOOD, LATE or NOCONN, elapsed microseconds and a load report
+# receives the result (GOOD, LATE or NOCONN), the elapsed microseconds and a load report
 Done = Callable[[str, int, dict[str, float]], None]
 
 
 class Overload:
-    """Implements `core.fleet.FleetCoordinator` and `ports.OverloadStatus`; `shed` is its part of the rule set."""
+    """Implements `core.fleet.FleetCoordinator` and `ports.OverloadStatus`; `shed` is its section of the rule set."""
 
     name = "overload"
 
@@ -69,13 +71,13 @@
         settings: t.Settings,
         limits: Limits,
         core: Core,
-        probe: Callable[[str, Done], None],
+        check_engine: Callable[[str, Done], None],
         fleet_settings: FleetSettings,
     ):
         self.fleet = fleet
         self.settings = settings
         self.core = core
-        self._probe = probe
+        self._check_engine = check_engine
         takeover_delay = max([cls.deadline for cls in settings.classes] or [0]) or limits.kill_capped
         self.controller = LoadController(fleet.members.local_name, settings, fleet_settings, takeover_delay, fleet.seed)
         self.shed = self.controller.policy
@@ -83,13 +85,13 @@
         self.recovery = RecoveryTrials(fleet.members.local_name)
         self._entries: tuple[t.EngineEntry, ...] = ()
         self._loads: dict[ports.Name, tuple[tuple[int, int], records.Load | None]] = {}
-        self._ticked = self._published_at = fleet.clock.now()
+        self._ticked_at = self._published_at = fleet.clock.now()
         self._published_threads = 0
-        self._requested_at: dict[str, int] = {}  # time of own unscheduled health checks, by engine
+        self._requested_at: dict[str, int] = {}  # time of the last unscheduled local health check, by engine
         self._cancel: Callable[[], None] | None = None
         self._warned: set[tuple[ports.Name, int]] = set()
 
-    # ---- the component
+    # ---- life cycle
 
     def start(self) -> None:
         """Follow records and members, and start the timer."""
@@ -97,19 +99,19 @@
         for page in range(PAGES):
             self.fleet.gossip_state.follow(f"{records.HEALTH_KIND}{page}", self._health_received)
         self.fleet.members.follow(self._member_changed)
-        self._ticked = self.fleet.clock.now()
+        self._ticked_at = self.fleet.clock.now()
         self._cancel = self.fleet.call_later(TICK, self._timer_expired)
 
-    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
+    def endpoints_changed(self, snapshot: EndpointSnapshot) -> None:
         """Apply a new list of engines."""
-        self._entries = tuple(entry for entry in listing.entries if entry.state == "Ready")
+        self._entries = tuple(entry for entry in snapshot.entries if entry.state == "Ready")
         now = self.fleet.clock.now()
-        self.health_checks.listed(entry.engine for entry in self._entries)
-        self.recovery.listed(now, ((entry.engine, entry.started_at) for entry in self._entries))
+        self.health_checks.set_engines(entry.engine for entry in self._entries)
+        self.recovery.set_engines(now, ((entry.engine, entry.started_at) for entry in self._entries))
         self._apply_allocation(now)
 
     def drain(self) -> None:
-        """Offer the share of this gateway to the others, except for requests in flight."""
+        """Offer the share of this gateway to the others, except for the threads of requests in flight."""
         self.controller.draining = True
 
     def stop(self) -> None:
@@ -117,13 +119,13 @@
         if self._cancel is not None:
             self._cancel()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the gauges by name."""
-        own = self.controller.metrics() | {
+        gauges = self.controller.metrics() | {
             "probes": len(self.health_checks.targets),
             "held": len(self.recovery.reserved),
         }
-        return {f"overload_{name}": float(value) for name, value in own.items()}
+        return {f"overload_{name}": float(value) for name, value in gauges.items()}
 
     # ---- ports.OverloadStatus
 
@@ -141,8 +143,8 @@
     # ---- core.fleet.FleetCoordinator
 
     def request_received(self, query: Query, now: int) -> int:
-        """Return the verdict: 1 above the threshold, -1 below it, 0 while nothing is shed."""
-        if now - self._ticked > LATE_TICK:
+        """Return 1 above the threshold, -1 below it, 0 while nothing is shed."""
+        if now - self._ticked_at > LATE_TICK:
             self.tick()
         return self.controller.request_received(query.cls, query.tenant, query.statement, query.estimate)
 
@@ -163,7 +165,7 @@
         self.controller.request_completed(query.cls, how, query.attempts)
 
     def check_health(self, engine: str) -> None:
-        """Report the known health of an engine, or check it if this gateway is to."""
+        """Check an engine if it is one of the targets or nothing is known of it; else report the known result."""
         now = self.fleet.clock.now()
         if engine not in self.health_checks.targets:
             known = self.health_checks.latest(now, engine)
@@ -174,19 +176,19 @@
                 now - self._requested_at.get(engine, -UNSCHEDULED_INTERVAL) < UNSCHEDULED_INTERVAL
                 or engine not in self.health_checks.engines
             ):
-                self._tally("overload_probes_spared")
+                self._add_count("overload_probes_spared")
                 return
             self._requested_at[engine] = now
-        self._tally("overload_probes")
-        self._probe(engine, partial(self._health_check_completed, engine))
+        self._add_count("overload_probes")
+        self._check_engine(engine, partial(self._health_check_completed, engine))
 
     def send_gossip(self, peer: int, contents: bytes) -> None:
-        """Attach the module's report on an engine to the health check result, which is posted to all peers."""
+        """Attach the module's report on an engine to the local result, which is published to all members."""
         known = len(contents) == MODULE_REPORT_BYTES and self.health_checks.set_module_report(
             int.from_bytes(contents[:4], "big"), contents[4]
         )
         if not known:
-            self._tally("overload_words_dropped")
+            self._add_count("overload_words_dropped")
 
     # ---- events
 
@@ -222,7 +224,7 @@
                 self.recovery.mark_down(now, engine)
 
     def _member_changed(self, member: ports.Member) -> None:
-        """Reassign health checks and trials at once, as the member that ran them may be gone."""
+        """Reassign health checks and trials at once: the member that ran them may be gone."""
         now = self.fleet.clock.now()
         self._apply_allocation(now)
 
@@ -236,11 +238,11 @@
         return known[1]
 
     def _reject_record(self, record: ports.Record) -> None:
-        self._tally("overload_nonsense")
+        self._add_count("overload_nonsense")
         if (record.owner, record.generation) not in self._warned and len(self._warned) < MAXIMUM_WARNINGS:
             self._warned.add((record.owner, record.generation))
             log.warning(
-                "member %s tells what is no record of load, kind %s: it counts as silent", record.owner, record.kind
+                "member %s published an invalid record of kind %s; it counts as unresponsive", record.owner, record.kind
             )
 
     # ---- the tick
@@ -250,33 +252,33 @@
         self.tick()
 
     def tick(self) -> None:
-        """Recompute the decisions, post the records that are due, and apply the allocation."""
+        """Recompute the decisions, publish the records that are due, and apply the allocation."""
         now = self.fleet.clock.now()
-        own = self.controller
-        elapsed = now - self._ticked
-        self._ticked = now
+        controller = self.controller
+        elapsed = now - self._ticked_at
+        self._ticked_at = now
         if elapsed <= 0:
             return
-        own.threads_in_use = sum(
-            own.measurement.threads.get(attempt.query.cls, 1) for attempt in self.core.in_flight.values()
+        controller.threads_in_use = sum(
+            controller.measurement.threads.get(attempt.query.cls, 1) for attempt in self.core.in_flight.values()
         )
         members = self.fleet.members
-        held = self.fleet.gossip_state.read(records.LOAD_KIND)
+        load_records = self.fleet.gossip_state.read(records.LOAD_KIND)
         loads = {
             name: load
-            for name, record in held.items()
+            for name, record in load_records.items()
             if name != members.local_name and (load := self._decode(record)) is not None
         }
-        self._loads = {name: self._loads[name] for name in held if name in self._loads}
+        self._loads = {name: self._loads[name] for name in load_records if name in self._loads}
         threads = listed_threads(self._entries, self.settings, now)
-        own.tick(now, elapsed, threads, members.live(), members.reachable(), held, loads)
-        # posted after the computation, so that the record has the participants that this gateway now counts
-        if now - self._published_at >= POST_INTERVAL - TICK // 2:
+        controller.tick(now, elapsed, threads, members.live(), members.reachable(), load_records, loads)
+        # Published after the computation, so that the record has the participants that this gateway counts now.
+        if now - self._published_at >= PUBLISH_INTERVAL - TICK // 2:
             self._publish_load(now)
-            for page, seen in enumerate(self.health_checks.pages(now)):
-                self.fleet.gossip_state.publish(f"{records.HEALTH_KIND}{page}", records.pack_health(seen))
-        elif abs(own.threads_in_use - self._published_threads) > max(
-            EARLY_POST_FRACTION * own.limit, EARLY_POST_THREADS
+            for page, reports in enumerate(self.health_checks.pages(now)):
+                self.fleet.gossip_state.publish(f"{records.HEALTH_KIND}{page}", records.pack_health(reports))
+        elif abs(controller.threads_in_use - self._published_threads) > max(
+            EARLY_PUBLISH_FRACTION * controller.limit, EARLY_PUBLISH_THREADS
         ):
             self._publish_load(now)
         self.health_checks.forget(now, members.all())
@@ -293,28 +295,28 @@
         )
 
     def _trial_changed(self, now: int) -> None:
-        """Apply the start or end of a trial here now, and publish it soon."""
-        if now - self._published_at >= MINIMUM_POST_INTERVAL:
+        """Apply the start or end of a local trial, and publish it unless the last record is very recent."""
+        if now - self._published_at >= MINIMUM_PUBLISH_INTERVAL:
             self._publish_load(now)
         self._apply_allocation(now)
 
     def _apply_allocation(self, now: int) -> None:
-        own = self.controller
+        controller = self.controller
         reachable = self.fleet.members.reachable() | {self.fleet.members.local_name}
         self.health_checks.update(now, reachable)
-        held = self.recovery.update(now, reachable)
-        if own.view is None:
+        reserved = self.recovery.update(now, reachable)
+        if controller.view is None:
             return
         self.core.apply_allocation(
             t.FleetAllocation(
-                thread_share=own.thread_share,
-                slow_start_share=own.thread_share,
-                retry_tokens=max(own.retry_budget.available, 0.0),
+                thread_share=controller.thread_share,
+                slow_start_share=controller.thread_share,
+                retry_tokens=max(controller.retry_budget.available, 0.0),
                 health_check_targets=self.health_checks.targets if self.settings.health_checks else None,
-                reserved_engines=held,
-                minimum_backoff=own.backoff.retry_after,
+                reserved_engines=reserved,
+                minimum_backoff=controller.backoff.retry_after,
             )
         )
 
-    def _tally(self, name: str) -> None:
+    def _add_count(self, name: str) -> None:
         self.fleet.add_count(name, 1)
--- a/rackhub/fleet/overload/probing.py
+++ b/rackhub/fleet/overload/health_check_schedule.py
@@ -1,7 +1,7 @@
-"""The schedule of health checks: each engine is checked by two members, the others use their results.
+"""The schedule of health checks: two members check each engine, and the others use their results.
 
-The members are ranked by rendezvous hashing over those that this gateway can reach. A prober without results for as
-long as a result counts is skipped in favour of the next in the ranking, up to `MAXIMUM_PROBERS`.
+The reachable members are ranked by rendezvous hashing, and the first `CHECKERS` check. A member without a result for
+`RESULT_LIFETIME` is skipped, and the next in the ranking checks in its place, up to `MAXIMUM_CHECKERS`.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,43 +12,46 @@
 from rackhub.fleet.ports import Name
 
 MS = 1_000
-PROBERS = 2
-MAXIMUM_PROBERS = 3
-COUNTS = 1_500 * MS  # the maximum age of a result: three intervals of the module's health checks
-PAGE = 56  # results in one record
-PAGES = 8  # records; further results are not published
+CHECKERS = 2  # members that check each engine
+MAXIMUM_CHECKERS = 3  # members of the ranking that may check it when others are unresponsive
+RESULT_LIFETIME = 1_500 * MS  # three intervals of the policy module's health checks
+PAGE_SIZE = 56  # maximum number of results in one gossip record
+PAGES = 8  # maximum number of records; results that do not fit are not published
 
 
 class Result(NamedTuple):
-    """The result of a health check, `at` by the local clock."""
+    """The result of a health check, complete at the local time `at`."""
 
     at: int
     reason: str
     elapsed: int
-    module_report: int  # one byte of the prober's module; -1: none
+    module_report: int  # one byte, the report of the checking member's policy module; -1: there is none
 
 
 class HealthCheckSchedule:
-    """The engines that this gateway checks, and the known results of all."""
+    """The engines that this gateway checks, and the known results of all members.
 
-    def __init__(self, local_name: Name, counts: int = COUNTS):
+    `lifetime` is the age in microseconds past which a result no longer counts.
+    """
+
+    def __init__(self, local_name: Name, lifetime: int = RESULT_LIFETIME):
         self.local_name = local_name
-        self._counts = counts
-        self.engines: dict[str, int] = {}  # codes by name
+        self._lifetime = lifetime
+        self.engines: dict[str, int] = {}  # code of each listed engine, by name
         self._names: dict[int, str] = {}
         self._ranking: dict[str, list[Name]] = {}
         self._reachable: frozenset[Name] = frozenset()
         self._results: dict[tuple[Name, str], Result] = {}
-        self._since: dict[str, int] = {}  # when the ranking last changed
+        self._ranked_since: dict[str, int] = {}  # time of the last change of the ranking, by engine
         self.targets: tuple[str, ...] = ()
 
-    def listed(self, engines: Iterable[str]) -> None:
+    def set_engines(self, engines: Iterable[str]) -> None:
         """Apply a new list of engines."""
         self.engines = {engine: code(engine) for engine in engines}
         self._names = {number: engine for engine, number in self.engines.items()}
         self._results = {key: result for key, result in self._results.items() if key[1] in self.engines}
         self._ranking = {}
-        self._since = {}
+        self._ranked_since = {}
         self._reachable = frozenset()
 
     def update(self, now: int, reachable: frozenset[Name]) -> None:
@@ -56,44 +59,44 @@
         if reachable != self._reachable:
             self._reachable = reachable
             for engine in self.engines:
-                ranking = ranked(engine, reachable)[: MAXIMUM_PROBERS + 1]
+                ranking = ranked(engine, reachable)[: MAXIMUM_CHECKERS + 1]
                 if self._ranking.get(engine) != ranking:
                     self._ranking[engine] = ranking
-                    self._since[engine] = now
-        self.targets = tuple(engine for engine in self.engines if self._is_prober(now, engine))
+                    self._ranked_since[engine] = now
+        self.targets = tuple(engine for engine in self.engines if self._is_checker(now, engine))
 
-    def _is_prober(self, now: int, engine: str) -> bool:
-        """Return whether this gateway is one of the first `PROBERS` that are not silent."""
+    def _is_checker(self, now: int, engine: str) -> bool:
+        """Return whether this gateway is one of the first `CHECKERS` members with recent results."""
         ranking = self._ranking.get(engine, [])
-        if self.local_name not in ranking[:MAXIMUM_PROBERS]:
+        if self.local_name not in ranking[:MAXIMUM_CHECKERS]:
             return False
         before = ranking[: ranking.index(self.local_name)]
         active = sum(
-            now - self._results[name, engine].at <= self._counts
+            now - self._results[name, engine].at <= self._lifetime
             if (name, engine) in self._results
-            else now - self._since[engine] <= self._counts
+            else now - self._ranked_since[engine] <= self._lifetime
             for name in before
         )
-        return active < PROBERS
+        return active < CHECKERS
 
     def completed(self, now: int, engine: str, reason: str, elapsed: int) -> None:
-        """Record the result of an own health check."""
+        """Record the result of a local health check."""
         if engine in self.engines:
             before = self._results.get((self.local_name, engine))
             report = before.module_report if before is not None and before.reason == reason else -1
             self._results[self.local_name, engine] = Result(now, reason, elapsed, report)
 
     def set_module_report(self, engine: int, report: int) -> bool:
-        """Attach the module's report to the own result of the engine with this code; return False if there is none."""
+        """Attach the module's report to the local result of the engine with this code; return whether there is one."""
         name = self._names.get(engine)
-        own = self._results.get((self.local_name, name)) if name is not None else None
-        if name is None or own is None:
+        local = self._results.get((self.local_name, name)) if name is not None else None
+        if name is None or local is None:
             return False
-        self._results[self.local_name, name] = own._replace(module_report=report)
+        self._results[self.local_name, name] = local._replace(module_report=report)
         return True
 
     def pages(self, now: int) -> list[list[HealthReport]]:
-        """Return the own results that still count, in pages."""
+        """Return the local results that still count, in pages."""
         reports = [
             HealthReport(
                 self.engines[engine],
@@ -103,9 +106,9 @@
                 result.module_report + 1,
             )
             for (owner, engine), result in sorted(self._results.items())
-            if owner == self.local_name and now - result.at <= self._counts
+            if owner == self.local_name and now - result.at <= self._lifetime
         ]
-        return [reports[at : at + PAGE] for at in range(0, min(len(reports), PAGE * PAGES), PAGE)]
+        return [reports[at : at + PAGE_SIZE] for at in range(0, min(len(reports), PAGE_SIZE * PAGES), PAGE_SIZE)]
 
     def receive(self, now: int, owner: Name, age: int, reports: Iterable[HealthReport]) -> list[tuple[str, Result]]:
         """Record the results of another member, `age` microseconds old; return those that are new and still count."""
@@ -113,8 +116,9 @@
         for report in reports:
             engine = self._names.get(report.engine)
             at = now - age - report.age * MS
-            if engine is None or owner not in self._ranking.get(engine, ()) or now - at > self._counts:
-                continue  # not listed, not from a prober of the engine, or too old
+            if engine is None or owner not in self._ranking.get(engine, ()) or now - at > self._lifetime:
+                # the engine is not listed, its owner is not one of the members that check it, or the result is too old
+                continue
             known = self._results.get((owner, engine))
             if known is not None and at <= known.at + MS:
                 continue
@@ -124,19 +128,19 @@
         return new
 
     def latest(self, now: int, engine: str) -> Result | None:
-        """Return the newest result that still counts, None if there is none."""
+        """Return the newest result that still counts, or None."""
         results = [
             self._results[name, engine]
             for name in (*self._ranking.get(engine, ()), self.local_name)
             if (name, engine) in self._results
         ]
         best = max(results, key=lambda result: result.at, default=None)
-        return best if best is not None and now - best.at <= self._counts else None
+        return best if best is not None and now - best.at <= self._lifetime else None
 
     def forget(self, now: int, members: Mapping[Name, object]) -> None:
         """Drop old results and those of members that are gone."""
         self._results = {
             (owner, engine): result
             for (owner, engine), result in self._results.items()
-            if owner in members and now - result.at <= 8 * self._counts
+            if owner in members and now - result.at <= 8 * self._lifetime
         }
--- a/rackhub/fleet/overload/load_controller.py
+++ b/rackhub/fleet/overload/load_controller.py
@@ -20,17 +20,17 @@
 
 MS = 1_000
 SECOND = 1_000_000
-HOLD = 1 * SECOND  # beyond the maximum age of a record, over which the bounds of a need are published
-NEED_WINDOW = 2 * SECOND  # smoothing time of the own need: a need that scatters costs both lender and borrower
-USAGE_WINDOW = 1 * SECOND  # smoothing time of the usage: a short peak is no overload
-HEADROOM_SLOPE = 5  # how fast the headroom of a gateway changes with the idle fraction of the fleet
-MINIMUM_RETRY_RATE = 0.01  # wanted retries per second, below which none are wanted
+HOLD = 1 * SECOND  # time past the maximum age of a record for which the bounds of a need are still published
+NEED_WINDOW = 2 * SECOND  # smoothing time of the local need: a fluctuating need costs both lender and borrower
+USAGE_WINDOW = 1 * SECOND  # smoothing time of the usage, so that a short peak does not count as overload
+HEADROOM_SLOPE = 5  # change of the headroom factor per idle fraction of the fleet's threads
+MINIMUM_RETRY_RATE = 0.01  # retries per second; a lower wanted rate counts as none
 
 
 class LoadController:
     """The load controller of one gateway.
 
-    `takeover_delay` is how long the requests of a gateway that is gone may still run, microseconds.
+    `takeover_delay` is the time in microseconds for which the requests of a gateway that is gone may still run.
     """
 
     def __init__(
@@ -48,10 +48,10 @@
         self._guard = fleet_settings.worth_guard
         self._fractions = {tenant.name: tenant.quota_fraction for tenant in settings.tenants}
         self.view: View | None = None
-        self.threads_in_use = 0  # at this gateway
-        self.thread_share = 0.0  # this gateway's fraction of the threads of the fleet
-        self.limit = 0.0  # threads that this gateway may use
-        self.threshold_limit = 0.0  # threads past which requests of the cell at the threshold are rejected
+        self.threads_in_use = 0  # number of threads that the attempts of this gateway use
+        self.thread_share = 0.0  # fraction of the fleet's threads that this gateway may use
+        self.limit = 0.0  # number of threads that this gateway may use
+        self.threshold_limit = 0.0  # number of threads past which requests of the cell at the threshold are rejected
         self.shedding = False
         self.draining = False
         self._need = 0.0
@@ -60,9 +60,9 @@
     # ---- one request
 
     def request_received(self, cls: str, tenant: str, statement: bytes, estimate: int = 0) -> int:
-        """Return the verdict on a request with an estimate in microseconds.
+        """Return the verdict on a request; `estimate` is in microseconds.
 
-        1: above the threshold, -1: below it or beyond the limit of this gateway, 0: nothing is shed.
+        1: above the threshold; -1: below it or beyond the limit of this gateway; 0: nothing is shed.
         """
         if estimate and cls in self.measurement.classes:
             self.measurement.classes[cls].add_estimate(estimate)
@@ -72,7 +72,7 @@
         if mark < HASH_RANGE and (not mark or statement_hash(statement, counter.seed) >= mark):
             return -1
         if self.shedding and self.threads_in_use >= (self.limit if mark == HASH_RANGE else self.threshold_limit):
-            counter.requested -= 1  # another gateway may still admit it
+            counter.requested -= 1  # counted as `over_limit` instead: another gateway may still admit the request
             counter.over_limit += 1
             return -1
         counter.admitted_count += 1
@@ -92,7 +92,7 @@
         self.measurement.attempt_completed(cls, reason, elapsed)
 
     def request_completed(self, cls: str, outcome: str, attempts: int) -> None:
-        """Count the outcome of a request after so many attempts."""
+        """Count the outcome of a request that took this number of attempts."""
         if outcome == "served":
             self.measurement.served += 1
         elif outcome in ("refused", "failed"):
@@ -108,7 +108,7 @@
         now: int,
         elapsed: int,
         threads: float,
-        living: frozenset[Name],
+        live: frozenset[Name],
         reachable: frozenset[Name],
         load_records: Mapping[Name, Record],
         loads: Mapping[Name, records.Load],
@@ -121,10 +121,10 @@
         participants = self.participants
         usage = self.view.threads_in_use / self.view.threads if self.view and self.view.threads else 0.0
         self.measurement.tick(elapsed, self.shedding, usage)
-        participants.update(now, living, reachable, {name: load_records[name] for name in loads})
-        active = participants.counted - participants.silent - {participants.local_name}
+        participants.update(now, live, reachable, {name: load_records[name] for name in loads})
+        active = participants.counted - participants.unresponsive - {participants.local_name}
         fresh = {name: loads[name] for name in active}
-        known_threads = threads * participants.equal_share * (len(fresh) + 1)  # the silent ones use the rest
+        known_threads = threads * participants.equal_share * (len(fresh) + 1)  # the unresponsive ones use the rest
         fleet = view(
             [self.record(()), *fresh.values()],
             self._codes,
@@ -144,11 +144,11 @@
         self.backoff.tick(now, fleet.retry_work, fleet.capacity, demand)
 
     def _comparable(self, fresh: Mapping[Name, records.Load]) -> list[records.Load | None]:
-        """Return the load of each other participant, None if it is silent or counts other participants."""
+        """Return the load of each other participant; None if it is unresponsive or counts other participants."""
         participants = self.participants
         others = sorted(participants.counted - {participants.local_name})
         loads = [fresh.get(name) for name in others]
-        return [load if load is not None and load.counted == participants.digest else None for load in loads]
+        return [load if load is not None and load.participants == participants.digest else None for load in loads]
 
     def _update_threads(
         self,
@@ -171,7 +171,7 @@
         loans = [load.share if load is not None else None for load in comparable]
         self.thread_share = self.quota.share(equal_share, loans)
         allowed = self.thread_share * threads * min(fleet.capacity_factor, 1.0)
-        # headroom for random peaks, less the more threads the fleet uses; least for the cell at the threshold
+        # Headroom for random peaks. It shrinks as the fleet uses more threads, soonest for the cell at the threshold.
         idle = 1 - fleet.threads_in_use / max(fleet.threads, 1e-9)
         headroom = allowed**0.5
         self.limit = allowed + headroom * min(max(1 + HEADROOM_SLOPE * idle, 0), 2)
@@ -195,11 +195,11 @@
 
     def record(self, trials: tuple[records.Trial, ...]) -> records.Load:
         """Return the load record of this gateway."""
-        cells, rest = self.measurement.cells()
+        cells, unlisted = self.measurement.cells()
         rates = {name: records.bounded(rate * 1000) for name, rate in self.measurement.rates.items()}
         return records.Load(
             cells,
-            rest,
+            unlisted,
             self.measurement.work(),
             self.threads_in_use * 1000,
             rates["served"],
@@ -225,7 +225,7 @@
             "share": self.thread_share,
             "even": self.participants.equal_share,
             "counted": float(len(self.participants.counted)),
-            "silent": float(len(self.participants.silent)),
+            "silent": float(len(self.participants.unresponsive)),
             "majority": float(self.participants.majority),
             "capacity": fleet.capacity if fleet else 0.0,
             "hand": fleet.threads_in_use if fleet else 0.0,
--- a/rackhub/fleet/overload/load_measurement.py
+++ b/rackhub/fleet/overload/load_measurement.py
@@ -1,9 +1,9 @@
 """The load measured by one gateway: integer counters per request, rates once a tick.
 
-A client takes a rejected request to the next gateway. If it were counted there again, demand would look larger than it
-is and too little would be admitted. So each cell (class and tenant) estimates its first attempts: all requests above
-the shedding threshold; at the threshold those that pass, scaled by the fraction that the mark admits; below it by the
-last known fraction of first attempts.
+A client sends a rejected request to the next gateway. If it were counted there again, demand would look larger than it
+is and too few requests would be admitted. So each cell (class and tenant) estimates the number of its first attempts:
+above the shedding threshold, all requests; at the threshold, those that pass, divided by the fraction that the mark
+admits; below it, all requests times the last known fraction of first attempts.
 """
 
 import math
@@ -15,20 +15,22 @@
 SECOND = 1_000_000
 RATE_WINDOW = SECOND * 12 // 10  # smoothing time of rates
 WORK_WINDOW = 8 * SECOND  # smoothing time of the cost of requests
-MINIMUM_MARK = HASH_RANGE // 32  # below this mark too few requests pass to estimate demand by them
-FIRST_ATTEMPT_FRACTION = 1 / 3  # of requests, before it was measured
-LATENCY_PRESSURE = math.log(2.0)  # latency over the baseline; fully used threads alone make 1.5
-FULL_PRESSURE = 0.02  # fraction of attempts that engines rejected as full
-MINIMUM_SAMPLES = 10
-STEP_DOWN = 0.03  # change of the capacity factor per tick under pressure
-STEP_UP = 0.04  # while requests are shed and threads are idle
-STEP_BACK = 0.02  # back to one otherwise
-MINIMUM_FACTOR = 0.25
-MAXIMUM_FACTOR = 2.0
-RECENT_SAMPLES = 30  # smoothing of the recent latency, in answers
-BASELINE_SAMPLES = 400  # smoothing of the baseline latency, in answers
-MAXIMUM_COUNTERS = 1_024  # cells of one gateway; requests of further cells share one counter
-MINIMUM_RATE = 0.001  # below this a rate is published as none
+MINIMUM_MARK = HASH_RANGE // 32  # below this mark too few requests pass to estimate the demand from them
+FIRST_ATTEMPT_FRACTION = 1 / 3  # first attempts per request, assumed until it is measured
+# Latency over the baseline, as a logarithm, above which engines are under pressure. Fully used threads alone raise the
+# latency to 1.5 times the baseline.
+LATENCY_PRESSURE = math.log(2.0)
+FULL_PRESSURE = 0.02  # fraction of attempts rejected as FULL, above which engines are under pressure
+MINIMUM_SAMPLES = 10  # minimum number of answers or estimates to compute with
+STEP_DOWN = 0.03  # maximum relative decrease of the capacity factor per tick under pressure
+STEP_UP = 0.04  # maximum relative increase per tick, while requests are shed and threads are idle
+STEP_BACK = 0.02  # fraction of the way back to one per tick, otherwise
+MINIMUM_FACTOR = 0.25  # minimum of the capacity factor
+MAXIMUM_FACTOR = 2.0  # maximum of the capacity factor
+RECENT_SAMPLES = 30  # number of answers over which the recent latency is smoothed
+BASELINE_SAMPLES = 400  # number of answers over which the baseline latency is smoothed
+MAXIMUM_COUNTERS = 1_024  # maximum number of counted cells; requests of further cells share one counter
+MINIMUM_RATE = 0.001  # per second; a lower rate is not published
 
 
 class CellCounter:
@@ -50,18 +52,18 @@
         self.code = code(cls, tenant)
         self.seed = hash_seed((cls, tenant))
         self.mark = HASH_RANGE
-        # counts since the last tick; `over_limit`: passed the threshold, rejected by the limit of this gateway
+        # Counts since the last tick. `over_limit`: requests that passed the threshold and were rejected by the limit.
         self.requested = 0
         self.admitted_count = 0
         self.over_limit = 0
-        # per second
+        # Rates per second.
         self.rate = 0.0
         self.admitted = 0.0
         self.first_attempt_fraction = FIRST_ATTEMPT_FRACTION
 
     def tick(self, seconds: float, weight: float) -> None:
-        """Update the rates with the counts of the last `seconds`, by the smoothing `weight`."""
-        first_attempts = self._first_attempts(weight)
+        """Add the counts of the last `seconds` to the rates, with the weight `weight` for smoothing."""
+        first_attempts = self._estimate_first_attempts(weight)
         first_attempts += self.over_limit * FIRST_ATTEMPT_FRACTION
         self.rate += (first_attempts / seconds - self.rate) * weight
         self.admitted += (self.admitted_count / seconds - self.admitted) * weight
@@ -69,7 +71,7 @@
         self.admitted_count = 0
         self.over_limit = 0
 
-    def _first_attempts(self, weight: float) -> float:
+    def _estimate_first_attempts(self, weight: float) -> float:
         if self.mark >= HASH_RANGE:
             return self.requested
         if self.mark < MINIMUM_MARK:
@@ -81,35 +83,38 @@
 
 
 class ClassLoad:
-    """The cost of requests of one class without pressure, and their latency against that baseline.
+    """The cost of requests of one class without pressure, and their latency relative to that baseline.
 
-    The cost goes by the baseline: by the present latency all work would look larger during an overload, and less would
-    be admitted than the engines can do, permanently.
+    The cost is computed from the baseline. By the present latency all work would look larger during an overload, and
+    permanently less would be admitted than the engines can do.
     """
 
     def __init__(self, settings: t.ClassSettings):
         self.settings = settings
         self.code = code(settings.name)
-        self.completed = 0.0  # recent answers, decayed
-        # logarithms, so that one long query does not count as pressure
+        self.completed = 0.0  # number of recent answers, decayed
+        # Logarithms of microseconds, so that one long query does not count as pressure.
         self.recent_latency = 0.0
         self.baseline_latency = 0.0
         self.baseline_variance = 0.0
         self.answer_count = 0
         self.baseline_count = 0
         self.estimate_count = 0
-        self.estimate_sum = 0  # microseconds of one core
+        self.estimate_sum = 0  # in microseconds of one core
 
     def add_estimate(self, estimate: int) -> None:
         """Count the client's estimate for a request, in microseconds of one core."""
-        if self.estimate_count >= BASELINE_SAMPLES:  # older estimates lose weight
+        if self.estimate_count >= BASELINE_SAMPLES:  # reduce the weight of older estimates
             self.estimate_count //= 2
             self.estimate_sum //= 2
         self.estimate_count += 1
         self.estimate_sum += estimate
 
     def add_latency(self, elapsed: int, calm: bool) -> float:
-        """Count an answer after `elapsed` microseconds; return the logarithm of recent over baseline latency."""
+        """Count an answer after `elapsed` microseconds; return the logarithm of recent over baseline latency.
+
+        `calm` (as `LoadMeasurement.calm`): the answer counts for the baseline.
+        """
         now = math.log(max(elapsed, 1))
         self.answer_count += 1
         self.completed += 1
@@ -132,8 +137,8 @@
     def work_per_request(self) -> float:
         """Return the thread-seconds of one request without pressure, 0 while unknown.
 
-        Unknown work counts as no demand, as a high guess would shed requests right after a start. Latency includes
-        waiting, so the clients' estimates are an upper bound.
+        Unknown work counts as no demand: a high guess would shed requests right after a start. Latency includes waiting
+        time, so the clients' estimates are an upper bound.
         """
         if not self.answer_count:
             return 0.0
@@ -155,9 +160,9 @@
         self.rates = {"served": 0.0, "rejected": 0.0, "retries": 0.0, "retries_wanted": 0.0}
         self.latency_excess = 0.0
         self.full_fraction = 0.0
-        self.recent_answers = 0.0  # decayed
+        self.recent_answers = 0.0  # number of recent answers, decayed
         self.capacity_factor = 1.0
-        self.calm = True  # nothing is shed, and no more threads are in use than configured
+        self.calm = True  # no pressure: nothing is shed, and no more threads are in use than configured
 
     def _reset_counts(self) -> None:
         self.served = 0
@@ -168,7 +173,7 @@
         self.completed_attempts = 0
 
     def counter(self, cls: str, tenant: str) -> CellCounter:
-        """Return the counter of a cell, the shared one if there are `MAXIMUM_COUNTERS` already."""
+        """Return the counter of a cell, or the shared one if there are already `MAXIMUM_COUNTERS`."""
         counter = self.counters.get((cls, tenant))
         if counter is None:
             if len(self.counters) >= MAXIMUM_COUNTERS:
@@ -190,8 +195,8 @@
     def tick(self, elapsed: int, shedding: bool, usage: float) -> None:
         """Update the rates and the capacity factor, `elapsed` microseconds after the last tick.
 
-        `shedding`: requests are shed, so that more capacity could be used; `usage`: threads in use by the fleet over
-        those configured.
+        `shedding`: whether requests are shed, so that more capacity could be used. `usage`: the fleet's threads in use
+        divided by those configured.
         """
         self.calm = not shedding and usage < 1
         seconds = elapsed / SECOND
@@ -210,7 +215,7 @@
         self.recent_answers *= math.exp(-elapsed / RATE_WINDOW)
 
     def _update_capacity_factor(self, shedding: bool, usage: float) -> None:
-        """Lower the factor under pressure, raise it only where more would be admitted, else return it to one."""
+        """Lower the factor under pressure, raise it while requests are shed and threads idle, else return it to one."""
         latency = self.latency_excess - LATENCY_PRESSURE if self.recent_answers >= MINIMUM_SAMPLES else -1.0
         pressure = max(latency, (self.full_fraction - FULL_PRESSURE) * 10)
         if pressure > 0:
@@ -225,12 +230,12 @@
         """Return the cells with the most requests, and the sum of the others in requests per 1,000 s."""
         active = [counter for counter in self.counters.values() if counter.rate >= MINIMUM_RATE]
         active.sort(key=lambda counter: (-counter.rate, counter.code))
-        rest = sum(counter.rate for counter in active[CELLS:]) + self._overflow_counter.rate
+        unlisted = sum(counter.rate for counter in active[CELLS:]) + self._overflow_counter.rate
         cells = tuple(
             Cell(counter.code, bounded(counter.rate * 1000), bounded(counter.admitted * 1000))
             for counter in active[:CELLS]
         )
-        return cells, bounded(rest * 1000)
+        return cells, bounded(unlisted * 1000)
 
     def work(self) -> tuple[Work, ...]:
         """Return the cost of each class with recent answers, the most frequent first."""
--- a/rackhub/fleet/overload/records.py
+++ b/rackhub/fleet/overload/records.py
@@ -1,7 +1,7 @@
 """The gossip records of the load and health checks of a gateway.
 
-Rates are in thousandths per second, threads in thousandths, fractions in 65,536ths, times in milliseconds. A class and
-tenant are encoded as the CRC-32 of their names, to bound the size; all gateways know the names from their settings.
+Rates are in thousandths per second, threads in thousandths, fractions in 65,536ths, times in milliseconds. A class or a
+tenant is encoded as the CRC-32 of its name, to bound the size; all gateways know the names from their settings.
 """
 
 import zlib
@@ -11,16 +11,16 @@
 
 from rackhub.fleet.ports import MAX_RECORD_BYTES
 
-LOAD_KIND = "load"  # kind on the board
-HEALTH_KIND = "probes"  # kind on the board, with the page number appended
-CELLS = 32  # maximum in one record; further cells are summed
-CLASSES = 12
-TRIALS = 12
-FRACTION_ONE = 65_536  # the encoding of the fraction 1
-MAX_VALUE = 2**40  # maximum of every number
+LOAD_KIND = "load"  # kind of load records
+HEALTH_KIND = "probes"  # kind of health check records, with the page number appended
+CELLS = 32  # maximum number of cells in one record; further cells are summed
+CLASSES = 12  # maximum number of classes in one record
+TRIALS = 12  # maximum number of recovery trials in one record
+FRACTION_ONE = 65_536  # encoding of the fraction 1
+MAX_VALUE = 2**40  # maximum of every encoded number
 
-Figure = Annotated[int, msgspec.Meta(ge=0, le=MAX_VALUE)]
-Part = Annotated[int, msgspec.Meta(ge=0, le=FRACTION_ONE)]
+Number = Annotated[int, msgspec.Meta(ge=0, le=MAX_VALUE)]
+Fraction = Annotated[int, msgspec.Meta(ge=0, le=FRACTION_ONE)]
 
 
 def code(*names: str) -> int:
@@ -31,67 +31,67 @@
 class Cell(msgspec.Struct, frozen=True, array_like=True):
     """One class and tenant at one gateway."""
 
-    code: Figure
-    requested: Figure  # requests in 1,000 s, without repeats: see `load_measurement`
-    admitted: Figure  # passed the shedding threshold
+    code: Number
+    requested: Number  # rate of first attempts, without rejected requests that returned: see `load_measurement`
+    admitted: Number  # rate of requests that passed the shedding threshold
 
 
 class Work(msgspec.Struct, frozen=True, array_like=True):
-    """The cost of one class: recently completed attempts in thousandths, and their thread-milliseconds."""
+    """The cost of one class: recently completed attempts, in thousandths, and their thread-milliseconds."""
 
-    code: Figure
-    completed: Figure
-    thread_time: Figure
+    code: Number
+    completed: Number
+    thread_time: Number
 
 
 class Loan(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway offers of its equal share and wants beyond it, as fractions of the whole. See `quota`."""
+    """The fractions of the whole resource that a gateway offers of its equal share and wants beyond it. See `quota`."""
 
-    minimum_offered: Part = 0
-    maximum_offered: Part = 0
-    minimum_wanted: Part = 0
-    maximum_wanted: Part = 0
+    minimum_offered: Fraction = 0
+    maximum_offered: Fraction = 0
+    minimum_wanted: Fraction = 0
+    maximum_wanted: Fraction = 0
 
 
 class Trial(msgspec.Struct, frozen=True, array_like=True):
-    """The recovery trial of an engine at the gateway that runs it; for `state` see `recovery_trials`."""
+    """The recovery trial of an engine at the gateway that runs it. `recovery_trials` has the values of `state`."""
 
-    engine: Figure
-    state: Figure
-    age: Figure
+    engine: Number
+    state: Number
+    age: Number
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
     """The load record. Newer versions append fields, which older ones ignore."""
 
     cells: Annotated[tuple[Cell, ...], msgspec.Meta(max_length=CELLS)] = ()
-    rest: Figure = 0  # requests in cells that are not listed, as `Cell.requested`
+    unlisted: Number = 0  # `Cell.requested`, summed over the cells that are not listed
     work: Annotated[tuple[Work, ...], msgspec.Meta(max_length=CLASSES)] = ()
-    threads_in_use: Figure = 0  # in thousandths
-    served: Figure = 0
-    rejected: Figure = 0
-    retry_work: Figure = 0  # rejected work that may not have returned yet, thousandths of thread-seconds
-    retries: Figure = 0  # attempts past the first
-    retries_wanted: Figure = 0  # sent or not
-    capacity_factor: Figure = FRACTION_ONE  # usable fraction of the configured threads, as this gateway measures it
+    threads_in_use: Number = 0  # threads that the attempts of this gateway use
+    served: Number = 0
+    rejected: Number = 0
+    retry_work: Number = 0  # rejected work that may not have returned yet, in thread-milliseconds
+    retries: Number = 0  # attempts after the first
+    retries_wanted: Number = 0  # retries, sent or not for lack of budget
+    capacity_factor: Number = FRACTION_ONE  # usable fraction of the configured threads, as this gateway measures it
     share: Loan = Loan()
     retry_share: Loan = Loan()
     trials: Annotated[tuple[Trial, ...], msgspec.Meta(max_length=TRIALS)] = ()
-    counted: Figure = 0  # see `participants.Participants.digest`
-    version: Figure = 0  # of the shedding policy in force
+    participants: Number = 0  # `participants.Participants.digest`
+    policy_version: Number = 0  # version of the active shedding policy
 
 
 class HealthReport(msgspec.Struct, frozen=True, array_like=True):
     """The result of a health check.
 
-    `age` is in milliseconds, `elapsed` in microseconds, `reason` an index of `REASONS`; `module_report` is 0 for none,
-    else one more than the byte that the module of the prober reported.
+    `age` is in milliseconds, `elapsed` in microseconds, `reason` is an index of `REASONS`. `module_report` is one more
+    than the byte that the policy module of the checking member reported, 0 without a report.
     """
 
-    engine: Figure
-    age: Figure
+    engine: Number
+    age: Number
     reason: Annotated[int, msgspec.Meta(ge=0, lt=3)]
-    elapsed: Figure
+    elapsed: Number
     module_report: Annotated[int, msgspec.Meta(ge=0, le=256)] = 0
 
 
@@ -108,17 +108,17 @@
 def pack(load: Load) -> bytes:
     """Encode a load record in at most `MAX_RECORD_BYTES` bytes.
 
-    The cells with the fewest requests are summed first, as the shedding threshold needs the large ones.
+    If it has too many cells, those with the fewest requests are summed: the shedding threshold needs the large ones.
     """
     cells = sorted(load.cells, key=lambda cell: (-cell.requested, cell.code))
     listed = CELLS
     while True:
-        left = sum(cell.requested for cell in cells[listed:])
+        unlisted = sum(cell.requested for cell in cells[listed:])
         body = msgspec.msgpack.encode(
             msgspec.structs.replace(
                 load,
                 cells=tuple(cells[:listed]),
-                rest=bounded(load.rest + left),
+                unlisted=bounded(load.unlisted + unlisted),
                 work=load.work[:CLASSES],
                 trials=load.trials[:TRIALS],
             )
@@ -129,7 +129,7 @@
 
 
 def unpack(body: bytes) -> Load | None:
-    """Decode a load record; return None if it is invalid, so that its sender counts as silent."""
+    """Decode a load record; return None if it is invalid, so that its sender counts as unresponsive."""
     try:
         load = _load_decoder.decode(body)
     except msgspec.MsgspecError:
@@ -141,9 +141,9 @@
     return load if ordered else None
 
 
-def pack_health(seen: list[HealthReport]) -> bytes:
+def pack_health(reports: list[HealthReport]) -> bytes:
     """Encode one page of health check results."""
-    return msgspec.msgpack.encode(seen)
+    return msgspec.msgpack.encode(reports)
 
 
 def unpack_health(body: bytes) -> tuple[HealthReport, ...] | None:
--- a/rackhub/fleet/overload/recovery_trials.py
+++ b/rackhub/fleet/overload/recovery_trials.py
@@ -1,10 +1,11 @@
-"""Recovery trials: the first request to an engine that was down goes out from one gateway, the others wait for it.
+"""Recovery trials: one gateway sends the first request to an engine that was down, and the others wait for its result.
 
 An engine counts as down when it is newly listed, has restarted, or fails: two connections refused or reset in a row at
-one gateway, or a health check that could not connect. The gateway that runs the trial is chosen by rendezvous hashing
-over those that this gateway can reach. It sends one attempt and reserves the engine until that has ended. After a
-failure the next in the ranking takes over, a pause later. Without a result within `BOUND` the others go on, in the
-order of the ranking; so they do after `ROUNDS` failures. A false report thus reserves an engine for a bounded time.
+one gateway, or a health check that could not connect. Each gateway chooses the one that runs the trial by rendezvous
+hashing over the reachable members. That gateway sends one attempt and reserves the engine until the attempt has ended.
+After a failure and a pause, the next in the ranking runs a trial. If there is no result within `BOUND`, or after
+`ROUNDS` failures, the other gateways release the engine in the order of the ranking. So a false report reserves an
+engine for a bounded time only.
 """
 
 from collections.abc import Iterable
@@ -15,16 +16,16 @@
 
 MS = 1_000
 SECOND = 1_000_000
-BOUND = 3 * SECOND  # maximum time for which a gateway reserves an engine
-RELEASE_INTERVAL = 100 * MS  # between the gateways that go on after the bound, in the order of the ranking
-MAXIMUM_RELEASE_INTERVALS = 10
-ROUNDS = 5  # failed trials, after which no further ones are waited for
-PAUSE = 1 * SECOND  # between a failed trial and the next
-FAILURE_THRESHOLD = 2  # failures in a row after which an engine counts as down
-MAXIMUM_RESERVED_FRACTION = 0.5  # of the engines, so that some remain to send to
-COOLDOWN = 10 * SECOND  # after the bound, before the engine is reserved again
-
-# states of a trial on the wire
+BOUND = 3 * SECOND  # maximum time for which a gateway reserves an engine without a result
+RELEASE_INTERVAL = 100 * MS  # time after which the next gateway in the ranking releases an engine past the bound
+MAXIMUM_RELEASE_INTERVALS = 10  # maximum number of such intervals, for gateways far down in the ranking
+ROUNDS = 5  # number of failed trials after which gateways do not wait for another one
+PAUSE = 1 * SECOND  # minimum time between a failed trial and the next
+FAILURE_THRESHOLD = 2  # number of failures in a row after which an engine counts as down
+MAXIMUM_RESERVED_FRACTION = 0.5  # maximum fraction of the engines that are reserved, so that some remain in use
+COOLDOWN = 10 * SECOND  # minimum time between the release of an engine past the bound and its next reservation
+
+# states of a trial, as encoded in load records
 PENDING = 0
 TRYING = 1
 SOUND = 2
@@ -37,12 +38,12 @@
     __slots__ = ("began", "since", "assigned_to", "sent", "state", "at", "round")
 
     def __init__(self, now: int, since: int):
-        self.began = now  # of the reservation, or of the present round
-        self.since = since  # an answer before then is from before the failure
+        self.began = now  # time at which the reservation or the present round began
+        self.since = since  # an answer before this time is from before the failure
         self.assigned_to: Name | None = None  # the member that runs the trial
-        self.sent = False  # the own trial is in flight
+        self.sent = False  # set while the local trial is in flight
         self.state = PENDING
-        self.at = now  # of the last change of state
+        self.at = now  # time of the last change of state
         self.round = 0
 
 
@@ -52,16 +53,16 @@
     def __init__(self, local_name: Name, bound: int = BOUND):
         self.local_name = local_name
         self._bound = bound
-        self._started_at: dict[str, int] = {}  # of each listed engine
+        self._started_at: dict[str, int] = {}  # start time of each listed engine
         self._names: dict[int, str] = {}
         self._consecutive_failures: dict[str, int] = {}
-        self._not_before: dict[str, int] = {}  # time of the next reservation at the earliest
+        self._not_before: dict[str, int] = {}  # earliest time of the next reservation, by engine
         self.recoveries: dict[str, Recovery] = {}
         self._reachable: frozenset[Name] = frozenset((local_name,))
         self.reserved: frozenset[str] = frozenset()
 
-    def listed(self, now: int, engines: Iterable[tuple[str, int]]) -> None:
-        """Apply a list of engines and their start times; those of the first list count as sound."""
+    def set_engines(self, now: int, engines: Iterable[tuple[str, int]]) -> None:
+        """Apply a list of engines with their start times; those of the first list count as sound."""
         before = self._started_at
         self._started_at = dict(engines)
         self._names = {code(engine): engine for engine in self._started_at}
@@ -73,7 +74,7 @@
                 self.mark_down(now, engine, restarted=True)
 
     def mark_down(self, now: int, engine: str, restarted: bool = False) -> None:
-        """Reserve an engine until its trial; `restarted`: its process is a new one."""
+        """Reserve an engine until its trial; `restarted`: it runs in a new process."""
         recovery = self.recoveries.get(engine)
         in_recovery = recovery is not None and recovery.state != SOUND
         if engine not in self._started_at:
@@ -81,7 +82,7 @@
         if not restarted and (in_recovery or now < self._not_before.get(engine, 0)):
             return
         if len(self.recoveries) < self._maximum_reserved():
-            since = now - self._bound * restarted  # other members may have received the list earlier
+            since = now - self._bound * restarted  # other members may have received the endpoint list earlier
             self.recoveries[engine] = Recovery(now, since)
             self._consecutive_failures.pop(engine, None)
 
@@ -92,20 +93,20 @@
         for engine, recovery in list(self.recoveries.items()):
             if self._update_recovery(now, engine, recovery):
                 reserved.add(engine)
-        if len(reserved) > self._maximum_reserved():  # the list has become shorter
+        if len(reserved) > self._maximum_reserved():  # the endpoint list has become shorter
             oldest = sorted(reserved, key=lambda engine: self.recoveries[engine].began)
             reserved = set(oldest[: self._maximum_reserved()])
         self.reserved = frozenset(reserved)
         return self.reserved
 
     def _update_recovery(self, now: int, engine: str, recovery: Recovery) -> bool:
-        """Advance one recovery, drop it if it is over; return whether the engine is reserved."""
+        """Advance one recovery and drop it if it is over; return whether the engine is reserved."""
         ranking = ranked(f"trial {recovery.round} {engine}", self._reachable)
         position = min(ranking.index(self.local_name), MAXIMUM_RELEASE_INTERVALS)
         release_at = recovery.began + self._bound + position * RELEASE_INTERVAL
-        in_flight = recovery.sent and now - recovery.at < self._bound  # past the bound its end may have been missed
+        in_flight = recovery.sent and now - recovery.at < self._bound  # past the bound its end counts as missed
         if recovery.state == SOUND:
-            if now - recovery.at >= self._bound:  # until then the result is published
+            if now - recovery.at >= self._bound:  # the result is published until then
                 del self.recoveries[engine]
             return False
         if now >= release_at and not in_flight:
@@ -122,7 +123,7 @@
         return max(int(engines * MAXIMUM_RESERVED_FRACTION), 1) if engines > 1 else 0
 
     def attempt_sent(self, now: int, engine: str) -> bool:
-        """Count an own attempt; return whether it is a trial, which changes the reserved engines."""
+        """Count a local attempt; return whether it is a trial, which changes the reserved engines."""
         recovery = self.recoveries.get(engine)
         if recovery is None or recovery.state == SOUND or recovery.sent:
             return False
@@ -133,7 +134,7 @@
         return True
 
     def attempt_completed(self, now: int, engine: str, reason: str) -> bool:
-        """Count the end of an own attempt; return whether the reserved engines change."""
+        """Count the end of a local attempt; return whether the reserved engines change."""
         recovery = self.recoveries.get(engine)
         if recovery is not None and recovery.sent and recovery.state == TRYING:
             self._complete_trial(recovery, now, reason)
@@ -150,13 +151,13 @@
         recovery.at = now
         if reason in ("GOOD", "BAD", "FULL"):  # the engine answers
             recovery.state = SOUND
-        elif reason == "CXL":  # canceled: another attempt may be the trial
+        elif reason == "CXL":  # the attempt was cancelled, so another one may be the trial
             recovery.state = PENDING
         else:
             self._trial_failed(recovery, now)
 
     def records(self, now: int) -> tuple[Trial, ...]:
-        """Return the trials that this gateway runs or has run, for its load record."""
+        """Return the trials that this gateway runs or ran, for its load record."""
         return tuple(
             Trial(code(engine), recovery.state, bounded((now - recovery.at) // MS))
             for engine, recovery in sorted(self.recoveries.items())
@@ -166,7 +167,7 @@
     def receive(self, now: int, owner: Name, age: int, trials: Iterable[Trial]) -> None:
         """Apply the trials in a record of another member, `age` microseconds old.
 
-        An engine that answered is released; a failure counts only from the member that was to run the trial.
+        An engine that answered is released. A failure counts only from the member that is assigned to the trial.
         """
         for trial in trials:
             engine = self._names.get(trial.engine)
--- a/rackhub/fleet/overload/view.py
+++ b/rackhub/fleet/overload/view.py
@@ -1,6 +1,6 @@
-"""The fleet as the load records together describe it: demand by cell, capacity, and rates.
+"""The view of the fleet from all load records: demand by cell, capacity, and rates.
 
-A pure function of the records and of the settings, which are the same at all gateways.
+It is a pure function of the records and of the settings, which are the same at all gateways.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,14 +11,14 @@
 from rackhub.fleet.overload.records import FRACTION_ONE, Load, code
 from rackhub.fleet.overload.shedding_threshold import Demand, Key
 
-THREADS_PER_CORE = 1.5  # as in the decision module
-DEFAULT_CORES = 8  # of an engine kind without configured cores
+THREADS_PER_CORE = 1.5  # threads that engines may run per core, as in the policy module
+DEFAULT_CORES = 8  # cores of an engine of a kind without configured cores
 BACKLOG_WEIGHT = 0.2  # reduction of the capacity per thread in use beyond it
-# bounds on one member, so that false records can't starve the others
-MAXIMUM_MEMBER_DEMAND = 4.0  # of the fleet's threads, for its demand and its threads in use
-MAXIMUM_REST = 1.0  # unlisted requests per listed request
-MINIMUM_CAPACITY = 0.25  # of the configured threads
-PRIOR_WEIGHT = 3.0  # completed attempts that this gateway's own measurement of a class counts for
+# Bounds on one member, so that false records can't starve the others.
+MAXIMUM_MEMBER_DEMAND = 4.0  # maximum demand, and threads in use, of one member per configured thread of the fleet
+MAXIMUM_UNLISTED = 1.0  # maximum number of unlisted requests per listed request
+MINIMUM_CAPACITY = 0.25  # minimum capacity per configured thread
+PRIOR_WEIGHT = 3.0  # number of completed attempts that the local measurement of a class counts for
 
 
 class View(NamedTuple):
@@ -26,7 +26,7 @@
 
     demand: dict[Key, Demand]
     capacity: float  # threads that the fleet may run
-    threads: float  # configured, of the reachable gateways
+    threads: float  # configured threads, the equal shares of the gateways with recent records
     threads_in_use: float
     served: float
     rejected: float
@@ -34,11 +34,11 @@
     retries_wanted: float
     retry_work: float  # rejected work that may not have returned yet
     capacity_factor: float  # usable fraction of the configured threads
-    work: dict[str, float]  # of one request of each class
+    work: dict[str, float]  # work of one request of each class
 
 
 class Codes:
-    """The names by their codes, from the settings: every class with every tenant."""
+    """The names of classes and cells by their codes, from the settings."""
 
     def __init__(self, settings: t.Settings):
         tenants = [tenant.name for tenant in settings.tenants] + [""]
@@ -55,7 +55,8 @@
 ) -> View:
     """Return the view of the fleet.
 
-    `threads` is the number that all listed engines may run; `multipliers` are those of the shedding policy.
+    `threads` is the number of configured threads, the equal shares of the gateways whose records are in `loads`;
+    `multipliers` are those of the shedding policy.
     """
     loads = list(loads)
     work = _work_per_request(loads, codes, classes)
@@ -93,7 +94,7 @@
     work = {}
     for cls, measured in classes.items():
         prior = PRIOR_WEIGHT * (completed[cls] < PRIOR_WEIGHT)
-        # more threads than cores run at once, so each gets its work done more slowly than alone
+        # More threads than cores run at once, so each of them takes longer than it would alone.
         total = thread_time[cls] + PRIOR_WEIGHT * measured.work_per_request() * (completed[cls] < PRIOR_WEIGHT)
         work[cls] = THREADS_PER_CORE * total / (completed[cls] + prior)
     return work
@@ -102,21 +103,21 @@
 def _request_rates(loads: list[Load], codes: Codes, work: Mapping[str, float], maximum: float) -> dict[Key, float]:
     """Return the requests per second of each cell, with the demand of each member bounded by `maximum` threads."""
     requested: dict[Key, float] = {}
-    rest = 0.0
+    unlisted = 0.0
     listed = 0.0
     for load in loads:
         cells = [(codes.cells.get(cell.code), cell.requested) for cell in load.cells]
         wanted = sum(rate * work[key[0]] for key, rate in cells if key is not None) / 1000
         fraction = min(maximum / wanted, 1.0) if wanted > 0 else 1.0
         member_listed = sum(rate for key, rate in cells if key is not None)
-        rest += min(load.rest, MAXIMUM_REST * member_listed) * fraction
+        unlisted += min(load.unlisted, MAXIMUM_UNLISTED * member_listed) * fraction
         for key, rate in cells:
             if key is not None:
                 requested[key] = requested.get(key, 0.0) + rate * fraction / 1000
                 listed += rate * fraction
-            else:  # the settings of the members differ for a while
-                rest += min(rate, MAXIMUM_REST * member_listed) * fraction
-    scale = 1 + rest / listed if listed else 1.0  # unlisted requests count as distributed like the listed ones
+            else:  # the settings of two members may differ for a while
+                unlisted += min(rate, MAXIMUM_UNLISTED * member_listed) * fraction
+    scale = 1 + unlisted / listed if listed else 1.0  # unlisted requests count as distributed like listed ones
     return {key: rate * scale for key, rate in requested.items() if rate > 0}
 
 
@@ -130,7 +131,7 @@
 
 
 def listed_threads(entries: Iterable[t.EngineEntry], settings: t.Settings, now: int) -> float:
-    """Return the threads that the listed engines may run: a number per core, less during slow start."""
+    """Return the number of threads that the listed engines may run: a number per core, fewer during slow start."""
     initial = settings.slow_start_initial_capacity
     cores = 0.0
     for entry in entries:
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -20,7 +20,7 @@
 from rackhub.fleet.members.subset import MembersWithout
 from rackhub.fleet.overload.component import Overload
 from rackhub.fleet.overload.fault_barrier import FaultBarrier
-from rackhub.fleet.overload.prober import Prober
+from rackhub.fleet.overload.health_checker import HealthChecker
 from rackhub.fleet.overload.shed import SheddingPolicy
 from rackhub.fleet.ports import Fleet, RuleSection
 from rackhub.fleet.register.disk import StoreDisk
@@ -65,7 +65,7 @@
             if self.settings.control
             else None
         )
-        self.health_checker = Prober(context.reactor, context.clock, context.config.limits)
+        self.health_checker = HealthChecker(context.reactor, context.clock, context.config.limits)
         self.overload = (
             Overload(
                 self._overload_fleet(),
@@ -177,7 +177,7 @@
         if self.overload is not None:
             self.overload.start()
             self.overload.endpoints_changed(self.context.source.start)
-        self.health_checker.listed(self.context.source.start)
+        self.health_checker.endpoints_changed(self.context.source.start)
         if self.rules is not None:
             timings_component: Any = self.context.components.get("timings")
             if timings_component is not None:
@@ -193,7 +193,7 @@
             raise ComponentStartError(f"[fleet] {error.strerror or error}") from None
 
     def endpoints_changed(self, snapshot: EndpointSnapshot) -> None:
-        self.health_checker.listed(snapshot)
+        self.health_checker.endpoints_changed(snapshot)
         if self.overload is not None:
             self.overload.endpoints_changed(snapshot)
 
@@ -222,7 +222,7 @@
     def metrics(self) -> Mapping[str, float]:
         values: dict[str, float] = dict(self.membership.figures()) | {name: float(n) for name, n in self.counts.items()}
         if self.overload is not None:
-            values |= self.overload.figures()
+            values |= self.overload.metrics()
         if self.rules is not None:
             values |= self.rules.figures()
         return values
--- a/rackhub/fleet/ports.py
+++ b/rackhub/fleet/ports.py
@@ -15,7 +15,7 @@
 
 Name = str  # name of a gateway: `name` in its configuration, the same after a restart
 
-DATAGRAM_LIMIT_BYTES = 1_400  # every datagram is shorter than this
+DATAGRAM_LIMIT_BYTES = 1_400  # size that every datagram is below
 MAX_RECORD_BYTES = 900  # maximum size of the body of one gossip record
 MAX_MESSAGE_BYTES = 262_144  # maximum size of the body of one message
 
@@ -53,7 +53,7 @@
     incarnation: int
     state: MemberState
     since: int  # local time at which `state` began
-    client_address: Address | None = None  # where clients connect to this gateway
+    client_address: Address | None = None  # address at which it accepts clients, if it is known
     site: str = ""  # name of its installation, from the settings
 
 
@@ -171,7 +171,8 @@
     messenger: Messenger
     clock: Clock
     add_count: Callable[[str, int], None]  # adds to the fleet's counter of that name
-    call_later: Callable[[int, Callable[[], None]], Callable[[], None]]  # by a delay in microseconds; returns a cancel
+    # Calls a function after a delay in microseconds; returns a function that cancels the call.
+    call_later: Callable[[int, Callable[[], None]], Callable[[], None]]
     seed: int  # seed of random streams; each component mixes in a name of its own
 
 
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -16,10 +16,10 @@
 from rackhub.fleet.overload import records
 from rackhub.fleet.overload.backoff import Backoff
 from rackhub.fleet.overload.fault_barrier import FaultBarrier
+from rackhub.fleet.overload.health_check_schedule import RESULT_LIFETIME, HealthCheckSchedule
+from rackhub.fleet.overload.health_checker import HealthChecker
 from rackhub.fleet.overload.load_measurement import ClassLoad
 from rackhub.fleet.overload.participants import Participants
-from rackhub.fleet.overload.prober import Prober
-from rackhub.fleet.overload.probing import COUNTS, HealthCheckSchedule
 from rackhub.fleet.overload.quota import Quota
 from rackhub.fleet.overload.recovery_trials import BOUND, RecoveryTrials
 from rackhub.fleet.overload.rendezvous import ranked
@@ -65,7 +65,7 @@
     assert len(body) <= MAX_RECORD_BYTES
     total = sum(cell.requested for cell in load.cells)
     assert told is not None and (
-        total > records.MAX_VALUE or told.rest + sum(cell.requested for cell in told.cells) == total
+        total > records.MAX_VALUE or told.unlisted + sum(cell.requested for cell in told.cells) == total
     )
 
 
@@ -74,7 +74,7 @@
 def test_nonsense_is_no_record(body):
     told = records.unpack(body)
     again = told and records.unpack(msgspec.msgpack.encode(told))
-    assert told is None or told == again and min(told.threads_in_use, told.rest, told.capacity_factor) >= 0
+    assert told is None or told == again and min(told.threads_in_use, told.unlisted, told.capacity_factor) >= 0
 
 
 def test_no_figure_of_a_record_is_below_nothing_or_beyond_what_a_gateway_can_tell():
@@ -201,11 +201,13 @@
         self.who.update(now, self.node.live(), self.node.reachable(), self.node.read(records.LOAD_KIND))
         self.lending.update_need(now, self.need(), self.who.equal_share, self.who.digest)
         self.node.publish(
-            records.LOAD_KIND, records.pack(records.Load(share=self.lending.loan(), counted=self.who.digest))
+            records.LOAD_KIND, records.pack(records.Load(share=self.lending.loan(), participants=self.who.digest))
         )
         held = {name: records.unpack(record.body) for name, record in self.node.read(records.LOAD_KIND).items()}
         others = [
-            held[name].share if name not in self.who.silent and held[name].counted == self.who.digest else None
+            held[name].share
+            if name not in self.who.unresponsive and held[name].participants == self.who.digest
+            else None
             for name in self.who.counted - {self.node.local_name}
         ]
         self.part = self.lending.share(self.who.equal_share, others)
@@ -410,7 +412,7 @@
 def probers(names, dead=()):
     all_of = {name: HealthCheckSchedule(name) for name in names}
     for probing in all_of.values():
-        probing.listed(f"e{i}" for i in range(40))
+        probing.set_engines(f"e{i}" for i in range(40))
         probing.update(0, frozenset(names))
         probing.update(1, frozenset(names) - set(dead))
     return Counter(engine for name, probing in all_of.items() if name not in dead for engine in probing.targets)
@@ -428,7 +430,7 @@
     names = frozenset(f"g{i}" for i in range(5))
     line = ranked("e", names)
     third = HealthCheckSchedule(line[2])
-    third.listed(["e"])
+    third.set_engines(["e"])
     third.update(0, names)
     assert third.targets == ()
     seen = [records.HealthReport(records.code("e"), 0, 0, 900)]
@@ -439,21 +441,21 @@
     assert not third.receive(4 * SECOND, line[4], 0, seen)  # not one that is to probe it: counts for nothing
 
 
-def stale(counts=COUNTS):
+def stale(lifetime=RESULT_LIFETIME):
     """Whether a result older than it may be is still told, after the prober fell silent."""
     names = ["a", "b", "c", "d"]
     first, *_, last = ranked("e", names)
-    probing = HealthCheckSchedule(last, counts)
-    probing.listed(["e"])
+    probing = HealthCheckSchedule(last, lifetime)
+    probing.set_engines(["e"])
     probing.update(0, frozenset(names))
     probing.receive(0, first, 0, [records.HealthReport(records.code("e"), 0, 0, 900)])
-    assert probing.latest(COUNTS, "e") is not None
-    return probing.latest(COUNTS + 1, "e") is not None
+    assert probing.latest(RESULT_LIFETIME, "e") is not None
+    return probing.latest(RESULT_LIFETIME + 1, "e") is not None
 
 
 def test_a_probe_s_result_kept_for_ever_is_found():
     assert not stale()
-    assert stale(counts=2**60)
+    assert stale(lifetime=2**60)
 
 
 # ---- trials
@@ -465,11 +467,11 @@
     draw, all_of, sends, words, ends = random.Random(5), {}, [], [], []
     for name in names:
         all_of[name] = RecoveryTrials(name)
-        all_of[name].listed(0, [("e", 0), ("f", 0), ("g", 0)])
+        all_of[name].set_engines(0, [("e", 0), ("f", 0), ("g", 0)])
     for now in range(0, until, 50 * MS):
         for name, trials in all_of.items():
             if listed_at[name] <= now < listed_at[name] + 50 * MS:
-                trials.listed(now, [("e", 1), ("f", 0), ("g", 0)])
+                trials.set_engines(now, [("e", 1), ("f", 0), ("g", 0)])
             for at, owner, told in words:
                 if at <= now < at + 50 * MS and owner != name and name not in deaf:
                     trials.receive(now, owner, 0, told)
@@ -550,7 +552,7 @@
     liar.publish = lambda kind, body: post(kind, b"\xff" + body)
     world.run(3)
     part = world.gateways[0].part
-    assert part.controller.participants.silent == {"g2"} and world.net.nodes["g0"].counts["overload_nonsense"] > 0
+    assert part.controller.participants.unresponsive == {"g2"} and world.net.nodes["g0"].counts["overload_nonsense"] > 0
     assert world.counts["served"] > 0.9 * world.counts["requests"] - 40
 
 
@@ -560,12 +562,12 @@
     gateway, node = world.gateways[0], world.net.nodes["g0"]
     node.pause()
     world.run(10)
-    before = gateway.part._ticked
+    before = gateway.part._ticked_at
     query = Query("x", "lookup", b"select 1", node.now() + SECOND, None, tenant="north")
     gateway.part.request_received(query, node.now())
-    assert gateway.part._ticked == node.now() > before + 6 * SECOND
+    assert gateway.part._ticked_at == node.now() > before + 6 * SECOND
     own = gateway.part.controller
-    assert own.participants.silent == {"g1", "g2"} and own.thread_share <= 1 / 3  # what it holds of them is old
+    assert own.participants.unresponsive == {"g1", "g2"} and own.thread_share <= 1 / 3  # what it holds of them is old
 
 
 # ---- the probe on the wire
@@ -574,8 +576,8 @@
 def test_a_probe_is_asked_on_one_kept_connection_and_each_end_is_told_once():
     reactor, told = MemoryReactorClock(), []
     clock = type("C", (), {"now": staticmethod(lambda: int(reactor.seconds() * SECOND))})
-    prober = Prober(reactor, clock, Limits())
-    prober.listed(EndpointSnapshot(1, (), {"e": ("127.0.0.1", 9)}))
+    prober = HealthChecker(reactor, clock, Limits())
+    prober.endpoints_changed(EndpointSnapshot(1, (), {"e": ("127.0.0.1", 9)}))
     done = lambda reason, elapsed, report: told.append((reason, elapsed))  # noqa: E731
     prober("e", done)
     probe, wire = reactor.tcpClients[0][2].buildProtocol(None), StringTransport()
@@ -595,7 +597,7 @@
     reactor.tcpClients[1][2].clientConnectionFailed(None, None)
     assert told[2][0] == "NOCONN"
     prober("e", done)
-    prober.listed(EndpointSnapshot(2, (), {}))
+    prober.endpoints_changed(EndpointSnapshot(2, (), {}))
     reactor.advance(1.0)
     assert len(told) == 3  # let go of with its engine: that says nothing of it
 
@@ -654,13 +656,13 @@
     draw, trials, names = random.Random(seed), RecoveryTrials("a"), ["a", "b", "c", "d"]
     engines = [f"e{i}" for i in range(6)]
     now, held_since = 0, {}
-    trials.listed(0, [(engine, 0) for engine in engines])
+    trials.set_engines(0, [(engine, 0) for engine in engines])
     for _ in range(400):
         now += draw.randrange(1, 300 * MS)
         engine, what = draw.choice(engines), draw.randrange(6)
         if what == 0:
             some = draw.sample(engines, draw.randrange(1, 7))
-            trials.listed(now, [(one, draw.choice([0, 0, 0, now])) for one in some])
+            trials.set_engines(now, [(one, draw.choice([0, 0, 0, now])) for one in some])
         elif what == 1:
             trials.attempt_sent(now, engine)
         elif what == 2:
@@ -709,7 +711,7 @@
     honest = records.Load(
         cells=(records.Cell(cell, 5_000, 5_000),), threads_in_use=4_000, work=(records.Work(work, 20_000, 4_000),)
     )
-    lies = records.Load(threads_in_use=2**40), records.Load(cells=(records.Cell(cell, 2**40, 0),), rest=2**40)
+    lies = records.Load(threads_in_use=2**40), records.Load(cells=(records.Cell(cell, 2**40, 0),), unlisted=2**40)
     calm = view([honest] * 5, codes, kinds, {}, 24.0)
     for lie in lies:
         seen = view([*[honest] * 5, lie], codes, kinds, {}, 24.0)
