--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What a large fleet does to one coordinator, without the bench and without timing."""
+"""Bounds on one coordinator in a large fleet: by counts of function calls, and in virtual time."""
 
 import sys
 
@@ -16,40 +16,40 @@
 S, MS = 1_000_000, 1_000
 
 
-def calls_of(rig, requests):
-    """Calls of functions that a request makes: counted, as time would not be the same twice."""
+def calls_per_request(test_bed, requests):
+    """Return the function calls per request; they are counted, as times differ between runs."""
     count = 0
 
-    def note(frame, event, arg):
+    def count_call(frame, event, arg):
         nonlocal count
         count += event in ("call", "c_call")
 
     for number in range(1, 201):
-        rig.ask(number)
-    sys.setprofile(note)
+        test_bed.ask(number)
+    sys.setprofile(count_call)
     try:
         for number in range(201, 201 + requests):
-            rig.ask(number)
+            test_bed.ask(number)
     finally:
         sys.setprofile(None)
     return count / requests
 
 
-def test_a_request_costs_few_calls_for_each_engine_in_the_list():
-    """Six calls for each engine and request, most to weigh it anew, were two thirds of all at 60 engines."""
-    small, _, large = (calls_of(Answers(engines), 200) for engines in SIZES)
+def test_calls_per_request_grow_little_with_the_engines():
+    """It made six calls per engine, most to recompute its weight: two thirds of all calls with 60 engines."""
+    small, _, large = (calls_per_request(Answers(engines), 200) for engines in SIZES)
     assert (large - small) / (SIZES[2] - SIZES[0]) < 3
 
 
-def test_the_rig_serves_what_it_measures():
-    rig = Answers(60)
+def test_the_measured_requests_are_served():
+    test_bed = Answers(60)
     for number in range(1, 301):
-        rig.ask(number)
-    assert rig.core.counters["served"] > 250 and not rig.core.counters["module_errors"]
+        test_bed.ask(number)
+    assert test_bed.core.counters["served"] > 250 and not test_bed.core.counters["module_errors"]
 
 
-def test_an_engine_that_came_back_is_weighed_anew():
-    """What was reckoned of the process before it must not outlive it, however lately that was."""
+def test_the_weight_is_recomputed_after_an_engine_restart():
+    """The weight of the previous process must not be used, however recently it was computed."""
     settings = t.Settings(
         classes=(t.ClassSettings("lookup", deadline=3 * S, idempotency="retryable"),),
         kind_cores={"std": 8},
@@ -68,49 +68,52 @@
     assert control.selector.weight(control.context.engines["a"]) < 0.5 * before
 
 
-# ---- forty coordinators on one clock: a zone lost and back cold, the resolver silent for 3 s
+# ---- forty coordinators on one clock: a zone fails and comes back in slow start, the resolver is unresponsive for 3 s
 
-BOUNDS = {  # what a fleet may do, and what it does without the guard that keeps it to that
-    "list calls in a second": lambda report: max(report.list_calls) <= 240,
-    "dials that dead engines refuse": lambda report: sum(report.dials_refused) <= 450,  # of 40 x 10 that could be
+# Bounds on the fleet; `GUARDS` has the code that keeps most of them.
+BOUNDS = {
+    "endpoint list polls in a second": lambda report: max(report.list_calls) <= 240,
+    # the fleet has 40 x 10 pairs of a coordinator and a dead engine
+    "connections that dead engines refuse": lambda report: sum(report.dials_refused) <= 450,
     "connections to one engine": lambda report: report.most_connections <= 60,
-    "further attempts at the loss": lambda report: sum(report.further) <= 470,
-    "work sent to a cold engine": lambda report: report.cold_work <= 0.8,  # of what pushes it over
-    "new work to engines that are told gone": lambda report: not report.after_told,
-    "one answer each": lambda report: not report.answered_twice and not report.unanswered,
+    "retries after the zone failed": lambda report: sum(report.further) <= 470,
+    # fraction of the work that overloads the engine
+    "work sent to an engine in slow start": lambda report: report.cold_work <= 0.8,
+    "new work to engines that are reported gone": lambda report: not report.after_told,
+    "one answer for each request": lambda report: not report.answered_twice and not report.unanswered,
 }
 
 
-def broken(**scene):
+def violated_bounds(**scene):
     report = World(Scene(**scene)).run()
-    return {name for name, holds in BOUNDS.items() if not holds(report)}
+    return {name for name, is_kept in BOUNDS.items() if not is_kept(report)}
 
 
-def test_a_fleet_keeps_to_its_bounds_and_does_the_same_each_time():
+def test_a_fleet_keeps_its_bounds_and_is_deterministic():
     first, second = (World(Scene()).run() for _ in range(2))
     assert first == second and first.served > 0.9 * first.requests
-    assert {name for name, holds in BOUNDS.items() if not holds(first)} == set()
+    assert {name for name, is_kept in BOUNDS.items() if not is_kept(first)} == set()
 
 
 GUARDS = {
-    "list calls in a second": lambda p: p.setattr(PollSchedule, "poll_sent", lambda asking: 60 * MS),
-    "dials that dead engines refuse": lambda p: p.setattr(
+    "endpoint list polls in a second": lambda patch: patch.setattr(PollSchedule, "poll_sent", lambda asking: 60 * MS),
+    "connections that dead engines refuse": lambda patch: patch.setattr(
         OutlierDetector, "record_failure", lambda outliers, engine, certain=False: None
     ),
-    "further attempts at the loss": lambda p: p.setattr(
+    "retries after the zone failed": lambda patch: patch.setattr(
         OutlierDetector, "record_failure", lambda outliers, engine, certain=False: None
     ),
-    "work sent to a cold engine": lambda p: p.setattr(
+    "work sent to an engine in slow start": lambda patch: patch.setattr(
         SlowStart, "draw", lambda slow_start, query, warming: slow_start.context.random.choice(warming)
     ),
-    "new work to engines that are told gone": lambda p: p.setattr(
-        EndpointTracker, "on_endpoint_list", keep_all(EndpointTracker.on_endpoint_list)
+    "new work to engines that are reported gone": lambda patch: patch.setattr(
+        EndpointTracker, "on_endpoint_list", without_removals(EndpointTracker.on_endpoint_list)
     ),
 }
 
 
-def keep_all(on_list):
-    """A list that only ever adds."""
+def without_removals(on_list):
+    """Treat each endpoint list as one that only adds engines."""
 
     def call(control, event):
         on_list(control, t.EndpointList("Partial", event.entries, event.revision))
@@ -119,6 +122,6 @@
 
 
 @pytest.mark.parametrize("name", GUARDS)
-def test_each_bound_is_broken_without_its_guard(name, monkeypatch):
+def test_each_bound_is_violated_without_its_guard(name, monkeypatch):
     GUARDS[name](monkeypatch)
-    assert name in broken()
+    assert name in violated_bounds()
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -1,4 +1,4 @@
-"""The `[fleet]` part of the operator's file, and the faulty twin that the fleet's parts are tested on."""
+"""The `[fleet]` table of the operator's file, and the simulated ports on which the fleet's components are tested."""
 
 import pytest
 
@@ -9,18 +9,18 @@
 from rackhub.trials.fleet.twin import MS, SECOND, Net
 
 PEERS = t.Settings(classes=(t.ClassSettings("lookup"),), gossip=True)
-PART = {"cluster": "rides", "listen": "127.0.0.1:7001", "join": ["127.0.0.1:7002"]}
+FLEET = {"cluster": "rides", "listen": "127.0.0.1:7001", "join": ["127.0.0.1:7002"]}
 
 
-def test_where_the_site_forbids_peers_the_part_is_refused_with_both_keys():
-    alone = t.Settings(classes=(t.ClassSettings("lookup"),))
-    for operator in (Operator(fleet=PART), Operator(gather={})):
+def test_fleet_and_gather_are_rejected_if_the_site_forbids_peers():
+    without_peers = t.Settings(classes=(t.ClassSettings("lookup"),))
+    for operator in (Operator(fleet=FLEET), Operator(gather={})):
         with pytest.raises(ConfigError, match=r"operator file: (fleet|gather): .*settings\.Permissions\.Peers"):
-            check_operator(operator, alone)
+            check_operator(operator, without_peers)
 
 
 @pytest.mark.parametrize(
-    "change, named",
+    "change, error",
     [
         ({"cluster": "a b"}, "cluster: 'a b'"),
         ({"listen": "7001"}, "listen: '7001'"),
@@ -37,43 +37,41 @@
         ({"advertise": "y"}, "advertise: 'y'"),
     ],
 )
-def test_a_bad_key_is_named_with_its_value(change, named):
-    with pytest.raises(ConfigError, match="operator file: fleet: .*" + named):
-        fleet_settings(PART | change, PEERS, "n1")
+def test_an_invalid_key_is_named_with_its_value(change, error):
+    with pytest.raises(ConfigError, match="operator file: fleet: .*" + error):
+        fleet_settings(FLEET | change, PEERS, "n1")
 
 
-def test_what_is_left_out_has_its_default_and_the_configuration_s_name():
-    told = fleet_settings(PART, PEERS, "n1")
-    assert (told.name, told.listen_address, told.records_ms) == ("n1", ("127.0.0.1", 7001), 3_000)
-    behind = fleet_settings(PART | {"advertise": "127.0.0.9:7009"}, PEERS, "n1")
-    assert told.advertised_address == told.listen_address == behind.listen_address and behind.advertised_address == (
-        "127.0.0.9",
-        7009,
-    )
+def test_absent_keys_have_defaults_and_the_configured_name():
+    settings = fleet_settings(FLEET, PEERS, "n1")
+    assert (settings.name, settings.listen_address, settings.records_ms) == ("n1", ("127.0.0.1", 7001), 3_000)
+    advertising = fleet_settings(FLEET | {"advertise": "127.0.0.9:7009"}, PEERS, "n1")
+    assert settings.advertised_address == settings.listen_address == advertising.listen_address
+    assert advertising.advertised_address == ("127.0.0.9", 7009)
 
 
-def run_of(seed):
-    net, heard = Net(["a", "b", "c"], seed), []
+def run_network(seed):
+    net, received = Net(["a", "b", "c"], seed), []
     net.lose = net.double = 0.3
     for node in net.nodes.values():
         node.subscribe(
-            "word", lambda source, body, me=node.local_name: heard.append((net.time.now(), source, me, body))
+            "word", lambda source, body, me=node.local_name: received.append((net.time.now(), source, me, body))
         )
     for number in range(60):
         net.time.later(number * 10 * MS, lambda number=number: net.nodes["a"].send("b", "word", bytes([number])))
         net.time.later(number * 10 * MS, lambda number=number: net.nodes["a"].publish("load", bytes([number])))
     net.time.run(SECOND)
-    return heard, net.nodes["c"].read("load")
+    return received, net.nodes["c"].read("load")
 
 
-def test_the_twin_is_the_same_from_one_seed_and_loses_and_doubles():
-    heard, records = run_of(7)
-    assert (heard, records) == run_of(7) and heard != run_of(8)[0]
-    counts = [sum(body == bytes([number]) for *_, body in heard) for number in range(60)]
+def test_simulated_ports_are_deterministic_and_lose_and_duplicate():
+    received, records = run_network(7)
+    assert (received, records) == run_network(7) and received != run_network(8)[0]
+    counts = [sum(body == bytes([number]) for *_, body in received) for number in range(60)]
     assert 0 in counts and max(counts) > 1 and set(records) == {"a"}
 
 
-def test_the_twin_cuts_one_way_pauses_and_forgets_what_a_killed_process_held():
+def test_simulated_ports_cut_one_direction_pause_and_restart_empty():
     net = Net(["a", "b"], 1)
     net.cut({"a"}, {"b"}, both=False)
     net.nodes["a"].publish("load", b"1")
