--- a/rackhub/fleet/overload/component.py
+++ b/rackhub/fleet/overload/component.py
@@ -78,7 +78,7 @@
         self.settings = settings
         self.core = core
         self._check_engine = check_engine
-        takeover_delay = max([cls.deadline for cls in settings.classes] or [0]) or limits.kill_capped
+        takeover_delay = max([cls.deadline for cls in settings.classes] or [0]) or limits.max_deadline_before_sigkill
         self.controller = LoadController(fleet.members.local_name, settings, fleet_settings, takeover_delay, fleet.seed)
         self.shed = self.controller.policy
         self.health_checks = HealthCheckSchedule(fleet.members.local_name)
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from rackhub import components
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 from rackhub.config import fleet_settings
 from rackhub.core.component import Component, ComponentContext, ComponentStartError
 from rackhub.core.source import EndpointSnapshot
@@ -61,7 +61,7 @@
             raise ComponentStartError(f"[fleet] state: {error}") from None
         self.fleet = self.membership.fleet()
         self.control = (
-            ControlPort(context.reactor, address(self.settings.control, "control"), self._add_count)
+            ControlPort(context.reactor, parse_ipv4_address(self.settings.control, "control"), self._add_count)
             if self.settings.control
             else None
         )
@@ -176,8 +176,8 @@
             raise ComponentStartError(f"[fleet] {error}") from None
         if self.overload is not None:
             self.overload.start()
-            self.overload.endpoints_changed(self.context.source.start)
-        self.health_checker.endpoints_changed(self.context.source.start)
+            self.overload.endpoints_changed(self.context.source.initial_snapshot)
+        self.health_checker.endpoints_changed(self.context.source.initial_snapshot)
         if self.rules is not None:
             timings_component: Any = self.context.components.get("timings")
             if timings_component is not None:
--- a/rackhub/fleet/roles.py
+++ b/rackhub/fleet/roles.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 
 if TYPE_CHECKING:
     from rackhub.fleet.settings import FleetSettings
@@ -44,9 +44,9 @@
         )
     if not settings.watch:
         raise ValueError(f"watch: not set, and role is {settings.role!r}")
-    address(settings.watch, "watch")
+    parse_ipv4_address(settings.watch, "watch")
     if settings.watch_advertise:
-        address(settings.watch_advertise, "watch_advertise")
+        parse_ipv4_address(settings.watch_advertise, "watch_advertise")
     if settings.role in (VOTER, COORDINATOR) and not settings.state:
         raise ValueError(f"state: not set, and role is {settings.role!r}, whose revision must outlive a restart")
     _check_scope(settings)
@@ -103,7 +103,7 @@
         _check_name(f"{key}.zone", node.zone)
         if node.role not in DIRECTORY_ROLES:
             raise ValueError(f"{key}.role: {node.role!r} is none of {', '.join(DIRECTORY_ROLES)}")
-        node_address = address(node.address, f"{key}.address")
+        node_address = parse_ipv4_address(node.address, f"{key}.address")
         if node.name in numbers_by_name:
             raise ValueError(f"{key}.name: {node.name!r} is that of node[{numbers_by_name[node.name]}], too")
         if node_address in numbers_by_address:
@@ -137,5 +137,5 @@
     if local_node.zone != settings.zone:
         raise ValueError(f"zone: {settings.zone!r}, and {settings.name!r} is of zone {local_node.zone!r} among node")
     advertised = settings.watch_advertise or settings.watch
-    if address(local_node.address, "node") != address(advertised, "watch"):
+    if parse_ipv4_address(local_node.address, "node") != parse_ipv4_address(advertised, "watch"):
         raise ValueError(f"watch: {advertised!r}, and {settings.name!r} is at {local_node.address!r} among node")
--- a/rackhub/fleet/settings.py
+++ b/rackhub/fleet/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from rackhub import interface
-from rackhub.address import address
+from rackhub.address import parse_ipv4_address
 from rackhub.fleet.roles import NAME_PATTERN, FleetNode, check_role
 
 MAX_JOIN_ADDRESSES = 64
@@ -45,12 +45,12 @@
     @property
     def listen_address(self) -> tuple[str, int]:
         """The address and port that the membership socket binds."""
-        return address(self.listen, "listen")
+        return parse_ipv4_address(self.listen, "listen")
 
     @property
     def advertised_address(self) -> tuple[str, int]:
         """The address and port at which the others reach this gateway."""
-        return address(self.advertise, "advertise") if self.advertise else self.listen_address
+        return parse_ipv4_address(self.advertise, "advertise") if self.advertise else self.listen_address
 
     @property
     def zone_cluster(self) -> str:
@@ -72,13 +72,13 @@
     ):
         if not NAME_PATTERN.match(text):
             raise ValueError(f"{key}: {text!r} is not 1 to 63 letters, digits, dots, dashes or underscores")
-    address(fleet.listen, "listen")
+    parse_ipv4_address(fleet.listen, "listen")
     if fleet.advertise:
-        address(fleet.advertise, "advertise")
+        parse_ipv4_address(fleet.advertise, "advertise")
     if fleet.control:
-        address(fleet.control, "control")
+        parse_ipv4_address(fleet.control, "control")
     for i, peer in enumerate(fleet.join):
-        address(peer, f"join[{i}]")
+        parse_ipv4_address(peer, f"join[{i}]")
     if len(fleet.join) > MAX_JOIN_ADDRESSES:
         raise ValueError(f"join: {len(fleet.join)} addresses, at most {MAX_JOIN_ADDRESSES} are allowed")
     if fleet.keepers and (len(set(fleet.keepers)) != len(fleet.keepers) or len(fleet.keepers) not in KEEPER_COUNTS):
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -19,7 +19,7 @@
 from rackhub.net.tds import codec
 from rackhub.net.tds.engine import tds_pools
 from rackhub.net.tds.front import tds_front
-from rackhub.operatorfile import TdsEngineSettings, TdsFrontSettings, TdsLogin, hashed
+from rackhub.operatorfile import TdsEngineSettings, TdsFrontSettings, TdsLogin, hash_password
 
 S, MS = 1_000_000, 1_000
 CLASSES = (
@@ -45,7 +45,7 @@
     classes=CLASSES,
     tenants=(t.TenantSettings("acme"),),
     kind_cores={"std": 8.0},
-    period=5 * MS,
+    clock_period=5 * MS,
     priorities=True,
     progress_report_interval=S,
     cancel=True,
@@ -53,7 +53,9 @@
     max_retry_after=500 * MS,
 )
 LIMITS = Limits(dial_timeout=60 * S)
-LOGIN = TdsLogin(user="desk", password=hashed("open sesame", b"0123456789abcdef"), cls="lookup", tenants=["acme"])
+LOGIN = TdsLogin(
+    user="desk", password=hash_password("open sesame", b"0123456789abcdef"), cls="lookup", tenants=["acme"]
+)
 TDS = TdsFrontSettings(listen="127.0.0.1:1433", database="rides", login=[LOGIN])
 
 
@@ -104,7 +106,7 @@
     """An engine over RESP: notes every command, answers what the test's `on_command` says."""
 
     def __init__(self, stand):
-        self.stand, self.words, self.need, self.due = stand, [], 0, 0
+        self.server, self.words, self.need, self.due = stand, [], 0, 0
 
     def lineReceived(self, line):
         if not self.due:
@@ -122,8 +124,8 @@
         self.words.append(word)
         self.due -= 1
         if not self.due:
-            self.stand.received.append(tuple(self.words))
-            self.stand.on_command(self, *self.words)
+            self.server.received.append(tuple(self.words))
+            self.server.on_command(self, *self.words)
         self.setLineMode(rest)
 
     def respond(self, id, word, fields=b"-", body=b""):
@@ -134,7 +136,7 @@
     """An engine over TDS: the same, with its calls noted as if they had come over RESP."""
 
     def __init__(self, stand):
-        self.stand, self.packets = stand, codec.MessageAssembler(1 << 20)
+        self.server, self.packets = stand, codec.MessageAssembler(1 << 20)
 
     def dataReceived(self, data):
         for kind, _, body in self.packets.feed(data):
@@ -149,15 +151,15 @@
                     + codec.encode_done(codec.DONE_ERROR)
                 )
             elif kind == codec.ATTENTION:
-                self.stand.received.append((b"never_mind",))
+                self.server.received.append((b"never_mind",))
                 self.tell(codec.encode_done(codec.DONE_ATTN))
             else:
                 given = codec.parse_rpc(body).arguments
                 fields = f"profile={given['@class']},max={given['@budget_ms']},level={given['@level']}"
                 fields += f",replay={given['@key']}" if "@key" in given else ""
                 words = b"want", given["@id"].encode(), fields.encode(), given["@statement"].encode()
-                self.stand.received.append(words)
-                self.stand.on_command(self, *words)
+                self.server.received.append(words)
+                self.server.on_command(self, *words)
 
     def tell(self, body):
         self.transport.writeSequence(codec.encode_message(codec.REPLY, body))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -98,10 +98,10 @@
 GUARDS = {
     "endpoint list polls in a second": lambda patch: patch.setattr(PollSchedule, "poll_sent", lambda asking: 60 * MS),
     "connections that dead engines refuse": lambda patch: patch.setattr(
-        OutlierDetector, "record_failure", lambda outliers, engine, certain=False: None
+        OutlierDetector, "record_failure", lambda outliers, engine, confirmed_down=False: None
     ),
     "retries after the zone failed": lambda patch: patch.setattr(
-        OutlierDetector, "record_failure", lambda outliers, engine, certain=False: None
+        OutlierDetector, "record_failure", lambda outliers, engine, confirmed_down=False: None
     ),
     "work sent to an engine in slow start": lambda patch: patch.setattr(
         SlowStart, "draw", lambda slow_start, query, warming: slow_start.context.random.choice(warming)
