--- a/rackhub/fleet/overload/load_controller.py
+++ b/rackhub/fleet/overload/load_controller.py
@@ -166,9 +166,9 @@
         equal_share = self.participants.equal_share
         need = (self.threads_in_use if self.draining else max(wanted, self.threads_in_use)) / max(threads, 1e-9)
         self._need += (need - self._need) * min(elapsed / NEED_WINDOW, 1)
-        lacking = any(Quota.wants_more(load.share, equal_share) for load in fresh.values())
+        lacking = any(Quota.wants_more(load.thread_loan, equal_share) for load in fresh.values())
         self.quota.update_need(now, self._need, equal_share, self.participants.digest, lacking)
-        loans = [load.share if load is not None else None for load in comparable]
+        loans = [load.thread_loan if load is not None else None for load in comparable]
         self.thread_share = self.quota.share(equal_share, loans)
         allowed = self.thread_share * threads * min(fleet.capacity_factor, 1.0)
         # Headroom for random peaks. It shrinks as the fleet uses more threads, soonest for the cell at the threshold.
@@ -187,9 +187,9 @@
     ) -> None:
         equal_share = self.participants.equal_share
         wanted = self.measurement.rates["retries_wanted"]
-        lacking = any(Quota.wants_more(load.retry_share, equal_share) for load in fresh.values())
+        lacking = any(Quota.wants_more(load.retry_loan, equal_share) for load in fresh.values())
         self.retry_budget.tick(now, elapsed, fleet.served, wanted, equal_share, self.participants.digest, lacking)
-        loans = [load.retry_share if load is not None else None for load in comparable]
+        loans = [load.retry_loan if load is not None else None for load in comparable]
         share = self.retry_budget.quota.share(equal_share, loans)
         self.retry_budget.set_share(share, wanted > MINIMUM_RETRY_RATE)
 
--- a/rackhub/fleet/overload/records.py
+++ b/rackhub/fleet/overload/records.py
@@ -74,8 +74,8 @@
     retries: Number = 0  # attempts after the first
     retries_wanted: Number = 0  # retries, sent or not for lack of budget
     capacity_factor: Number = FRACTION_ONE  # usable fraction of the configured threads, as this gateway measures it
-    share: Loan = Loan()
-    retry_share: Loan = Loan()
+    thread_loan: Loan = Loan()
+    retry_loan: Loan = Loan()
     trials: Annotated[tuple[Trial, ...], msgspec.Meta(max_length=TRIALS)] = ()
     participants: Number = 0  # `participants.Participants.digest`
     policy_version: Number = 0  # version of the active shedding policy
@@ -136,7 +136,7 @@
         return None
     ordered = all(
         loan.minimum_offered <= loan.maximum_offered and loan.minimum_wanted <= loan.maximum_wanted
-        for loan in (load.share, load.retry_share)
+        for loan in (load.thread_loan, load.retry_loan)
     )
     return load if ordered else None
 
--- a/rackhub/trials/processes/forger.py
+++ b/rackhub/trials/processes/forger.py
@@ -64,7 +64,7 @@
     """disordered: figures that no sound gateway tells. The others could be told, and are lies."""
     most, part = records.MAX_VALUE, records.FRACTION_ONE
     if way == "disordered":
-        return records.Load(share=records.Loan(minimum_offered=part, maximum_offered=0))
+        return records.Load(thread_loan=records.Loan(minimum_offered=part, maximum_offered=0))
     if way == "nothing":
         return records.Load(capacity_factor=0)
     lent = records.Loan(part, part, 0, 0) if way == "lends_all" else records.Loan(0, 0, part, part)
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -57,7 +57,7 @@
         (records.Work(value, value, value),) * 20,
         value,
         value,
-        share=records.Loan(0, fraction, 0, fraction),
+        thread_loan=records.Loan(0, fraction, 0, fraction),
         trials=(records.Trial(value, 1, value),) * 20,
     )
     body = records.pack(load)
@@ -211,11 +211,11 @@
         self.quota.update_need(now, self.need(), self.participants.equal_share, self.participants.digest)
         self.node.publish(
             records.LOAD_KIND,
-            records.pack(records.Load(share=self.quota.loan(), participants=self.participants.digest)),
+            records.pack(records.Load(thread_loan=self.quota.loan(), participants=self.participants.digest)),
         )
         loads = {name: records.unpack(record.body) for name, record in self.node.read(records.LOAD_KIND).items()}
         others = [
-            loads[name].share
+            loads[name].thread_loan
             if name not in self.participants.unresponsive and loads[name].participants == self.participants.digest
             else None
             for name in self.participants.counted - {self.node.local_name}
