--- a/rackhub/fleet/overload/load_controller.py
+++ b/rackhub/fleet/overload/load_controller.py
@@ -1,6 +1,7 @@
-"""The overload decisions of one gateway: shedding threshold, share of threads and retries, backoff.
+"""The overload decisions of one gateway: shedding threshold, share of threads and retries, retry-after delay.
 
-A pure controller: it is notified of its own requests, and once a tick of the members and their load records.
+The controller does no I/O and reads no clock. `component` calls it for each request and attempt of this gateway, and
+once a tick with the members and their load records. Times are in microseconds.
 """
 
 from collections.abc import Mapping
@@ -14,23 +15,24 @@
 from rackhub.fleet.overload.retry_budget import RetryBudget
 from rackhub.fleet.overload.shed import SheddingPolicy
 from rackhub.fleet.overload.shedding_threshold import HASH_RANGE, SheddingThreshold, statement_hash
-from rackhub.fleet.overload.view import Codes, View, view
+from rackhub.fleet.overload.view import Codes, View, compute_view
 from rackhub.fleet.ports import Name, Record
 from rackhub.fleet.settings import FleetSettings
 
 MS = 1_000
 SECOND = 1_000_000
-HOLD = 1 * SECOND  # time past the maximum age of a record for which the bounds of a need are still published
+HOLD_MARGIN = 1 * SECOND  # time past the maximum age of a record for which the bounds of a need are still published
 NEED_WINDOW = 2 * SECOND  # smoothing time of the local need: a fluctuating need costs both lender and borrower
 USAGE_WINDOW = 1 * SECOND  # smoothing time of the usage, so that a short peak does not count as overload
-HEADROOM_SLOPE = 5  # change of the headroom factor per idle fraction of the fleet's threads
+HEADROOM_SLOPE = 5  # how steeply the headroom factor depends on the idle fraction of the fleet's threads
 MINIMUM_RETRY_RATE = 0.01  # retries per second; a lower wanted rate counts as none
 
 
 class LoadController:
     """The load controller of one gateway.
 
-    `takeover_delay` is the time in microseconds for which the requests of a gateway that is gone may still run.
+    `takeover_delay` is the time for which the requests of a gateway that is gone may still run; the others take over
+    its share after it.
     """
 
     def __init__(
@@ -41,37 +43,39 @@
         self.measurement = LoadMeasurement(settings)
         self.threshold = SheddingThreshold()
         self.policy = SheddingPolicy(settings)
-        self.quota = Quota(maximum_age + HOLD)
-        self.retry_budget = RetryBudget(settings, maximum_age + HOLD, seed ^ records.code(local_name, "tokens"))
+        self.quota = Quota(maximum_age + HOLD_MARGIN)
+        self.retry_budget = RetryBudget(settings, maximum_age + HOLD_MARGIN, seed ^ records.code(local_name, "tokens"))
         self.backoff = Backoff(settings.max_retry_after, seed ^ records.code(local_name, "back"))
         self._codes = Codes(settings)
-        self._guard = fleet_settings.worth_guard
+        self._guard = fleet_settings.worth_guard  # fraction of the capacity reserved for tenants below their quota
         self._fractions = {tenant.name: tenant.quota_fraction for tenant in settings.tenants}
         self.view: View | None = None
         self.threads_in_use = 0  # number of threads that the attempts of this gateway use
         self.thread_share = 0.0  # fraction of the fleet's threads that this gateway may use
-        self.limit = 0.0  # number of threads that this gateway may use
-        self.threshold_limit = 0.0  # number of threads past which requests of the cell at the threshold are rejected
-        self.shedding = False
-        self.draining = False
-        self._need = 0.0
-        self._usage = 0.0
+        # Threads in use from which requests are rejected while requests are shed: the share and a headroom.
+        self.limit = 0.0  # limit for cells that are admitted entirely
+        self.partial_cell_limit = 0.0  # limit for cells that are admitted in part
+        self.shedding = False  # requests of at least one cell are shed
+        self.draining = False  # this gateway retains no more than its threads in use
+        self._need = 0.0  # smoothed need of this gateway, as a fraction of the fleet's threads
+        self._usage = 0.0  # smoothed usage: threads in use of the fleet over those configured
 
     # ---- one request
 
     def request_received(self, cls: str, tenant: str, statement: bytes, estimate: int = 0) -> int:
         """Return the verdict on a request; `estimate` is in microseconds.
 
-        1: above the threshold; -1: below it or beyond the limit of this gateway; 0: nothing is shed.
+        1: admitted. -1: shed, as it is below the threshold or the threads in use have reached the limit of this
+        gateway. 0: nothing is shed now, and the policy decides.
         """
         if estimate and cls in self.measurement.classes:
             self.measurement.classes[cls].add_estimate(estimate)
         counter = self.measurement.counters.get((cls, tenant)) or self.measurement.counter(cls, tenant)
         counter.requested += 1
-        mark = counter.mark
+        mark = counter.mark  # a request passes if its hash is below the mark: none at 0, all at `HASH_RANGE`
         if mark < HASH_RANGE and (not mark or statement_hash(statement, counter.seed) >= mark):
             return -1
-        if self.shedding and self.threads_in_use >= (self.limit if mark == HASH_RANGE else self.threshold_limit):
+        if self.shedding and self.threads_in_use >= (self.limit if mark == HASH_RANGE else self.partial_cell_limit):
             counter.requested -= 1  # counted as `over_limit` instead: another gateway may still admit the request
             counter.over_limit += 1
             return -1
@@ -79,7 +83,7 @@
         return 1 if self.shedding else 0
 
     def attempt_sent(self, cls: str, is_retry: bool) -> None:
-        """Count the threads of an attempt, and spend a retry for it if it is one."""
+        """Count the threads of an attempt; if it is a retry, spend one of the budget."""
         self.threads_in_use += self.measurement.threads.get(cls, 1)
         if is_retry:
             self.measurement.retries += 1
@@ -92,7 +96,10 @@
         self.measurement.attempt_completed(cls, reason, elapsed)
 
     def request_completed(self, cls: str, outcome: str, attempts: int) -> None:
-        """Count the outcome of a request that took this number of attempts."""
+        """Count the outcome of a request that took this number of attempts.
+
+        A request that failed or was rejected after an attempt would have used one more retry.
+        """
         if outcome == "served":
             self.measurement.served += 1
         elif outcome in ("refused", "failed"):
@@ -115,36 +122,42 @@
     ) -> None:
         """Recompute all decisions, `elapsed` microseconds after the last tick.
 
-        `threads` is the number that all listed engines may run; `load_records` and `loads` are the records of the other
-        gateways and their contents.
+        `threads` is the number of threads that all listed engines may run; `live` and `reachable` are as in
+        `ports.Members`. `load_records` are the newest load records of all members, and `loads` the contents of the
+        valid ones of the others.
         """
         participants = self.participants
-        usage = self.view.threads_in_use / self.view.threads if self.view and self.view.threads else 0.0
-        self.measurement.tick(elapsed, self.shedding, usage)
+        previous_usage = self.view.threads_in_use / self.view.threads if self.view and self.view.threads else 0.0
+        self.measurement.tick(elapsed, self.shedding, previous_usage)
         participants.update(now, live, reachable, {name: load_records[name] for name in loads})
-        active = participants.counted - participants.unresponsive - {participants.local_name}
-        fresh = {name: loads[name] for name in active}
-        known_threads = threads * participants.equal_share * (len(fresh) + 1)  # the unresponsive ones use the rest
-        fleet = view(
+        responsive = participants.counted - participants.unresponsive - {participants.local_name}
+        fresh = {name: loads[name] for name in responsive}
+        # The threads of unresponsive gateways do not count, as their load is not known.
+        reported_threads = threads * participants.equal_share * (len(fresh) + 1)
+        fleet = compute_view(
             [self.record(()), *fresh.values()],
             self._codes,
             self.measurement.classes,
             self.policy.multipliers,
-            known_threads,
+            reported_threads,
         )
         self.view = fleet
         usage = fleet.threads_in_use / max(fleet.threads, 1e-9)
         self._usage += (usage - self._usage) * min(elapsed / USAGE_WINDOW, 1)
         self.threshold.update(fleet.demand, self._fractions, fleet.capacity, self._guard, self._usage)
         self.shedding = bool(self.threshold.marks)
-        comparable = self._comparable(fresh)
-        self._update_threads(now, elapsed, threads, fleet, fresh, comparable)
-        self._update_retries(now, elapsed, fleet, fresh, comparable)
-        demand = sum(cell.threads for cell in fleet.demand.values()) * self.threshold.admitted_share
-        self.backoff.tick(now, fleet.retry_work, fleet.capacity, demand)
-
-    def _comparable(self, fresh: Mapping[Name, records.Load]) -> list[records.Load | None]:
-        """Return the load of each other participant; None if it is unresponsive or counts other participants."""
+        peer_loads = self._loads_with_same_participants(fresh)
+        self._update_threads(now, elapsed, threads, fleet, fresh, peer_loads)
+        self._update_retries(now, elapsed, fleet, fresh, peer_loads)
+        admitted_demand = sum(cell.threads for cell in fleet.demand.values()) * self.threshold.admitted_share
+        self.backoff.tick(now, fleet.retry_work, fleet.capacity, admitted_demand)
+
+    def _loads_with_same_participants(self, fresh: Mapping[Name, records.Load]) -> list[records.Load | None]:
+        """Return the load of each other participant, in the order of names.
+
+        It is None without a recent record, or if that gateway counts different participants: then no loans are
+        exchanged with it.
+        """
         participants = self.participants
         others = sorted(participants.counted - {participants.local_name})
         loads = [fresh.get(name) for name in others]
@@ -157,7 +170,7 @@
         threads: float,
         fleet: View,
         fresh: Mapping[Name, records.Load],
-        comparable: list[records.Load | None],
+        peer_loads: list[records.Load | None],
     ) -> None:
         wanted = 0.0
         for key, counter in self.measurement.counters.items():
@@ -166,16 +179,19 @@
         equal_share = self.participants.equal_share
         need = (self.threads_in_use if self.draining else max(wanted, self.threads_in_use)) / max(threads, 1e-9)
         self._need += (need - self._need) * min(elapsed / NEED_WINDOW, 1)
-        lacking = any(Quota.wants_more(load.thread_loan, equal_share) for load in fresh.values())
-        self.quota.update_need(now, self._need, equal_share, self.participants.digest, lacking)
-        loans = [load.thread_loan if load is not None else None for load in comparable]
+        others_want_more = any(Quota.wants_more(load.thread_loan, equal_share) for load in fresh.values())
+        self.quota.update_need(now, self._need, equal_share, self.participants.digest, others_want_more)
+        loans = [load.thread_loan if load is not None else None for load in peer_loads]
         self.thread_share = self.quota.share(equal_share, loans)
         allowed = self.thread_share * threads * min(fleet.capacity_factor, 1.0)
-        # Headroom for random peaks. It shrinks as the fleet uses more threads, soonest for the cell at the threshold.
+        # Headroom for random peaks, a multiple of the square root of the allowed threads. For cells that are admitted
+        # entirely the factor is 2 while a fifth of the fleet's threads is idle, 1 while none is, and 0 while a fifth
+        # more than configured is in use. For cells that are admitted in part it is 1 while half is idle, and 0 while
+        # none is.
         idle = 1 - fleet.threads_in_use / max(fleet.threads, 1e-9)
         headroom = allowed**0.5
         self.limit = allowed + headroom * min(max(1 + HEADROOM_SLOPE * idle, 0), 2)
-        self.threshold_limit = allowed + headroom * min(max(2 * idle, 0), 1)
+        self.partial_cell_limit = allowed + headroom * min(max(2 * idle, 0), 1)
 
     def _update_retries(
         self,
@@ -183,13 +199,15 @@
         elapsed: int,
         fleet: View,
         fresh: Mapping[Name, records.Load],
-        comparable: list[records.Load | None],
+        peer_loads: list[records.Load | None],
     ) -> None:
         equal_share = self.participants.equal_share
         wanted = self.measurement.rates["retries_wanted"]
-        lacking = any(Quota.wants_more(load.retry_loan, equal_share) for load in fresh.values())
-        self.retry_budget.tick(now, elapsed, fleet.served, wanted, equal_share, self.participants.digest, lacking)
-        loans = [load.retry_loan if load is not None else None for load in comparable]
+        others_want_more = any(Quota.wants_more(load.retry_loan, equal_share) for load in fresh.values())
+        self.retry_budget.tick(
+            now, elapsed, fleet.served, wanted, equal_share, self.participants.digest, others_want_more
+        )
+        loans = [load.retry_loan if load is not None else None for load in peer_loads]
         share = self.retry_budget.quota.share(equal_share, loans)
         self.retry_budget.set_share(share, wanted > MINIMUM_RETRY_RATE)
 
@@ -216,11 +234,11 @@
         )
 
     def metrics(self) -> dict[str, float]:
-        """Return the gauges by name."""
+        """Return the gauges by name; `component` exports them with the prefix `overload_`."""
         fleet = self.view
         return {
             "on": float(self.threshold.active),
-            "place": self.threshold.admitted_share,
+            "place": self.threshold.admitted_share,  # fraction of the demand above the threshold
             "moves": float(self.threshold.moves),
             "share": self.thread_share,
             "even": self.participants.equal_share,
@@ -228,12 +246,12 @@
             "silent": float(len(self.participants.unresponsive)),
             "majority": float(self.participants.majority),
             "capacity": fleet.capacity if fleet else 0.0,
-            "hand": fleet.threads_in_use if fleet else 0.0,
+            "hand": fleet.threads_in_use if fleet else 0.0,  # threads in use by the fleet
             "demand": sum(cell.threads for cell in fleet.demand.values()) if fleet else 0.0,
             "room": self.measurement.capacity_factor,
             "tokens": self.retry_budget.available,
-            "tokens_rate": self.retry_budget.rate,
+            "tokens_rate": self.retry_budget.rate,  # retries per second
             "back_ms": self.backoff.retry_after / MS,
-            "refused": self.measurement.rates["rejected"],
+            "refused": self.measurement.rates["rejected"],  # requests per second
             "shed_version": float(self.policy.version),
         }
--- a/rackhub/fleet/overload/quota.py
+++ b/rackhub/fleet/overload/quota.py
@@ -1,9 +1,10 @@
-"""The share of one gateway in a fleet-wide resource: its equal share, less what it offers, plus what others offer.
+"""The share of one gateway in a fleet-wide resource: its equal share, less its offer, plus its part of all offers.
 
-Each gateway has the others' records at a different age. Two rules keep the sum of all shares at one or below; the proof
-is in docs/design/overload.md. First, each gateway publishes the minimum and maximum that it offered and wanted over the
-last `hold` microseconds, and all compute with the more cautious bound. Second, an unresponsive gateway counts as
-offering nothing and wanting everything.
+The offers of all gateways are divided in proportion to what each wants. As each gateway has the others' records at a
+different age, two rules keep the sum of all shares at one or below; the proof is in docs/design/overload.md. First,
+each gateway publishes the minimum and maximum of its offer and want over the last `hold` microseconds. Its own offer
+counts at the maximum and its own want at the minimum, the offers of others at their minimum and their wants at their
+maximum. Second, an unresponsive gateway counts as offering nothing and wanting everything.
 """
 
 import math
@@ -12,10 +13,11 @@
 
 from rackhub.fleet.overload.records import FRACTION_ONE, Loan
 
-HEADROOM = 1.25  # share retained per unit of need: the need may grow before the others learn of it
+NEED_MARGIN = 1.25  # a gateway retains this multiple of its need, which may grow before the others learn of it
 RETAINED = 0.5  # fraction of the equal share that is never offered, so that first requests need not wait for gossip
-BASE = 0.25  # fraction of the equal share that each gateway always wants, so that unused shares go to all
-STEP = 0.25  # minimum relative change of the need that is published, so that a steady need does not change the loans
+BASE_WANT = 0.25  # fraction of the equal share that each gateway always wants, so that unused shares go to all
+# Minimum change of the need that is published, relative to the need, or to the equal share if that is larger.
+MINIMUM_NEED_CHANGE = 0.25
 
 
 class SlidingRange:
@@ -57,30 +59,33 @@
         self._need = 0.0
         self._digest = 0
 
-    def update_need(self, now: int, need: float, equal_share: float, digest: int, lacking: bool = True) -> None:
+    def update_need(
+        self, now: int, need: float, equal_share: float, digest: int, others_want_more: bool = True
+    ) -> None:
         """Update the need of this gateway, as a fraction of the whole resource.
 
-        `digest` identifies the counted participants. When it changes, nothing is offered until no gateway uses the
-        previous record any more. `lacking`: another gateway needs more than its share; otherwise nothing is offered, as
-        a loan costs both sides a part of it.
+        `digest` identifies the counted participants. When it changes, the minimum offer is 0 until `hold` has passed,
+        as others may still compute with a loan for the previous participants. `others_want_more`: another gateway wants
+        more than its share. If none does, nothing is offered, as a part of each loan is lost: the lender deducts the
+        maximum of its offer, and the others receive the minimum.
         """
         if digest != self._digest:
             self._digest = digest
             self.offered.record_until_now(now, 0.0)
         need = min(max(need, 0.0), 1.0)
-        if abs(need - self._need) > STEP * max(self._need, equal_share):
+        if abs(need - self._need) > MINIMUM_NEED_CHANGE * max(self._need, equal_share):
             self._need = need
-        keep = max(self._need * HEADROOM, equal_share * self._retained)
-        self.offered.set(now, max(equal_share - keep, 0.0) if lacking else 0.0)
-        self.wanted.set(now, min(max(keep - equal_share, BASE * equal_share), 1.0))
+        keep = max(self._need * NEED_MARGIN, equal_share * self._retained)
+        self.offered.set(now, max(equal_share - keep, 0.0) if others_want_more else 0.0)
+        self.wanted.set(now, min(max(keep - equal_share, BASE_WANT * equal_share), 1.0))
 
     @staticmethod
     def wants_more(loan: Loan, equal_share: float) -> bool:
-        """Return whether the gateway that published `loan` wants more than the base that each gateway always wants."""
-        return loan.maximum_wanted > 1.5 * BASE * equal_share * FRACTION_ONE
+        """Return whether the gateway that published `loan` wants more than one and a half times the base want."""
+        return loan.maximum_wanted > 1.5 * BASE_WANT * equal_share * FRACTION_ONE
 
     def loan(self) -> Loan:
-        """Return the loan to publish, rounded to the more cautious bound."""
+        """Return the loan to publish: minima are rounded down, maxima up."""
         minimum_offered, maximum_offered = self.offered.bounds()
         minimum_wanted, maximum_wanted = self.wanted.bounds()
         return Loan(
@@ -91,9 +96,10 @@
         )
 
     def share(self, equal_share: float, peer_loans: Iterable[Loan | None]) -> float:
-        """Return the share of this gateway.
+        """Return the share of this gateway: what it retains, and its part of the pool of all offers.
 
-        `peer_loans` has the loan of each other participant; None if it is unresponsive or counts other participants.
+        `peer_loans` has the loan of each other participant: None if it has no recent load record, or if it counts
+        different participants than this gateway.
         """
         local = self.loan()
         keep = max(equal_share - local.maximum_offered / FRACTION_ONE, 0.0)
--- a/rackhub/fleet/overload/retry_budget.py
+++ b/rackhub/fleet/overload/retry_budget.py
@@ -43,7 +43,7 @@
         wanted: float,
         equal_share: float,
         digest: int,
-        lacking: bool = True,
+        others_want_more: bool = True,
     ) -> None:
         """Update the budget and accrue this gateway's share.
 
@@ -52,7 +52,7 @@
         """
         self.budget = self._ratio * served + self._floor * SECOND / self._window
         need = wanted * NEED_MARGIN / self.budget if self.budget else 0.0
-        self.quota.update_need(now, need, equal_share, digest, lacking)
+        self.quota.update_need(now, need, equal_share, digest, others_want_more)
         self._accrued += self.rate * elapsed / SECOND
 
     def set_share(self, share: float, wanting: bool) -> None:
--- a/rackhub/fleet/overload/view.py
+++ b/rackhub/fleet/overload/view.py
@@ -46,7 +46,7 @@
         self.classes = {code(cls.name): cls.name for cls in settings.classes}
 
 
-def view(
+def compute_view(
     loads: Iterable[Load],
     codes: Codes,
     classes: Mapping[str, ClassLoad],
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -33,7 +33,7 @@
     hash_seed,
     statement_hash,
 )
-from rackhub.fleet.overload.view import Codes, view
+from rackhub.fleet.overload.view import Codes, compute_view
 from rackhub.fleet.ports import MAX_RECORD_BYTES, MemberState
 from rackhub.limits import Limits
 from rackhub.trials.fleet.overload import main, run
@@ -752,9 +752,9 @@
         records.Load(threads_in_use=2**40),
         records.Load(cells=(records.Cell(cell, 2**40, 0),), unlisted=2**40),
     )
-    calm = view([honest] * 5, codes, classes, {}, 24.0)
+    calm = compute_view([honest] * 5, codes, classes, {}, 24.0)
     for false_record in false_records:
-        result = view([*[honest] * 5, false_record], codes, classes, {}, 24.0)
+        result = compute_view([*[honest] * 5, false_record], codes, classes, {}, 24.0)
         assert result.threads_in_use <= calm.threads_in_use + 4 * 24 and result.capacity >= 0.25 * 24
         requested = sum(demand.threads for demand in result.demand.values())
         assert requested <= 2 * (sum(demand.threads for demand in calm.demand.values()) + 4 * 24)
