--- a/rackhub/fleet/overload/load_controller.py
+++ b/rackhub/fleet/overload/load_controller.py
@@ -24,7 +24,7 @@
 HOLD_MARGIN = 1 * SECOND  # time past the maximum age of a record for which the bounds of a need are still published
 NEED_WINDOW = 2 * SECOND  # smoothing time of the local need: a fluctuating need costs both lender and borrower
 USAGE_WINDOW = 1 * SECOND  # smoothing time of the usage, so that a short peak does not count as overload
-HEADROOM_SLOPE = 5  # how steeply the headroom factor depends on the idle fraction of the fleet's threads
+HEADROOM_SLOPE = 5  # slope of the headroom factor over the idle fraction of the fleet's threads
 MINIMUM_RETRY_RATE = 0.01  # retries per second; a lower wanted rate counts as none
 
 
@@ -56,7 +56,7 @@
         self.limit = 0.0  # limit for cells that are admitted entirely
         self.partial_cell_limit = 0.0  # limit for cells that are admitted in part
         self.shedding = False  # requests of at least one cell are shed
-        self.draining = False  # this gateway retains no more than its threads in use
+        self.draining = False  # set after SIGTERM: the need is the threads in use
         self._need = 0.0  # smoothed need of this gateway, as a fraction of the fleet's threads
         self._usage = 0.0  # smoothed usage: threads in use of the fleet over those configured
 
--- a/rackhub/fleet/overload/load_measurement.py
+++ b/rackhub/fleet/overload/load_measurement.py
@@ -100,7 +100,7 @@
         self.answer_count = 0
         self.baseline_count = 0
         self.estimate_count = 0
-        self.estimate_sum = 0  # in microseconds of one core
+        self.estimate_sum = 0  # sum of the estimates, in microseconds of one core
 
     def add_estimate(self, estimate: int) -> None:
         """Count the client's estimate for a request, in microseconds of one core."""
@@ -162,7 +162,7 @@
         self.full_fraction = 0.0
         self.recent_answers = 0.0  # number of recent answers, decayed
         self.capacity_factor = 1.0
-        self.calm = True  # no pressure: nothing is shed, and no more threads are in use than configured
+        self.calm = True  # set while nothing is shed and no more threads are in use than configured
 
     def _reset_counts(self) -> None:
         self.served = 0
--- a/rackhub/fleet/overload/shedding_threshold.py
+++ b/rackhub/fleet/overload/shedding_threshold.py
@@ -104,7 +104,7 @@
     admitted: Mapping[Key, float],
     capacity: float,
 ) -> dict[Key, float]:
-    """Admit the groups in order until `capacity` threads are used, and the same fraction of each cell of a group."""
+    """Admit the groups in order until `capacity` threads are used; the cells of a group get the same fraction."""
     result = dict(admitted)
     for keys in groups:
         left = sum(demand[key].threads * (1 - result[key]) for key in keys)
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -271,7 +271,7 @@
             detect()
         elif fault == "restart" and dead:
             victim = draw.choice(sorted(dead))
-            previous_runs.append(dead.pop(victim))  # its requests of before may still run
+            previous_runs.append(dead.pop(victim))  # requests of its former process may still run
             net.nodes[victim].restart()
             net.nodes[victim]._states.clear()
             gateways[victim] = ShareGateway(net, victim, count, lambda name=victim: needs[name], draw, **injected_bug)
@@ -462,7 +462,7 @@
         third.receive(at, ranking[0], 0, reports)
         third.update(at, names)
     assert third.targets == ("e",)  # the second has published no result for 1.5 s
-    assert not third.receive(4 * SECOND, ranking[4], 0, reports)  # not one of the members that check it
+    assert not third.receive(4 * SECOND, ranking[4], 0, reports)  # from a member that does not check the engine
 
 
 def uses_expired_result(lifetime=RESULT_LIFETIME):
@@ -523,7 +523,7 @@
     early = [gateway for at, gateway in attempts if at < first[0] + 300 * MS]
     assert early == [first[1]] and {gateway for _, gateway in attempts} == set(names)
     failing = recovery_attempts(names, listed_at, answering=False, until=4 * SECOND)
-    assert len(failing) <= 4  # one in each round, and a pause after it
+    assert len(failing) <= 4  # one attempt in each round, and a pause after each round
 
 
 def test_without_a_trial_the_engine_is_reserved_for_a_bounded_time():
