--- a/rackhub/fleet/distribution/service.py
+++ b/rackhub/fleet/distribution/service.py
@@ -6,17 +6,17 @@
 import msgspec
 
 from rackhub.fleet.distribution.coordinator import Coordinator
-from rackhub.fleet.distribution.decisions import EditRefused, InvalidEdit
+from rackhub.fleet.distribution.decisions import EditRejected, InvalidEdit
 from rackhub.fleet.distribution.editing import EditRequest
 from rackhub.fleet.distribution.editor import EditDone, EditFailed
-from rackhub.fleet.distribution.history import NotKept
+from rackhub.fleet.distribution.history import RevisionNotRetained
 from rackhub.fleet.distribution.queries import difference_answer, history_answer, show_answer, status_answer
 from rackhub.fleet.distribution.relay_shell import RelayShell
 from rackhub.fleet.distribution.voter import Voter
 from rackhub.fleet.distribution.waiting import wait_in_force
 from rackhub.fleet.ports import Answer, Control, Fleet
 from rackhub.fleet.roles import VOTER
-from rackhub.fleet.rules.requests import Request, read
+from rackhub.fleet.rules.requests import Request, parse_request
 from rackhub.fleet.settings import FleetSettings
 
 REFUSED, BAD_USAGE = 1, 2  # exit statuses of the command line
@@ -52,10 +52,10 @@
 def _answering(handler: Handler) -> Callable[[Mapping[str, Any], Answer], None]:
     def called(words: Mapping[str, Any], answer: Answer) -> None:
         try:
-            handler(read(words), answer)
+            handler(parse_request(words), answer)
         except InvalidEdit as bad:
             answer({"error": str(bad), "exit": BAD_USAGE})
-        except (EditRefused, NotKept) as refused:
+        except (EditRejected, RevisionNotRetained) as refused:
             answer({"error": str(refused), "exit": REFUSED})
         except (ValueError, msgspec.ValidationError) as bad:
             answer({"error": str(bad), "exit": BAD_USAGE})
@@ -98,9 +98,9 @@
             author=call.author,
             reason=call.reason,
             id=call.id,
-            on=on,
-            parts=call.changes,
-            to=call.target_version,
+            base_revision=on,
+            sections=call.changes,
+            target_revision=call.target_version,
         )
         began = self._fleet.clock.now()
 
--- a/rackhub/fleet/part.py
+++ b/rackhub/fleet/part.py
@@ -217,14 +217,14 @@
     def _close_disk(self) -> None:
         disk, self.disk = self.disk, None
         if disk is not None:
-            disk.end()
+            disk.close()
 
     def metrics(self) -> Mapping[str, float]:
-        values: dict[str, float] = dict(self.membership.figures()) | {name: float(n) for name, n in self.counts.items()}
+        values: dict[str, float] = dict(self.membership.metrics()) | {name: float(n) for name, n in self.counts.items()}
         if self.overload is not None:
             values |= self.overload.metrics()
         if self.rules is not None:
-            values |= self.rules.figures()
+            values |= self.rules.metrics()
         return values
 
     def summary_lines(self) -> Sequence[str]:
