--- a/rackhub/fleet/overload/quota.py
+++ b/rackhub/fleet/overload/quota.py
@@ -1,9 +1,10 @@
-"""The share of one gateway in a fleet-wide resource: its equal share, less what it offers, plus what others offer.
+"""The share of one gateway in a fleet-wide resource: its equal share, less its offer, plus its part of all offers.
 
-Gateways hold each other's records at different ages. Two rules keep the sum of all shares at one or below, see the
-proof in docs/design/overload.md. Each gateway publishes the minimum and maximum that it offered and wanted over the
-last `hold` microseconds, and each computes with the more cautious bound. A silent gateway counts as offering nothing
-and wanting everything.
+The offers of all gateways are divided in proportion to what each wants. As each gateway has the others' records at a
+different age, two rules keep the sum of all shares at one or below; the proof is in docs/design/overload.md. First,
+each gateway publishes the minimum and maximum of its offer and want over the last `hold` microseconds. Its own offer
+counts at the maximum and its own want at the minimum, the offers of others at their minimum and their wants at their
+maximum. Second, an unresponsive gateway counts as offering nothing and wanting everything.
 """
 
 import math
@@ -12,10 +13,11 @@
 
 from rackhub.fleet.overload.records import FRACTION_ONE, Loan
 
-HEADROOM = 1.25  # retained per unit of need, as a need grows before the others learn of it
+NEED_MARGIN = 1.25  # a gateway retains this multiple of its need, which may grow before the others learn of it
 RETAINED = 0.5  # fraction of the equal share that is never offered, so that first requests need not wait for gossip
-BASE = 0.25  # fraction of the equal share that each wants in any case, so that unused shares go to all
-STEP = 0.25  # relative change of the need that is published: a steady need costs nothing
+BASE_WANT = 0.25  # fraction of the equal share that each gateway always wants, so that unused shares go to all
+# Minimum change of the need that is published, relative to the need, or to the equal share if that is larger.
+MINIMUM_NEED_CHANGE = 0.25
 
 
 class SlidingRange:
@@ -23,7 +25,7 @@
 
     def __init__(self, hold: int, value: float = 0.0):
         self._hold, self.value = hold, value
-        self._former: deque[tuple[int, float]] = deque()  # until when each former value held
+        self._former: deque[tuple[int, float]] = deque()  # former values, each with the time of its end
 
     def set(self, now: int, value: float) -> None:
         """Set the value and drop former values older than `hold`."""
@@ -34,7 +36,7 @@
             self._former.popleft()
 
     def record_until_now(self, now: int, value: float) -> None:
-        """Count `value` as if it had held until now."""
+        """Count `value` as if it had been set until now."""
         self._former.append((now, value))
 
     def bounds(self) -> tuple[float, float]:
@@ -44,7 +46,11 @@
 
 
 class Quota:
-    """The share of one gateway in a resource divided by need: running threads, or retries."""
+    """The share of one gateway in a resource that is divided by need: running threads, or retries.
+
+    `hold` is the time in microseconds over which the published bounds reach back. `retained` is the fraction of the
+    equal share that is never offered.
+    """
 
     def __init__(self, hold: int, retained: float = RETAINED):
         self.offered = SlidingRange(hold)
@@ -53,30 +59,33 @@
         self._need = 0.0
         self._digest = 0
 
-    def update_need(self, now: int, need: float, equal_share: float, digest: int, lacking: bool = True) -> None:
-        """Update what this gateway would use, as a fraction of the whole.
+    def update_need(
+        self, now: int, need: float, equal_share: float, digest: int, others_want_more: bool = True
+    ) -> None:
+        """Update the need of this gateway, as a fraction of the whole resource.
 
-        `digest` identifies the counted participants. When it changes, nothing is offered until every gateway that may
-        still take by the previous record has lost it. Without `lacking` (another gateway needs more than its share)
-        nothing is offered, as a loan costs both sides a part of it.
+        `digest` identifies the counted participants. When it changes, the minimum offer is 0 until `hold` has passed,
+        as others may still compute with a loan for the previous participants. `others_want_more`: another gateway wants
+        more than its share. If none does, nothing is offered, as a part of each loan is lost: the lender deducts the
+        maximum of its offer, and the others receive the minimum.
         """
         if digest != self._digest:
             self._digest = digest
             self.offered.record_until_now(now, 0.0)
         need = min(max(need, 0.0), 1.0)
-        if abs(need - self._need) > STEP * max(self._need, equal_share):
+        if abs(need - self._need) > MINIMUM_NEED_CHANGE * max(self._need, equal_share):
             self._need = need
-        keep = max(self._need * HEADROOM, equal_share * self._retained)
-        self.offered.set(now, max(equal_share - keep, 0.0) if lacking else 0.0)
-        self.wanted.set(now, min(max(keep - equal_share, BASE * equal_share), 1.0))
+        keep = max(self._need * NEED_MARGIN, equal_share * self._retained)
+        self.offered.set(now, max(equal_share - keep, 0.0) if others_want_more else 0.0)
+        self.wanted.set(now, min(max(keep - equal_share, BASE_WANT * equal_share), 1.0))
 
     @staticmethod
     def wants_more(loan: Loan, equal_share: float) -> bool:
-        """Return whether the gateway that published `loan` wants more than each does in any case."""
-        return loan.maximum_wanted > 1.5 * BASE * equal_share * FRACTION_ONE
+        """Return whether the gateway that published `loan` wants more than one and a half times the base want."""
+        return loan.maximum_wanted > 1.5 * BASE_WANT * equal_share * FRACTION_ONE
 
     def loan(self) -> Loan:
-        """Return the record to publish, rounded to the more cautious bound."""
+        """Return the loan to publish: minima are rounded down, maxima up."""
         minimum_offered, maximum_offered = self.offered.bounds()
         minimum_wanted, maximum_wanted = self.wanted.bounds()
         return Loan(
@@ -87,14 +96,15 @@
         )
 
     def share(self, equal_share: float, peer_loans: Iterable[Loan | None]) -> float:
-        """Return the share of this gateway.
+        """Return the share of this gateway: what it retains, and its part of the pool of all offers.
 
-        `peer_loans` has the loan of each other counted member, None if it is silent or counts other participants.
+        `peer_loans` has the loan of each other participant: None if it has no recent load record, or if it counts
+        different participants than this gateway.
         """
-        own = self.loan()
-        keep = max(equal_share - own.maximum_offered / FRACTION_ONE, 0.0)
-        pool, wants = own.minimum_offered, own.minimum_wanted
+        local = self.loan()
+        keep = max(equal_share - local.maximum_offered / FRACTION_ONE, 0.0)
+        pool, wants = local.minimum_offered, local.minimum_wanted
         for other in peer_loans:
             pool += other.minimum_offered if other is not None else 0
             wants += other.maximum_wanted if other is not None else FRACTION_ONE
-        return keep + (pool / FRACTION_ONE) * own.minimum_wanted / wants if wants else keep
+        return keep + (pool / FRACTION_ONE) * local.minimum_wanted / wants if wants else keep
