--- a/rackhub/adapter.py
+++ b/rackhub/adapter.py
@@ -110,7 +110,7 @@
         interface.ClientDisconnected,
         (FieldSpec("RequestId", "query", parse_nonempty, required=True),),
     ),
-    "ELAPSED": EventSpec(interface.TimerFired, (FieldSpec("Ref", "ref", parse_int, required=True),)),
+    "ELAPSED": EventSpec(interface.TimerFired, (FieldSpec("Ref", "timer_id", parse_int, required=True),)),
     "SAMPLED": EventSpec(
         interface.HealthCheckCompleted,
         (
@@ -183,8 +183,8 @@
         case interface.Send(query, engine, timeout):
             suffix = f"\tTimeout={timeout}" if timeout else ""
             return f"TRY{prefix}\tRequestId={query}{suffix}\tNode={engine}"
-        case interface.Timer(delay, ref):
-            return f"WAKE_ME{prefix}\tFromNow={delay}\tRef={ref}"
+        case interface.Timer(delay, timer_id):
+            return f"WAKE_ME{prefix}\tFromNow={delay}\tRef={timer_id}"
         case interface.Reject(query, retry_after):
             suffix = f"\tRetryAfter={retry_after}" if retry_after else ""
             return f"SHED{prefix}\tRequestId={query}{suffix}"
@@ -198,8 +198,8 @@
             return f"SOUND_OUT{prefix}\tNode={engine}"
         case interface.SendGossip(peer, contents):
             return f"ANNOUNCE{prefix}\tWhom={peer}\tContents={contents.hex() or '-'}"
-        case interface.WatchEndpoints(on):
-            return f"LISTEN{prefix}\tOn={int(on)}"
+        case interface.WatchEndpoints(enabled):
+            return f"LISTEN{prefix}\tOn={int(enabled)}"
         case interface.PollEndpoints():
             return f"RESOLVE{prefix}"
         case interface.CloseIdleConnections(engine):
--- a/rackhub/core/coordinator.py
+++ b/rackhub/core/coordinator.py
@@ -66,7 +66,7 @@
 
     def is_near_deadline(self, query: Query) -> bool:
         """Whether an answer given now is given for want of time."""
-        return self.clock.now() >= query.deadline - ANSWER_PERIODS * self.settings.period
+        return self.clock.now() >= query.deadline - ANSWER_PERIODS * self.settings.clock_period
 
     def submit(self, query: Query) -> None:
         """Admit a request, which is then owed exactly one answer, or reject it at once."""
--- a/rackhub/core/decision_driver.py
+++ b/rackhub/core/decision_driver.py
@@ -68,7 +68,7 @@
         self.dispatch(interface.TimerFired(reference))
 
     def _start_timer(self, action: interface.Timer) -> None:
-        self._state.timers.at(self._state.clock.now() + action.delay, self.timer_fired, action.ref)
+        self._state.timers.at(self._state.clock.now() + action.delay, self.timer_fired, action.timer_id)
 
     def _close_idle_connections(self, action: interface.CloseIdleConnections) -> None:
         self._state.engine_port.close_idle(action.engine)
--- a/rackhub/interface.py
+++ b/rackhub/interface.py
@@ -91,11 +91,11 @@
 _MINIMUM_VALUES = (
     ("gateways", "gateways", 1),
     ("max_attempts", "max_attempts", 1),
-    ("period", "period", 1),
+    ("clock_period", "period", 1),
     ("slow_start_budget_window", "fall", 0),
     ("instance_index", "me", 0),
     ("slow_start_duration", "ramp_time", 0),
-    ("turn_gap", "turn_gap", 0),
+    ("serial_key_delay", "turn_gap", 0),
     ("drain_grace", "drain_grace", 0),
     ("retry_budget_window", "counted_over", 0),
     ("slow_start_initial_capacity", "cold_from", 0),
@@ -109,9 +109,9 @@
 class Settings:
     """The settings of one gateway, an instance of the coordinator. What is not configured keeps its default.
 
-    `period`: the longest time between two calls of the decisions. `kind_cores`, `kind_memory` (MB): of an engine, by
-    kind. `turn_gap`: how long a key rests after an attempt that may still be executed. `drain_grace`: how long after
-    its notification a draining engine may still receive queries.
+    `clock_period`: the longest time between two calls of the decisions. `kind_cores`, `kind_memory` (MB): of an engine,
+    by kind. `serial_key_delay`: how long a key rests after an attempt that may still be executed. `drain_grace`: how
+    long after its notification a draining engine may still receive queries.
     """
 
     classes: tuple[ClassSettings, ...] = ()
@@ -120,7 +120,7 @@
     instance_index: int = 0
     zone: str = ""
     discovery: str = "push"
-    period: int = 1_000
+    clock_period: int = 1_000
     kind_cores: dict[str, float] = field(default_factory=dict)
     kind_memory: dict[str, float] = field(default_factory=dict)
     grants: bool = False
@@ -140,7 +140,7 @@
     slow_start_duration: int = 0
     slow_start_budget_multiple: float = 1.0
     slow_start_budget_window: int = 0
-    turn_gap: int = 0
+    serial_key_delay: int = 0
     drain_grace: int = 0
 
     def __post_init__(self) -> None:
@@ -285,7 +285,7 @@
 class TimerFired:
     """A timer that `Timer` asked for has expired."""
 
-    ref: int
+    timer_id: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -374,10 +374,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """Ask for `TimerFired(ref)` after `delay` microseconds."""
+    """Ask for `TimerFired(timer_id)` after `delay` microseconds."""
 
     delay: int
-    ref: int
+    timer_id: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -399,7 +399,7 @@
 class WatchEndpoints:
     """Watch the endpoint list for changes."""
 
-    on: bool = True
+    enabled: bool = True
 
 
 @dataclass(slots=True, frozen=True)
--- a/rackhub/policy/context.py
+++ b/rackhub/policy/context.py
@@ -50,7 +50,7 @@
         slow_start_share = allocation.slow_start_share
         self.allocation = allocation
         self.gateway_count = gateways if thread_share is None else 1 / max(thread_share, MIN_SHARE)
-        self.slow_start_divisor = gateways if slow_start_share is None else 1 / max(slow_start_share, MIN_SHARE)
+        self.slow_start_gateway_count = gateways if slow_start_share is None else 1 / max(slow_start_share, MIN_SHARE)
 
     def schedule(self, delay: float, callback: Callable[..., Any], *arguments: Any) -> int:
         """Call back after `delay` microseconds; returns the timer's id."""
--- a/rackhub/policy/key_queues.py
+++ b/rackhub/policy/key_queues.py
@@ -24,7 +24,7 @@
 
     def block(self, key: int | None) -> None:
         """Keep the next query of a key back, as an attempt before it may still be running."""
-        self.blocked_until[key] = self.context.now + self.context.settings.turn_gap
+        self.blocked_until[key] = self.context.now + self.context.settings.serial_key_delay
 
     def advance(self, key: int | None) -> None:
         """Drop closed queries with nothing in flight from the front, and send the next one."""
--- a/rackhub/policy/outliers.py
+++ b/rackhub/policy/outliers.py
@@ -19,14 +19,14 @@
     def __init__(self, context: RouterContext) -> None:
         self.context = context
 
-    def record_failure(self, engine: EngineState, certain: bool = False) -> None:
+    def record_failure(self, engine: EngineState, confirmed_down: bool = False) -> None:
         """Count a failure; eject the engine if it is certain to be down or stands out from the fleet."""
         now = self.context.now
         engine.failure_rate.add(now, 1)
         rates = sorted(other.failure_rate.value for other in self.context.engines.values() if other.ready) or [0]
         median = rates[len(rates) // 2]
         stands_out = engine.failure_rate.value >= max(MIN_FAILURE_RATE, FAILURE_RATE_RATIO * median)
-        if (certain or stands_out) and now >= engine.ejected_until:
+        if (confirmed_down or stands_out) and now >= engine.ejected_until:
             backoff = max(engine.ejection_time * EJECTION_BACKOFF, MIN_EJECTION_TIME)
             engine.ejection_time = min(backoff, MAX_EJECTION_TIME)
             jitter = self.context.random.uniform(*EJECTION_JITTER)
@@ -41,7 +41,7 @@
     def record_connect_failure(self, engine: EngineState) -> None:
         """Count a refused connection: the second with no response between is certain."""
         engine.consecutive_failures += 1
-        self.record_failure(engine, certain=engine.consecutive_failures > 1)
+        self.record_failure(engine, confirmed_down=engine.consecutive_failures > 1)
 
     def record_reset(self, engine: EngineState) -> None:
         """Count a reset. One broken connection ends all attempts that share it, and does not make a failure."""
@@ -49,4 +49,4 @@
         engine.last_reset_at = self.context.now
         engine.consecutive_failures += separate
         if engine.consecutive_failures > 1:
-            self.record_failure(engine, certain=True)
+            self.record_failure(engine, confirmed_down=True)
--- a/rackhub/policy/retries.py
+++ b/rackhub/policy/retries.py
@@ -49,7 +49,7 @@
         """Whether a retry fits in this fraction of the budget; the rest is kept for retries that repeat no work."""
         now = self.context.now
         settings = self.context.settings
-        margin = CLOCK_MARGIN_PERIODS * settings.period
+        margin = CLOCK_MARGIN_PERIODS * settings.clock_period
         drop_until(self.received_at, now - settings.retry_budget_window + margin)
         drop_until(self.retried_at, now - settings.retry_budget_window - margin)
         if self.tokens is not None:
--- a/rackhub/policy/router.py
+++ b/rackhub/policy/router.py
@@ -76,7 +76,7 @@
     def handle(self, now: int, event: object) -> list[Action]:
         """The actions that one event leads to."""
         context = self.context
-        if now > self._next_update_at + STALL_PERIODS * context.settings.period:
+        if now > self._next_update_at + STALL_PERIODS * context.settings.clock_period:
             context.stalled_at = now
         context.now = now
         context.actions = []
@@ -98,7 +98,7 @@
         self.context.schedule(TICK_INTERVAL, self._update)
 
     def _on_timer(self, event: t.TimerFired) -> None:
-        self.context.fire_timer(event.ref)
+        self.context.fire_timer(event.timer_id)
 
     def _on_allocation(self, event: t.FleetAllocation) -> None:
         self.context.set_allocation(event)
@@ -109,7 +109,7 @@
         context = self.context
         query = self._add_query(event)
         time_left = event.deadline - context.now
-        margin = DEADLINE_MARGIN_PERIODS * context.settings.period
+        margin = DEADLINE_MARGIN_PERIODS * context.settings.clock_period
         query.deadline_timer = context.schedule(time_left - margin, self.lifecycle.finish, query, 0, "deadline")
         backoff: float | None
         if time_left > self._minimum_time(query):
@@ -172,7 +172,11 @@
                 execution for execution in query.possibly_executed if execution.attempt != attempt.number
             ]
         self.outcomes.record(attempt, event)
-        if statistics.settings.serial_by_key and outcome in MAY_STILL_RUN_OUTCOMES and context.settings.turn_gap:
+        if (
+            statistics.settings.serial_by_key
+            and outcome in MAY_STILL_RUN_OUTCOMES
+            and context.settings.serial_key_delay
+        ):
             self.lifecycle.key_queues.block(query.event.key)
         if event.settled or query.closed:
             self.lifecycle.close(query)
--- a/rackhub/policy/slow_start.py
+++ b/rackhub/policy/slow_start.py
@@ -43,7 +43,7 @@
         """Add the credit of the time since the last draw."""
         settings = self.context.settings
         now = self.context.now
-        users = self.context.slow_start_divisor * min(UNEVEN_SUBSETS * self.subset_fraction, 1)
+        users = self.context.slow_start_gateway_count * min(UNEVEN_SUBSETS * self.subset_fraction, 1)
         for engine in warming:
             rate = BUDGET_FRACTION * settings.slow_start_budget_multiple * self.capacity(engine) * engine.cores / users
             since = max(engine.credited_at, engine.started_at)
--- a/rackhub/settings.py
+++ b/rackhub/settings.py
@@ -56,7 +56,7 @@
     "Me": ("instance_index", parse_int),
     "Zone": ("zone", str),
     "Discovery": ("discovery", str),
-    "Period": ("period", parse_int),
+    "Period": ("clock_period", parse_int),
     "FamilyInfo.Grants": ("grants", parse_bool),
     "FamilyInfo.RanksHeeded": ("priorities", parse_bool),
     "FamilyInfo.NotePeriod": ("progress_report_interval", parse_int),
@@ -74,7 +74,7 @@
     "Obligations.RampTime": ("slow_start_duration", parse_int),
     "Obligations.FallMultiple": ("slow_start_budget_multiple", parse_float),
     "Obligations.Fall": ("slow_start_budget_window", parse_int),
-    "Obligations.TurnGap": ("turn_gap", parse_int),
+    "Obligations.TurnGap": ("serial_key_delay", parse_int),
     "Obligations.StopSendingWithin": ("drain_grace", parse_int),
 }
 CLASS_FIELDS: FieldTable = {
--- a/rackhub/timings/rig.py
+++ b/rackhub/timings/rig.py
@@ -159,7 +159,7 @@
             classes=(scene.cls,),
             tenants=(interface.TenantSettings("acme"),),
             kind_cores=kinds,
-            period=5 * MS,
+            clock_period=5 * MS,
             cancel=True,
             max_attempts=3,
             max_retry_after=500 * MS,
--- a/rackhub/trials/virtual/cold.py
+++ b/rackhub/trials/virtual/cold.py
@@ -136,7 +136,7 @@
             tenants=(t.TenantSettings("one"),),
             gateways=gateways,
             kind_cores={str(cores): float(cores) for cores in site.kinds},
-            period=5 * MS,
+            clock_period=5 * MS,
             priorities=True,
             progress_report_interval=SECOND,
             cancel=True,
--- a/rackhub/trials/virtual/cost.py
+++ b/rackhub/trials/virtual/cost.py
@@ -73,7 +73,7 @@
             tenants=(t.TenantSettings("one"), t.TenantSettings("two")),
             gateways=max(engines * 2 // 3, 1),
             kind_cores={"std": 8.0},
-            period=5 * MS,
+            clock_period=5 * MS,
             priorities=True,
             progress_report_interval=SECOND,
             cancel=True,
--- a/rackhub/trials/virtual/rig.py
+++ b/rackhub/trials/virtual/rig.py
@@ -390,7 +390,7 @@
             tenants=(t.TenantSettings("one"),),
             gateways=scene.coordinators,
             kind_cores={"std": scene.cores},
-            period=5 * MS,
+            clock_period=5 * MS,
             priorities=True,
             progress_report_interval=SECOND,
             cancel=True,
--- a/tests/golden_decisions.py
+++ b/tests/golden_decisions.py
@@ -102,7 +102,7 @@
 COMMON = {
     "kind_cores": {"std": 4.0, "big": 8.0},
     "kind_memory": {"std": 4_000.0, "big": 9_000.0},
-    "period": 5 * MS,
+    "clock_period": 5 * MS,
     "max_attempts": 3,
     "max_retry_after": 2 * S,
     "slow_start_initial_capacity": 0.2,
@@ -125,7 +125,7 @@
             "load_report_source": "answers",
             "retry_budget_ratio": 0.2,
             "retry_budget_minimum": 10.0,
-            "turn_gap": 200 * MS,
+            "serial_key_delay": 200 * MS,
         }
     ),
     "probes": Scenario(
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -41,7 +41,7 @@
 
     def alone(self, event):
         plain(self, event)
-        self.slow_start_divisor = 1
+        self.slow_start_gateway_count = 1
 
     patch.setattr(RouterContext, "set_allocation", alone)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -35,7 +35,7 @@
 
     def do(self, event):
         acts = self.control.handle(self.now, event)
-        self.timers += [(self.now + a.delay, a.ref) for a in acts if isinstance(a, t.Timer)]
+        self.timers += [(self.now + a.delay, a.timer_id) for a in acts if isinstance(a, t.Timer)]
         return [a for a in acts if not isinstance(a, t.Timer)]
 
     def wait(self, span):
@@ -332,7 +332,7 @@
 
 
 def test_a_key_rests_after_an_attempt_that_may_still_run():
-    gateway = Gateway(classes=(SERIAL,), turn_gap=S, max_attempts=1)
+    gateway = Gateway(classes=(SERIAL,), serial_key_delay=S, max_attempts=1)
     first = only(gateway.ask("job", within=9 * S, key=7), t.Send)
     gateway.ask("job", within=9 * S, key=7)
     assert not of(gateway.end(first, "RST"), t.Send)
@@ -1533,13 +1533,14 @@
 
 def test_without_the_fleet_s_word_it_gets_along_as_before_and_a_word_holds_until_the_next():
     gateway = Gateway(engines=2, gateways=4)
-    assert gateway.control.context.gateway_count == gateway.control.context.slow_start_divisor == 4
+    assert gateway.control.context.gateway_count == gateway.control.context.slow_start_gateway_count == 4
     gateway.do(t.FleetAllocation(thread_share=0.5, slow_start_share=0.1))
-    assert gateway.control.context.gateway_count == 2 and gateway.control.context.slow_start_divisor == pytest.approx(
-        10
+    assert (
+        gateway.control.context.gateway_count == 2
+        and gateway.control.context.slow_start_gateway_count == pytest.approx(10)
     )
     gateway.do(t.FleetAllocation())
-    assert gateway.control.context.gateway_count == gateway.control.context.slow_start_divisor == 4
+    assert gateway.control.context.gateway_count == gateway.control.context.slow_start_gateway_count == 4
 
 
 def test_what_stands_below_the_level_is_refused_and_stays_away_as_told():
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -53,7 +53,7 @@
     classes=CLASSES,
     tenants=(t.TenantSettings("acme"),),
     kind_cores={"std": 8.0},
-    period=5 * MS,
+    clock_period=5 * MS,
     priorities=True,
     cancel=True,
     max_attempts=3,
@@ -170,7 +170,7 @@
         return [t.Cancel(event.query, number) for number in out] if self.random.random() < 0.5 else []
 
     def TimerFired(self, now, event):  # noqa: N802
-        call, id = self.timers.pop(event.ref)
+        call, id = self.timers.pop(event.timer_id)
         return call(id) if id in self.open else []
 
     def later(self, delay, call, id):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -95,10 +95,10 @@
 GUARDS = {
     "list calls in a second": lambda p: p.setattr(PollSchedule, "poll_sent", lambda asking: 60 * MS),
     "dials that dead engines refuse": lambda p: p.setattr(
-        OutlierDetector, "record_failure", lambda outliers, engine, certain=False: None
+        OutlierDetector, "record_failure", lambda outliers, engine, confirmed_down=False: None
     ),
     "further attempts at the loss": lambda p: p.setattr(
-        OutlierDetector, "record_failure", lambda outliers, engine, certain=False: None
+        OutlierDetector, "record_failure", lambda outliers, engine, confirmed_down=False: None
     ),
     "work sent to a cold engine": lambda p: p.setattr(
         SlowStart, "draw", lambda slow_start, query, warming: slow_start.context.random.choice(warming)
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -34,7 +34,7 @@
     ),
     tenants=(t.TenantSettings("acme"),),
     kind_cores={"std": 8.0},
-    period=5 * MS,
+    clock_period=5 * MS,
     gossip=True,
     cancel=True,
     max_attempts=2,
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -296,7 +296,7 @@
         classes=CLASSES,
         tenants=(t.TenantSettings("acme"),),
         kind_cores={"std": 8.0},
-        period=5 * MS,
+        clock_period=5 * MS,
         priorities=True,
         progress_report_interval=S,
         cancel=True,
--- a/tests/test_unread_clients.py
+++ b/tests/test_unread_clients.py
@@ -68,7 +68,7 @@
         AttemptCompleted=lambda event: retry_once(
             event, [t.Timer(5 * MS, RETRY_TIMER)] if next_attempt == "after a backoff" else retry
         ),
-        TimerFired=lambda event: retry if event.ref == RETRY_TIMER else [],
+        TimerFired=lambda event: retry if event.timer_id == RETRY_TIMER else [],
     )
     client.ask(1)
     spin(lambda: site.core.queries if next_attempt == "first" else wants(site))
@@ -247,7 +247,7 @@
         return [t.Timer(delay, int(event.query, 16))] if delay else self.send(event)
 
     def timer_fired(self, event):
-        return [t.Send(f"{event.ref:016x}", self.random.choice(["e0", "e1"]))]
+        return [t.Send(f"{event.timer_id:016x}", self.random.choice(["e0", "e1"]))]
 
     def engine(self, connection, word, id, *rest):
         if word == b"turn":
