--- a/rackhub/net/resolver.py
+++ b/rackhub/net/resolver.py
@@ -16,7 +16,7 @@
 from rackhub.core.source import Address, EndpointPollObserver, EndpointSnapshot
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.dns_protocol import InvalidAnswerError, parse_answer, question
+from rackhub.net.dns_protocol import InvalidAnswerError, encode_query, parse_answer
 from rackhub.net.poll_schedule import PollSchedule
 
 log = logs.logger(__name__)
@@ -116,13 +116,13 @@
         if needs_new_socket:
             self._renew()
         number = self._random.randrange(DNS_IDS)
-        while len(self._pending) >= self._limits.polls_open:
+        while len(self._pending) >= self._limits.max_pending_polls:
             del self._pending[next(iter(self._pending))]
         lease_time = self._lease.endpoint_poll_started() if self._lease is not None else 0
         self._pending[number] = PendingPoll(self._reactor.seconds(), lease_time)
         self._counters.add("dns_sent")
         try:
-            self.transport.write(question(number), self._server)
+            self.transport.write(encode_query(number), self._server)
         except OSError as fault:  # the next one may get through
             log.warning("resolver_unreachable", reason=str(fault))
         log.debug("poll_sent", number=number)
@@ -132,7 +132,7 @@
         number = int.from_bytes(packet[:2], "big")
         self._counters.add("dns_in")
         log.debug("poll_answered", number=number, size=len(packet))
-        valid_size = DNS_HEADER_SIZE <= len(packet) <= self._limits.packet
+        valid_size = DNS_HEADER_SIZE <= len(packet) <= self._limits.max_dns_response_bytes
         if addr != self._server or not valid_size or number not in self._pending:
             self._counters.add("dns_bad")
             log.debug("answer_rejected", sender=addr, size=len(packet), reason="not one of the open questions")
--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -10,13 +10,13 @@
 from rackhub import logs
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Attempt, AttemptState
-from rackhub.core.timers import ALWAYS_DEFER, Clock
+from rackhub.core.timers import DEFER_UNCONDITIONALLY, Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.outgoing import Outgoing
+from rackhub.net.outgoing import SocketWriter
 from rackhub.net.pool import EngineDialer, EnginePool, EnginePools
 from rackhub.net.resp_answers import AnswerReader, ByteRange
-from rackhub.net.resp_protocol import InvalidFrameError, command
+from rackhub.net.resp_protocol import InvalidFrameError, encode_command
 
 log = logs.logger(__name__)
 
@@ -46,7 +46,7 @@
         return not (
             self.closed
             or self.unresponsive
-            or len(self.open) >= self.limits.engine_open
+            or len(self.open) >= self.limits.max_attempts_per_connection
             or self.is_blocked()
             or id in self.open
             or id in self.failed_ids
@@ -65,7 +65,7 @@
 
     def is_blocked(self) -> bool:
         """Whether the engine does not read what was sent to it."""
-        late = self._queued_since() < self.clock.now() - self.limits.late_iteration
+        late = self._queued_since() < self.clock.now() - self.limits.late_iteration_delay
         return self.up and (late or not self._out.has_sent(self._last_sent_end))
 
     def _queued_since(self) -> int:
@@ -82,7 +82,7 @@
             if not self._out.has_sent(sent_range.end):  # its rest would be sent some time, and start what is cancelled
                 self._abort("a request given up that has left in part")
                 return
-            self._out.write(command(b"shut" if id in self.partial_results else b"never_mind", id))
+            self._out.write(encode_command(b"shut" if id in self.partial_results else b"never_mind", id))
             self._attempt_failed(id)
             self._check_responsive(attempt)
         self.partial_results.pop(id, None)
@@ -96,7 +96,7 @@
         """
         waited = self.clock.now() - cancelled.sent_at
         nothing_received = self.last_received <= cancelled.sent_at
-        if nothing_received and waited >= self.limits.silence_timeout and not self.unresponsive:
+        if nothing_received and waited >= self.limits.unresponsive_timeout and not self.unresponsive:
             self.unresponsive = True
             self.counters.add("silent_connections")
 
@@ -104,7 +104,7 @@
         """Notify the engine of an attempt's new priority, if it is sent and has no result yet."""
         id = attempt.query.id.encode()
         if self.up and not self.closed and id in self._sent_ranges and id not in self.partial_results:
-            self._out.write(command(b"promote", id, b"%d" % attempt.query.priority))
+            self._out.write(encode_command(b"promote", id, b"%d" % attempt.query.priority))
 
     def close_if_idle(self) -> None:
         """Close the connection if no attempt is open on it."""
@@ -199,8 +199,8 @@
 
     def _writable(self) -> None:
         """Send what is queued; after a late event-loop iteration only after reading, as a client may have left."""
-        if self.clock.now() - self._queued_since() > self.limits.late_iteration:
-            self.core.timers.call_after_reads(self.limits.late_iteration, self._send_queued)
+        if self.clock.now() - self._queued_since() > self.limits.late_iteration_delay:
+            self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._send_queued)
         else:
             self._send_queued()
 
@@ -215,12 +215,12 @@
                 continue
             if why := attempt.send_blocked_by(self.clock.now(), self.core.lease):
                 self._return_blocked(id, attempt, why)
-            elif attempt.query.reply.stale:
+            elif attempt.query.reply.may_have_unread_input:
                 unread = True
             elif not self._send(id, attempt):
                 break
         if unread:
-            self.core.timers.call_after_reads(ALWAYS_DEFER, self._request_write)
+            self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._request_write)
         else:
             self._request_write()
 
@@ -242,7 +242,7 @@
         if query.idempotency_key:
             fields += b",replay=" + query.idempotency_key.encode()
         begin = self._out.bytes_written
-        if not self._out.send(b"".join(command(b"want", id, fields, query.statement))):
+        if not self._out.send(b"".join(encode_command(b"want", id, fields, query.statement))):
             return False
         del self._queued[id]
         attempt.state = AttemptState.IN_FLIGHT
@@ -266,11 +266,11 @@
         self.last_received = self.clock.now()
         log.debug("engine_connected", engine=self.pool.name, waiting=len(self.open))
         self.transport.setTcpNoDelay(True)
-        self._out = Outgoing(self.transport, self._writable)
+        self._out = SocketWriter(self.transport, self._writable)
         for id, attempt in list(self.open.items()):
             if why := attempt.send_blocked_by(self.last_received, self.core.lease):  # it waited too long for this
                 self._return_blocked(id, attempt, why)
-        self.core.timers.call_after_reads(self.limits.late_iteration, self._opened)
+        self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._opened)
 
     def _opened(self) -> None:
         if self.closed:  # lost meanwhile, or what came on it was no answer
@@ -303,4 +303,6 @@
         """Return a connection that is not up yet."""
         return EngineConnection(pool, clock, limits, counters, core)
 
-    return EnginePools(EngineDialer(reactor, make, limits), clock, limits, counters, core, limits.engine_connections)
+    return EnginePools(
+        EngineDialer(reactor, make, limits), clock, limits, counters, core, limits.max_connections_per_engine
+    )
--- a/rackhub/net/resp_answers.py
+++ b/rackhub/net/resp_answers.py
@@ -13,12 +13,12 @@
 from rackhub.core.timers import Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.outgoing import Outgoing
+from rackhub.net.outgoing import SocketWriter
 from rackhub.net.pool import EnginePool
 from rackhub.net.resp_protocol import (
     PROGRESS_TOPICS,
     InvalidFrameError,
-    command,
+    encode_command,
     is_valid_page,
     parse_fields,
     parse_load_report,
@@ -54,7 +54,7 @@
 class AnswerReader(RespReader):
     """Handles the answers to the attempts that are open on a connection."""
 
-    _out: Outgoing  # from the time on that the connection is established
+    _out: SocketWriter  # from the time on that the connection is established
 
     def __init__(self, pool: EnginePool, clock: Clock, limits: Limits, counters: Counters, core: Coordinator):
         super().__init__(clock, limits)
@@ -152,19 +152,19 @@
         count = int(parse_number(fields, b"chunks", int))  # which every engine sends
         if count < 1:
             raise InvalidFrameError(f"a result of {count} pages")
-        if not is_valid_page(body, self.limits.page):
+        if not is_valid_page(body, self.limits.max_page_bytes):
             self._corrupt(id, attempt)
         report = parse_load_report(fields)
         if count == 1:
             self._complete(id, attempt, "GOOD", report, (body,))
             return
-        self.partial_results[id] = PartialResult(body, min(count, self.limits.pages), report)
-        if count > self.limits.pages:
+        self.partial_results[id] = PartialResult(body, min(count, self.limits.max_result_pages), report)
+        if count > self.limits.max_result_pages:
             self._too_large(attempt)
             return
         pieces = []
         for page in range(1, count):
-            pieces += command(b"turn", id, b"%d" % page)
+            pieces += encode_command(b"turn", id, b"%d" % page)
         self._out.write(pieces)
 
     def _page(self, id: bytes, attempt: Attempt, fields: dict[bytes, bytes], body: bytes) -> None:
@@ -174,13 +174,13 @@
         if partial is None or not 0 < number < len(partial.pages) or partial.pages[number] is not None:
             self.counters.add("engine_extras")  # a duplicate, or a page that was not fetched
             return
-        if not is_valid_page(body, self.limits.page):
+        if not is_valid_page(body, self.limits.max_page_bytes):
             self._corrupt(id, attempt)
         self.counters.add("pages_in")
         partial.pages[number] = body
         partial.missing -= 1
         partial.size += len(body)
-        if partial.size > self.limits.result:
+        if partial.size > self.limits.max_result_size:
             self._too_large(attempt)
         elif not partial.missing:
             self._complete(id, attempt, "GOOD", partial.report, cast("tuple[bytes, ...]", tuple(partial.pages)))
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -21,10 +21,10 @@
 
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Attempt, AttemptState, Query
-from rackhub.core.timers import ALWAYS_DEFER, Clock
+from rackhub.core.timers import DEFER_UNCONDITIONALLY, Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
-from rackhub.net.outgoing import Outgoing
+from rackhub.net.outgoing import SocketWriter
 from rackhub.net.pool import EngineDialer, EnginePool, EnginePools
 from rackhub.net.resp_protocol import parse_load_report
 from rackhub.net.tds import codec
@@ -62,7 +62,7 @@
 class TdsEngineConnection(TdsStream):
     """One connection to an engine; up to READY an unsent attempt may wait in `_attempt`."""
 
-    _out: Outgoing  # from `made` on
+    _out: SocketWriter  # from `made` on
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self._waiting_since = 0  # for a writable socket
         self._retired_at = 0
         self._attempt: Attempt | None = None
-        self._packets = codec.Assembler(limits.tds_message)
+        self._packets = codec.MessageAssembler(limits.max_tds_message_bytes)
         self._start_answer()
 
     def _mark_closed(self) -> None:
@@ -96,7 +96,7 @@
         self.closed = True
 
     def _start_answer(self) -> None:
-        self._tokens = codec.TokenReader(self.limits.tds_token)
+        self._tokens = codec.TokenReader(self.limits.max_tds_token_bytes)
         self._rows: list[str] = []
         self._result_characters = 0
         self._error = 0  # the number of the first ERROR
@@ -132,9 +132,9 @@
             self._drop()
             return
         self.state = State.CANCELLING
-        self.write(codec.message(codec.ATTENTION, b""))
+        self.write(codec.encode_message(codec.ATTENTION, b""))
         # without an acknowledgement the host is unreachable, and the connection only holds a descriptor
-        self.core.timers.at(self.clock.now() + self.limits.silence_timeout, self._check_acknowledged)
+        self.core.timers.call_at(self.clock.now() + self.limits.unresponsive_timeout, self._check_acknowledged)
 
     def _check_acknowledged(self) -> None:
         if self.state == State.CANCELLING:
@@ -203,8 +203,8 @@
     def made(self) -> None:
         """Start the login."""
         self.state = State.PRELOGIN
-        self._out = Outgoing(self.transport, self._writable)
-        self.write(codec.message(codec.PRELOGIN, codec.prelogin()))
+        self._out = SocketWriter(self.transport, self._writable)
+        self.write(codec.encode_message(codec.PRELOGIN, codec.encode_prelogin()))
 
     def write(self, pieces: Iterable[bytes]) -> None:
         """Send byte strings in order, now or behind what the transport buffers."""
@@ -236,9 +236,9 @@
 
     def _writable(self) -> None:
         """The socket is writable. After a long event-loop iteration a cancel may be unread: read before sending."""
-        late = self.clock.now() - self._waiting_since > self.limits.late_iteration
+        late = self.clock.now() - self._waiting_since > self.limits.late_iteration_delay
         if late:
-            self.core.timers.call_after_reads(self.limits.late_iteration, self._call)
+            self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._call)
         else:
             self._call()
 
@@ -250,16 +250,16 @@
         if reason := attempt.send_blocked_by(now, self.core.lease):
             self._end(reason)
             return
-        if attempt.query.reply.stale:  # the client's disconnect may be among what is still to be read
-            self.core.timers.call_after_reads(ALWAYS_DEFER, self._call)
+        if attempt.query.reply.may_have_unread_input:  # the client's disconnect may be among what is still to be read
+            self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._call)
             return
         try:
-            body = codec.rpc(PROCEDURE, self._arguments(attempt.query, now))
+            body = codec.encode_rpc(PROCEDURE, self._arguments(attempt.query, now))
         except UnicodeEncodeError:  # a statement that is not UTF-8 can't be sent as nvarchar
             self._end("BAD")
             return
         self._call_start = self._out.bytes_written
-        if not self._out.send(b"".join(codec.message(codec.RPC, body))):
+        if not self._out.send(b"".join(codec.encode_message(codec.RPC, body))):
             self._out.request_write()
             return
         self._call_end = self._out.bytes_written
@@ -283,13 +283,13 @@
 
     def taken(self, data: bytes) -> None:
         """Process received packets; raises `TdsProtocolError`."""
-        for kind, status, body in self._packets.packets(data):
+        for kind, status, body in self._packets.feed_packets(data):
             if self.state == State.CLOSED:
                 return
             if kind != codec.REPLY:
                 raise codec.TdsProtocolError(f"an answer of type {kind}")
             if self.state == State.PRELOGIN:
-                self._logon(codec.prelogin_options(body))
+                self._logon(codec.parse_prelogin(body))
             elif self.state in RESPONSE_STATES:
                 self._answer(body, bool(status & codec.EOM))
             else:
@@ -300,9 +300,9 @@
             raise codec.TdsProtocolError("the engine insists on encryption")
         self.state = State.LOGIN
         self.write(
-            codec.message(
+            codec.encode_message(
                 codec.LOGIN7,
-                codec.login7(
+                codec.encode_login7(
                     self.settings.user, self.settings.password, self.settings.database, codec.DEFAULT_PACKET_BYTES
                 ),
             )
@@ -365,7 +365,7 @@
         text = "\t".join(values) + "\n"
         self._result_characters += len(text)
         valid = len(values) == RESULT_COLUMNS and text.count("\t") == RESULT_COLUMNS - 1 and text.count("\n") == 1
-        if attempt is not None and (not valid or self._result_characters > self.limits.result):
+        if attempt is not None and (not valid or self._result_characters > self.limits.max_result_size):
             # executed, but the result is malformed or too large to be passed on complete
             self.give_up(attempt)
             self.core.complete_attempt(attempt, "BAD")
@@ -400,5 +400,5 @@
         return TdsEngineConnection(pool, settings, clock, limits, counters, core)
 
     return EnginePools(
-        EngineDialer(reactor, connect, limits), clock, limits, counters, core, limits.tds_engine_connections
+        EngineDialer(reactor, connect, limits), clock, limits, counters, core, limits.max_tds_connections_per_engine
     )
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -14,12 +14,12 @@
 from types import SimpleNamespace
 
 import pytest
+from harness import LIMITS, MS, FakeClock, S
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
-from model_reach import reaching
-from stands import LIMITS, MS, FakeClock, S
-from test_wire_models import Transport
+from model_coverage import coverage_test
+from test_wire_models import MemoryTransport
 
 from rackhub import interface as t
 from rackhub.core import coordinator
@@ -33,7 +33,7 @@
 from rackhub.net.jsonrpc import jsonrpc_front
 from rackhub.net.pool import EnginePool, EnginePools
 from rackhub.net.resp import EngineConnection
-from rackhub.net.resp_protocol import command
+from rackhub.net.resp_protocol import encode_command
 from rackhub.policy import lifecycle, retries
 
 WINDOW = 300 * MS
@@ -77,7 +77,7 @@
     """What a peer has sent and the loop has not read: chunks of bytes, then perhaps `None`, its end."""
 
     def __init__(self, protocol):
-        self.protocol, self.wire, self.kernel, self.over = protocol, Transport(), [], False
+        self.protocol, self.wire, self.kernel, self.over = protocol, MemoryTransport(), [], False
 
     def send(self, data):
         if not (self.over or self.ended):
@@ -221,7 +221,7 @@
             self.dials.append(link)
             return link
 
-        self.pools = EnginePools(dial, self.clock, LIMITS, self.counters, self.core, LIMITS.engine_connections)
+        self.pools = EnginePools(dial, self.clock, LIMITS, self.counters, self.core, LIMITS.max_connections_per_engine)
         self.pools.update_endpoints({name: ("127.0.0.1", number) for number, name in enumerate(self.states)})
         self.core.start(self.pools, [t.EngineEntry(name, "z", "std") for name in self.states], 1)
         self.clients = []
@@ -229,7 +229,7 @@
         for told in CLASSES:
             self.one_request(told.name, 900)
 
-    def reach_state(self):
+    def coverage_state(self):
         """Where the client stands, and the process."""
         paused = "paused" if self.client.wire.producerState == "paused" else "read"
         return f"{'over' if self.client.over else paused}, {'draining' if not self.core.accepting else 'accepting'}"
@@ -307,7 +307,7 @@
 
     def look(self):
         for link, socket in self.links.items():
-            for words in commands(socket.wire.take()) if socket.wire.io.tell() else ():
+            for words in commands(socket.wire.take_output()) if socket.wire.io.tell() else ():
                 if words[0] == b"want":
                     self.begun(self.asked[words[1].decode()], link)
                 elif words[0] in (b"never_mind", b"shut"):
@@ -315,7 +315,7 @@
                     if asked.out is link:
                         asked.out, asked.given_up = None, self.clock.time
         for client in self.clients:
-            for line in client.wire.take().splitlines():
+            for line in client.wire.take_output().splitlines():
                 self.told(json.loads(line))
 
     def begun(self, asked, link):
@@ -467,7 +467,7 @@
         out = [asked for asked in self.asked.values() if asked.out]
         asked = out[which % len(out)]
         spoilt, word = word == b"spoilt", word if word != b"spoilt" else b"200"
-        answer = b"".join(command(asked.rid.encode(), word, b"chunks=1", b"spoilt" if spoilt else ROWS))
+        answer = b"".join(encode_command(asked.rid.encode(), word, b"chunks=1", b"spoilt" if spoilt else ROWS))
         socket, asked.out = self.links[asked.out], None
         socket.send(answer * (1 + twice))
         if word in NEVER_RAN:
@@ -477,7 +477,7 @@
     @rule()
     def answers_what_is_answered(self):
         asked = next(asked for asked in self.asked.values() if asked.out and asked.answers)
-        self.links[asked.out].send(b"".join(command(asked.rid.encode(), b"200", b"chunks=1", ROWS)))
+        self.links[asked.out].send(b"".join(encode_command(asked.rid.encode(), b"200", b"chunks=1", ROWS)))
         asked.out = None
 
     @precondition(lambda self: self.links)
@@ -550,7 +550,7 @@
 
 
 # A failing run is printed as it was found: to shrink it takes minutes, and the steps are few enough to read.
-TestCrossingsModel = reaching(CrossingsModel, settings(STEPS, phases=[Phase.explicit, Phase.generate]), REACHED)
+TestCrossingsModel = coverage_test(CrossingsModel, settings(STEPS, phases=[Phase.explicit, Phase.generate]), REACHED)
 
 
 # ---- planted mistakes
@@ -578,7 +578,7 @@
 
 
 def old_bytes_as_new(patch):
-    patch.setattr(Client, "stale", property(lambda self: False, lambda self, value: None))
+    patch.setattr(Client, "may_have_unread_input", property(lambda self: False, lambda self, value: None))
 
 
 def out_of_the_window(patch):
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -5,9 +5,9 @@
 
 import msgspec
 import pytest
+from harness import MS, FakeClock, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stands import MS, FakeClock, S
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from rackhub import interface as t
@@ -497,7 +497,7 @@
 
 
 class Client:
-    reading_paused = stale = False
+    reading_paused = may_have_unread_input = False
 
     def __init__(self, marks=True):
         self.marks, self.said = marks, []
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -3,15 +3,15 @@
 import random
 
 import pytest
+from harness import LIMITS
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stands import LIMITS
 from twisted.internet.task import Clock
 from twisted.names import dns
 
 from rackhub.core.source import EndpointSnapshot
 from rackhub.counters import Counters
-from rackhub.net.dns_protocol import SERVICE, InvalidAnswerError, parse_answer, question
+from rackhub.net.dns_protocol import SERVICE, InvalidAnswerError, encode_query, parse_answer
 from rackhub.net.poll_schedule import PollSchedule
 from rackhub.net.resolver import Resolver
 
@@ -64,7 +64,7 @@
 
 def test_the_question_is_one_that_a_resolver_reads():
     message = dns.Message()
-    message.fromStr(question(513))
+    message.fromStr(encode_query(513))
     assert message.id == 513 and message.recDes and len(message.queries) == 1
     assert (message.queries[0].name.name, message.queries[0].type) == (SERVICE, dns.SRV)
 
@@ -97,7 +97,7 @@
         answer(1, 41, A, drop=(dns.A,)),
         answer(1, 41, A, drop=(dns.TXT,)),
         answer(1, 41, ("a", "127.0.0.1", 7, 0)),
-        question(1),
+        encode_query(1),
         b"",
         b"\0" * 12,
     ],
@@ -134,7 +134,7 @@
     here.hear(answer(here.number, 4, A))
     here.clock.advance(LIMITS.poll_retry_interval / 1e6)
     assert len(here.sent) == 1
-    here.clock.advance(LIMITS.poll / 1e6)
+    here.clock.advance(LIMITS.poll_interval / 1e6)
     assert len(here.sent) == 2
     here.hear(answer(here.number, 5, A, rcode=2))
     here.hear(answer(here.number, 3, A))  # from a server that is behind
@@ -213,8 +213,10 @@
     assert [listing.revision for listing in here.lists] == [5, 6]
     before = len(here.sent)
     for _ in range(10):
-        here.clock.advance(LIMITS.poll / 1e6)
-    assert len(here.sent) - before <= 10 * LIMITS.poll / LIMITS.max_poll_retry_interval * 1.25 + 4  # one chain, not two
+        here.clock.advance(LIMITS.poll_interval / 1e6)
+    assert (
+        len(here.sent) - before <= 10 * LIMITS.poll_interval / LIMITS.max_poll_retry_interval * 1.25 + 4
+    )  # one chain, not two
 
 
 def test_what_was_not_asked_for_is_older_or_the_same_changes_nothing():
