--- a/rackhub/policy/__init__.py
+++ b/rackhub/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of one query gateway: pure objects that turn events into actions. See `router.Router`."""
+"""The decisions of one query gateway: objects without I/O that turn events into actions. See `router.Router`."""
--- a/rackhub/policy/admission.py
+++ b/rackhub/policy/admission.py
@@ -1,37 +1,37 @@
-"""Which queries are rejected at once: rate windows, and the thread quota of this gateway. Times: microseconds."""
+"""Admission control: rate windows and the thread quota of this gateway. All times are microseconds."""
 
 import math
 from collections import deque
 
-from rackhub import interface as t
+from rackhub import interface
 from rackhub.policy.context import RouterContext
 from rackhub.policy.load import LoadEstimator
 from rackhub.policy.slow_start import SlowStart
-from rackhub.policy.state import QueryState, TenantState, drop_until
+from rackhub.policy.state import QueryState, TenantState, remove_expired
 from rackhub.policy.statistics import LATENCY_SAMPLES, SECOND
 from rackhub.policy.usage import ResourceUsage
 
 RATE_WINDOWS = (SECOND, 5 * SECOND, 20 * SECOND)
-RATE_MULTIPLE = 2  # queries admitted in a window, over what the whole quota can run in it
+RATE_MULTIPLE = 2  # maximum queries per window, as a multiple of those that the thread limit can execute in it
 
-THREADS_PER_CORE = 1.5  # of the quota
-QUOTA_GROWTH = 1.25  # room above the peak while there is no overload
-QUOTA_DECAY = 0.9  # by which an unused quota falls in each periodic update
-QUOTA_REDUCTION = 0.12  # fraction by which an excess of 1 reduces the quota in each periodic update
-MIN_EXCESS, MAX_EXCESS = 0.2, 1  # excess counted in a reduction
+THREADS_PER_CORE = 1.5  # threads per core in the equal share
+QUOTA_GROWTH = 1.25  # quota as a multiple of the recent peak while there is no overload
+QUOTA_DECAY = 0.9  # factor on an unused quota in each periodic update
+QUOTA_REDUCTION = 0.12  # fraction of the quota that an excess of 1 removes in each periodic update
+MIN_EXCESS, MAX_EXCESS = 0.2, 1  # bounds of the excess that a reduction uses
 
-MAX_CLASS_MULTIPLE = 1.4  # of the quota, for classes of high value for their work
-CLASS_MULTIPLE_STEP = 0.4  # added by each multiple of the lowest value density
-LOW_ADMISSION_RATE = 0.7  # a class of which less is admitted gets more room
-ADMISSION_SAMPLES = 50  # queries that a class's admission rate is averaged over
-MAX_SMALL_QUERY_MULTIPLE = 1.2  # of the quota, for the small queries of a class
-TENANT_SPLIT = 0.9  # of its part of the quota that a tenant may always use
+MAX_CLASS_MULTIPLE = 1.4  # maximum limit of a class with a high value density, as a multiple of the quota
+CLASS_MULTIPLE_STEP = 0.4  # increase of that multiple per multiple of the lowest value density
+LOW_ADMISSION_RATE = 0.7  # admission rate below which the limit of a class is raised
+ADMISSION_SAMPLES = 50  # queries over which the admission rate of a class is averaged
+MAX_SMALL_QUERY_MULTIPLE = 1.2  # maximum limit of small queries, as a multiple of the limit of their class
+GUARANTEED_TENANT_FRACTION = 0.9  # fraction of its part of the limit that a tenant may always use
 
-MIN_SHARE = 1e-9  # a share of 0 must not divide by 0
+MIN_SHARE = 1e-9  # lower bound of a share, against division by zero
 
 
 class AdmissionController:
-    """Admits queries by tenant and class; shrinks and grows this gateway's thread quota with the load."""
+    """Admits or rejects queries by tenant and class, and adapts this gateway's thread quota to the load."""
 
     def __init__(
         self, context: RouterContext, usage: ResourceUsage, load: LoadEstimator, slow_start: SlowStart
@@ -41,22 +41,22 @@
         self.load = load
         self.slow_start = slow_start
         self.thread_quota = 0.0
-        self.equal_share = 0.0  # threads; this gateway's share if all are equally busy
+        self.equal_share = 0.0  # threads that this gateway may use if all gateways are equally busy
         self.tenants = {entry.name: TenantState(entry.quota_fraction) for entry in context.settings.tenants}
 
     @property
     def limit(self) -> float:
-        """Threads that this gateway may use under overload."""
+        """Threads that this gateway may use while the fleet is overloaded."""
         return max(self.thread_quota, self.equal_share)
 
     def tenant(self, name: str) -> TenantState:
-        """The state of a tenant, which need not be configured."""
+        """Return the state of a tenant; a tenant that is not configured gets a new state."""
         if (tenant := self.tenants.get(name)) is None:
             tenant = self.tenants[name] = TenantState(0.0)
         return tenant
 
     def update_equal_share(self) -> None:
-        """Recompute the equal share; the quota falls along with it at once."""
+        """Recompute the equal share. If it falls, the quota is reduced in proportion."""
         engines = self.context.engines.values()
         cores = sum(engine.cores * self.slow_start.capacity(engine) for engine in engines if engine.ready)
         previous = self.equal_share
@@ -64,10 +64,10 @@
         self.thread_quota *= min(self.equal_share / max(previous, MIN_SHARE), 1)
 
     def update_quota(self) -> None:
-        """Adjust the quota to the load and the recent peak.
+        """Adapt the quota to the load and to the recent peak of threads in use.
 
-        Under overload it falls from the peak step by step, not at once to the equal share: busy gateways would reject
-        what others leave idle.
+        Under overload the quota falls from the peak in steps. A fall to the equal share at once would make busy
+        gateways reject queries while other gateways leave a part of their shares unused.
         """
         if self.load.overloaded:
             excess = min(max(self.load.excess, MIN_EXCESS), MAX_EXCESS)
@@ -77,10 +77,10 @@
         self.thread_quota = max(quota, self.equal_share)
         self.usage.peak_threads = self.usage.threads
 
-    def backoff(self, query: QueryState) -> float | None:
-        """None if the query is admitted, else how long it should stay away."""
+    def admit(self, query: QueryState) -> float | None:
+        """Admit a query and return None, or return the backoff with which it is to be rejected."""
         admission = query.event.admission
-        if admission < t.Admission.UNDECIDED:
+        if admission < interface.Admission.UNDECIDED:
             return self.context.allocation.minimum_backoff
         if not query.event.tenant:
             return None
@@ -88,7 +88,7 @@
         admitted_at = query.tenant.admitted_at[query.statistics.settings.name]
         if (backoff := self._rate_backoff(query, admitted_at, limit)) is not None:
             return backoff
-        if self.load.overloaded and admission < t.Admission.ADMITTED and not self.fits(query, limit):
+        if self.load.overloaded and admission < interface.Admission.ADMITTED and not self.fits(query, limit):
             threads = query.statistics.settings.threads
             excess_threads = max(self.usage.threads - limit + threads, 1)
             return query.statistics.mean_latency * excess_threads / max(self.usage.threads, 1)
@@ -96,9 +96,10 @@
         return None
 
     def fits(self, query: QueryState, limit: float) -> bool:
-        """Whether the threads of a query fit under `limit`, which any tenant may fill.
+        """Return whether the threads of a query fit under `limit`.
 
-        When it is full, a tenant over its part of it yields. What fits in part is admitted by chance.
+        Any tenant may use all of the limit. Once it is reached, only tenants below their part of it still fit. A query
+        of which some threads fit is accepted with a probability in proportion to them.
         """
         tenant = query.tenant
         threads = query.statistics.settings.threads
@@ -108,19 +109,19 @@
         active = [other for other in self.tenants.values() if other.threads or other is tenant]
         total = sum(other.quota_fraction or 1.0 for other in active)
         split = limit * (tenant.quota_fraction or 1.0) / total
-        return len(active) > 1 and tenant.threads + threads <= split * TENANT_SPLIT
+        return len(active) > 1 and tenant.threads + threads <= split * GUARANTEED_TENANT_FRACTION
 
     def record_admission(self, query: QueryState, admitted: bool) -> None:
-        """Count whether a query of this class was admitted."""
+        """Update the admission rate of the query's class."""
         statistics = query.statistics
         statistics.admission_rate += (admitted - statistics.admission_rate) / ADMISSION_SAMPLES
 
     def _rate_backoff(self, query: QueryState, admitted_at: deque[int], limit: float) -> float | None:
-        """How long until the rate windows have room again; None if they have."""
+        """Return the time until the rate windows have capacity again, or None if they have capacity now."""
         now = self.context.now
-        drop_until(admitted_at, now - RATE_WINDOWS[-1])
+        remove_expired(admitted_at, now - RATE_WINDOWS[-1])
         statistics = query.statistics
-        if statistics.responses <= LATENCY_SAMPLES:  # the mean is still a guess
+        if statistics.responses <= LATENCY_SAMPLES:  # The mean latency is still an initial guess.
             return None
         thread_time = statistics.mean_latency * statistics.settings.threads
         for window in RATE_WINDOWS:
@@ -130,7 +131,7 @@
         return None
 
     def _query_limit(self, query: QueryState, limit: float) -> float:
-        """The limit for one query: more for valuable classes and small queries, and room for chance."""
+        """Return the limit for a query: higher for valuable classes and small queries, plus a margin for variation."""
         statistics = query.statistics
         lowest_density = min(other.value_density for other in self.context.classes.values())
         ratio = statistics.value_density / lowest_density
--- a/rackhub/policy/endpoints.py
+++ b/rackhub/policy/endpoints.py
@@ -1,6 +1,6 @@
-"""The table of engines, kept by the endpoint lists of discovery. All times are microseconds."""
+"""The table of engines, updated from endpoint lists of discovery. All times are microseconds."""
 
-from rackhub import interface as t
+from rackhub import interface
 from rackhub.interface import Outcome
 from rackhub.policy.admission import AdmissionController
 from rackhub.policy.context import RouterContext
@@ -15,7 +15,7 @@
 
 
 class EndpointTracker:
-    """Takes over endpoint lists, and ends what a restarted engine cannot answer any more."""
+    """Applies endpoint lists, and ends attempts that a restarted engine can no longer answer."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         self.lifecycle = lifecycle
 
     def watch(self) -> None:
-        """Ask discovery for changes where it does not send them unasked."""
+        """Ask discovery to send changes, where it sends them only on request."""
         if self.context.settings.discovery == "ask":
-            self.context.actions.append(t.WatchEndpoints(True))
+            self.context.actions.append(interface.WatchEndpoints(True))
 
-    def on_endpoint_list(self, event: t.EndpointList) -> None:
-        """Take over a list; an engine that is missing in a complete one is gone."""
+    def on_endpoint_list(self, event: interface.EndpointList) -> None:
+        """Apply an endpoint list. An engine that is missing from a complete list is gone."""
         if event.scope == "Error":
             self.context.schedule(WATCH_RETRY_DELAY, self.watch)
             return
@@ -60,11 +60,11 @@
         self.update_capacity()
 
     def update_capacity(self) -> None:
-        """Recompute what depends on the cores and the memory of the ready engines."""
+        """Recompute the values that depend on the cores and memory of the ready engines."""
         self.admission.update_equal_share()
         self.hints.update_engine_memory()
 
-    def _update_engine(self, entry: t.EngineEntry) -> None:
+    def _update_engine(self, entry: interface.EngineEntry) -> None:
         context = self.context
         if entry.engine not in context.engines:
             offset = context.random.random()
@@ -76,14 +76,14 @@
             self._on_restart(engine)
 
     def _on_restart(self, engine: EngineState) -> None:
-        """End the attempts sent to the engine's previous process, which would else count until their deadline.
+        """End the attempts sent to the engine's previous process, which would otherwise count until their deadline.
 
-        A start that is announced too late also ends attempts that the new process runs.
+        If the reported start is later than the real one, attempts that the new process executes are ended, too.
         """
         context = self.context
         engine.reset_history()
-        # All gateways learn of a start at once: a random time since it spreads their first queries.
-        engine.credited_at = context.now - int(context.random.random() * (context.now - engine.started_at))
+        # All gateways learn of a start at the same time. Credit from a random time on spreads their first queries.
+        engine.credit_updated_at = context.now - int(context.random.random() * (context.now - engine.started_at))
         stale = [
             attempt
             for attempt in context.attempts.values()
@@ -93,6 +93,6 @@
             query = attempt.query
             self.usage.release(attempt)
             if context.settings.cancel:
-                context.actions.append(t.Cancel(query.id, attempt.number))
+                context.actions.append(interface.Cancel(query.id, attempt.number))
             elif context.settings.hedging and not query.closed and len(query.in_flight) < MAX_IN_FLIGHT:
                 self.lifecycle.retry(query, Outcome.TIMED_OUT)
--- a/rackhub/policy/health.py
+++ b/rackhub/policy/health.py
@@ -1,21 +1,21 @@
-"""Health checks of engines, own ones and those that other gateways report by gossip. Times: microseconds."""
+"""Health checks of engines, by this gateway and, through gossip, by others. All times are microseconds."""
 
 import math
 import zlib
 
-from rackhub import interface as t
+from rackhub import interface
 from rackhub.interface import Outcome
 from rackhub.policy.context import RouterContext
 from rackhub.policy.load import OVERLOAD_LATENCY_RATIO, Evidence, LoadEstimator
 from rackhub.policy.outliers import OutlierDetector
 
-CHECKS_PER_QUERY = 0.4
-QUEUED_CHECK_RATIO = 2  # a check so many times slower than the best shows that checks wait in the engine's queue
-NO_RESPONSE_EXCESS = 4  # excess from which a check counts as without response
-NO_RESPONSE_LOAD = 1.0  # what a check without response counts for as evidence of load
-MIN_GOSSIP_EXCESS = -1
+CHECKS_PER_QUERY = 0.4  # health checks that this gateway sends per query received
+QUEUED_CHECK_RATIO = 2  # ratio to the best check time above which checks must be waiting in the engine's queue
+NO_RESPONSE_EXCESS = 4  # excess from which a check counts as unanswered
+NO_RESPONSE_LOAD = 1.0  # excess that an unanswered check counts as evidence of load
+MIN_GOSSIP_EXCESS = -1  # lowest excess that a gossip message can hold
 
-# A gossip message is the checksum of the engine's name and one byte for the excess: 50 an excess of 0, 100 of 1.
+# A gossip message is the CRC-32 of the engine's name and one byte for the excess: 50 means 0, and 100 means 1.
 CHECKSUM_BYTES = 4
 EXCESS_SCALE = 50
 EXCESS_OFFSET = 50
@@ -23,49 +23,56 @@
 
 
 class HealthMonitor:
-    """Sends health checks and counts their results as evidence of load and failure."""
+    """Sends health checks, and records their results as evidence of load and of failures."""
 
     def __init__(self, context: RouterContext, load: LoadEstimator, outliers: OutlierDetector) -> None:
         self.context = context
         self.load = load
         self.outliers = outliers
         self.check_credit = 0.0
-        self.checks_queue = False  # whether checks wait behind queries, so that their time shows load
+        self.checks_are_queued = False  # True once checks have waited behind queries, so that their time shows the load
         self.names_by_checksum: dict[int, str] = {}
 
     def update_names(self) -> None:
-        """Recompute the checksums by which gossip names engines."""
+        """Recompute the checksums that identify engines in gossip messages."""
         self.names_by_checksum = {zlib.crc32(name.encode()): name for name in self.context.engines}
 
     def record_query(self) -> None:
-        """Checks go by this gateway's own traffic: each of many gateways checking all engines would drown them."""
+        """Add the credit for health checks that one query earns.
+
+        The checks are in proportion to this gateway's own traffic: if each of many gateways checked all engines, the
+        checks would overload them.
+        """
         self.check_credit += CHECKS_PER_QUERY
 
     def send_checks(self) -> None:
-        """Check the engines that the fleet names, or a random sample."""
+        """Send health checks to the engines that the fleet assigns, or to a random sample."""
         context = self.context
         if context.settings.health_checks:
             ready = [engine.id for engine in context.engines.values() if engine.ready]
             sample = context.random.sample(ready, min(int(self.check_credit), len(ready)))
             targets = context.allocation.health_check_targets
-            context.actions += [t.CheckHealth(name) for name in (sample if targets is None else targets)]
+            context.actions += [interface.CheckHealth(name) for name in (sample if targets is None else targets)]
         self.check_credit %= 1
 
-    def on_health_check(self, event: t.HealthCheckCompleted) -> None:
-        """A check that waits in the engine's queue like a query shows the load without a query's variance."""
+    def on_health_check(self, event: interface.HealthCheckCompleted) -> None:
+        """Record the result of a health check.
+
+        A check that waits in the engine's queue like a query shows the load without the variance of a query's work.
+        """
         engine = self.context.engines.get(event.engine)
         self.load.record_report(engine, event.report)
         if engine is None:
             return
-        # Against the engine's own best: the way to another zone is longer.
+        # Compared with the engine's own best, because the network latency to other zones is higher.
         engine.best_health_check_time = min(engine.best_health_check_time, event.elapsed)
         best = engine.best_health_check_time
-        self.checks_queue = self.checks_queue or event.elapsed > QUEUED_CHECK_RATIO * best
+        self.checks_are_queued = self.checks_are_queued or event.elapsed > QUEUED_CHECK_RATIO * best
         succeeded = event.outcome == Outcome.SUCCESS
         if succeeded:
             engine.last_response_at = self.context.now
             engine.relative_response_time = event.elapsed / max(best, 1)
-        if succeeded and self.checks_queue and best:
+        if succeeded and self.checks_are_queued and best:
             excess = math.log(event.elapsed / best / OVERLOAD_LATENCY_RATIO)
         elif event.outcome in (Outcome.TIMED_OUT, Outcome.CONNECT_FAILED) and not self.context.stalled:
             excess = math.inf
@@ -74,8 +81,8 @@
         self._record(event.engine, excess, counts_for_engine=not event.report)
         self._send_gossip(event.engine, excess)
 
-    def on_gossip(self, event: t.GossipReceived) -> None:
-        """Where no engine reports its load, the results of other gateways stand in."""
+    def on_gossip(self, event: interface.GossipReceived) -> None:
+        """Record a result of another gateway. Results are only sent where engines do not report their load."""
         contents = event.contents
         name = self.names_by_checksum.get(int.from_bytes(contents[:CHECKSUM_BYTES], "big"))
         if name and len(contents) == MESSAGE_BYTES:
@@ -83,7 +90,7 @@
             self._record(name, excess, counts_for_engine=True)
 
     def _record(self, name: str, excess: float, counts_for_engine: bool) -> None:
-        """Count a check as evidence, and an engine without response as failing before any query is overdue."""
+        """Record a check as evidence of load; if unanswered, also as a failure, even before any query is overdue."""
         engine = self.context.engines.get(name)
         no_response = excess >= NO_RESPONSE_EXCESS
         self.load.add_evidence(Evidence.HEALTH_CHECK, NO_RESPONSE_LOAD if no_response else excess)
@@ -95,7 +102,7 @@
     def _send_gossip(self, name: str, excess: float) -> None:
         """Send a result to as many gateways as there are engines.
 
-        Each gateway thus receives one result of every engine as often as it checks an engine itself.
+        For each check that it sends itself, a gateway thus receives, on average, one result for every engine.
         """
         settings = self.context.settings
         if not settings.gossip or settings.load_report_source != "silent":
@@ -104,4 +111,6 @@
         message = zlib.crc32(name.encode()).to_bytes(CHECKSUM_BYTES, "big") + bytes([level])
         count = min(len(self.context.engines), settings.gateways)
         peers = self.context.random.sample(range(settings.gateways), count)
-        self.context.actions += [t.SendGossip(peer, message) for peer in peers if peer != settings.instance_index]
+        self.context.actions += [
+            interface.SendGossip(peer, message) for peer in peers if peer != settings.instance_index
+        ]
--- a/rackhub/policy/key_queues.py
+++ b/rackhub/policy/key_queues.py
@@ -1,4 +1,4 @@
-"""Queries of classes that run one at a time for each key. All times are microseconds."""
+"""Queues for classes whose queries are executed one at a time per key. All times are microseconds."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class KeyQueues:
-    """One queue for each key; only its first query is in flight."""
+    """One queue per key, of which only the first query is in flight."""
 
     def __init__(self, context: RouterContext, dispatch: Callable[[QueryState], None]) -> None:
         self.context = context
@@ -17,17 +17,17 @@
         self.blocked_until: dict[int | None, int] = {}
 
     def add(self, query: QueryState) -> None:
-        """Append a query to the queue of its key, and send it if it is the first."""
+        """Append a query to the queue of its key, and dispatch it if it is the first."""
         key = query.event.key
         self.queues.setdefault(key, deque()).append(query)
         self.advance(key)
 
     def block(self, key: int | None) -> None:
-        """Keep the next query of a key back, as an attempt before it may still be running."""
+        """Delay the next query of a key, because an earlier attempt may still be executing."""
         self.blocked_until[key] = self.context.now + self.context.settings.serial_key_delay
 
     def advance(self, key: int | None) -> None:
-        """Drop closed queries with nothing in flight from the front, and send the next one."""
+        """Remove closed queries without attempts in flight from the front, and dispatch the next query."""
         queue = self.queues.get(key)
         while queue and queue[0].closed and not queue[0].in_flight:
             queue.popleft()
--- a/rackhub/policy/load.py
+++ b/rackhub/policy/load.py
@@ -1,4 +1,4 @@
-"""Whether the engines are overloaded, by the most reliable evidence at hand. All times are microseconds."""
+"""Estimates the load of the engines from the most reliable evidence available. All times are microseconds."""
 
 import math
 from collections.abc import Mapping
@@ -10,27 +10,27 @@
 from rackhub.policy.statistics import EVIDENCE_TTL, MIN_FIT_SAMPLES, SECOND, DecayingMean, EngineState
 from rackhub.policy.usage import ResourceUsage
 
-OVERLOAD_LATENCY_RATIO = 1.6  # recent latency over the best that means overload
-REPORT_DECAY_TIME = 2 * SECOND  # a report is of the whole engine, so the newest counts
+OVERLOAD_LATENCY_RATIO = 1.6  # ratio of the recent to the best latency that means overload
+REPORT_DECAY_TIME = 2 * SECOND  # short, because a report covers the whole engine, so that the newest one counts
 EVIDENCE_DECAY_TIME = 3 * SECOND // 2
-EVIDENCE_MAX_WEIGHT = 30  # observations
-MIN_LATENCY_WEIGHT = 20  # observations needed to trust latency beside other evidence
+EVIDENCE_MAX_WEIGHT = 30  # maximum weight of past evidence, in observations
+MIN_LATENCY_WEIGHT = 20  # observations needed to use latency where there is other evidence
 
-# load report field -> (value at which an engine is overloaded, excess for each unit over it)
+# load report field -> (value from which an engine is overloaded, excess per unit above it)
 REPORT_THRESHOLDS = {"cpu_share": (0.95, 4), "x0": (0.95, 4), "x1": (0.84, 4), "pending": (2, 0.5)}
-REPORTED_MEMORY = "x0"  # fraction of an engine's memory that is granted
-REPORTED_QUERIES = "busy_reqs"  # queries in hand
-REPORTED_MEMORY_SAMPLES = 8
+REPORTED_MEMORY = "x0"  # load report field: fraction of the engine's memory that is granted
+REPORTED_QUERIES = "busy_reqs"  # load report field: queries in progress at the engine
+REPORTED_MEMORY_SAMPLES = 8  # reports over which the memory use is averaged
 
-OVERLOADED_THREADS_PER_CORE = 1.5
-REJECTION_EXCESS = 2.0  # what an engine's rejection counts for
-MEAN_EXCESS_TOLERANCE = 0.2  # mean excess that may be chance
-MAX_ENGINE_EXCESS = 0.5  # what one engine counts for in the mean
-PACE_EXCESS_RANGE = (-1, 2)
+OVERLOADED_THREADS_PER_CORE = 1.5  # threads per core from which an engine is overloaded
+REJECTION_EXCESS = 2.0  # excess that a rejection by an engine counts as
+MEAN_EXCESS_TOLERANCE = 0.2  # mean excess that may be random variation
+MAX_ENGINE_EXCESS = 0.5  # upper bound of one engine's excess in the capped mean
+DURATION_EXCESS_RANGE = (-1, 2)  # bounds of the excess that the duration of one attempt shows
 
 
 class Evidence(IntEnum):
-    """Kinds of evidence of load, the most reliable last."""
+    """Kinds of evidence of load, in order of increasing reliability."""
 
     NONE = 0
     HEALTH_CHECK = 1
@@ -38,7 +38,7 @@
 
 
 class LoadEstimator:
-    """Estimates by how much the fleet, and each engine, exceeds its capacity; 0 is the threshold of overload."""
+    """Estimates by how much the fleet and each engine exceed their capacity; 0 is the threshold of overload."""
 
     def __init__(self, context: RouterContext, usage: ResourceUsage, slow_start: SlowStart) -> None:
         self.context = context
@@ -48,26 +48,26 @@
         self.evidence_excess = DecayingMean()
         self.evidence = Evidence.NONE
         self.evidence_until = 0
-        self.mean_excess = 0.0  # of the ready engines, by cores
-        self.capped_mean_excess = 0.0
+        self.mean_excess = 0.0  # mean over the ready engines, weighted by cores
+        self.capped_mean_excess = 0.0  # the same mean with `MAX_ENGINE_EXCESS` as the maximum of each engine
         self.reported_memory_use = 1.0
 
     @property
     def excess(self) -> float:
-        """By how much the fleet is over its threshold; calm answers of a few engines do not hide a full fleet."""
+        """Excess of the fleet. Reports of low load by a few engines do not hide that the fleet is full."""
         by_engines = self.capped_mean_excess - MEAN_EXCESS_TOLERANCE if self.evidence == Evidence.LOAD_REPORT else -1
         return max(self.evidence_excess.recent(self.context.now), by_engines)
 
     @property
     def overloaded(self) -> bool:
-        """Whether the fleet is overloaded; latency counts where nothing better is known or much of it was seen."""
+        """True if the fleet is overloaded. Latency counts without better evidence or after many observations."""
         if self.excess > 0:
             return True
         by_latency = self.latency_excess.recent(self.context.now) > 0
         return by_latency and (not self.evidence or self.latency_excess.weight > MIN_LATENCY_WEIGHT)
 
     def add_evidence(self, evidence: Evidence, excess: float) -> None:
-        """Count one observation, unless more reliable evidence is recent."""
+        """Record one observation, unless there is recent evidence of a more reliable kind."""
         now = self.context.now
         if self.context.stalled:
             return
@@ -79,7 +79,7 @@
             self.evidence_excess.add(now, excess, EVIDENCE_DECAY_TIME, EVIDENCE_MAX_WEIGHT)
 
     def update_means(self) -> None:
-        """Recompute the mean excess of the engines with recent evidence."""
+        """Recompute the mean excess over the engines with recent evidence."""
         now = self.context.now
         engines = [
             engine
@@ -92,7 +92,7 @@
         self.capped_mean_excess = capped / cores
 
     def record_report(self, engine: EngineState | None, report: Mapping[str, float]) -> None:
-        """Count a load report: queries in hand (as threads by this gateway's mean), cores, memory, disks."""
+        """Record a load report: CPU, memory, disks and queries (converted to threads by this gateway's mean)."""
         if engine is None or not report:
             return
         excesses = [
@@ -113,20 +113,20 @@
             engine.load_excess.add(self.context.now, max(excesses), REPORT_DECAY_TIME)
 
     def record_rejection(self, engine: EngineState) -> None:
-        """Count an engine's answer that it is overloaded."""
+        """Record that an engine rejected an attempt because of overload."""
         now = self.context.now
         self.evidence_excess.add(now, REJECTION_EXCESS, EVIDENCE_DECAY_TIME, EVIDENCE_MAX_WEIGHT)
         engine.load_excess.add(now, REJECTION_EXCESS)
 
     def record_latency(self, query: QueryState) -> None:
-        """Count how far the recent latency of the query's class is over its best."""
+        """Record by how much the recent latency of the query's class exceeds its best latency."""
         statistics = query.statistics
         excess = statistics.log_latency - statistics.best_log_latency - math.log(OVERLOAD_LATENCY_RATIO)
         self.latency_excess.add(self.context.now, excess, EVIDENCE_DECAY_TIME, EVIDENCE_MAX_WEIGHT)
 
-    def record_pace(self, engine: EngineState, query: QueryState, duration: float) -> None:
-        """Count how much longer than expected work of known size takes, which shows load where reports are late."""
+    def record_duration(self, engine: EngineState, query: QueryState, duration: float) -> None:
+        """Record how long work of known size takes against the expectation; shows load where reports are late."""
         if query.statistics.cost_fit.count >= MIN_FIT_SAMPLES and not self.context.stalled:
-            least, most = PACE_EXCESS_RANGE
+            minimum, maximum = DURATION_EXCESS_RANGE
             excess = math.log(max(duration, 1) / query.expected_latency)
-            engine.load_excess.add(self.context.now, min(max(excess, least), most))
+            engine.load_excess.add(self.context.now, min(max(excess, minimum), maximum))
--- a/rackhub/policy/outcomes.py
+++ b/rackhub/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt shows of its engine and its class. All times are microseconds."""
+"""Records what the outcome of an attempt shows about its engine and class. All times are microseconds."""
 
 from rackhub.interface import AttemptCompleted, Outcome
 from rackhub.policy.context import RouterContext
@@ -10,11 +10,11 @@
 from rackhub.policy.statistics import DecayingMean, EngineState
 
 OVERDUE_LATENCIES = 4  # expected latencies after which an attempt is overdue
-LOST_WEIGHT = 0.4  # what an attempt without a response counts for in the rate of lost responses
-LOST_RATE = 0.04  # part of the attempts without a response from which responses are taken for lost
-LOST_MAX_WEIGHT = 30  # attempts
+LOST_WEIGHT = 0.4  # value of an attempt that is presumed lost in the rate of lost responses
+LOST_RATE = 0.04  # rate of lost responses above which responses must be getting lost
+LOST_MAX_WEIGHT = 30  # maximum weight of past attempts in that rate, in attempts
 
-# A reported cost holds the work in ms above the low bits, which hold the memory in units of 4 MB.
+# The low bits of a reported cost hold the memory in units of 4 MB, the bits above them the work in milliseconds.
 COST_MEMORY_BITS = 12
 COST_MEMORY_MASK = 4095
 COST_MEMORY_UNIT = 4  # MB
@@ -22,7 +22,7 @@
 
 
 class OutcomeRecorder:
-    """Feeds outcomes to the statistics, the load estimate and the outlier detection."""
+    """Passes outcomes on to the statistics, the load estimate and the outlier detection."""
 
     def __init__(
         self,
@@ -41,16 +41,16 @@
 
     @property
     def losing_responses(self) -> bool:
-        """Whether so many attempts get no response that responses must be getting lost."""
+        """True if so many attempts get no response that responses must be getting lost."""
         return self.lost_rate.value > LOST_RATE
 
     def presume_lost(self, attempt: AttemptState) -> None:
-        """Count an attempt whose response seems lost."""
+        """Record that the response to an attempt is presumed lost."""
         self.lost_rate.add(self.context.now, LOST_WEIGHT, max_weight=LOST_MAX_WEIGHT)
         attempt.presumed_lost = True
 
     def record(self, attempt: AttemptState, event: AttemptCompleted) -> None:
-        """Learn from one outcome."""
+        """Record one outcome."""
         outcome = event.outcome
         engine = attempt.engine
         query = attempt.query
@@ -70,7 +70,7 @@
             self.outliers.record_failure(engine)
 
     def _record_response(self, attempt: AttemptState, outcome: str) -> None:
-        """Count whether a response came; one that was presumed lost and came takes its count back twice."""
+        """Update the rate of lost responses. If an attempt presumed lost succeeds, twice its value is subtracted."""
         lost: float
         if attempt.presumed_lost:
             lost = -2 * LOST_WEIGHT if outcome == Outcome.SUCCESS else 0
@@ -83,19 +83,19 @@
         query = attempt.query
         engine.last_response_at = self.context.now
         engine.consecutive_failures = 0
-        if query.failed_on:  # the query is sound, so the error was the other engine's
+        if query.failed_on:  # The query can succeed, so the engine that returned an error was at fault.
             self.outliers.record_failure(query.failed_on)
         if not self.context.stalled:
-            self._learn(query, event)
-        self.load.record_pace(engine, query, self.context.now - attempt.executing_since)
+            self._update_statistics(query, event)
+        self.load.record_duration(engine, query, self.context.now - attempt.executing_since)
         self.load.record_latency(query)
         settings = self.context.settings
         if settings.grants and settings.progress_report_interval and not attempt.spilled:
-            self.hints.record_unspilled(query)
+            self.hints.record_no_spill(query)
         self.outliers.record_success(engine)
 
-    def _learn(self, query: QueryState, event: AttemptCompleted) -> None:
-        """Update the class's statistics from the reported cost and the latency."""
+    def _update_statistics(self, query: QueryState, event: AttemptCompleted) -> None:
+        """Update the statistics of the class from the reported cost and the latency."""
         statistics = query.statistics
         statistics.cost_reported = statistics.cost_reported or event.cost > 0
         work = event.elapsed
@@ -106,8 +106,8 @@
         statistics.record_latency(event.elapsed, query.relative_size)
 
     def _record_error(self, engine: EngineState, query: QueryState) -> None:
-        """An error may be the query's fault: the engine is blamed if another one answers the query."""
-        if query.failed_on:  # two engines agree, and a third would say the same
+        """Record an error, which the query may have caused; it is the engine's failure if another engine succeeds."""
+        if query.failed_on:  # A second engine returned an error as well, and a third would do the same.
             query.attempts = self.context.settings.max_attempts
             query.failed_on = None
         elif not self.retries.allows(query):
--- a/rackhub/policy/progress.py
+++ b/rackhub/policy/progress.py
@@ -1,8 +1,8 @@
-"""Attempts in flight: progress reports, slow execution plans, and attempts without response. Times: microseconds."""
+"""Monitors attempts in flight: progress, slow execution plans and missing responses. All times are microseconds."""
 
 import math
 
-from rackhub import interface as t
+from rackhub import interface
 from rackhub.interface import Outcome, ProgressTopic, WaitReason
 from rackhub.policy.context import RouterContext
 from rackhub.policy.hints import HintPlanner
@@ -14,15 +14,15 @@
 from rackhub.policy.statistics import SECOND
 from rackhub.policy.usage import ResourceUsage
 
-SLOW_PLAN_LATENCIES = 4  # expected latencies still to go that mean a slow plan
-LOCK_HOLD_FRACTION = 0.5  # of a load's mean latency that a lock found held is expected to last
+SLOW_PLAN_LATENCIES = 4  # remaining time that means a slow plan, in expected latencies
+LOCK_HOLD_FRACTION = 0.5  # expected remaining time of a table lock, as a fraction of the mean latency of loads
 HEALTH_CHECK_TIMEOUT = SECOND // 3
-REPORT_LATENESS = 1.25  # report intervals after which a report is missing
-MIN_PENDING_ATTEMPTS = 3  # attempts pending at an engine from which no response at all is no chance
+REPORT_LATENESS = 1.25  # time after which a progress report is overdue, in report intervals
+MIN_PENDING_ATTEMPTS = 3  # pending attempts from which the lack of any response is not due to chance
 
 
 class ProgressMonitor:
-    """Follows attempts from the time they are sent, and cancels or gives up those that will not end well."""
+    """Monitors attempts from the time they are sent, and cancels or finishes those that will not succeed in time."""
 
     def __init__(
         self,
@@ -42,14 +42,14 @@
         self.outcomes = outcomes
         self.lifecycle = lifecycle
 
-    def watch(self, attempt: AttemptState) -> None:
-        """Look after an attempt once it is overdue: sooner if responses get lost or nothing can be cancelled."""
-        sooner = self.outcomes.losing_responses or not self.context.settings.cancel
-        delay = OVERDUE_LATENCIES / (1 + sooner) * attempt.query.expected_latency
+    def schedule_overdue_check(self, attempt: AttemptState) -> None:
+        """Schedule the check of an overdue attempt: earlier if responses get lost or attempts cannot be cancelled."""
+        earlier = self.outcomes.losing_responses or not self.context.settings.cancel
+        delay = OVERDUE_LATENCIES / (1 + earlier) * attempt.query.expected_latency
         self.context.schedule(delay, self._on_overdue, attempt)
 
-    def on_progress_report(self, event: t.ProgressReport) -> None:
-        """Take in a report, unless the result is streaming already."""
+    def on_progress_report(self, event: interface.ProgressReport) -> None:
+        """Process a progress report, unless the result is already streaming."""
         attempt = self.context.attempts.get((event.query, event.attempt))
         if attempt is None or attempt.query.closed or not attempt.query.deadline_timer:
             return
@@ -67,7 +67,7 @@
             self._on_table_lock(attempt)
 
     def _on_memory_wait(self, attempt: AttemptState) -> None:
-        """Give up an attempt that has not begun when it should have ended: it only lengthens the queue."""
+        """Finish a query that still waits for memory after its latency objective; it only lengthens the queue."""
         query = attempt.query
         self.hints.record_memory_wait(self.load.reported_memory_use)
         elapsed = self.context.now - attempt.sent_at
@@ -76,7 +76,7 @@
             self.lifecycle.finish(query, 0, "waits for memory")
 
     def _on_table_lock(self, attempt: AttemptState) -> None:
-        """A load, perhaps another gateway's, locks the tables that the query reads: it can run elsewhere."""
+        """Record that a load, perhaps of another gateway, locks the query's tables, and retry the query elsewhere."""
         now = self.context.now
         engine = attempt.engine
         loads = [entry.mean_latency for entry in self.context.classes.values() if entry.settings.locks_tables]
@@ -87,9 +87,9 @@
             self.lifecycle.cancel_to_retry(attempt)
 
     def _on_fraction_done(self, attempt: AttemptState, fraction: float) -> None:
-        """Cancel an attempt that would end too late, or far later than expected: a slow plan or a slow engine."""
+        """Cancel an attempt that would end too late, or far later than expected (slow plan or slow engine)."""
         now = self.context.now
-        if not fraction:  # it has not begun yet
+        if not fraction:  # Execution has not started.
             attempt.executing_since = now
             return
         if self.context.stalled:
@@ -103,73 +103,79 @@
         slow_plan = remaining > SLOW_PLAN_LATENCIES * max(query.expected_latency, recent_latency)
         if too_late or slow_plan:
             attempt.engine.failure_rate.add(now, 1)
-        self.load.record_pace(attempt.engine, query, elapsed + remaining)
+        self.load.record_duration(attempt.engine, query, elapsed + remaining)
         if not attempt.number and (slow_plan or too_late and not self.load.overloaded):
-            self.lifecycle.cancel_to_retry(attempt)  # each attempt gets a plan of its own
+            self.lifecycle.cancel_to_retry(attempt)  # A retry gets a new execution plan.
         elif too_late and self.context.settings.cancel:
-            # Slow twice: the query itself is too long for its time and holds others up.
+            # Too slow a second time: the query needs more time than it has, and delays other queries.
             self.lifecycle.finish(query, 0, "too slow twice")
 
     def _on_overdue(self, attempt: AttemptState) -> None:
-        """Find out why an overdue attempt has no response, and go on without it where that is allowed."""
+        """Handle an overdue attempt: if its response seems lost, stop counting it and, where allowed, retry."""
         query = attempt.query
         if (query.id, attempt.number) not in self.context.attempts:
             return
-        if self._is_still_expected(attempt):
+        if self._await_overdue(attempt):
             return
         if query.closed or not attempt.threads or not self.outcomes.losing_responses:
             return
         settings = self.context.settings
         if not settings.cancel and self.load.overloaded:
             return
-        self.usage.release(attempt)  # lost responses must not fill the quota until their deadline
+        self.usage.release(attempt)  # Attempts with lost responses must not use up the quota until their deadline.
         if settings.hedging and len(query.in_flight) < MAX_IN_FLIGHT:
             if settings.cancel:
                 self.lifecycle.retry(query, Outcome.LOST)
-            elif self.hints.is_light(query.statistics):
+            elif self.hints.has_high_value_density(query.statistics):
                 self.lifecycle.retry(query, Outcome.TIMED_OUT)
 
-    def _is_still_expected(self, attempt: AttemptState) -> bool:
-        """Whether to wait on for an overdue attempt, to be looked after again later."""
+    def _await_overdue(self, attempt: AttemptState) -> bool:
+        """Act on the likely reason why an attempt is overdue; return whether to await its response unchanged.
+
+        Schedules another check, sends a health check, or cancels the attempt and counts a failure of its engine.
+        """
         context = self.context
         engine = attempt.engine
         since_progress = context.now - attempt.last_progress_at
         report_timeout = REPORT_LATENESS * context.settings.progress_report_interval
         if context.stalled:
-            self.watch(attempt)
+            self.schedule_overdue_check(attempt)
         elif since_progress < report_timeout and not self._is_unresponsive(attempt):
             context.schedule(report_timeout - since_progress, self._on_overdue, attempt)
         elif context.settings.health_checks and not attempt.health_check_sent and engine.ready:
-            # With few queries an engine may have sent nothing since and yet be healthy.
+            # An engine with few queries may be healthy although it has sent nothing since the attempt.
             attempt.health_check_sent = True
-            context.actions.append(t.CheckHealth(engine.id))
+            context.actions.append(interface.CheckHealth(engine.id))
             context.schedule(HEALTH_CHECK_TIMEOUT, self._on_overdue, attempt)
             return True
         elif engine.last_response_at < attempt.sent_at:
             self.outliers.record_failure(engine)
             self.lifecycle.cancel_to_retry(attempt)
         elif context.settings.cancel:
-            return self._is_within_engine_pace(attempt)
+            return self._may_still_answer(attempt)
         return False
 
-    def _is_within_engine_pace(self, attempt: AttemptState) -> bool:
-        """Whether an engine that answers others may, at its own pace, still answer this; if not it is lost."""
+    def _may_still_answer(self, attempt: AttemptState) -> bool:
+        """Return whether an engine that answers other queries may, at its present speed, still answer this attempt.
+
+        If so, another check is scheduled. If not, the response is presumed lost.
+        """
         context = self.context
         query = attempt.query
         statistics = query.statistics
-        patience = OVERDUE_LATENCIES / (1 + self.outcomes.losing_responses)
-        fleet_pace = math.exp(statistics.log_latency - statistics.best_log_latency)
+        timeout_latencies = OVERDUE_LATENCIES / (1 + self.outcomes.losing_responses)
+        fleet_slowdown = math.exp(statistics.log_latency - statistics.best_log_latency)
         best_latency = math.exp(statistics.best_log_latency) * query.relative_size
-        latency = best_latency * max(attempt.engine.relative_response_time, fleet_pace)
-        if context.now - attempt.sent_at < patience * latency:
-            delay = attempt.sent_at + patience * latency - context.now
+        latency = best_latency * max(attempt.engine.relative_response_time, fleet_slowdown)
+        if context.now - attempt.sent_at < timeout_latencies * latency:
+            delay = attempt.sent_at + timeout_latencies * latency - context.now
             context.schedule(delay, self._on_overdue, attempt)
             return True
         self.outcomes.presume_lost(attempt)
         return False
 
     def _is_unresponsive(self, attempt: AttemptState) -> bool:
-        """Whether an engine owes many responses and gave none; with few pending, that is chance."""
+        """Return whether an engine has answered none of many pending attempts; with few pending, that may be chance."""
         engine = attempt.engine
         pending = sum(other.engine is engine for other in self.context.attempts.values())
         return engine.last_response_at < attempt.sent_at and pending >= MIN_PENDING_ATTEMPTS
--- a/rackhub/policy/retries.py
+++ b/rackhub/policy/retries.py
@@ -1,31 +1,31 @@
-"""Whether a query may be attempted again: idempotency, attempts left, and the retry budget. Times: microseconds."""
+"""Retry policy: idempotency, maximum attempts and the retry budget. All times are microseconds."""
 
 from collections import deque
 
 from rackhub.interface import Idempotency, Outcome
 from rackhub.policy.context import RouterContext
-from rackhub.policy.state import QueryState, drop_until
+from rackhub.policy.state import QueryState, remove_expired
 
 NOT_EXECUTED_OUTCOMES = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_EXECUTED)
 MAY_STILL_RUN_OUTCOMES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
-SPECULATIVE_FRACTION = 0.6  # of the retry budget, for retries that may repeat work
-IDEMPOTENCY_WINDOW_FRACTION = 0.9  # of a class's window that is used
-CLOCK_MARGIN_PERIODS = 2  # clock periods by which the budget's window is taken on the safe side
+SPECULATIVE_FRACTION = 0.6  # fraction of the retry budget that is open to retries that may repeat work
+IDEMPOTENCY_WINDOW_FRACTION = 0.9  # fraction of a class's idempotency window in which retries are sent
+CLOCK_MARGIN_PERIODS = 2  # safety margin of the budget's window, in clock periods
 
 
 class RetryPolicy:
-    """Permission for retries and hedges, and the count of them."""
+    """Decides whether retries and hedges are allowed, and counts retries."""
 
     def __init__(self, context: RouterContext) -> None:
         self.context = context
         self.received_at: deque[int] = deque()
         self.retried_at: deque[int] = deque()
-        self.tokens = context.allocation.retry_tokens  # the fleet's budget; None: by this gateway's own count
+        self.tokens = context.allocation.retry_tokens  # retries that the fleet allows; None: by the own budget
 
     def record_query(self) -> None:
-        """Count a query that came in."""
+        """Count a received query."""
         self.received_at.append(self.context.now)
-        drop_until(self.received_at, self.context.now - self.context.settings.retry_budget_window)
+        remove_expired(self.received_at, self.context.now - self.context.settings.retry_budget_window)
 
     def record_retry(self) -> None:
         """Count a retry that is being sent."""
@@ -34,7 +34,7 @@
             self.tokens -= 1
 
     def allows(self, query: QueryState) -> bool:
-        """Whether one more attempt is harmless and within the query's number of attempts."""
+        """Return whether another attempt is harmless and within the query's maximum number of attempts."""
         if query.attempts >= (query.event.max_attempts or self.context.settings.max_attempts):
             return False
         if not query.possibly_executed:
@@ -46,12 +46,12 @@
         return settings.idempotency == Idempotency.IDEMPOTENT
 
     def within_budget(self, fraction: float) -> bool:
-        """Whether a retry fits in this fraction of the budget; the rest is kept for retries that repeat no work."""
+        """Return whether a retry fits in this fraction of the budget; the rest is for retries that repeat no work."""
         now = self.context.now
         settings = self.context.settings
         margin = CLOCK_MARGIN_PERIODS * settings.clock_period
-        drop_until(self.received_at, now - settings.retry_budget_window + margin)
-        drop_until(self.retried_at, now - settings.retry_budget_window - margin)
+        remove_expired(self.received_at, now - settings.retry_budget_window + margin)
+        remove_expired(self.retried_at, now - settings.retry_budget_window - margin)
         if self.tokens is not None:
             return self.tokens * fraction >= 1
         if settings.retry_budget_ratio is None and settings.retry_budget_minimum is None:
--- a/rackhub/policy/router.py
+++ b/rackhub/policy/router.py
@@ -1,14 +1,15 @@
 """All decisions of one query gateway. Events and actions: rackhub/interface.py.
 
-Rate windows and a thread quota for each tenant reject at once. What is admitted goes to the engines by weighted round
-robin. The parts, one module each, share a `RouterContext`. All times are microseconds of the events' clock.
+A query that exceeds a rate window or its tenant's thread quota is rejected at once. Admitted queries are sent to the
+engines by weighted round robin. The components, one per module, share a `RouterContext`. All times are microseconds of
+the events' clock.
 """
 
 import math
 from collections.abc import Callable
 from typing import Any
 
-from rackhub import interface as t
+from rackhub import interface
 from rackhub.policy.admission import AdmissionController
 from rackhub.policy.context import Action, RouterContext
 from rackhub.policy.endpoints import EndpointTracker
@@ -26,16 +27,16 @@
 from rackhub.policy.statistics import SECOND, TICK_INTERVAL, ClassStatistics
 from rackhub.policy.usage import ResourceUsage
 
-STALL_PERIODS = 10  # clock periods by which a late periodic update shows that this process was stalled
-DEADLINE_MARGIN_PERIODS = 2  # clock periods before its deadline that a query is answered
-MIN_LATENCY_FRACTION = 0.7  # of the recent latency that must be left to send a query
-STALL_BACKOFF = SECOND  # of a query that came in too late
+STALL_PERIODS = 10  # delay of the periodic update, in clock periods, that shows a stall of this process
+DEADLINE_MARGIN_PERIODS = 2  # time between the final answer and the deadline of a query, in clock periods
+MIN_LATENCY_FRACTION = 0.7  # minimum time left to send a query, as a fraction of the recent latency
+STALL_BACKOFF = SECOND  # backoff of a query that was received with too little time left
 
 
 class Router:
-    """Turns each event into the actions to take, in order: `handle(now, event)`."""
+    """The decisions of one gateway: `handle(now, event)` returns the actions for an event."""
 
-    def __init__(self, settings: t.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         context = self.context = RouterContext(settings, seed)
         self.usage = ResourceUsage()
         self.slow_start = SlowStart(context)
@@ -52,29 +53,29 @@
         self.progress = ProgressMonitor(
             context, self.usage, self.load, self.outliers, self.hints, self.outcomes, self.lifecycle
         )
-        self.lifecycle.watch = self.progress.watch
+        self.lifecycle.on_attempt_sent = self.progress.schedule_overdue_check
         self.health = HealthMonitor(context, self.load, self.outliers)
         self.endpoints = EndpointTracker(
             context, self.usage, self.admission, self.selector, self.hints, self.health, self.lifecycle
         )
         self._next_update_at = math.inf
         self._handlers: dict[type, Callable[[Any], None]] = {
-            t.Started: self._on_started,
-            t.QueryReceived: self._on_query,
-            t.AttemptCompleted: self._on_attempt_completed,
-            t.ProgressReport: self.progress.on_progress_report,
-            t.ResultStreamStarted: self._on_result_stream,
-            t.ClientDisconnected: self._on_client_disconnected,
-            t.TimerFired: self._on_timer,
-            t.EndpointList: self.endpoints.on_endpoint_list,
-            t.HealthCheckCompleted: self.health.on_health_check,
-            t.GossipReceived: self.health.on_gossip,
-            t.HedgeDue: self._on_hedge,
-            t.FleetAllocation: self._on_allocation,
+            interface.Started: self._on_started,
+            interface.QueryReceived: self._on_query,
+            interface.AttemptCompleted: self._on_attempt_completed,
+            interface.ProgressReport: self.progress.on_progress_report,
+            interface.ResultStreamStarted: self._on_result_stream,
+            interface.ClientDisconnected: self._on_client_disconnected,
+            interface.TimerFired: self._on_timer,
+            interface.EndpointList: self.endpoints.on_endpoint_list,
+            interface.HealthCheckCompleted: self.health.on_health_check,
+            interface.GossipReceived: self.health.on_gossip,
+            interface.HedgeDue: self._on_hedge,
+            interface.FleetAllocation: self._on_allocation,
         }
 
     def handle(self, now: int, event: object) -> list[Action]:
-        """The actions that one event leads to."""
+        """Handle one event and return the resulting actions, in order."""
         context = self.context
         if now > self._next_update_at + STALL_PERIODS * context.settings.clock_period:
             context.stalled_at = now
@@ -83,12 +84,12 @@
         self._handlers[type(event)](event)
         return context.actions
 
-    def _on_started(self, event: t.Started) -> None:
+    def _on_started(self, event: interface.Started) -> None:
         self.endpoints.watch()
         self.context.schedule(self.context.random.randrange(1, TICK_INTERVAL), self._update)
 
     def _update(self) -> None:
-        """The periodic update."""
+        """Run the periodic update and schedule the next one."""
         self.endpoints.update_capacity()
         self.load.update_means()
         self.admission.update_quota()
@@ -97,15 +98,15 @@
         self._next_update_at = self.context.now + TICK_INTERVAL
         self.context.schedule(TICK_INTERVAL, self._update)
 
-    def _on_timer(self, event: t.TimerFired) -> None:
+    def _on_timer(self, event: interface.TimerFired) -> None:
         self.context.fire_timer(event.timer_id)
 
-    def _on_allocation(self, event: t.FleetAllocation) -> None:
+    def _on_allocation(self, event: interface.FleetAllocation) -> None:
         self.context.set_allocation(event)
         self.retries.tokens = event.retry_tokens
 
-    def _on_query(self, event: t.QueryReceived) -> None:
-        """Admit a query and dispatch it, or reject it at once."""
+    def _on_query(self, event: interface.QueryReceived) -> None:
+        """Admit and dispatch a query, or reject it."""
         context = self.context
         query = self._add_query(event)
         time_left = event.deadline - context.now
@@ -113,9 +114,9 @@
         query.deadline_timer = context.schedule(time_left - margin, self.lifecycle.finish, query, 0, "deadline")
         backoff: float | None
         if time_left > self._minimum_time(query):
-            backoff = self.admission.backoff(query)
+            backoff = self.admission.admit(query)
             reason = "over quota"
-        else:  # this process was stalled
+        else:  # This process was stalled and read the query late.
             backoff = STALL_BACKOFF
             reason = "too little time left"
         self.admission.record_admission(query, backoff is None)
@@ -126,12 +127,12 @@
         else:
             self.lifecycle.dispatch(query)
 
-    def _add_query(self, event: t.QueryReceived) -> QueryState:
-        """Count a query and begin its state."""
+    def _add_query(self, event: interface.QueryReceived) -> QueryState:
+        """Create the state of a new query and count the query."""
         context = self.context
         statistics = context.classes.get(event.cls)
-        if statistics is None:  # a class that is not configured promises nothing
-            statistics = context.classes[event.cls] = ClassStatistics(t.ClassSettings(event.cls))
+        if statistics is None:  # A class that is not configured has the defaults, among them not being idempotent.
+            statistics = context.classes[event.cls] = ClassStatistics(interface.ClassSettings(event.cls))
         relative_size = statistics.relative_size(event.estimate)
         query = QueryState(
             event=event,
@@ -150,14 +151,14 @@
         return query
 
     def _minimum_time(self, query: QueryState) -> float:
-        """The time that must be left to send a query."""
+        """Return the minimum time that must be left to send a query."""
         statistics = query.statistics
         if not statistics.responses:
             return 0
         return MIN_LATENCY_FRACTION * math.exp(statistics.log_latency) * query.relative_size
 
-    def _on_attempt_completed(self, event: t.AttemptCompleted) -> None:
-        """Learn from an outcome, then close, finish or retry the query."""
+    def _on_attempt_completed(self, event: interface.AttemptCompleted) -> None:
+        """Record an outcome, then close, finish or retry the query."""
         context = self.context
         attempt = context.attempts.pop((event.query, event.attempt), None)
         if attempt is None:
@@ -186,22 +187,22 @@
             self.lifecycle.finish(
                 query, event.backoff or self.lifecycle.failure_backoff(query), f"policy allows no retry after {outcome}"
             )
-        elif event.retry_delay:  # the engine is chosen after the delay: the list may change
+        elif event.retry_delay:  # The engine is chosen after the delay, as the endpoint list may change until then.
             context.schedule(event.retry_delay, self.lifecycle.retry_if_waiting, query, outcome)
         else:
             self.lifecycle.retry(query, outcome)
 
-    def _on_result_stream(self, event: t.ResultStreamStarted) -> None:
-        """The result belongs to the client from now on: no deadline, and no further attempt."""
+    def _on_result_stream(self, event: interface.ResultStreamStarted) -> None:
+        """Drop the deadline and rule out further attempts, because the client is receiving the result."""
         if query := self.context.queries.get(event.query):
             self.context.drop_timer(query.deadline_timer)
             query.deadline_timer = None
             query.attempts = self.context.settings.max_attempts
 
-    def _on_client_disconnected(self, event: t.ClientDisconnected) -> None:
+    def _on_client_disconnected(self, event: interface.ClientDisconnected) -> None:
         if query := self.context.queries.get(event.query):
             self.lifecycle.close(query)
 
-    def _on_hedge(self, event: t.HedgeDue) -> None:
+    def _on_hedge(self, event: interface.HedgeDue) -> None:
         if query := self.context.queries.get(event.query):
             self.lifecycle.hedge(query)
--- a/rackhub/policy/selection.py
+++ b/rackhub/policy/selection.py
@@ -1,4 +1,4 @@
-"""Which engine gets a query: filters, then smooth weighted round robin. All times are microseconds."""
+"""Engine selection: filters, then smooth weighted round robin. All times are microseconds."""
 
 import math
 import operator
@@ -12,29 +12,29 @@
 from rackhub.policy.state import QueryState
 from rackhub.policy.statistics import SECOND, TICK_INTERVAL, EngineState
 
-FAILURE_WEIGHT = 3  # log units of weight that a failure rate of 1 costs
-MAX_CALM_BONUS = 0.3  # log units of weight that a load below the fleet's mean gives at most
-FAILURE_MEMORY = 16 * SECOND  # decay time of the failure rate in an engine's weight
-LOAD_MEMORY = 8 * SECOND  # decay time of the load in an engine's weight
-GATEWAYS_PER_ENGINE = 60  # in a large fleet each gateway keeps to a subset of the engines
-LOCKING_FRACTION = 2 / 3  # of the engines that table-locking queries may use
-THREADS_TOLERANCE = 0.25  # threads per core over the mean
+FAILURE_PENALTY = 3  # reduction of the weight by a failure rate of 1, in log units
+MAX_LOW_LOAD_BONUS = 0.3  # maximum increase of the weight by a load below the fleet's mean, in log units
+FAILURE_DECAY_TIME = 16 * SECOND  # decay time of the failure rate in an engine's weight
+LOAD_DECAY_TIME = 8 * SECOND  # decay time of the load in an engine's weight
+GATEWAYS_PER_ENGINE = 60  # gateways that use one engine in a large fleet, where each uses a subset of the engines
+LOCKING_FRACTION = 2 / 3  # fraction of the engines that queries which lock tables may use
+THREADS_TOLERANCE = 0.25  # threads per core that an engine may have above the mean
 HASH_MULTIPLIER = 0x9E3779B1  # spreads the checksums of similar names over 32 bits
-SCOPE_DEPTHS = {"all": 0, "zone": 1}  # how much of (zone, cell) must agree; any other scope: both
+SCOPE_DEPTHS = {"all": 0, "zone": 1}  # number of elements of (zone, cell) that must match; 2 for any other scope
 ROTATION_CREDIT = operator.attrgetter("rotation_credit")
 
 
 class EngineSelector:
-    """Chooses engines. Each filter but the mandatory ones applies only if it leaves any engine."""
+    """Chooses engines. A filter that is not mandatory applies only if it leaves at least one engine."""
 
     def __init__(self, context: RouterContext, load: LoadEstimator, slow_start: SlowStart) -> None:
         self.context = context
         self.load = load
         self.slow_start = slow_start
-        self.subset: set[str] = set()  # the engines that this gateway keeps to
+        self.subset: set[str] = set()  # names of the engines that this gateway uses
 
     def update_subset(self) -> None:
-        """Recompute the subset: the first engines in this gateway's own hash order."""
+        """Recompute the subset: the first ready engines in the hash order of this gateway."""
         settings = self.context.settings
         ready = sorted(
             (name for name, engine in self.context.engines.items() if engine.ready),
@@ -45,7 +45,7 @@
         self.slow_start.subset_fraction = len(self.subset) / max(len(ready), 1)
 
     def choose(self, query: QueryState, excluded: Sequence[EngineState] = ()) -> EngineState | None:
-        """The engine for the query's next attempt, or None if no engine may run it."""
+        """Return the engine for the query's next attempt, or None if no engine may execute it."""
         engines = self._candidates(query, excluded)
         engines = self._without_table_conflicts(query, engines)
         mean_threads = sum([engine.threads for engine in engines]) / max(sum([engine.cores for engine in engines]), 1)
@@ -61,42 +61,42 @@
         return drawn or self.choose(query, (*excluded, *warming))
 
     def weight(self, engine: EngineState) -> float:
-        """The weight of one engine, recomputed after each observation of it and from time to time."""
+        """Return the weight of one engine. It is recomputed after each observation and periodically."""
         return self._weights([engine])[0]
 
     def _weights(self, engines: list[EngineState]) -> list[float]:
-        """The weights of all engines, in one loop: this runs over the whole fleet for each attempt."""
+        """Return the weights of the engines. One loop for speed, as it runs over the whole fleet for each attempt."""
         now = self.context.now
         expired = now - TICK_INTERVAL
         for engine in engines:
-            weighed_at = engine.weighed_at
+            weight_updated_at = engine.weight_updated_at
             if (
-                weighed_at <= expired
-                or weighed_at <= engine.failure_rate.updated_at
-                or weighed_at <= engine.load_excess.updated_at
+                weight_updated_at <= expired
+                or weight_updated_at <= engine.failure_rate.updated_at
+                or weight_updated_at <= engine.load_excess.updated_at
             ):
                 engine.weight = self._compute_weight(engine)
-                engine.weighed_at = now
+                engine.weight_updated_at = now
         return [engine.weight for engine in engines]
 
     def _compute_weight(self, engine: EngineState) -> float:
-        """Cores that are warmed up, less for failures and for load over the fleet's mean."""
+        """Return the cores that are warmed up, reduced for failures and for load above the fleet's mean."""
         now = self.context.now
-        penalty = FAILURE_WEIGHT * engine.failure_rate.value
-        penalty *= math.exp((engine.failure_rate.updated_at - now) / FAILURE_MEMORY)
-        excess = max(engine.load_excess.value - self.load.mean_excess, -MAX_CALM_BONUS)
-        penalty += excess * math.exp((engine.load_excess.updated_at - now) / LOAD_MEMORY)
+        penalty = FAILURE_PENALTY * engine.failure_rate.value
+        penalty *= math.exp((engine.failure_rate.updated_at - now) / FAILURE_DECAY_TIME)
+        excess = max(engine.load_excess.value - self.load.mean_excess, -MAX_LOW_LOAD_BONUS)
+        penalty += excess * math.exp((engine.load_excess.updated_at - now) / LOAD_DECAY_TIME)
         return engine.cores * self.slow_start.capacity(engine) * math.exp(-penalty)
 
     def _candidates(self, query: QueryState, excluded: Sequence[EngineState]) -> list[EngineState]:
-        """The engines that may run the query, without ejected and already attempted ones where others are left."""
+        """Return the engines that may execute the query; ejected and attempted ones only if no others remain."""
         now = self.context.now
         settings = query.statistics.settings
         reserved = self.context.allocation.reserved_engines
         engines = list(self.context.engines.values())
         if settings.allowed_zones or settings.allowed_engine_kinds or query.possibly_executed or query.event.zones:
             engines = [engine for engine in engines if self._is_allowed(query, engine)]
-        else:  # the usual case, without a call for each engine
+        else:  # The common case, handled without a call per engine.
             engines = [engine for engine in engines if engine.ready]
         if excluded or reserved:
             engines = [engine for engine in engines if engine not in excluded and engine.id not in reserved]
@@ -106,7 +106,7 @@
         return [engine for engine in engines if engine.id in self.subset] or engines
 
     def _is_allowed(self, query: QueryState, engine: EngineState) -> bool:
-        """The mandatory filters: readiness, placement, and the scope of idempotency keys."""
+        """Apply the mandatory filters: readiness, placement and the scope of idempotency keys."""
         settings = query.statistics.settings
         if not engine.ready:
             return False
@@ -125,10 +125,10 @@
         return depth <= 1 or first.cell == engine.placement.cell
 
     def _without_table_conflicts(self, query: QueryState, engines: list[EngineState]) -> list[EngineState]:
-        """Keep queries that lock tables, and those that wait for such locks, apart.
+        """Keep queries that lock tables apart from queries that wait for such locks.
 
-        All gateways keep the locking queries of a table to the same engines, by one hash, so that the queries which
-        they hold up have other engines.
+        All gateways use one hash to send the locking queries of a table group to the same engines, so that queries
+        which wait for the locks have other engines.
         """
         settings = query.statistics.settings
         tables = query.event.tables
@@ -146,7 +146,7 @@
         ]
         if unlocked:
             return unlocked
-        queue_time = 0.0  # of each load: a local one stands for one of every gateway
+        queue_time = 0.0  # expected wait per running load; each local load stands for one load of every gateway
         if settings.locks_tables and query.statistics.responses:
             queue_time = query.statistics.mean_latency * self.context.settings.gateways
         maximum = settings.latency_objective or settings.deadline
@@ -154,12 +154,12 @@
 
 
 def hash_name(text: str) -> int:
-    """A 32-bit hash that is the same in all processes."""
+    """Return a 32-bit hash that is the same in all processes."""
     return zlib.crc32(text.encode()) * HASH_MULTIPLIER % 2**32
 
 
 def rotate(engines: list[EngineState], weights: list[float]) -> EngineState | None:
-    """Smooth weighted round robin: the engine whose turn it is, or None if there is no engine."""
+    """Return the next engine by smooth weighted round robin, or None if there are no engines."""
     for engine, weight in zip(engines, weights, strict=True):
         engine.rotation_credit += weight
     best = max(engines, key=ROTATION_CREDIT, default=None)
--- a/rackhub/policy/state.py
+++ b/rackhub/policy/state.py
@@ -1,4 +1,4 @@
-"""Typed state of tenants, queries and attempts. All times are microseconds of the events' clock."""
+"""State of tenants, queries and attempts. All times are microseconds of the events' clock."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class TenantState:
-    """One tenant: its configured quota, its running threads and when its queries were admitted, by class."""
+    """A tenant: its configured quota, its threads in use, and the admission times of its recent queries by class."""
 
     quota_fraction: float
     threads: int = 0
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PossibleExecution:
-    """An attempt that ran, runs, or may still run."""
+    """An attempt that was executed, is being executed, or may still be executed."""
 
     attempt: int
     sent_at: int
@@ -27,10 +27,11 @@
 
 @dataclass(slots=True, eq=False)
 class QueryState:
-    """A query that this gateway owes one final answer.
+    """A query to which this gateway owes one final answer.
 
-    `relative_size` and `expected_latency` are against the mean of its class. `failed_on` is the engine whose error is
-    not explained yet: the query or the engine may be at fault. `deadline_timer` is None once a result is streaming.
+    `relative_size` is its work as a multiple of the mean of its class. `expected_latency` is the mean latency of the
+    class times that size. `failed_on` is the engine that returned an error while it is not known whether the query or
+    the engine is at fault. `deadline_timer` is None once the result is streaming.
     """
 
     event: QueryReceived
@@ -50,7 +51,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptState:
-    """One attempt in flight. `threads` and `memory_mb` are what it counts for in the gateway's usage."""
+    """An attempt in flight. `threads` and `memory_mb` are the resources that `ResourceUsage` counts for it."""
 
     query: QueryState
     number: int
@@ -65,7 +66,7 @@
     presumed_lost: bool = False
 
 
-def drop_until(times: deque[int], limit: float) -> None:
-    """Drop the times up to `limit` from the front."""
+def remove_expired(times: deque[int], limit: float) -> None:
+    """Remove the times up to and including `limit` from the front."""
     while times and times[0] <= limit:
         times.popleft()
--- a/rackhub/policy/usage.py
+++ b/rackhub/policy/usage.py
@@ -1,15 +1,15 @@
-"""Threads and memory that this gateway's attempts use, in total, by engine and by tenant."""
+"""Threads and memory used by this gateway's attempts: in total, per engine and per tenant."""
 
 from rackhub.policy.state import AttemptState
 
 
 class ResourceUsage:
-    """Counts of what is in flight. Memory is in MB."""
+    """Counts the resources of the attempts in flight. Memory is in MB."""
 
     def __init__(self) -> None:
         self.threads = 0
         self.running_attempts = 0
-        self.peak_threads = 0  # since the last periodic update
+        self.peak_threads = 0  # maximum since the last periodic update
         self.granted_memory_mb = 0.0
 
     def add(self, attempt: AttemptState) -> None:
@@ -21,7 +21,7 @@
         self._count(attempt, -1)
 
     def release(self, attempt: AttemptState) -> None:
-        """Stop counting an attempt that uses nothing any more though it has not ended."""
+        """Stop counting an attempt that has not ended but no longer uses resources."""
         self._count(attempt, -1)
         attempt.threads = 0
         attempt.memory_mb = 0
