--- a/rackhub/adapter.py
+++ b/rackhub/adapter.py
@@ -1,8 +1,7 @@
-"""The simulator's wire: reads event lines, drives one `Router` an instance and writes action lines.
+"""Adapter to the simulator: reads event lines, passes them to one `Router` per instance and writes action lines.
 
-A line is a message name and `field=value` pairs, separated by tabs. Events come in batches that end with END; each
-batch is answered by its action lines and END. Nothing is decided here. Unknown messages, fields and settings are
-ignored.
+A line is a message name and `field=value` pairs, separated by tabs. Events arrive in batches that end with END. The
+reply to a batch is its action lines and END. Unknown messages, fields and settings are ignored.
 """
 
 import sys
@@ -25,7 +24,7 @@
 
 
 class FieldSpec(NamedTuple):
-    """A field of a message: its name on the wire, the attribute it sets, its parser, and whether it must be there."""
+    """A field of a message: its name on the wire, the attribute it sets, its parser, and whether it is required."""
 
     wire_name: str
     attribute: str
@@ -34,14 +33,14 @@
 
 
 class EventSpec(NamedTuple):
-    """The event that a message becomes, and its fields."""
+    """The event type that a message is parsed into, and its fields."""
 
     event_type: type
     fields: tuple[FieldSpec, ...]
 
 
 class Line(NamedTuple):
-    """A line of the wire, split into its message name and pairs."""
+    """A line, split into its message name and field=value pairs."""
 
     message: str
     pairs: dict[str, str]
@@ -148,12 +147,12 @@
     FieldSpec("Rev", "revision", parse_int),
     FieldSpec("Page", "page", parse_int),
 )
-ZERO_VALUES = {"attempt": 0, "value": 0.0}  # a field at its zero value may be left off the line
-FAILED_LIST_SCOPE = "Error"  # of an endpoint list that could not be read: it has no page
+ZERO_VALUES = {"attempt": 0, "value": 0.0}  # values of fields that a line may omit when they are zero
+FAILED_LIST_SCOPE = "Error"  # scope of an endpoint list that could not be read; it has no page
 
 
 def parse_fields(message: str, pairs: Mapping[str, str], fields: Iterable[FieldSpec]) -> dict[str, Any]:
-    """The attributes that a message sets. Raises `InvalidFieldError`."""
+    """Parse the fields of a message into attributes. Raises `InvalidFieldError`."""
     values: dict[str, Any] = {}
     for field in fields:
         if field.wire_name in pairs:
@@ -166,18 +165,18 @@
 
 
 def split_line(raw: str) -> Line:
-    """Split a line; what isn't a `field=value` pair is ignored."""
+    """Split a line. Items that are not `field=value` pairs are ignored."""
     message, *items = raw.rstrip("\r\n").split("\t")
     return Line(message, dict(item.split("=", 1) for item in items if "=" in item))
 
 
 def single_line(text: object) -> str:
-    """The text with each run of white space replaced by a space."""
+    """Return the text on one line, with each run of white space replaced by a space."""
     return " ".join(str(text).split())
 
 
-def format_action(instance: str, action: object) -> str:  # noqa: C901 - one case an action
-    """One action as its line of the wire. Raises `TypeError` for an object that is no action."""
+def format_action(instance: str, action: object) -> str:  # noqa: C901 - one case per action
+    """Format an action as a line. Raises `TypeError` for an object that is not an action."""
     prefix = f"\tI={instance}"
     match action:
         case interface.Send(query, engine, timeout):
@@ -206,23 +205,23 @@
             return f"DROP_CONNS{prefix}\tNode={engine}"
         case interface.Log(text):
             return f"EMIT{prefix}\tReasonText={single_line(text)}"
-    raise TypeError(f"no wire line for {action!r}")
+    raise TypeError(f"not an action: {action!r}")
 
 
 class SimulatorAdapter:
-    """Runs the decision modules of all instances of a simulation in one process."""
+    """Runs the routers of all instances of a simulation in one process."""
 
     def __init__(self, out: TextIO, err: TextIO):
-        """Write batches of action lines to `out`, and errors to `err`."""
+        """Write action lines to `out` and errors to `err`."""
         self._out = out
         self._err = err
-        self._controls: dict[str, Router] = {}
+        self._routers: dict[str, Router] = {}
         self._endpoint_pages: dict[int, tuple[interface.EngineEntry, ...]] = {}
         self._now = 0  # microseconds
         self._reply: list[str] = []
 
     def run(self, lines: Iterable[str]) -> None:
-        """Serve batches until the input ends. Raises `InvalidFieldError` for a bad line that names no instance."""
+        """Process batches until the input ends. Raises `InvalidFieldError` for an invalid line without an instance."""
         remaining = iter(lines)
         for raw in remaining:
             line = split_line(raw)
@@ -241,20 +240,20 @@
         self._reply = []
 
     def _read_endpoint_page(self, line: Line, remaining: Iterator[str]) -> None:
-        """Read the entries of a numbered endpoint list, which follow its head."""
-        head = parse_fields(line.message, line.pairs, PAGE_FIELDS)
-        entries = tuple(self._parse_entry(next(remaining, "")) for _ in range(head["rows"]))
-        self._endpoint_pages[head["page"]] = entries
+        """Read the entries of a numbered endpoint list, which follow its header line."""
+        header = parse_fields(line.message, line.pairs, PAGE_FIELDS)
+        entries = tuple(self._parse_entry(next(remaining, "")) for _ in range(header["rows"]))
+        self._endpoint_pages[header["page"]] = entries
 
     @staticmethod
     def _parse_entry(raw: str) -> interface.EngineEntry:
         line = split_line(raw)
         if line.message != "M":
-            raise InvalidFieldError(f"DIRECTORY: a line M was due, not {line.message!r}")
+            raise InvalidFieldError(f"DIRECTORY: expected a line M, got {line.message!r}")
         return interface.EngineEntry(**parse_fields("M", line.pairs, ENTRY_FIELDS))
 
     def _dispatch(self, line: Line) -> None:
-        """Handle one event of an instance; a failure crashes that instance alone."""
+        """Handle one event of an instance. A failure crashes only that instance."""
         if line.message not in EVENTS and line.message not in ("START", "STOP", "MEMBERS"):
             return
         instance = line.pairs.get("I")
@@ -262,13 +261,13 @@
             raise InvalidFieldError(f"{line.message}: field I is missing")
         try:
             if line.message == "STOP":
-                self._controls.pop(instance, None)
+                self._routers.pop(instance, None)
             else:
                 self._handle(instance, line)
         except InvalidFieldError as error:
-            print(f"bad line for {instance}: {error}", file=self._err, flush=True)
+            print(f"invalid line for {instance}: {error}", file=self._err, flush=True)
             self._crash(instance, str(error))
-        except Exception as error:  # noqa: BLE001 - whatever the decision module raises is reported on the wire
+        except Exception as error:  # noqa: BLE001 - any exception of the decision modules is reported on the wire
             traceback.print_exc(file=self._err)
             self._crash(instance, f"{type(error).__name__}: {error}")
 
@@ -276,17 +275,17 @@
         event: Any
         if line.message == "START":
             seed = parse_fields(line.message, line.pairs, START_FIELDS)["seed"]
-            self._controls[instance] = Router(parse_settings(line.pairs), seed)
+            self._routers[instance] = Router(parse_settings(line.pairs), seed)
             event = interface.Started()
         elif line.message == "MEMBERS":
             event = self._endpoint_list(line)
         else:
             spec = EVENTS[line.message]
             event = spec.event_type(**parse_fields(line.message, line.pairs, spec.fields))
-        control = self._controls.get(instance)
-        if control is None:
+        router = self._routers.get(instance)
+        if router is None:
             raise InvalidFieldError(f"{line.message}: instance {instance} has not started")
-        for action in control.handle(self._now, event):
+        for action in router.handle(self._now, event):
             self._reply.append(format_action(instance, action))
 
     def _endpoint_list(self, line: Line) -> interface.EndpointList:
@@ -295,20 +294,20 @@
         if values["scope"] == FAILED_LIST_SCOPE:
             return interface.EndpointList(entries=(), **values)
         if page not in self._endpoint_pages:
-            raise InvalidFieldError(f"MEMBERS: field Page names the list {page}, which was not sent")
+            raise InvalidFieldError(f"MEMBERS: field Page refers to list {page}, which has not been sent")
         return interface.EndpointList(entries=self._endpoint_pages[page], **values)
 
     def _crash(self, instance: str, reason: str) -> None:
         self._reply.append(f"CRASH\tI={instance}\tReasonText={single_line(reason)}")
-        self._controls.pop(instance, None)
+        self._routers.pop(instance, None)
 
 
 def main() -> int:
-    """Serve standard input; returns the exit status, 2 after a bad line that names no instance."""
+    """Process standard input; return the exit status, 2 after an invalid line without an instance."""
     try:
         SimulatorAdapter(sys.stdout, sys.stderr).run(sys.stdin)
     except InvalidFieldError as error:
-        print(f"bad line: {error}", file=sys.stderr, flush=True)
+        print(f"invalid line: {error}", file=sys.stderr, flush=True)
         return 2
     return 0
 
--- a/rackhub/interface.py
+++ b/rackhub/interface.py
@@ -1,6 +1,6 @@
-"""The types that pass between a query gateway and `rackhub.policy`. No decision is taken here.
+"""The events and actions that a query gateway exchanges with `rackhub.policy`, and the gateway's settings.
 
-All times are whole microseconds of one clock that only advances.
+All times are whole microseconds of one monotonic clock.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 
 class Idempotency(StrEnum):
-    """What a class of query promises about being executed more than once."""
+    """How the queries of a class tolerate being executed more than once."""
 
     IDEMPOTENT = "retryable"
     IDEMPOTENCY_KEY = "dedup"
@@ -30,7 +30,7 @@
 
 
 class ProgressTopic(IntEnum):
-    """What a `ProgressReport` is about; its value is a fraction, MB, or a `WaitReason`."""
+    """Subject of a `ProgressReport`; its value is a fraction, MB or a `WaitReason`, in this order."""
 
     FRACTION_DONE = 1
     MEMORY_SPILLED = 2
@@ -38,14 +38,14 @@
 
 
 class WaitReason(IntEnum):
-    """What a waiting attempt waits for."""
+    """The resource that an attempt is waiting for."""
 
     MEMORY = 1
     TABLE_LOCK = 2
 
 
 class Admission(IntEnum):
-    """Where a query stands against the fleet's shedding threshold."""
+    """Position of a query relative to the fleet's shedding threshold."""
 
     SHED = -1
     UNDECIDED = 0
@@ -54,12 +54,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassSettings:
-    """One class of query, as it is configured.
+    """Settings of one class of query.
 
-    `idempotency` is a value of `Idempotency`; `idempotency_scope` says where a key is known (`cell`, `zone` or `all`),
-    and `idempotency_window` for how long. `latency_objective` is the latency that clients want, `deadline` the latest
-    one.
-    `threads`: of an engine, that a query takes. `serial_by_key`: queries of one key are executed one after the other.
+    `idempotency` is a value of `Idempotency`. An idempotency key is known within `idempotency_scope` (`cell`, `zone` or
+    `all`) for `idempotency_window`. `latency_objective` is the latency that clients want, `deadline` the maximum.
+    `threads` is the number of engine threads that a query uses. With `serial_by_key`, queries with the same key are
+    executed one after the other.
     """
 
     name: str
@@ -80,14 +80,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantSettings:
-    """One tenant, with its quota of the service; 0: none is configured."""
+    """Settings of one tenant. A quota fraction or rate limit of 0 is not configured."""
 
     name: str
     quota_fraction: float = 0.0
     rate_limit_per_s: float = 0.0
 
 
-# attribute, the name that an operator knows it by, and its minimum
+# (attribute, name shown to operators, minimum value)
 _MINIMUM_VALUES = (
     ("gateways", "gateways", 1),
     ("max_attempts", "max_attempts", 1),
@@ -107,11 +107,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The settings of one gateway, an instance of the coordinator. What is not configured keeps its default.
+    """Settings of one gateway, an instance of the coordinator. A setting that is not configured keeps its default.
 
-    `clock_period`: the longest time between two calls of the decisions. `kind_cores`, `kind_memory` (MB): of an engine,
-    by kind. `serial_key_delay`: how long a key rests after an attempt that may still be executed. `drain_grace`: how
-    long after its notification a draining engine may still receive queries.
+    `clock_period` is the maximum time between two calls of the decisions. `kind_cores` and `kind_memory` (MB) describe
+    the engines of each kind. `serial_key_delay` is the wait before the next query of a key if an attempt may still be
+    executing. `drain_grace` is the time after its notification in which a draining engine may still receive queries.
     """
 
     classes: tuple[ClassSettings, ...] = ()
@@ -144,25 +144,31 @@
     drain_grace: int = 0
 
     def __post_init__(self) -> None:
-        """Raise `ValueError` for a value that no site can mean, by the name that the operator knows."""
+        """Check the values. Raises `ValueError`, which names the setting as operators know it."""
         for attribute, configured_name, minimum in _MINIMUM_VALUES:
             value = getattr(self, attribute)
             if not value >= minimum:
-                raise ValueError(f"setting {configured_name} is {value!r}: at least {minimum} is needed")
+                raise ValueError(f"setting {configured_name} is {value!r}: must be at least {minimum}")
         for kind, cores in self.kind_cores.items():
             if not cores > 0:
-                raise ValueError(f"setting kind_cores of {kind} is {cores!r}: more than 0 is needed")
+                raise ValueError(f"setting kind_cores of {kind} is {cores!r}: must be above 0")
         self._check_classes()
         for tenant in self.tenants:
             if tenant.quota_fraction < 0 or tenant.rate_limit_per_s < 0:
-                raise ValueError(f"setting fraction or allowance_per_s of tenant {tenant.name} is below 0")
+                raise ValueError(
+                    f"settings fraction and allowance_per_s of tenant {tenant.name} are"
+                    f" {tenant.quota_fraction!r} and {tenant.rate_limit_per_s!r}: both must be at least 0"
+                )
 
     def _check_classes(self) -> None:
         for cls in self.classes:
             if cls.idempotency not in list(Idempotency):
-                raise ValueError(f"setting effect of class {cls.name} is {cls.idempotency!r}: not known")
+                raise ValueError(
+                    f"setting effect of class {cls.name} is {cls.idempotency!r}:"
+                    f" must be one of {', '.join(Idempotency)}"
+                )
             if cls.threads < 1:
-                raise ValueError(f"setting threads of class {cls.name} is {cls.threads!r}: at least 1 is needed")
+                raise ValueError(f"setting threads of class {cls.name} is {cls.threads!r}: must be at least 1")
 
 
 # ---- events -----------------------------------------------------------------------------------------
@@ -177,7 +183,8 @@
 class EngineEntry:
     """One engine of the endpoint list.
 
-    `state` is Ready, Terminating (draining) or Gone; `size` its relative capacity; `started_at` 0: long ago.
+    `state` is Ready, Terminating (draining) or Gone. `size` is the relative capacity. A `started_at` of 0 means that
+    the engine started long ago.
     """
 
     engine: str
@@ -191,7 +198,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """The endpoint list or changes of it. `scope` is Partial, Complete, Persisted (an earlier run's) or Error."""
+    """The endpoint list or changes to it. `scope` is Partial, Complete, Persisted (from an earlier run) or Error."""
 
     scope: str
     entries: tuple[EngineEntry, ...] = ()
@@ -202,10 +209,10 @@
 class QueryReceived:
     """A query to which this gateway owes one final answer by `deadline`.
 
-    `estimate`: its cost, in the unit of `AttemptCompleted.cost`. `key`: of a class that is serial by key. `tables`: the
-    group of tables that it touches. `max_attempts` 0: that of the settings. `retry_window`: how long after its first
-    attempt a query with an idempotency key may be retried, 0: by its class. `admission`: see `Admission`. `zones`: the
-    only zones where it may be executed; empty: anywhere.
+    `estimate` is its cost in the unit of `AttemptCompleted.cost`. `key` is used by classes that are serial by key.
+    `tables` is the group of tables that it uses. A `max_attempts` of 0 means the maximum in the settings.
+    `retry_window` is the time after the first attempt in which a query with an idempotency key may be retried; 0 means
+    by its class. `admission` is a value of `Admission`. The query may only be executed in `zones`, unless empty.
     """
 
     query: str
@@ -226,7 +233,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResultStreamStarted:
-    """The result of an attempt has started to reach the client: no retry is possible any more."""
+    """The result of an attempt has started to reach the client, so that the query can no longer be retried."""
 
     query: str
     attempt: int
@@ -236,7 +243,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProgressReport:
-    """Progress of an attempt in flight. `topic` is a `ProgressTopic`, which says what `value` is."""
+    """Progress of an attempt in flight. `topic` is a `ProgressTopic`, which defines the meaning of `value`."""
 
     query: str
     attempt: int
@@ -249,9 +256,9 @@
 class AttemptCompleted:
     """The one outcome of an attempt, a value of `Outcome`.
 
-    `settled`: the query has had its answer. `elapsed`: microseconds since the attempt was sent. `report`: the engine's
-    load report. `may_retry`: the terms allow a retry, after `retry_delay`; if not, `backoff` is when the
-    client should come back.
+    `settled` means that the query has been answered. `elapsed` is the time since the attempt was sent. `report` is the
+    load report of the engine. If the operator's terms allow a retry (`may_retry`), it is sent after `retry_delay`;
+    otherwise the client should wait for `backoff`.
     """
 
     query: str
@@ -269,28 +276,28 @@
 
 @dataclass(slots=True, frozen=True)
 class HedgeDue:
-    """By the operator's terms a hedge of the query may be sent beside the attempt in flight."""
+    """The operator's terms allow a hedge of the query now, in addition to the attempt in flight."""
 
     query: str
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client is gone: no answer is owed any more."""
+    """The client has disconnected, so that no answer is needed any more."""
 
     query: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that `Timer` asked for has expired."""
+    """A timer that was set by a `Timer` has expired."""
 
     timer_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckCompleted:
-    """The result of one health check; `elapsed` in microseconds."""
+    """The result of a health check, `elapsed` microseconds after it was sent."""
 
     engine: str
     outcome: str
@@ -308,14 +315,13 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetAllocation:
-    """What the gateways of a fleet agree on, as far as this one knows; it holds until the next.
-
-    `thread_share`: this gateway's fraction of the threads that the fleet may use; None: an equal share of the
-    configured number. `slow_start_share`: the same for engines that are warming up. `retry_tokens`: retries that this
-    gateway may
-    make from now on; None: by its own budget. `health_check_targets`: the engines to check; None: a random sample.
-    `reserved_engines`: engines that get nothing from this gateway, as another one tries their recovery.
-    `minimum_backoff`: for clients that are rejected now, in microseconds.
+    """The allocation of the fleet to this gateway, as far as known here. It applies until the next one.
+
+    `thread_share` is this gateway's fraction of the threads that the fleet may use; None means an equal share by the
+    configured number of gateways. `slow_start_share` is the same for engines that are warming up. `retry_tokens` is the
+    number of retries that this gateway may send from now on; None means by its own budget. `health_check_targets` are
+    the engines to check; None means a random sample. `reserved_engines` get no queries from this gateway, because
+    another gateway tests their recovery. `minimum_backoff` applies to clients that are rejected now.
     """
 
     thread_share: float | None = None
@@ -331,7 +337,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send one attempt of a query to an engine. `timeout` in microseconds; 0: until the deadline."""
+    """Send an attempt of a query to an engine. A `timeout` of 0 means until the deadline."""
 
     query: str
     engine: str
@@ -340,7 +346,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExecutionHints:
-    """Memory grant (MB; 0: the engine's own choice) and priority for the query's next attempts."""
+    """Memory grant (0: chosen by the engine) and priority for the next attempts of a query."""
 
     query: str
     memory_grant_mb: float = 0.0
@@ -357,7 +363,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: rejected; a retry is harmless, best after `retry_after` microseconds. `reason` is logged."""
+    """Final answer: the query is rejected, and may be retried after `retry_after`. `reason` is logged."""
 
     query: str
     retry_after: int = 0
@@ -366,7 +372,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed; it may have been executed. `reason` is logged."""
+    """Final answer: the query has failed, and may have been executed. `reason` is logged."""
 
     query: str
     reason: str = field(default="", compare=False)
@@ -374,7 +380,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """Ask for `TimerFired(timer_id)` after `delay` microseconds."""
+    """Set a timer, which leads to `TimerFired(timer_id)` after `delay` microseconds."""
 
     delay: int
     timer_id: int
@@ -389,7 +395,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendGossip:
-    """A message to another gateway; -1: to all of them."""
+    """Send a message to another gateway, or to all others if `peer` is -1."""
 
     peer: int
     contents: bytes
@@ -397,7 +403,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Watch the endpoint list for changes."""
+    """Start or stop watching the endpoint list for changes."""
 
     enabled: bool = True
 
@@ -416,6 +422,6 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
--- a/rackhub/settings.py
+++ b/rackhub/settings.py
@@ -1,7 +1,7 @@
-"""Reads a site's settings, from nested JSON or from the pairs of a START message, into `interface.Settings`.
+"""Parses a site's settings, from nested JSON or from the pairs of a START message, into `interface.Settings`.
 
-Both carry the same names and units; START flattens the tree to path=value text. The nested form is flattened the same
-way here, so that one table defines what each name means and how it is checked.
+Both forms use the same names and units. START holds the tree flattened to path=value pairs; nested JSON is flattened in
+the same way here, so that one table defines the meaning and the parser of each name.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,11 +12,11 @@
 
 
 class InvalidFieldError(ValueError):
-    """A message or setting lacks a required field, or a field's value can't be parsed. The text names the field."""
+    """A required field of a message or setting is missing or cannot be parsed. The text names the field."""
 
 
 FieldParser = Callable[[str], Any]
-FieldTable = Mapping[str, tuple[str, FieldParser]]  # path on the wire -> (attribute, parser)
+FieldTable = Mapping[str, tuple[str, FieldParser]]  # path in the message -> (attribute, parser)
 
 
 def parse_int(text: str) -> int:
@@ -25,14 +25,14 @@
 
 
 def parse_bool(text: str) -> bool:
-    """Parse a truth value. Raises `ValueError`."""
+    """Parse a Boolean: 0, 1, true or false. Raises `ValueError`."""
     if text not in ("0", "1", "true", "false"):
         raise ValueError(text)
     return text in ("1", "true")
 
 
 def parse_nonempty(text: str) -> str:
-    """Return the text. Raises `ValueError` where it is empty."""
+    """Return the text. Raises `ValueError` if it is empty."""
     if not text:
         raise ValueError(text)
     return text
@@ -47,7 +47,7 @@
 
 
 def parse_names(text: str) -> tuple[str, ...]:
-    """Parse names separated by commas; empty ones are left out."""
+    """Parse names separated by commas; empty names are ignored."""
     return tuple(name for name in text.split(",") if name)
 
 
@@ -90,7 +90,7 @@
     "StaysIn": ("allowed_zones", parse_names),
     "ServedOn": ("allowed_engine_kinds", parse_names),
 }
-CLASS_COLUMNS: FieldTable = {  # a value for each class, separated by commas, in the order of the classes
+CLASS_COLUMNS: FieldTable = {  # one value per class, separated by commas, in the order of the classes
     "FamilyInfo.Dop": ("threads", parse_int),
     "FamilyInfo.HoldsTables": ("locks_tables", parse_bool),
     "FamilyInfo.BlockedByLoads": ("blocked_by_table_locks", parse_bool),
@@ -103,15 +103,15 @@
 
 
 def parse_field(message: str, pairs: Mapping[str, str], field: str, parser: FieldParser) -> Any:
-    """Parse a field that is present in `pairs`. Raises `InvalidFieldError`, which names `message` as the origin."""
+    """Parse a field that is present in `pairs`. Raises `InvalidFieldError`, whose text begins with `message`."""
     try:
         return parser(pairs[field])
     except (ValueError, TypeError):
-        raise InvalidFieldError(f"{message}: field {field} has the bad value {pairs[field]!r}") from None
+        raise InvalidFieldError(f"{message}: field {field} has the invalid value {pairs[field]!r}") from None
 
 
 def parse_settings(pairs: Mapping[str, str], source: str = "START") -> interface.Settings:
-    """Parse settings from path=value pairs. Raises `InvalidFieldError`, which names `source` as their origin."""
+    """Parse settings from path=value pairs. Raises `InvalidFieldError`, whose text begins with `source`."""
     return _SettingsParser(pairs, source).settings()
 
 
@@ -139,7 +139,7 @@
         )
 
     def _rows(self, path: str, table: FieldTable) -> list[dict[str, Any]]:
-        """The attributes of each object of the list at `path`."""
+        """Return the attributes of each object in the list at `path`."""
         count_path = f"{path}.count"
         if count_path not in self._pairs:
             return []
@@ -154,7 +154,7 @@
         return values
 
     def _column(self, path: str, parser: FieldParser) -> list[Any]:
-        """The values of a list that is joined by commas."""
+        """Return the values of the list at `path`, which is joined by commas."""
         joined = self._pairs.get(path)
         if not joined:
             return []
