--- a/rackhub/interface.py
+++ b/rackhub/interface.py
@@ -112,6 +112,8 @@
     `clock_period` is the maximum time between two calls of the decisions. `kind_cores` and `kind_memory` (MB) describe
     the engines of each kind. `serial_key_delay` is the wait before the next query of a key if an attempt may still be
     executing. `drain_grace` is the time after its notification in which a draining engine may still receive queries.
+    `discovery` is `ask` where endpoint lists are sent on request only. `load_report_source` is `silent` where engines
+    do not report their load.
     """
 
     classes: tuple[ClassSettings, ...] = ()
--- a/rackhub/policy/admission.py
+++ b/rackhub/policy/admission.py
@@ -108,8 +108,8 @@
             return True
         active = [other for other in self.tenants.values() if other.threads or other is tenant]
         total = sum(other.quota_fraction or 1.0 for other in active)
-        split = limit * (tenant.quota_fraction or 1.0) / total
-        return len(active) > 1 and tenant.threads + threads <= split * GUARANTEED_TENANT_FRACTION
+        tenant_limit = limit * (tenant.quota_fraction or 1.0) / total
+        return len(active) > 1 and tenant.threads + threads <= tenant_limit * GUARANTEED_TENANT_FRACTION
 
     def record_admission(self, query: QueryState, admitted: bool) -> None:
         """Update the admission rate of the query's class."""
--- a/rackhub/policy/progress.py
+++ b/rackhub/policy/progress.py
@@ -15,10 +15,10 @@
 from rackhub.policy.usage import ResourceUsage
 
 SLOW_PLAN_LATENCIES = 4  # remaining time that means a slow plan, in expected latencies
-LOCK_HOLD_FRACTION = 0.5  # expected remaining time of a table lock, as a fraction of the mean latency of loads
+LOCK_HOLD_FRACTION = 0.5  # expected remaining time of a table lock, as a fraction of a load's mean latency
 HEALTH_CHECK_TIMEOUT = SECOND // 3
 REPORT_LATENESS = 1.25  # time after which a progress report is overdue, in report intervals
-MIN_PENDING_ATTEMPTS = 3  # pending attempts from which the lack of any response is not due to chance
+MIN_PENDING_ATTEMPTS = 3  # minimum pending attempts for which the lack of any response is not due to chance
 
 
 class ProgressMonitor:
@@ -115,7 +115,7 @@
         query = attempt.query
         if (query.id, attempt.number) not in self.context.attempts:
             return
-        if self._await_overdue(attempt):
+        if self._check_overdue(attempt):
             return
         if query.closed or not attempt.threads or not self.outcomes.losing_responses:
             return
@@ -129,10 +129,10 @@
             elif self.hints.has_high_value_density(query.statistics):
                 self.lifecycle.retry(query, Outcome.TIMED_OUT)
 
-    def _await_overdue(self, attempt: AttemptState) -> bool:
-        """Act on the likely reason why an attempt is overdue; return whether to await its response unchanged.
+    def _check_overdue(self, attempt: AttemptState) -> bool:
+        """Act on the likely reason why an attempt is overdue; return True if nothing else is to be done now.
 
-        Schedules another check, sends a health check, or cancels the attempt and counts a failure of its engine.
+        Schedules another check, sends a health check, or counts a failure of the engine and cancels the attempt.
         """
         context = self.context
         engine = attempt.engine
