--- a/rackhub/interface.py
+++ b/rackhub/interface.py
@@ -8,17 +8,17 @@
 
 
 class Outcome(StrEnum):
-    """How an attempt or a health check ended."""
+    """How an attempt or a health check ended. The values are those of the wire."""
 
     SUCCESS = "GOOD"
     ERROR = "BAD"
-    OVERLOADED = "FULL"
-    CONNECT_FAILED = "NOCONN"
+    OVERLOADED = "FULL"  # rejected by the engine, not executed
+    CONNECT_FAILED = "NOCONN"  # not executed
     NOT_EXECUTED = "NOP"
-    TIMED_OUT = "LATE"
-    RESET = "RST"
-    CANCELLED = "CXL"
-    LOST = "LOST"
+    TIMED_OUT = "LATE"  # may still be executing
+    RESET = "RST"  # may still be executing
+    CANCELLED = "CXL"  # may still be executing
+    LOST = "LOST"  # used by the decisions alone: the response is presumed lost
 
 
 class Idempotency(StrEnum):
@@ -45,11 +45,11 @@
 
 
 class Admission(IntEnum):
-    """Position of a query relative to the fleet's shedding threshold."""
+    """Decision of the fleet on a query."""
 
-    SHED = -1
-    UNDECIDED = 0
-    ADMITTED = 1
+    SHED = -1  # below the shedding threshold or beyond this gateway's limit: rejected
+    UNDECIDED = 0  # no shedding in the fleet: this gateway's quota and rate windows decide
+    ADMITTED = 1  # above the shedding threshold: only the rate windows apply
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,9 +57,10 @@
     """Settings of one class of query.
 
     `idempotency` is a value of `Idempotency`. An idempotency key is known within `idempotency_scope` (`cell`, `zone` or
-    `all`) for `idempotency_window`. `latency_objective` is the latency that clients want, `deadline` the maximum.
-    `threads` is the number of engine threads that a query uses. With `serial_by_key`, queries with the same key are
-    executed one after the other.
+    `all`) for `idempotency_window`. `latency_objective` is the latency that clients want, `deadline` the maximum; both
+    are durations. `threads` is the number of engine threads that a query uses. With `serial_by_key`, queries with the
+    same key are executed one after the other. Queries that are `blocked_by_table_locks` wait on an engine while a query
+    of a class that `locks_tables` uses the same tables there.
     """
 
     name: str
@@ -80,14 +81,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantSettings:
-    """Settings of one tenant. A quota fraction or rate limit of 0 is not configured."""
+    """Settings of one tenant. 0 means not configured; admission then counts the quota fraction as 1."""
 
     name: str
     quota_fraction: float = 0.0
     rate_limit_per_s: float = 0.0
 
 
-# (attribute, name shown to operators, minimum value)
+# (attribute, name in error messages, minimum value)
 _MINIMUM_VALUES = (
     ("gateways", "gateways", 1),
     ("max_attempts", "max_attempts", 1),
@@ -109,11 +110,11 @@
 class Settings:
     """Settings of one gateway, an instance of the coordinator. A setting that is not configured keeps its default.
 
-    `clock_period` is the maximum time between two calls of the decisions. `kind_cores` and `kind_memory` (MB) describe
-    the engines of each kind. `serial_key_delay` is the wait before the next query of a key if an attempt may still be
-    executing. `drain_grace` is the time after its notification in which a draining engine may still receive queries.
-    `discovery` is `ask` where endpoint lists are sent on request only. `load_report_source` is `silent` where engines
-    do not report their load.
+    `clock_period` is the maximum time between two calls of the decisions, and the unit of their margins for time.
+    `kind_cores` and `kind_memory` (MB) describe the engines of each kind. `serial_key_delay` is the wait before the
+    next query of a key if an attempt may still be executing. `drain_grace` is the time after its notification in which
+    a draining engine may still receive queries. `discovery` is `ask` where endpoint lists are sent on request only.
+    `load_report_source` is `silent` where engines do not report their load.
     """
 
     classes: tuple[ClassSettings, ...] = ()
@@ -146,7 +147,7 @@
     drain_grace: int = 0
 
     def __post_init__(self) -> None:
-        """Check the values. Raises `ValueError`, which names the setting as operators know it."""
+        """Check the values. Raises `ValueError`, which names the setting, its value and the values allowed."""
         for attribute, configured_name, minimum in _MINIMUM_VALUES:
             value = getattr(self, attribute)
             if not value >= minimum:
@@ -185,8 +186,8 @@
 class EngineEntry:
     """One engine of the endpoint list.
 
-    `state` is Ready, Terminating (draining) or Gone. `size` is the relative capacity. A `started_at` of 0 means that
-    the engine started long ago.
+    `state` is Ready, Terminating (draining) or Gone. `size` is the relative capacity, which the decisions do not use. A
+    `started_at` of 0 means that the engine started long ago.
     """
 
     engine: str
@@ -200,7 +201,10 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """The endpoint list or changes to it. `scope` is Partial, Complete, Persisted (from an earlier run) or Error."""
+    """The endpoint list or changes to it.
+
+    `scope` is Partial, Complete, Persisted (from an earlier run) or Error (the list could not be read).
+    """
 
     scope: str
     entries: tuple[EngineEntry, ...] = ()
@@ -211,8 +215,8 @@
 class QueryReceived:
     """A query to which this gateway owes one final answer by `deadline`.
 
-    `estimate` is its cost in the unit of `AttemptCompleted.cost`. `key` is used by classes that are serial by key.
-    `tables` is the group of tables that it uses. A `max_attempts` of 0 means the maximum in the settings.
+    `estimate` is the estimated work in thread-microseconds; 0 means none. `key` is used by classes that are serial by
+    key. `tables` is the group of tables that it uses. A `max_attempts` of 0 means the maximum in the settings.
     `retry_window` is the time after the first attempt in which a query with an idempotency key may be retried; 0 means
     by its class. `admission` is a value of `Admission`. The query may only be executed in `zones`, unless empty.
     """
@@ -259,8 +263,10 @@
     """The one outcome of an attempt, a value of `Outcome`.
 
     `settled` means that the query has been answered. `elapsed` is the time since the attempt was sent. `report` is the
-    load report of the engine. If the operator's terms allow a retry (`may_retry`), it is sent after `retry_delay`;
-    otherwise the client should wait for `backoff`.
+    load report of the engine. `cost` is 0 if none is reported; its low 12 bits are the memory in units of 4 MB, the
+    bits above them the work in thread-milliseconds. If the operator's rules allow a retry (`may_retry`), it is sent
+    after `retry_delay`; otherwise the client should wait for `backoff`, or as long as the decisions choose if that is
+    0.
     """
 
     query: str
@@ -320,10 +326,10 @@
     """The allocation of the fleet to this gateway, as far as known here. It applies until the next one.
 
     `thread_share` is this gateway's fraction of the threads that the fleet may use; None means an equal share by the
-    configured number of gateways. `slow_start_share` is the same for engines that are warming up. `retry_tokens` is the
-    number of retries that this gateway may send from now on; None means by its own budget. `health_check_targets` are
-    the engines to check; None means a random sample. `reserved_engines` get no queries from this gateway, because
-    another gateway tests their recovery. `minimum_backoff` applies to clients that are rejected now.
+    configured number of gateways. `slow_start_share` is the fraction for engines that are warming up. `retry_tokens` is
+    the number of retries that this gateway may send from now on; None means by its own budget. `health_check_targets`
+    are the engines to check; None means a random sample. `reserved_engines` get no queries from this gateway, for
+    example because another gateway tests their recovery. `minimum_backoff` applies to clients that are rejected now.
     """
 
     thread_share: float | None = None
@@ -348,7 +354,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExecutionHints:
-    """Memory grant (0: chosen by the engine) and priority for the next attempts of a query."""
+    """Memory grant (0: chosen by the engine) and priority (0 to 3, 3 first) for the attempts of a query."""
 
     query: str
     memory_grant_mb: float = 0.0
--- a/rackhub/policy/endpoints.py
+++ b/rackhub/policy/endpoints.py
@@ -61,7 +61,7 @@
 
     def update_capacity(self) -> None:
         """Recompute the values that depend on the cores and memory of the ready engines."""
-        self.admission.update_equal_share()
+        self.admission.update_allocated_threads()
         self.hints.update_engine_memory()
 
     def _update_engine(self, entry: interface.EngineEntry) -> None:
--- a/rackhub/policy/progress.py
+++ b/rackhub/policy/progress.py
@@ -14,11 +14,11 @@
 from rackhub.policy.statistics import SECOND
 from rackhub.policy.usage import ResourceUsage
 
-SLOW_PLAN_LATENCIES = 4  # remaining time that means a slow plan, in expected latencies
-LOCK_HOLD_FRACTION = 0.5  # expected remaining time of a table lock, as a fraction of a load's mean latency
+SLOW_PLAN_LATENCIES = 4  # remaining time that means a slow execution plan, in expected or, if longer, recent latencies
+LOCK_HOLD_FRACTION = 0.5  # expected remaining time of a table lock, as a fraction of the latency of locking queries
 HEALTH_CHECK_TIMEOUT = SECOND // 3
 REPORT_LATENESS = 1.25  # time after which a progress report is overdue, in report intervals
-MIN_PENDING_ATTEMPTS = 3  # minimum pending attempts for which the lack of any response is not due to chance
+MIN_PENDING_ATTEMPTS = 3  # pending attempts from which the lack of any response is not due to chance
 
 
 class ProgressMonitor:
@@ -43,9 +43,12 @@
         self.lifecycle = lifecycle
 
     def schedule_overdue_check(self, attempt: AttemptState) -> None:
-        """Schedule the check of an overdue attempt: earlier if responses get lost or attempts cannot be cancelled."""
-        earlier = self.outcomes.losing_responses or not self.context.settings.cancel
-        delay = OVERDUE_LATENCIES / (1 + earlier) * attempt.query.expected_latency
+        """Schedule the check whether an attempt that was just sent is overdue.
+
+        The check comes in half the time if responses get lost or attempts cannot be cancelled.
+        """
+        halved = self.outcomes.losing_responses or not self.context.settings.cancel
+        delay = OVERDUE_LATENCIES / (1 + halved) * attempt.query.expected_latency
         self.context.schedule(delay, self._on_overdue, attempt)
 
     def on_progress_report(self, event: interface.ProgressReport) -> None:
@@ -67,27 +70,38 @@
             self._on_table_lock(attempt)
 
     def _on_memory_wait(self, attempt: AttemptState) -> None:
-        """Finish a query that still waits for memory after its latency objective; it only lengthens the queue."""
+        """Record a wait for memory; finish a query that has waited longer than its latency objective.
+
+        Such a query would only delay others. It counts as a failure of the engine.
+        """
         query = attempt.query
         self.hints.record_memory_wait(self.load.reported_memory_use)
         elapsed = self.context.now - attempt.sent_at
         if elapsed > query.statistics.settings.latency_objective and self.context.settings.cancel:
             attempt.engine.failure_rate.add(self.context.now, 1)
-            self.lifecycle.finish(query, 0, "waits for memory")
+            self.lifecycle.finish(query, 0, "waited for memory beyond the latency objective")
 
     def _on_table_lock(self, attempt: AttemptState) -> None:
-        """Record that a load, perhaps of another gateway, locks the query's tables, and retry the query elsewhere."""
+        """Record that another query, perhaps of another gateway, locks the tables of this one.
+
+        If the class of the query is blocked by table locks, the attempt is cancelled for a retry on another engine.
+        """
         now = self.context.now
         engine = attempt.engine
-        loads = [entry.mean_latency for entry in self.context.classes.values() if entry.settings.locks_tables]
+        locking_latencies = [
+            entry.mean_latency for entry in self.context.classes.values() if entry.settings.locks_tables
+        ]
         locked_until = {tables: until for tables, until in engine.locked_until.items() if until > now}
-        locked_until[attempt.query.event.tables] = now + LOCK_HOLD_FRACTION * max(loads, default=0)
+        locked_until[attempt.query.event.tables] = now + LOCK_HOLD_FRACTION * max(locking_latencies, default=0)
         engine.locked_until = locked_until
         if attempt.query.statistics.settings.blocked_by_table_locks:
             self.lifecycle.cancel_to_retry(attempt)
 
     def _on_fraction_done(self, attempt: AttemptState, fraction: float) -> None:
-        """Cancel an attempt that would end too late, or far later than expected (slow plan or slow engine)."""
+        """Cancel an attempt that would end too late, or far later than expected (slow plan or slow engine).
+
+        A retry is tried for the first attempt of a query alone. Otherwise a query that is too late is finished.
+        """
         now = self.context.now
         if not fraction:  # Execution has not started.
             attempt.executing_since = now
@@ -107,8 +121,9 @@
         if not attempt.number and (slow_plan or too_late and not self.load.overloaded):
             self.lifecycle.cancel_to_retry(attempt)  # A retry gets a new execution plan.
         elif too_late and self.context.settings.cancel:
-            # Too slow a second time: the query needs more time than it has, and delays other queries.
-            self.lifecycle.finish(query, 0, "too slow twice")
+            # No retry is sent: the fleet is overloaded, or this attempt was already a retry or hedge. The query needs
+            # more time than it has, and delays other queries.
+            self.lifecycle.finish(query, 0, "cannot complete before the deadline")
 
     def _on_overdue(self, attempt: AttemptState) -> None:
         """Handle an overdue attempt: if its response seems lost, stop counting it and, where allowed, retry."""
@@ -117,6 +132,7 @@
             return
         if self._check_overdue(attempt):
             return
+        # An attempt without threads has been released already.
         if query.closed or not attempt.threads or not self.outcomes.losing_responses:
             return
         settings = self.context.settings
@@ -126,13 +142,14 @@
         if settings.hedging and len(query.in_flight) < MAX_IN_FLIGHT:
             if settings.cancel:
                 self.lifecycle.retry(query, Outcome.LOST)
-            elif self.hints.has_high_value_density(query.statistics):
+            elif self.hints.has_high_value_density(query.statistics):  # The first attempt may still be executing.
                 self.lifecycle.retry(query, Outcome.TIMED_OUT)
 
     def _check_overdue(self, attempt: AttemptState) -> bool:
-        """Act on the likely reason why an attempt is overdue; return True if nothing else is to be done now.
+        """Act on the likely reason why an attempt is overdue.
 
-        Schedules another check, sends a health check, or counts a failure of the engine and cancels the attempt.
+        Returns True if there is nothing else to do until the next check. Returns False if the caller may treat the
+        response as lost, provided that responses get lost at all.
         """
         context = self.context
         engine = attempt.engine
@@ -156,17 +173,19 @@
         return False
 
     def _may_still_answer(self, attempt: AttemptState) -> bool:
-        """Return whether an engine that answers other queries may, at its present speed, still answer this attempt.
+        """Wait longer for an attempt if its class or engine is slower at present than at its best.
 
-        If so, another check is scheduled. If not, the response is presumed lost.
+        Returns True and schedules another check until the best latency times the slowdown has passed
+        `OVERDUE_LATENCIES` times (half of that while responses get lost). Then presumes the response lost and returns
+        False.
         """
         context = self.context
         query = attempt.query
         statistics = query.statistics
         timeout_latencies = OVERDUE_LATENCIES / (1 + self.outcomes.losing_responses)
-        fleet_slowdown = math.exp(statistics.log_latency - statistics.best_log_latency)
+        class_slowdown = math.exp(statistics.log_latency - statistics.best_log_latency)
         best_latency = math.exp(statistics.best_log_latency) * query.relative_size
-        latency = best_latency * max(attempt.engine.relative_response_time, fleet_slowdown)
+        latency = best_latency * max(attempt.engine.relative_response_time, class_slowdown)
         if context.now - attempt.sent_at < timeout_latencies * latency:
             delay = attempt.sent_at + timeout_latencies * latency - context.now
             context.schedule(delay, self._on_overdue, attempt)
@@ -175,7 +194,10 @@
         return False
 
     def _is_unresponsive(self, attempt: AttemptState) -> bool:
-        """Return whether an engine has answered none of many pending attempts; with few pending, that may be chance."""
+        """Return whether an engine has sent no response since the attempt while several attempts are pending there.
+
+        Successful results, progress reports and answers to health checks count as responses.
+        """
         engine = attempt.engine
         pending = sum(other.engine is engine for other in self.context.attempts.values())
         return engine.last_response_at < attempt.sent_at and pending >= MIN_PENDING_ATTEMPTS
