--- a/tests/golden_decisions.py
+++ b/tests/golden_decisions.py
@@ -1,8 +1,8 @@
-"""A recorded stream of events with the actions that the decisions took, and the script that recorded it.
+"""Recorded events with the actions that the decisions took, and the script that recorded them.
 
-`python tests/golden_decisions.py` writes tests/golden/decisions/ anew: one file a scenario, an event a line with the
-time and the actions, all by their values. It was recorded at e2a4940 from a made-up world with faults of every kind,
-and is not meant to be written again.
+`python tests/golden_decisions.py` rewrites tests/golden/decisions/: one file per scenario, and one line per event with
+its time and the resulting actions, all encoded by value. The files were recorded at e2a4940 from a simulated world with
+faults of every kind, and are not meant to be rewritten.
 """
 
 import heapq
@@ -32,14 +32,14 @@
     "copy due": interface.HedgeDue,
     "fleet": interface.FleetAllocation,
 }
-READERS: dict[tuple[str, int], Callable[[Any], Any]] = {  # by event and place of the field
+READERS: dict[tuple[str, int], Callable[[Any], Any]] = {  # (event, position of the field) -> parser
     ("engines", 1): lambda rows: tuple(interface.EngineEntry(*row) for row in rows),
     ("peer", 1): bytes.fromhex,
     ("query", 14): tuple,
     ("fleet", 3): lambda names: None if names is None else tuple(names),
     ("fleet", 4): frozenset,
 }
-ACTIONS: dict[type, tuple[str, int]] = {  # the name of each in the recording, and how many of its fields are compared
+ACTIONS: dict[type, tuple[str, int]] = {  # action -> (name in the recording, number of fields compared)
     interface.Send: ("send", 3),
     interface.ExecutionHints: ("terms", 3),
     interface.Cancel: ("cancel", 2),
@@ -55,21 +55,23 @@
 }
 
 
-def event_of(row: list[Any]) -> Any:
-    """The event that a recorded row stands for."""
+def decode_event(row: list[Any]) -> Any:
+    """Return the event that a recorded row encodes."""
     name, *values = row
-    return EVENTS[name](*(READERS.get((name, place), lambda same: same)(value) for place, value in enumerate(values)))
+    return EVENTS[name](
+        *(READERS.get((name, position), lambda same: same)(value) for position, value in enumerate(values))
+    )
 
 
-def row_of(action: Any) -> list[Any]:
-    """An action by the values of its fields, in order."""
+def encode_action(action: Any) -> list[Any]:
+    """Encode an action as its name and the values of its fields, in order."""
     name, count = ACTIONS[type(action)]
     values = [getattr(action, field) for field in type(action).__slots__][:count]
     return [name, *(value.hex() if isinstance(value, bytes) else value for value in values)]
 
 
 class Scenario(NamedTuple):
-    """What a recording is made of. `fleet`: allocations, zones and the operator's terms come, too."""
+    """The scenario of a recording. With `fleet`, events include allocations, zones and the operator's terms."""
 
     settings: dict[str, Any]
     fleet: bool = False
@@ -77,17 +79,19 @@
 
 
 def classes() -> tuple[interface.ClassSettings, ...]:
-    one = interface.ClassSettings
+    class_settings = interface.ClassSettings
     return (
-        one("lookup", 2 * S, 500 * MS, 1.0, 1.0, "retryable", "cell", 0, False, (), (), 1, False, True),
-        one("report", 12 * S, 3 * S, 2.0, 7.5, "retryable", "cell", 0, False, (), (), 3, False, True),
-        one("load", 20 * S, 3 * S, 1.0, 10.0, "dedup", "all", 20 * S, False, (), (), 2, True, False),
-        one("booking", 5 * S, S, 1.0, 4.0, "dedup", "zone", 10 * S, False, ("za", "zb"), (), 1, False, False),
-        one("ledger", 4 * S, 800 * MS, 1.0, 5.0, "fragile", "cell", 0, True, (), ("std",), 1, False, False),
+        class_settings("lookup", 2 * S, 500 * MS, 1.0, 1.0, "retryable", "cell", 0, False, (), (), 1, False, True),
+        class_settings("report", 12 * S, 3 * S, 2.0, 7.5, "retryable", "cell", 0, False, (), (), 3, False, True),
+        class_settings("load", 20 * S, 3 * S, 1.0, 10.0, "dedup", "all", 20 * S, False, (), (), 2, True, False),
+        class_settings(
+            "booking", 5 * S, S, 1.0, 4.0, "dedup", "zone", 10 * S, False, ("za", "zb"), (), 1, False, False
+        ),
+        class_settings("ledger", 4 * S, 800 * MS, 1.0, 5.0, "fragile", "cell", 0, True, (), ("std",), 1, False, False),
     )
 
 
-def settings(**more: Any) -> interface.Settings:
+def settings(**overrides: Any) -> interface.Settings:
     return interface.Settings(
         classes(),
         (
@@ -95,7 +99,7 @@
             interface.TenantSettings("umbra", 0.3),
             interface.TenantSettings(""),
         ),
-        **more,
+        **overrides,
     )
 
 
@@ -159,80 +163,80 @@
 
 
 class World:
-    """Engines, clients and discovery made up by chance, driven by the actions that come."""
+    """Simulates engines, clients and discovery at random, and reacts to the actions of the decisions."""
 
     def __init__(self, scenario: Scenario):
         self.scenario, self.random = scenario, random.Random(f"world {scenario.seed}")
-        self.now, self.rows, self.count = 100 * S, [], 0
-        self.control = Router(settings(**scenario.settings), seed=scenario.seed)
-        self.heap: list[tuple[int, int, list[Any]]] = []
-        self.engines: dict[str, list[Any]] = {}  # by name: the row of its entry
-        self.open: dict[str, dict[str, Any]] = {}
+        self.now, self.rows, self.sequence = 100 * S, [], 0
+        self.router = Router(settings(**scenario.settings), seed=scenario.seed)
+        self.due_tasks: list[tuple[int, int, list[Any]]] = []
+        self.engines: dict[str, list[Any]] = {}  # rows of the endpoint list by engine name
+        self.open_queries: dict[str, dict[str, Any]] = {}
         self.attempts: dict[tuple[str, int], dict[str, Any]] = {}
 
     def run(self, queries: int) -> list[Any]:
-        self.do(["started"])
+        self.handle_event(["started"])
         for i in range(8):
-            self.engine(f"e{i}")
-        self.listing("Persisted" if self.scenario.seed == 1 else "Complete")
+            self.add_engine(f"e{i}")
+        self.send_endpoint_list("Persisted" if self.scenario.seed == 1 else "Complete")
         at = 0
         for number in range(queries):
             burst = number // 150 % 3 == 2
             at += self.random.randint(500, 8 * MS if burst else 60 * MS)
-            self.later(at, ["arrive", number])
+            self.schedule(at, ["arrive", number])
         for step in range(at // S + 20):
-            self.later(step * S + self.random.randrange(S), ["change"])
-        end = self.now + at + 25 * S  # the module's own timers go on for ever
+            self.schedule(step * S + self.random.randrange(S), ["change"])
+        end = self.now + at + 25 * S  # The timers of the decisions recur forever.
         while self.now < end:
-            due, _, what = heapq.heappop(self.heap)
+            due, _, task = heapq.heappop(self.due_tasks)
             self.now = max(self.now, due)
             if self.random.random() < 0.0008:
-                self.now += self.random.randint(40 * MS, 200 * MS)  # this process stood still
-            self.happen(what)
+                self.now += self.random.randint(40 * MS, 200 * MS)  # A stall of this process.
+            self.run_task(task)
         return self.rows
 
-    def later(self, delay: int, what: list[Any]) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (self.now + delay, self.count, what))
+    def schedule(self, delay: int, task: list[Any]) -> None:
+        self.sequence += 1
+        heapq.heappush(self.due_tasks, (self.now + delay, self.sequence, task))
 
-    def do(self, row: list[Any]) -> None:
-        actions = [row_of(action) for action in self.control.handle(self.now, event_of(row))]
+    def handle_event(self, row: list[Any]) -> None:
+        actions = [encode_action(action) for action in self.router.handle(self.now, decode_event(row))]
         self.rows.append([self.now, row, actions])
         for action in actions:
-            self.take(action)
+            self.apply_action(action)
 
-    # ---- what the world does by itself
+    # ---- events of the simulated world
 
-    def happen(self, what: list[Any]) -> None:
-        name, *more = what
+    def run_task(self, task: list[Any]) -> None:
+        name, *arguments = task
         if name == "arrive":
-            self.arrive(*more)
+            self.receive_query(*arguments)
         elif name == "change":
-            self.change()
+            self.change_endpoints()
         elif name == "outcome":
-            self.outcome(*more)
-        elif name in ("note", "stream") and (more[0], more[1]) not in self.attempts:
+            self.complete_attempt(*arguments)
+        elif name in ("note", "stream") and (arguments[0], arguments[1]) not in self.attempts:
             return
-        elif name == "leave" and more[0] not in self.open:
+        elif name == "leave" and arguments[0] not in self.open_queries:
             return
         elif name == "leave":
-            self.close(more[0])
-            self.do(["client left", *more])
+            self.close_query(arguments[0])
+            self.handle_event(["client left", *arguments])
         else:
-            self.do(what)
+            self.handle_event(task)
 
-    def engine(self, name: str) -> None:
+    def add_engine(self, name: str) -> None:
         kind = self.random.choice(("std", "std", "big"))
         zone = self.random.choice(("za", "zb", "zc"))
         self.engines[name] = [name, zone, kind, self.random.randint(0, 1), "Ready", 1.0, 0]
 
-    def listing(self, scope: str) -> None:
+    def send_endpoint_list(self, scope: str) -> None:
         rows = [list(row) for row in self.engines.values()]
         if scope == "Partial":
             rows = self.random.sample(rows, min(2, len(rows)))
-        self.do(["engines", scope, [] if scope == "Error" else rows, self.count])
+        self.handle_event(["engines", scope, [] if scope == "Error" else rows, self.sequence])
 
-    def change(self) -> None:
+    def change_endpoints(self) -> None:
         draw = self.random.random()
         name = self.random.choice(list(self.engines))
         row = self.engines[name]
@@ -241,21 +245,21 @@
         elif draw < 0.25 and len(self.engines) > 4:
             del self.engines[name]
         elif draw < 0.4:
-            self.engine(f"e{self.count}")
+            self.add_engine(f"e{self.sequence}")
         elif draw < 0.55:
             row[6], row[4] = self.now - self.random.randint(0, S), "Ready"
         if draw < 0.6 and not any(row[4] == "Ready" for row in self.engines.values()):
             row[4] = "Ready"
         if draw < 0.65:
-            self.listing(self.random.choice(("Complete", "Complete", "Partial", "Error")))
+            self.send_endpoint_list(self.random.choice(("Complete", "Complete", "Partial", "Error")))
         if self.scenario.settings.get("gossip"):
             level = self.random.choice((0, 40, 60, 90, 100))
             code = zlib.crc32(self.random.choice(list(self.engines)).encode()).to_bytes(4, "big")
-            self.do(["peer", self.random.randint(0, 3), (code + bytes([level])).hex()])
+            self.handle_event(["peer", self.random.randint(0, 3), (code + bytes([level])).hex()])
         if self.scenario.fleet:
-            self.do(self.allocation())
+            self.handle_event(self.random_allocation())
 
-    def allocation(self) -> list[Any]:
+    def random_allocation(self) -> list[Any]:
         names = sorted(self.engines)
         pick = self.random.random()
         return [
@@ -268,7 +272,7 @@
             self.random.choice((0, 0, 150 * MS)),
         ]
 
-    def arrive(self, number: int) -> None:
+    def receive_query(self, number: int) -> None:
         cls = self.random.choices(["lookup", "report", "load", "booking", "ledger", "nowhere"], [60, 10, 8, 12, 8, 2])[
             0
         ]
@@ -278,12 +282,12 @@
         estimate = self.random.choice((0, 1, 1, 3)) * self.random.randint(1_000, 90_000)
         query = f"q{number}"
         fleet = self.scenario.fleet
-        self.open[query] = {"cls": cls, "attempts": 0, "closed": False, "estimate": estimate}
+        self.open_queries[query] = {"cls": cls, "attempts": 0, "closed": False, "estimate": estimate}
         if self.random.random() < 0.02:
-            self.later(self.random.randint(1 * MS, S), ["leave", query])
+            self.schedule(self.random.randint(1 * MS, S), ["leave", query])
         if fleet and self.random.random() < 0.1:
-            self.later(self.random.randint(50 * MS, 400 * MS), ["copy due", query])
-        self.do(
+            self.schedule(self.random.randint(50 * MS, 400 * MS), ["copy due", query])
+        self.handle_event(
             [
                 "query",
                 query,
@@ -303,25 +307,25 @@
             ]
         )
 
-    # ---- what the actions lead to
+    # ---- reactions to actions
 
-    def take(self, action: list[Any]) -> None:
+    def apply_action(self, action: list[Any]) -> None:
         name, *values = action
         if name == "timer":
-            self.later(values[0], ["timer", values[1]])
+            self.schedule(values[0], ["timer", values[1]])
         elif name == "send":
-            self.send(values[0], values[1])
+            self.run_attempt(values[0], values[1])
         elif name == "cancel" and tuple(values) in self.attempts:
-            self.later(self.random.randint(MS, 12 * MS), ["outcome", *values, "CXL"])
+            self.schedule(self.random.randint(MS, 12 * MS), ["outcome", *values, "CXL"])
         elif name in ("refuse", "fail"):
-            self.close(values[0])
+            self.close_query(values[0])
         elif name == "probe":
-            self.probe(values[0])
+            self.check_health(values[0])
 
-    def close(self, query: str) -> None:
-        self.open.pop(query, {})["closed"] = True
+    def close_query(self, query: str) -> None:
+        self.open_queries.pop(query, {})["closed"] = True
 
-    def report(self) -> dict[str, float]:
+    def random_load_report(self) -> dict[str, float]:
         source = self.scenario.settings.get("load_report_source")
         if source != "answers" or self.random.random() < 0.5:
             return {}
@@ -333,14 +337,14 @@
             )
         )
 
-    def probe(self, engine: str) -> None:
+    def check_health(self, engine: str) -> None:
         reason = self.random.choices(("GOOD", "LATE", "NOCONN"), (90, 6, 4))[0]
         elapsed = self.random.randint(300, 9 * MS) if reason == "GOOD" else 100 * MS
-        report = self.report() if self.random.random() < 0.3 else {}
-        self.later(elapsed, ["probe ended", engine, reason, elapsed, report])
+        report = self.random_load_report() if self.random.random() < 0.3 else {}
+        self.schedule(elapsed, ["probe ended", engine, reason, elapsed, report])
 
-    def send(self, query: str, engine: str) -> None:
-        state = self.open[query]
+    def run_attempt(self, query: str, engine: str) -> None:
+        state = self.open_queries[query]
         number, state["attempts"] = state["attempts"], state["attempts"] + 1
         self.attempts[query, number] = {"engine": engine, "sent": self.now, "state": state}
         usual = {"lookup": 60 * MS, "report": 900 * MS, "load": 1_500 * MS}.get(state["cls"], 200 * MS)
@@ -357,29 +361,29 @@
             topic, value = self.random.choice(
                 ((1, at / elapsed), (1, at / elapsed), (2, 40.0), (3, 1.0), (3, 2.0), (1, 0.0))
             )
-            self.later(at, ["note", query, number, topic, value, engine])
+            self.schedule(at, ["note", query, number, topic, value, engine])
         if reason == "GOOD" and self.random.random() < 0.1:
-            self.later(elapsed // 2, ["stream", query, number, engine, elapsed // 2])
-        self.later(elapsed, ["outcome", query, number, reason])
+            self.schedule(elapsed // 2, ["stream", query, number, engine, elapsed // 2])
+        self.schedule(elapsed, ["outcome", query, number, reason])
 
-    def outcome(self, query: str, number: int, reason: str) -> None:
+    def complete_attempt(self, query: str, number: int, reason: str) -> None:
         attempt = self.attempts.pop((query, number), None)
         if attempt is None:
             return
         state = attempt["state"]
         if reason == "GOOD" and not state["closed"]:
-            self.close(query)
+            self.close_query(query)
         settled = state["closed"]
         bill = (self.random.randint(1, 400) << 12 | self.random.randint(1, 300)) if reason == "GOOD" else 0
         row = ["attempt ended", query, number, reason, settled, attempt["engine"], self.now - attempt["sent"]]
-        row += [bill if self.scenario.settings.get("grants") else 0, self.report()]
+        row += [bill if self.scenario.settings.get("grants") else 0, self.random_load_report()]
         if self.scenario.fleet:
             row += [self.random.random() < 0.9, self.random.choice((0, 0, 30 * MS)), self.random.choice((0, S))]
-        self.do(row)
+        self.handle_event(row)
 
 
 def read(name: str) -> Iterator[tuple[int, list[Any], list[Any]]]:
-    """The recorded steps: the time, the event and the actions."""
+    """Yield the recorded steps: the time, the event and the actions."""
     with lzma.open(RECORDED / f"{name}.json.xz", "rt") as lines:
         yield from (tuple(json.loads(line)) for line in lines)
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter by real transcripts, through a process of its own."""
+"""Feeds transcripts of the simulator to the adapter, which runs in a process of its own."""
 
 import subprocess
 import sys
@@ -10,31 +10,31 @@
     "\tServices.0.Objective=500000\tServices.0.Worth=1.0\tTenants.count=1\tTenants.0.Name=firm\tNew.Thing=x"
 )
 PAGE = "DIRECTORY\tPage=0\tRows=1\nM\tNode=node-a\tDc=z\tModel=std\tStageState=Ready\tSize=1"
-LIST = "MEMBERS\tI=gateway-0\tScope=Persisted\tRev=1\tPage=0"
+ENDPOINT_LIST = "MEMBERS\tI=gateway-0\tScope=Persisted\tRev=1\tPage=0"
 ORDER = "ORDER\tI=gateway-0\tRequestId=00000000000000aa\tTenant=firm\tDropDead=3000000\tCls=lookup\tLater=1"
 
 
-def talk(*lines):
-    done = subprocess.run(
+def run_adapter(*lines):
+    result = subprocess.run(
         [sys.executable, "-m", "rackhub.adapter"],
         input="\n".join(lines) + "\n",
         capture_output=True,
         text=True,
         timeout=60,
     )
-    return done.stdout.splitlines(), done.stderr, done.returncode
+    return result.stdout.splitlines(), result.stderr, result.returncode
 
 
 def test_empty_batch_gets_an_empty_reply():
-    assert talk("SYNC\tT=1", "END") == (["END"], "", 0)
+    assert run_adapter("SYNC\tT=1", "END") == (["END"], "", 0)
 
 
-def test_a_query_is_sent_and_its_answer_closes_it():
-    out, err, code = talk(
+def test_query_is_sent_and_closed_by_its_outcome():
+    out, err, code = run_adapter(
         "SYNC\tT=1000000",
         START,
         PAGE,
-        LIST,
+        ENDPOINT_LIST,
         "END",
         "SYNC\tT=1005000",
         ORDER,
@@ -51,37 +51,41 @@
     assert not [line for line in out if line.startswith(("SHED", "GIVE_UP", "CRASH"))]
 
 
-def test_a_missing_field_is_named_and_crashes_its_instance():
-    out, err, code = talk("SYNC\tT=1000000", START, PAGE, LIST, ORDER.replace("\tCls=lookup", ""), "END")
+def test_missing_field_is_named_and_crashes_the_instance():
+    out, err, code = run_adapter(
+        "SYNC\tT=1000000", START, PAGE, ENDPOINT_LIST, ORDER.replace("\tCls=lookup", ""), "END"
+    )
     assert "CRASH\tI=gateway-0\tReasonText=ORDER: field Cls is missing" in out
     assert "ORDER: field Cls is missing" in err and "Traceback" not in err
     assert out[-1] == "END" and code == 0
 
 
-def test_a_bad_value_is_named():
-    out, err, _ = talk("SYNC\tT=1000000", START, PAGE, LIST, ORDER.replace("3000000", "soon"), "END")
+def test_invalid_value_is_named():
+    out, err, _ = run_adapter("SYNC\tT=1000000", START, PAGE, ENDPOINT_LIST, ORDER.replace("3000000", "soon"), "END")
     assert any(line.startswith("CRASH\tI=gateway-0") and "DropDead" in line for line in out)
     assert "DropDead" in err and "'soon'" in err
 
 
-def test_a_line_that_names_no_instance_ends_the_process():
-    _, err, code = talk("SYNC\tT=1000000", START, PAGE, LIST, ORDER.replace("\tI=gateway-0", ""), "END")
+def test_line_without_an_instance_ends_the_process():
+    _, err, code = run_adapter("SYNC\tT=1000000", START, PAGE, ENDPOINT_LIST, ORDER.replace("\tI=gateway-0", ""), "END")
     assert code != 0 and "field I is missing" in err
 
 
-def test_a_bad_setting_is_named():
-    out, err, _ = talk("SYNC\tT=1000000", START.replace("MaxAttempts=3", "MaxAttempts=0"), PAGE, LIST, "END")
+def test_invalid_setting_is_named():
+    out, err, _ = run_adapter(
+        "SYNC\tT=1000000", START.replace("MaxAttempts=3", "MaxAttempts=0"), PAGE, ENDPOINT_LIST, "END"
+    )
     assert any("CRASH" in line and "max_attempts" in line for line in out)
     assert "max_attempts" in err
 
 
-def test_one_bad_instance_leaves_the_others_alone():
-    other = [line.replace("gateway-0", "gateway-1") for line in (START, LIST)]
-    out, _, _ = talk(
+def test_crash_of_an_instance_does_not_affect_others():
+    other = [line.replace("gateway-0", "gateway-1") for line in (START, ENDPOINT_LIST)]
+    out, _, _ = run_adapter(
         "SYNC\tT=1000000",
         START,
         PAGE,
-        LIST,
+        ENDPOINT_LIST,
         *other,
         ORDER.replace("\tCls=lookup", ""),
         ORDER.replace("gateway-0", "gateway-1"),
@@ -90,34 +94,34 @@
     assert any(line.startswith("TRY\tI=gateway-1") for line in out)
 
 
-def test_the_same_lines_give_the_same_actions():
-    lines = ("SYNC\tT=1000000", START, PAGE, LIST, "END", "SYNC\tT=1005000", ORDER, "END")
-    assert talk(*lines) == talk(*lines)
+def test_adapter_is_deterministic():
+    lines = ("SYNC\tT=1000000", START, PAGE, ENDPOINT_LIST, "END", "SYNC\tT=1005000", ORDER, "END")
+    assert run_adapter(*lines) == run_adapter(*lines)
 
 
-def test_memory_of_machines_is_told_and_words_go_between_peers():
-    told = START.replace("Instances=1", "Instances=2").replace(
+def test_kind_memory_is_parsed_and_gossip_is_sent_to_peers():
+    start = START.replace("Instances=1", "Instances=2").replace(
         "\tNew.Thing=x",
         ("\tPermissions.Peers=true\tPermissions.Probes=true\tFamilyInfo.RamOfKindMb=32768.0\tReport.Source=silent"),
     )
-    probes = [
+    health_checks = [
         line
-        for wait in (1000, 1000, 9000)
-        for line in ("SYNC\tT=1005000", f"SAMPLED\tI=gateway-0\tNode=node-a\tReason=GOOD\tWaitTime={wait}", "END")
+        for elapsed in (1000, 1000, 9000)
+        for line in ("SYNC\tT=1005000", f"SAMPLED\tI=gateway-0\tNode=node-a\tReason=GOOD\tWaitTime={elapsed}", "END")
     ]
-    words = set()
-    for seed in range(7, 13):  # a drawn peer may be the gateway itself, to which nothing is sent
-        out, err, code = talk(
+    announcements = set()
+    for seed in range(7, 13):  # The random peer may be the gateway itself, to which nothing is sent.
+        out, err, code = run_adapter(
             "SYNC\tT=1000000",
-            told.replace("RngSeed=7", f"RngSeed={seed}"),
+            start.replace("RngSeed=7", f"RngSeed={seed}"),
             PAGE,
-            LIST,
+            ENDPOINT_LIST,
             "END",
-            *probes,
+            *health_checks,
             "SYNC\tT=1006000",
             "MAIL\tI=gateway-0\tOriginPeer=1\tContents=0102030405",
             "END",
         )
         assert code == 0 and err == ""
-        words |= {line.split("Contents=")[0] for line in out if line.startswith("ANNOUNCE")}
-    assert words == {"ANNOUNCE\tI=gateway-0\tWhom=1\t"}
+        announcements |= {line.split("Contents=")[0] for line in out if line.startswith("ANNOUNCE")}
+    assert announcements == {"ANNOUNCE\tI=gateway-0\tWhom=1\t"}
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -1,8 +1,7 @@
-"""What all gateways together send to engines that have just started stays under what pushes those over.
+"""Work that all gateways together send to an engine after its start, against the slow-start budget N.
 
-Real decision modules that share nothing, as `rackhub.trials.virtual.cold` plays them: uneven traffic, starts told at
-different times, engines alone and in a batch, attempts that fail and go elsewhere. Over N + 2 sqrt N + 2 requests of
-mean work in any window is over.
+Independent routers in `rackhub.trials.virtual.cold`: uneven traffic, starts reported at different times, engines alone
+and in batches, failed attempts with retries. The limit in any window is N + 2 sqrt N + 2 requests of mean work.
 """
 
 from dataclasses import replace
@@ -29,52 +28,52 @@
 
 
 @pytest.mark.parametrize("site, gateways, trials", TRIALS)
-def test_what_all_gateways_send_to_a_starting_engine_stays_in_its_budget(site, gateways, trials):
+def test_work_sent_to_a_starting_engine_stays_in_its_budget(site, gateways, trials):
     row = cold.measure(site, gateways, trials)
     assert row.over == 0
-    assert row.mean < 0 < 0.1 < row.used  # the usual start has not even its N in its worst window; nor is it idle
+    assert row.mean < 0 < 0.1 < row.used  # On average the worst window stays below N, and the engine is not idle.
 
 
-def undivided(patch):
-    """Each gateway takes the whole budget for its own."""
-    plain = RouterContext.set_allocation
+def undivided_budget(patch):
+    """Injected bug: each gateway uses the whole budget."""
+    original = RouterContext.set_allocation
 
-    def alone(self, event):
-        plain(self, event)
+    def set_undivided(self, event):
+        original(self, event)
         self.slow_start_gateway_count = 1
 
-    patch.setattr(RouterContext, "set_allocation", alone)
+    patch.setattr(RouterContext, "set_allocation", set_undivided)
 
 
-def kept_long(patch):
-    """Credit of many windows is kept, and goes out in one."""
+def excessive_credit(patch):
+    """Injected bug: credit accumulates over several windows and is spent in one."""
     patch.setattr(slow_start, "MAX_CREDIT_WINDOWS", 5)
 
 
-def unasked(patch):
-    """A further attempt goes to a cold engine like to any other."""
-    plain = slow_start.SlowStart.draw
+def retries_ignore_budget(patch):
+    """Injected bug: retries are sent to warming engines without regard to the budget."""
+    original = slow_start.SlowStart.draw
 
-    def drawn(self, query, cold):
-        return self.context.random.choice(cold) if query.attempts and cold else plain(self, query, cold)
+    def draw_ignoring_budget(self, query, cold):
+        return self.context.random.choice(cold) if query.attempts and cold else original(self, query, cold)
 
-    patch.setattr(slow_start.SlowStart, "draw", drawn)
+    patch.setattr(slow_start.SlowStart, "draw", draw_ignoring_budget)
 
 
-@pytest.mark.parametrize("plant, fails", [(undivided, 0.04), (unasked, 0.5)])
-def test_a_planted_mistake_is_seen(plant, fails, monkeypatch):
+@pytest.mark.parametrize("inject_bug, fails", [(undivided_budget, 0.04), (retries_ignore_budget, 0.5)])
+def test_injected_bug_exceeds_the_budget(inject_bug, fails, monkeypatch):
     def over():
         return any(start.over for start in cold.starts("kigali", 5, 2, fails=fails))
 
     assert not over()
-    plant(monkeypatch)
+    inject_bug(monkeypatch)
     assert over()
 
 
-def flooded(gateways):
-    """Lookups of one moment at every gateway, 11 s of quiet after an engine's start; what it gets, and N."""
+def burst_work(gateways):
+    """Send many lookups to all gateways at once, 11 s after an engine's start; return the work that it gets, and N."""
     work, cores, sent = 150_000, 8.0, 0
-    told = t.Settings(
+    settings = t.Settings(
         classes=cold.CLASSES,
         kind_cores={"std": cores},
         gateways=gateways,
@@ -83,23 +82,23 @@
         slow_start_budget_window=3 * S,
         slow_start_budget_multiple=2.0,
     )
-    for me in range(gateways):
-        control = Router(replace(told, instance_index=me), me)
+    for index in range(gateways):
+        router = Router(replace(settings, instance_index=index), index)
         for _ in range(60):
-            control.context.classes["lookup"].record_latency(work, 1.0)
-        for at, came_up in ((90 * S, 0), (100 * S + me % 15 * 100_000, 100 * S)):
-            control.handle(
+            router.context.classes["lookup"].record_latency(work, 1.0)
+        for at, engine_start in ((90 * S, 0), (100 * S + index % 15 * 100_000, 100 * S)):
+            router.handle(
                 at,
                 t.EndpointList(
                     "Complete",
-                    (t.EngineEntry("warm", kind="std"), t.EngineEntry("cold", kind="std", started_at=came_up)),
+                    (t.EngineEntry("warm", kind="std"), t.EngineEntry("cold", kind="std", started_at=engine_start)),
                 ),
             )
-        for turn in range(max(2_000 // gateways, 30)):
-            for send in control.handle(111 * S, t.QueryReceived(f"q{turn}", "lookup", 120 * S)):
+        for number in range(max(2_000 // gateways, 30)):
+            for send in router.handle(111 * S, t.QueryReceived(f"q{number}", "lookup", 120 * S)):
                 if isinstance(send, t.Send):
                     sent += send.engine == "cold"
-                    control.handle(
+                    router.handle(
                         111 * S,
                         t.AttemptCompleted(send.query, 0, "GOOD", settled=True, engine=send.engine, elapsed=work),
                     )
@@ -107,10 +106,10 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 5, 20, 30, 200])
-def test_a_quiet_start_and_then_a_flood_stays_in_the_budget(gateways, monkeypatch):
-    sent, budget = flooded(gateways)
-    mean_work = 150_000  # all are lookups here
-    most = budget + 2 * sqrt(budget * mean_work) + 2 * mean_work
+def test_burst_after_an_idle_start_stays_in_the_budget(gateways, monkeypatch):
+    sent, budget = burst_work(gateways)
+    mean_work = 150_000  # microseconds; all queries are lookups
+    maximum = budget + 2 * sqrt(budget * mean_work) + 2 * mean_work
     assert 0.3 * budget < sent < budget
-    kept_long(monkeypatch)
-    assert flooded(gateways)[0] > most
+    excessive_credit(monkeypatch)
+    assert burst_work(gateways)[0] > maximum
