--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -16,7 +16,7 @@
 from rackhub.fleet.distribution.relay_shell import RelayShell
 from rackhub.fleet.distribution.service import offer
 from rackhub.fleet.distribution.voter import Voter
-from rackhub.fleet.link.mail_link import MailLink
+from rackhub.fleet.link.message_transport import MessageTransport
 from rackhub.fleet.ports import Control, Fleet, KeyedDisk, RuleSection
 from rackhub.fleet.settings import FleetSettings
 
@@ -33,8 +33,8 @@
         self, reactor: Any, fleet: Fleet, settings: FleetSettings, control: Control | None, disk: KeyedDisk | None
     ):
         self._settings, self._control = settings, control
-        self._boot = fleet.members.all()[fleet.members.local_name].generation
-        self._link = _mail_link(reactor, fleet, settings, self._boot)
+        self._generation = fleet.members.all()[fleet.members.local_name].generation
+        self._link = _mail_link(reactor, fleet, settings, self._generation)
         self._fleet = fleet._replace(messenger=self._link)
         self.shell = self._shell(disk)
         self._cancel: Callable[[], None] = lambda: None
@@ -65,9 +65,9 @@
         self.shell.stop()
         self._link.stop()
 
-    def figures(self) -> dict[str, float]:
-        link = {f"distribution_{name}": figure for name, figure in self._link.figures().items()}
-        return link | self.shell.figures()
+    def metrics(self) -> dict[str, float]:
+        link = {f"distribution_{name}": figure for name, figure in self._link.metrics().items()}
+        return link | self.shell.metrics()
 
     def _shell(self, disk: KeyedDisk | None) -> Coordinator | RelayShell | Voter:
         settings, limits = self._settings, Limits()
@@ -91,7 +91,7 @@
             upstreams=upstreams,
             scope=scope,
             seed=self._fleet.seed,
-            boot=self._boot,
+            generation=self._generation,
         )
 
     def _open_link(self) -> None:
@@ -108,14 +108,14 @@
             self._cancel = self._fleet.call_later(ADDRESS_AGAIN, self._open_link)
 
 
-def _mail_link(reactor: Any, fleet: Fleet, settings: FleetSettings, boot: int) -> MailLink:
+def _mail_link(reactor: Any, fleet: Fleet, settings: FleetSettings, generation: int) -> MessageTransport:
     directory = {node.name: parse_ipv4_address(node.address, "node") for node in settings.node}
-    return MailLink(
+    return MessageTransport(
         reactor,
         parse_ipv4_address(settings.watch, "watch"),
         settings.cluster,
         settings.name,
-        boot,
+        generation,
         parse_ipv4_address(settings.watch_advertise or settings.watch, "watch"),
         directory,
         seed=fleet.seed,
--- a/rackhub/trials/scale/distribution_messages.py
+++ b/rackhub/trials/scale/distribution_messages.py
@@ -11,15 +11,15 @@
     AnyMessage,
     Entry,
     Heartbeat,
-    Lagging,
+    LaggingWatcher,
     Report,
     RevisionCount,
     Update,
     encode,
 )
 from rackhub.fleet.link import frames
+from rackhub.fleet.link.datagram_builder import PACKET_OVERHEAD_BYTES
 from rackhub.fleet.link.limits import Limits
-from rackhub.fleet.link.packing import HEAD
 from rackhub.trials.scale.measurement import Measurement, measured
 
 VALUE_SIZES = (50, 200, 1_000, 4_000, 16_000)
@@ -34,13 +34,13 @@
 
 
 def packet_head() -> int:
-    return HEAD + NAMES + UDP_HEAD
+    return PACKET_OVERHEAD_BYTES + NAMES + UDP_HEAD
 
 
 def wire_bytes(message: AnyMessage) -> int:
     """With the heads of all its packets, and the packets that acknowledge its pages."""
     body = len(encode(message))
-    pages = -(-body // Limits().chunk)
+    pages = -(-body // Limits().page_bytes)
     return body + pages * (2 * packet_head() + ACKNOWLEDGE_FRAME)
 
 
@@ -59,7 +59,7 @@
 
 def report(lagging: int) -> Report:
     """What a relay tells of its watchers, so many of them named."""
-    worst = tuple(Lagging(f"coordinator-{number:04}", REVISION - 1, 5_000) for number in range(lagging))
+    worst = tuple(LaggingWatcher(f"coordinator-{number:04}", REVISION - 1, 5_000) for number in range(lagging))
     counts = (RevisionCount(REVISION, 86), RevisionCount(REVISION - 1, lagging))
     return Report("region-3/zone-12", LOG, REVISION, 86, 173, counts, worst)
 
