--- a/rackhub/interface.py
+++ b/rackhub/interface.py
@@ -13,7 +13,7 @@
     SUCCESS = "GOOD"
     ERROR = "BAD"
     OVERLOADED = "FULL"  # rejected by the engine, not executed
-    CONNECT_FAILED = "NOCONN"  # not executed
+    CONNECT_FAILED = "NOCONN"  # no connection, not executed
     NOT_EXECUTED = "NOP"
     TIMED_OUT = "LATE"  # may still be executing
     RESET = "RST"  # may still be executing
--- a/rackhub/policy/admission.py
+++ b/rackhub/policy/admission.py
@@ -45,7 +45,7 @@
         self.load = load
         self.slow_start = slow_start
         self.thread_quota = 0.0
-        self.allocated_threads = 0.0  # this gateway's share of the threads of the fleet
+        self.allocated_threads = 0.0  # threads of the fleet that are allocated to this gateway
         self.tenants = {entry.name: TenantState(entry.quota_fraction) for entry in context.settings.tenants}
 
     @property
