--- a/rackhub/core/admission.py
+++ b/rackhub/core/admission.py
@@ -1,4 +1,4 @@
-"""Admits requests, or rejects them at once where this process can't take them on."""
+"""Admission of requests: a request is admitted, or rejected at once if this process can't serve it."""
 
 from rackhub import interface, logs
 from rackhub.core.decision_driver import DecisionDriver
@@ -10,11 +10,11 @@
 
 log = logs.logger(__name__)
 
-LARGEST_MARGIN_DIVISOR = 4  # the deadline's margin is at most a quarter of the time left
+MAX_MARGIN_DIVISOR = 4  # the margin before a deadline is at most a quarter of the time left
 
 
 class Admission:
-    """Decides on each request that a front hands over. An admitted request is owed exactly one answer."""
+    """Admits or rejects each request from a front. An admitted request gets exactly one answer."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._drain_backoff = 0
 
     def start_draining(self, backoff: int) -> None:
-        """Reject every new request from now on, with a Retry-After of `backoff` microseconds."""
+        """Reject every new request from now on with a Retry-After of `backoff` microseconds."""
         self._state.accepting = False
         self._drain_backoff = backoff
 
@@ -45,13 +45,16 @@
         state.statement_bytes += len(query.statement)
         if state.request_journal is not None and query.idempotency_key:
             state.request_journal.request_admitted(query)
-        if not query.is_subrequest:  # the request that it is a part of has the margin already
+        if not query.is_subrequest:  # the deadline of the gathered request includes the margin already
             query.deadline -= self._deadline_margin(query)
-        if not self._gathered(query):
+        if not self._pass_to_gather_port(query):
             self._dispatch(query)
 
     def _reject_early(self, query: Query) -> bool:
-        """Reject a request that can't be admitted. A subrequest belongs to a request that was admitted before."""
+        """Reject a request that can't be admitted; return whether it was rejected.
+
+        A subrequest belongs to an admitted request: draining and an expired lease don't reject it.
+        """
         state = self._state
         full = (
             len(state.queries) >= state.limits.max_open_requests
@@ -74,16 +77,16 @@
         self._completion.complete(query, RequestOutcome.REJECTED, backoff)
 
     def _deadline_margin(self, query: Query) -> int:
-        """How much before the client's deadline the answer is due.
+        """Return how many microseconds before the client's deadline the answer is due.
 
-        An answer given at the deadline would be late on the wire by some iterations of the event loop.
+        An answer given at the deadline would be sent late, by some iterations of the event loop.
         """
         state = self._state
         margin = state.limits.deadline_margin + 2 * state.loop_delay
-        return min(margin, (query.deadline - state.clock.now()) // LARGEST_MARGIN_DIVISOR)
+        return min(margin, (query.deadline - state.clock.now()) // MAX_MARGIN_DIVISOR)
 
-    def _gathered(self, query: Query) -> bool:
-        """Whether the gather port takes the request: then the policy sees its subrequests alone."""
+    def _pass_to_gather_port(self, query: Query) -> bool:
+        """Return whether the gather port accepts the request; the policy then gets only its subrequests."""
         gather_port = self._state.gather_port
         if gather_port is None or query.is_subrequest:
             return False
@@ -94,7 +97,7 @@
         return False
 
     def _dispatch(self, query: Query) -> None:
-        """Hand a request to the policy."""
+        """Pass an admitted request to the routing policy."""
         state = self._state
         max_attempts = 0
         retry_window = 0
--- a/rackhub/core/attempts.py
+++ b/rackhub/core/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of the requests: when one may start, how it is given up, and its one completion."""
+"""Attempts of requests: when an attempt may start, how it is cancelled, and how it completes."""
 
 from collections.abc import Sequence
 
@@ -16,41 +16,41 @@
 
 log = logs.logger(__name__)
 
-# Python 3.11 looks up an enum's member by a slow call: each request would pay for some.
+# Module constants: looking up an enum's member is a slow call in Python 3.11, and each request needs several.
 SUCCESS = Outcome.SUCCESS
 IDEMPOTENCY_KEY = Idempotency.IDEMPOTENCY_KEY
 SERVED = RequestOutcome.SERVED
 ATTEMPTS = ClassCounter.ATTEMPTS
 
-ACCEPTED_OUTCOMES = (Outcome.SUCCESS, Outcome.ERROR)  # ends by an engine that took the request
+ACCEPTED_OUTCOMES = (Outcome.SUCCESS, Outcome.ERROR)  # outcomes that show that the engine accepted the request
 RETRY_AT_ONCE = RetryDecision(may_retry=True)
-WINDOW_MARGIN_DIVISOR = 20  # a 20th of the idempotency window is left unused
+WINDOW_MARGIN_DIVISOR = 20  # retries stop a 20th of the idempotency window before its end
 
 
 class AttemptRunner:
-    """Starts, gives up and completes attempts."""
+    """Starts, cancels and completes attempts."""
 
     def __init__(self, state: CoordinatorState, decisions: DecisionDriver) -> None:
         self._state = state
         self._decisions = decisions
-        self._gate = EndpointGate(state, decisions, self._begin_when_in_time)
+        self._gate = EndpointGate(state, decisions, self._begin_after_reads)
         self._completion = RequestCompletion(state, self.give_up)
 
     @property
     def gate(self) -> EndpointGate:
-        """What holds attempts back while the endpoint list is not confirmed."""
+        """The gate that defers attempts while the endpoint list is not confirmed."""
         return self._gate
 
     @property
     def completion(self) -> RequestCompletion:
-        """What completes the requests."""
+        """The component that completes requests."""
         return self._completion
 
     def start(self, action: interface.Send) -> None:
-        """Carry out the policy's decision to send a request to an engine, as far as the settings allow it."""
+        """Start the attempt that the policy decided on. One that the settings forbid completes as not executed."""
         state = self._state
         query = state.queries.get(action.query)
-        if query is None:  # nothing is sent for a request that is over: the policy closed it itself
+        if query is None:  # the policy has completed the request itself
             state.counters.add("attempts_not_sent")
             return
         now = state.clock.now()
@@ -64,38 +64,38 @@
         self._register(attempt, now)
         if hedge_after and now + hedge_after < attempt.deadline:
             state.timers.call_at(now + hedge_after, self._offer_hedge, attempt)
-        self._begin_when_in_time(attempt)
+        self._begin_after_reads(attempt)
 
     def begin(self, attempt: Attempt) -> None:
-        """Hand an attempt to the engine port, unless it was given up meanwhile or must wait for the endpoint list."""
+        """Pass an attempt to the engine port, unless it was cancelled meanwhile or must wait for the endpoint list."""
         if attempt.state is not AttemptState.PENDING:
             return
         attempt.sent_at = self._state.clock.now()
         if self._gate.lease_status() is LeaseStatus.UNCONFIRMED:
             log.debug("attempt_held", request=attempt.query.id, reason="the endpoint list is not confirmed")
-            self._gate.hold(attempt)
+            self._gate.defer(attempt)
             return
         if blocked_by := attempt.send_blocked_by(attempt.sent_at, self._state.lease):
             self._reject(attempt, blocked_by)
             return
-        if attempt.query.reply.may_have_unread_input:  # the client's disconnect may be among what is still to be read
+        if attempt.query.reply.may_have_unread_input:  # the unread input may contain a disconnect
             self._state.timers.call_after_reads(DEFER_UNCONDITIONALLY, self.begin, attempt)
             return
         attempt.state = AttemptState.IN_FLIGHT
         self._state.engine_port.send(attempt)
 
     def cancel(self, action: interface.Cancel) -> None:
-        """Carry out the policy's cancellation of an attempt."""
+        """Cancel an attempt at the policy's request."""
         attempt = self._state.in_flight.get((action.query, action.attempt))
         if attempt is not None:
             self.give_up(attempt, Outcome.CANCELLED)
 
     def give_up(self, attempt: Attempt, outcome: str) -> None:
-        """Stop waiting for an attempt. One that has not left completes at once, as not executed.
+        """Cancel an attempt. An attempt that was not sent completes at once, as not executed.
 
-        Any other completes a little later: a retry that overtook the cancellation on another connection would be a
-        second attempt at the same time. The cancellation leaves in the next iteration of the event loop, which may
-        be a long one, so the time runs from the iteration after.
+        A sent attempt completes `cancellation_delay` later: a retry that overtakes the cancellation on another
+        connection would run at the same time as the cancelled attempt. The cancellation is sent in the next iteration
+        of the event loop, which may take long, so the delay starts with the iteration after it.
         """
         if attempt.done:
             return
@@ -119,10 +119,10 @@
     def complete(
         self, attempt: Attempt, outcome: str, report: dict[str, float] | None = None, rows: Sequence[bytes] = ()
     ) -> None:
-        """End an attempt, once. Its client has the answer before the policy is notified."""
+        """Complete an attempt. The client is answered before the policy is notified."""
         query = attempt.query
         now = self._state.clock.now()
-        was_sent = self._remove(attempt, outcome)
+        was_registered = self._remove(attempt, outcome)
         self._update_lease(attempt, outcome, now)
         self._state.counters.add(f"out_{outcome.lower()}")
         log.debug(
@@ -135,7 +135,7 @@
         )
         if outcome == SUCCESS:
             self._completion.complete(query, SERVED, rows)
-        if was_sent and self._state.fleet_coordinator is not None:
+        if was_registered and self._state.fleet_coordinator is not None:
             self._state.fleet_coordinator.attempt_completed(attempt, outcome, now)
         decision = self._retry_decision(attempt, outcome, now)
         self._decisions.dispatch(
@@ -154,7 +154,7 @@
         )
 
     def apply_hints(self, action: interface.ExecutionHints) -> None:
-        """Set a request's priority, for further attempts and for those in flight."""
+        """Set a request's priority for its next attempts and for those in flight."""
         query = self._state.queries.get(action.query)
         if query is None or query.priority == action.priority or query.priority_pinned:
             return
@@ -163,8 +163,8 @@
             self._state.counters.add("hurries")
             self._state.engine_port.promote(attempt)
 
-    def _begin_when_in_time(self, attempt: Attempt) -> None:
-        """Begin an attempt; where the event loop is late, only after it has read all sockets."""
+    def _begin_after_reads(self, attempt: Attempt) -> None:
+        """Begin an attempt; if the event loop is late, only after it has read all sockets."""
         self._state.timers.call_after_reads(self._state.limits.late_iteration_delay, self.begin, attempt)
 
     def _may_start(self, attempt: Attempt, timeout: int, now: int) -> bool:
@@ -188,7 +188,7 @@
         return bool(query.in_flight) and query.hedge_requested
 
     def _apply_operator_terms(self, attempt: Attempt, now: int) -> int:
-        """Set what the operator's terms say of an attempt; the delay until a hedge is due, 0: none."""
+        """Apply the operator's terms to an attempt; return the microseconds until a hedge is due, 0 for none."""
         query = attempt.query
         policy = self._state.request_policy
         if query.terms is None or policy is None:
@@ -205,9 +205,9 @@
         return terms.hedge_after
 
     def _guard_idempotency_window(self, attempt: Attempt, now: int) -> None:
-        """Limit when a retry may leave: engines forget an idempotency key after the window.
+        """Set the time until which a retry may be sent: engines forget an idempotency key after the window.
 
-        The limit also holds while the attempt waits for a connection.
+        The limit also applies while the attempt waits for a connection.
         """
         query = attempt.query
         settings = self._state.classes.get(query.cls)
@@ -221,7 +221,7 @@
         query.possibly_executed[attempt.number] = now
 
     def _register(self, attempt: Attempt, now: int) -> None:
-        """Count an attempt as in flight and notify the ports."""
+        """Register an attempt as in flight, count it and notify the ports."""
         state = self._state
         query = attempt.query
         query.attempts += 1
@@ -236,19 +236,19 @@
             state.fleet_coordinator.attempt_sent(attempt, now)
 
     def _remove(self, attempt: Attempt, outcome: str) -> bool:
-        """Count an attempt as done; whether it had been registered as in flight."""
+        """Remove a completed attempt; return whether it had been registered as in flight."""
         query = attempt.query
         attempt.state = AttemptState.DONE
         query.in_flight.pop(attempt.number, None)
-        was_sent = self._state.in_flight.get((query.id, attempt.number)) is attempt
-        if was_sent:
+        was_registered = self._state.in_flight.get((query.id, attempt.number)) is attempt
+        if was_registered:
             del self._state.in_flight[query.id, attempt.number]
         if outcome in NOT_EXECUTED_OUTCOMES:
             query.possibly_executed.pop(attempt.number, None)
-        return was_sent
+        return was_registered
 
     def _update_lease(self, attempt: Attempt, outcome: str, now: int) -> None:
-        """Take the outcome as evidence of whether the engine drains."""
+        """Record the outcome as evidence of whether the engine is draining."""
         lease = self._state.lease
         if lease is None:
             return
@@ -258,7 +258,7 @@
             lease.engine_accepted(attempt.engine, attempt.sent_at)
 
     def _retry_decision(self, attempt: Attempt, outcome: str, now: int) -> RetryDecision:
-        """Notify the operator's terms of a completed attempt, and ask them whether the request may be retried."""
+        """Report a completed attempt to the operator's request policy; return its decision on a retry."""
         query = attempt.query
         policy = self._state.request_policy
         if query.terms is None or policy is None or outcome == Outcome.NOT_EXECUTED:
@@ -276,7 +276,7 @@
         self._state.timers.call_at(completes_at, self.complete, attempt, outcome)
 
     def _offer_hedge(self, attempt: Attempt) -> None:
-        """Offer the policy a hedge beside an attempt, where the operator's terms still allow one."""
+        """Offer the routing policy a hedge for an attempt in flight, if the operator's terms still allow it."""
         query = attempt.query
         policy = self._state.request_policy
         if attempt.done or query.closed or len(query.in_flight) != 1 or query.terms is None or policy is None:
--- a/rackhub/core/component.py
+++ b/rackhub/core/component.py
@@ -1,4 +1,4 @@
-"""The port through which the daemon runs its optional components: it knows no component by more than this."""
+"""The interface between the daemon and its optional components."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
@@ -14,11 +14,11 @@
 
 
 class ComponentStartError(Exception):
-    """A component that is turned on can't start; the text names it and says why."""
+    """An enabled component can't start; the text names the component and the reason."""
 
 
 class ComponentContext:
-    """What the daemon hands each component."""
+    """The objects and callbacks that the daemon passes to each component."""
 
     __slots__ = (
         "reactor",
@@ -47,11 +47,19 @@
         republish_endpoints: Callable[[], None],
         read_config: Callable[[], "Config"],
     ) -> None:
-        """Put the context together.
-
-        `is_serving`: whether clients are accepted and no SIGTERM came. `republish_endpoints`: hand the policy the
-        endpoint list anew, as what a component makes visible of it has changed. `read_config`: the configuration as its
-        file has it now.
+        """Create the context.
+
+        Args:
+            reactor: Twisted's reactor.
+            clock: the process's clock.
+            config: the configuration at the start.
+            operator: the operator's file as last read.
+            core: the coordinator.
+            source: the source of settings and endpoint lists.
+            counters: the process's counters.
+            is_serving: returns whether clients are accepted and no SIGTERM was received.
+            republish_endpoints: publishes the endpoint list again after a component's `visible_endpoints` has changed.
+            read_config: reads the configuration file again.
         """
         self.reactor = reactor
         self.clock = clock
@@ -63,53 +71,53 @@
         self.is_serving = is_serving
         self.republish_endpoints = republish_endpoints
         self.read_config = read_config
-        self.components: dict[str, Component] = {}  # those turned on, by name; complete from `begin` on
+        self.components: dict[str, Component] = {}  # enabled components by name; complete once `begin` is called
 
 
 class Component:
-    """One component of a process; each overrides what it needs.
+    """Base class of the optional components; a component overrides the methods that it needs.
 
-    The daemon calls all in the order of its list, and stops them in the opposite one. A constructor or `begin` that
-    can't go on raises `ComponentStartError`.
+    The daemon calls the components in the order of its list and stops them in reverse order. A constructor or `begin`
+    raises `ComponentStartError` if the component can't start.
     """
 
     def __init__(self, context: ComponentContext) -> None:
         self.context = context
 
-    def begin(self, listing: "EndpointSnapshot") -> "EndpointSnapshot":
-        """The list that the core is to start with: `listing`, or a newer one that the component has."""
-        return listing
+    def begin(self, snapshot: "EndpointSnapshot") -> "EndpointSnapshot":
+        """Return the endpoint list for the core's start: `snapshot`, or a newer one that the component has stored."""
+        return snapshot
 
     def open(self) -> None:
-        """Open sockets: clients can connect from now on."""
+        """Open the component's sockets; called when the listeners for clients are open."""
 
     def reload(self, operator: "Operator") -> None:
-        """Take the operator's file as it was read on SIGHUP.
+        """Apply the operator's file, which was read again on SIGHUP.
 
-        What can't be used is logged by its key and counted, and its former value stays in force.
+        An invalid value is logged with its key and counted; the previous value stays active.
         """
 
-    def endpoints_changed(self, listing: "EndpointSnapshot") -> None:
-        """Take a new endpoint list, which the policy has already."""
+    def endpoints_changed(self, snapshot: "EndpointSnapshot") -> None:
+        """Handle a new endpoint list, which the routing policy has received already."""
 
     def visible_endpoints(self, entries: Sequence["interface.EngineEntry"]) -> Sequence["interface.EngineEntry"]:
-        """The endpoint list as the policy is to see it."""
+        """Return the endpoint list for the routing policy, with the component's changes."""
         return entries
 
     def has_successor(self) -> bool:
-        """Whether a process that replaces this one serves on its address."""
+        """Return whether a process that replaces this one serves on the same address."""
         return False
 
     def drain(self) -> None:
-        """Notify others of the graceful shutdown after SIGTERM; open requests go on."""
+        """Notify other processes of the graceful shutdown after SIGTERM; open requests continue."""
 
     def stop(self) -> None:
-        """Release files: the reactor has ended, and all requests are answered."""
+        """Release files; called after the reactor has stopped and all requests are answered."""
 
     def metrics(self) -> Mapping[str, float]:
-        """The component's metrics by name, for DUMP."""
+        """Return the component's metrics by name, for the DUMP command."""
         return {}
 
     def summary_lines(self) -> Sequence[str]:
-        """Lines for the end of the log and for SIGUSR1."""
+        """Return the lines that the process prints at exit and on SIGUSR1."""
         return ()
--- a/rackhub/core/coordinator.py
+++ b/rackhub/core/coordinator.py
@@ -1,7 +1,7 @@
 """Coordinates the requests of one process: fronts submit them, the routing policy decides, an engine port sends.
 
-Whatever the policy decides, the coordinator guarantees one answer to each request in time, and no more attempts of a
-request, one after another or at once, than the settings allow. It knows no wire protocol.
+Independently of the policy, the coordinator guarantees that each request gets one answer in time and has no more
+attempts, in total and at once, than the settings allow. It is independent of wire protocols.
 """
 
 from collections.abc import Sequence
@@ -18,11 +18,11 @@
 from rackhub.limits import Limits
 from rackhub.policy.router import Router
 
-ANSWER_PERIODS = 2  # the policy ends a request this many of its periods before the deadline
+ANSWER_PERIODS = 2  # the policy completes a request this many of its periods before the deadline
 
 
 class Coordinator(CoordinatorState):
-    """The state of the requests and the parts that act on it, behind one interface for fronts and ports.
+    """Interface of the core for fronts and ports: the state of the requests and the objects that act on it.
 
     Times are microseconds of `clock`.
     """
@@ -47,7 +47,7 @@
     # ---- process lifecycle
 
     def start(self, engines: EnginePort, entries: Sequence[interface.EngineEntry], revision: int) -> None:
-        """Begin with an endpoint list that was kept, until the resolver's comes."""
+        """Start with a stored endpoint list, which applies until the resolver's arrives."""
         self.engines = engines
         self.engine_kinds = {entry.engine: entry.kind for entry in entries}
         self.decisions.dispatch(interface.Started())
@@ -55,36 +55,42 @@
         self.deadline_monitor.sweep()
 
     def start_draining(self, backoff: int) -> None:
-        """Serve what was admitted, and reject every new request with a Retry-After of `backoff` microseconds."""
+        """Serve the admitted requests, and reject every new one with a Retry-After of `backoff` microseconds."""
         self.admission.start_draining(backoff)
 
     # ---- fronts
 
     def is_known_id(self, id: str) -> bool:
-        """Whether a request of this id is open or was completed lately. Each request, also a retry, has a new id."""
+        """Return whether a request of this id is open or was completed recently.
+
+        Clients use a new id for each request, also for a retry.
+        """
         return id in self.queries or self.completion.is_recent(id)
 
     def is_near_deadline(self, query: Query) -> bool:
-        """Whether an answer given now is given for want of time."""
+        """Return whether so little time is left that an answer given now counts as caused by the deadline."""
         return self.clock.now() >= query.deadline - ANSWER_PERIODS * self.settings.period
 
     def submit(self, query: Query) -> None:
-        """Admit a request, which is then owed exactly one answer, or reject it at once."""
+        """Admit a request, which then gets exactly one answer, or reject it at once."""
         self.admission.submit(query)
 
     def disconnect_client(self, query: Query) -> None:
-        """Stop a request whose client has cancelled it or is gone: it is owed no answer."""
+        """Complete a request without an answer: its client has cancelled it or disconnected."""
         if self.completion.complete(query, RequestOutcome.DISCONNECTED):
             self._abandon(query)
 
     def complete_gathered(self, query: Query, how: str, rows: Sequence[bytes] = (), backoff: int = 0) -> bool:
-        """Answer a request that the gather port has accepted.
+        """Answer a request that the gather port has accepted; return False if it was completed before.
 
-        `how` is served (with `rows` and `query.gather_status`), refused (with a Retry-After of `backoff`
-        microseconds) or failed. Returns False if the request was completed before.
+        Args:
+            query: the request, with `gather_status` set if it is served.
+            how: "served", "refused" or "failed", a value of `RequestOutcome`.
+            rows: the rows of a served request.
+            backoff: Retry-After of a rejected request in microseconds.
 
         Raises:
-            ValueError: `how` is none of these.
+            ValueError: `how` is none of these values.
         """
         outcome = RequestOutcome(how)
         if outcome is RequestOutcome.SERVED:
@@ -96,7 +102,7 @@
         raise ValueError(f"a gathered request can't end as {how!r}")
 
     def _abandon(self, query: Query) -> None:
-        """Notify whoever decides on a request that it was completed without them."""
+        """Notify the routing policy or the gather port that a request was completed by the core."""
         if not query.is_gathered:
             self.decisions.dispatch(interface.ClientDisconnected(query.id))
         elif self.gather_port is not None:
@@ -107,15 +113,15 @@
     def complete_attempt(
         self, attempt: Attempt, reason: str, report: dict[str, float] | None = None, rows: Sequence[bytes] = ()
     ) -> None:
-        """Take the end of an attempt from the port; `rows` are all pages of a success.
+        """Complete an attempt with its outcome `reason`; `rows` are all pages of a successful result.
 
-        The first end counts: one that crosses with a time-out or a cancellation is ignored.
+        Only the first completion counts: one that crosses with a time-out or a cancellation is ignored.
         """
         if not attempt.done:
             self.attempts.complete(attempt, reason, report, rows)
 
     def report_progress(self, attempt: Attempt, topic: int, value: float) -> None:
-        """Take an engine's progress report on an attempt that is in flight."""
+        """Pass on an engine's progress report on an attempt in flight."""
         if attempt.done:
             return
         self.counters.add("notes_in")
@@ -128,17 +134,17 @@
     # ---- the endpoint list
 
     def update_endpoints(self, entries: Sequence[interface.EngineEntry], revision: int) -> None:
-        """Take the complete endpoint list, as the resolver has it now."""
+        """Apply a complete endpoint list from the resolver."""
         self.counters.add("lists_told")
         self.engine_kinds = {entry.engine: entry.kind for entry in entries}
         self.decisions.dispatch(interface.EndpointList("Complete", tuple(entries), revision))
 
     def endpoint_poll_started(self) -> int:
-        """Note that the resolver is polled; the time of that."""
+        """Record that the resolver is polled; return the current time."""
         return self.endpoint_gate.poll_started()
 
     def endpoint_poll_confirmed(self, started_at: int) -> None:
-        """Take the endpoint list in force as confirmed by the poll that began at `started_at`."""
+        """Record that the poll started at `started_at` has confirmed the active endpoint list."""
         self.endpoint_gate.poll_confirmed(started_at)
 
     # ---- the fleet coordinator
@@ -146,13 +152,13 @@
     def complete_health_check(
         self, engine: str, reason: str, elapsed: int, report: dict[str, float] | None = None
     ) -> None:
-        """Take the end of a health check: GOOD, LATE or NOCONN after `elapsed` microseconds."""
+        """Pass on the outcome `reason` of a health check: GOOD, LATE or NOCONN after `elapsed` microseconds."""
         self.decisions.dispatch(interface.HealthCheckCompleted(engine, reason, elapsed, report or {}))
 
     def receive_gossip(self, peer: int, contents: bytes) -> None:
-        """Take a message of another gateway's policy."""
+        """Pass on a message from the routing policy of another gateway, given by its instance index."""
         self.decisions.dispatch(interface.GossipReceived(peer, contents))
 
     def apply_allocation(self, allocation: interface.FleetAllocation) -> None:
-        """Take what the fleet allocates to this gateway; it holds until the next allocation."""
+        """Apply the fleet's allocation to this gateway; it stays active until the next one."""
         self.endpoint_gate.apply_allocation(allocation)
--- a/rackhub/core/deadline_monitor.py
+++ b/rackhub/core/deadline_monitor.py
@@ -1,4 +1,4 @@
-"""Looks at the deadlines of attempts and requests at a fixed interval, and measures the event loop's delay."""
+"""Periodic check of the deadlines of attempts and requests; measures the event loop's delay too."""
 
 from collections.abc import Callable
 
@@ -10,21 +10,24 @@
 
 log = logs.logger(__name__)
 
-DELAY_DECAY_DIVISOR = 256  # the loop's delay decays by a 256th at each sweep
+DELAY_DECAY_DIVISOR = 256  # the recorded event-loop delay decays by a 256th at each sweep
 
 
 class DeadlineMonitor:
-    """Sweeps what is open. A timer for each request would outlive it, with all that the request holds."""
+    """Checks all open attempts and requests at a fixed interval.
+
+    A timer for each request would outlive the request and keep its memory in use.
+    """
 
     def __init__(self, state: CoordinatorState, attempts: AttemptRunner, abandon: Callable[[Query], None]) -> None:
-        """`abandon` notifies whoever decides on a request that it is over."""
+        """`abandon` notifies the routing policy or the gather port that the core has completed a request."""
         self._state = state
         self._attempts = attempts
         self._abandon = abandon
         self._next_sweep_at = state.clock.now()
 
     def sweep(self) -> None:
-        """Time out attempts, fail requests that the policy has left past their deadline, and plan the next sweep."""
+        """Time out attempts, fail requests that are open past their deadline, and schedule the next sweep."""
         now = self._state.clock.now()
         self._measure_loop_delay(now)
         self._time_out_attempts(now)
@@ -35,10 +38,10 @@
         self._state.timers.call_at(self._next_sweep_at, self.sweep)
 
     def _measure_loop_delay(self, now: int) -> None:
-        """Shed load while the loop is late.
+        """Measure the event loop's delay; above `max_event_loop_delay` new requests are shed.
 
-        Otherwise requests wait in the sockets, each iteration takes longer than the one before, and the loop doesn't
-        catch up. A request that is rejected costs no more than reading it.
+        Otherwise requests queue in the sockets, each iteration takes longer than the one before, and the loop doesn't
+        catch up. Rejecting a request costs no more than reading it.
         """
         state = self._state
         delay = now - self._next_sweep_at
@@ -53,7 +56,7 @@
             self._attempts.give_up(attempt, Outcome.TIMED_OUT)
 
     def _fail_expired_requests(self, now: int) -> None:
-        # A sweep that is late comes before the policy's own timers of the time since it was due.
+        # A late sweep runs before those timers of the policy that expired after the sweep was due.
         latest_deadline = min(now, self._next_sweep_at) - self._state.limits.deadline_grace
         expired = [query for query in self._state.queries.values() if query.deadline <= latest_deadline]
         for query in expired:
--- a/rackhub/core/decision_driver.py
+++ b/rackhub/core/decision_driver.py
@@ -1,4 +1,4 @@
-"""Hands events to the routing policy one after another, and carries out the actions that it answers with."""
+"""Passes events to the routing policy one at a time and executes the actions that the policy returns."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -13,16 +13,16 @@
 
 
 class RoutingPolicy(Protocol):
-    """Decides on requests: it turns an event into actions, and does no I/O."""
+    """Decides on requests: turns each event into actions, without I/O."""
 
     def handle(self, now: int, event: object) -> Iterable[object]:
-        """The actions to carry out, in order, after an event at `now` (microseconds)."""
+        """Return the actions to execute, in order, after an event at `now` (microseconds)."""
 
 
 class DecisionDriver:
-    """The queue of events and the handlers of actions, by the action's type.
+    """Queue of events, and the handlers of actions by the action's type.
 
-    An event that an action leads to is handled after all actions of the event before it.
+    An event that is caused by an action is handled after all actions of the current event.
     """
 
     def __init__(self, state: CoordinatorState, control: RoutingPolicy) -> None:
@@ -43,7 +43,7 @@
         self._handlers[action] = handler
 
     def dispatch(self, event: object) -> None:
-        """Queue an event; handle the queue unless an event is being handled already."""
+        """Queue an event; unless an event is being handled already, handle all queued events."""
         self._events.append(event)
         if self._handling:
             return
@@ -59,12 +59,12 @@
             for action in self.control.handle(self._state.clock.now(), event):
                 if handler := self._handlers.get(type(action)):
                     handler(action)
-        except Exception:  # a fault in a decision must not end the daemon: the backstop answers
+        except Exception:  # a fault in the policy must not stop the daemon: the deadline monitor answers
             self._state.counters.add("module_errors")
             log.exception("policy_failed", on=repr(event))
 
     def timer_fired(self, reference: int) -> None:
-        """Report that a timer which the policy asked for has expired."""
+        """Notify the policy that a timer which it requested has expired."""
         self.dispatch(interface.TimerFired(reference))
 
     def _start_timer(self, action: interface.Timer) -> None:
@@ -77,7 +77,7 @@
         log.info("policy_message", text=action.text)
 
     def _check_health(self, action: interface.CheckHealth) -> None:
-        if self._state.fleet_coordinator is not None:  # only the fleet's peers make health checks
+        if self._state.fleet_coordinator is not None:  # health checks need the fleet component
             self._state.fleet_coordinator.check_health(action.engine)
 
     def _send_gossip(self, action: interface.SendGossip) -> None:
--- a/rackhub/core/engine_start_times.py
+++ b/rackhub/core/engine_start_times.py
@@ -1,9 +1,10 @@
-"""When engines started, by the process's own clock.
+"""Converts the start times of engines to the process's clock.
 
-An endpoint list gives a start in Unix time, by the wall clock of whoever wrote it. The process's clock is the wall
-clock of its own start, advanced by the monotonic one. Once a wall clock is stepped the two differ, and a start read as
-it stands would end an engine's slow start early, or prolong it by an hour. So each start is converted once, when it is
-first reported, and one that is impossible by this clock counts from then on: the engine only warms up longer.
+An endpoint list gives an engine's start in Unix time, by the wall clock of the host that wrote the list. The process's
+clock starts at the wall clock and advances monotonically. After a wall clock is stepped the two differ, and an
+unconverted start time would end an engine's slow start early or prolong it by an hour. So each start time is converted
+once, when it is first reported. A start time that is impossible by the process's clock is replaced by the current time,
+which only makes the slow start longer.
 """
 
 from collections.abc import Mapping, Sequence
@@ -11,35 +12,35 @@
 
 from rackhub.interface import EngineEntry
 
-MAX_REPORTED_START_AGE = 60_000_000  # microseconds between a start and the first list that reports it
+MAX_REPORTED_START_AGE = 60_000_000  # microseconds from an engine's start to the first list that reports it
 
-ReportedStart = tuple[str, int]  # an engine and its start in Unix time
+ReportedStart = tuple[str, int]  # engine name, start in Unix time (microseconds)
 
 
 class EngineStartTimes:
-    """Converts reported starts. Times are microseconds."""
+    """Converts reported start times and remembers the results. Times are microseconds."""
 
     def __init__(self) -> None:
-        self._converted: dict[ReportedStart, int] | None = None  # None: no list was converted yet
+        self._converted: dict[ReportedStart, int] | None = None  # None before the first list
 
-    def on_local_clock(self, entries: Sequence[EngineEntry], now: int) -> tuple[EngineEntry, ...]:
-        """The entries with their starts by the process's clock, which is at `now`."""
+    def convert(self, entries: Sequence[EngineEntry], now: int) -> tuple[EngineEntry, ...]:
+        """Return the entries with their start times by the process's clock, whose time is `now`."""
         known = self._converted
         converted: dict[ReportedStart, int] = {}
         self._converted = converted
-        return tuple(self._convert(entry, known, converted, now) for entry in entries)
+        return tuple(self._convert_entry(entry, known, converted, now) for entry in entries)
 
-    def _convert(
+    def _convert_entry(
         self,
         entry: EngineEntry,
         known: Mapping[ReportedStart, int] | None,
         converted: dict[ReportedStart, int],
         now: int,
     ) -> EngineEntry:
-        if not entry.started_at:  # long past
+        if not entry.started_at:  # 0: started long ago
             return entry
         key = entry.engine, entry.started_at
-        # The first list also reports engines that started long before this process.
+        # The first list may report engines that started long before this process, so no age is implausible in it.
         started_at = known.get(key) if known is not None else min(entry.started_at, now)
         if started_at is None:
             is_plausible = 0 <= now - entry.started_at <= MAX_REPORTED_START_AGE
--- a/rackhub/core/gather.py
+++ b/rackhub/core/gather.py
@@ -1,4 +1,4 @@
-"""The port between fronts and gathers: who takes requests that go to several sites, and the status of their answers."""
+"""Port to the gather component, which answers a request from several sites, and the status of such answers."""
 
 from collections.abc import Sequence
 from typing import Literal, Protocol
@@ -11,29 +11,29 @@
 
 
 class SiteStatus(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One site of a gathered answer: its rows are in it, fresh or `age_ms` old, or are `missing` for a reason."""
+    """One site of a gathered answer: its rows are included, fresh or `age_ms` old, or `missing` for a reason."""
 
     site: str
-    age_ms: int = 0  # since the rows were read at that site, by the gathering gateway's own clock
+    age_ms: int = 0  # time since the rows were read at that site, by the gathering gateway's clock
     missing: MissingReason | None = None
 
 
 class GatherStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What an answer has beside its gathered rows, in the order of the sites."""
+    """Status that accompanies the gathered rows of an answer."""
 
-    complete: bool = msgspec.field(name="whole")  # the rows of every site are in it, and fresh
-    sites: Sequence[SiteStatus]
+    complete: bool = msgspec.field(name="whole")  # fresh rows of every site are included
+    sites: Sequence[SiteStatus]  # in the order of the sites
 
 
 class GatherPort(Protocol):
-    """Asked by the core about each request that is admitted.
+    """Called by the core for each admitted request.
 
-    It answers by `Coordinator.complete_gathered`, and submits subrequests: `Query.is_subrequest` set, `Query.zones`
-    where they may run, and a `Reply` of its own.
+    It completes requests through `Coordinator.complete_gathered`. Its subrequests have `Query.is_subrequest` set, the
+    zones in which they may run in `Query.zones`, and a `Reply` of the port.
     """
 
     def accept(self, query: Query) -> bool:
-        """Whether a rule gathers the request: then the port owns it, and admits or rejects it as one."""
+        """Return whether a rule gathers the request; the port is then responsible for completing it."""
 
     def client_disconnected(self, query: Query) -> None:
-        """Cancel the subrequests: the client is gone, or the core has answered at the deadline."""
+        """Cancel the subrequests: the client has disconnected, or the core has answered at the deadline."""
--- a/rackhub/core/request.py
+++ b/rackhub/core/request.py
@@ -1,4 +1,4 @@
-"""What passes between fronts, the coordinator and engine ports: requests, attempts, and where answers go."""
+"""Requests, attempts, and the interfaces between fronts, the coordinator and engine ports."""
 
 import enum
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class RequestOutcome(enum.StrEnum):
-    """How a request ended. The values are the names of counters and of the stored states."""
+    """How a request ended. The values name the counters and the stored states."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -21,14 +21,15 @@
 
 
 class Reply(Protocol):
-    """Where a front takes its one answer.
+    """Receives the one answer to a request, for its front.
 
-    One that has `marks` true shows `Query.gather_status` beside the rows; no other is given an answer that needs it.
+    A reply with a true attribute `marks` can transmit `Query.gather_status` with the rows. Only such a reply gets an
+    answer that needs it.
     """
 
-    reading_paused: bool = False  # nothing is read from the client, so a disconnect can't be seen
-    may_have_unread_input: bool = False  # what is read has waited in the socket, and a disconnect may lie behind it
-    unread_input_since: int = 0  # the earliest time that what is read may have waited from, in microseconds
+    reading_paused: bool = False  # reading from the client is paused, so a disconnect would not be detected
+    may_have_unread_input: bool = False  # the socket may contain bytes not read yet, a disconnect among them
+    unread_input_since: int = 0  # earliest possible arrival of these bytes, in microseconds
 
     def served(self, query: "Query", rows: Sequence[bytes]) -> None:
         """Answer with the pages of the result, in order."""
@@ -37,11 +38,11 @@
         """Answer that the request was rejected, with a Retry-After of `backoff` microseconds."""
 
     def failed(self, query: "Query", why: str) -> None:
-        """Answer that the request has failed; `why` is for the client."""
+        """Answer that the request has failed; `why` is the message for the client."""
 
 
 class Query:
-    """One request from its arrival to its answer. Times are microseconds of the coordinator's clock."""
+    """One request, from its arrival to its answer. Times are microseconds of the coordinator's clock."""
 
     __slots__ = (
         "id",
@@ -84,7 +85,7 @@
         memory_mb: float = 0.0,
         tables: int | None = None,
     ) -> None:
-        """`tag` is the front's own."""
+        """Create an open request; `tag` is for the front's use only."""
         self.id = id
         self.cls = cls
         self.statement = statement
@@ -97,31 +98,31 @@
         self.memory_mb = memory_mb
         self.tables = tables
         self.closed = False
-        self.attempts = 0  # how many have been started
-        self.in_flight: dict[int, Attempt] = {}  # by number
-        self.possibly_executed: dict[int, int] = {}  # send times by number, of a request with an idempotency key
+        self.attempts = 0  # number of attempts started so far
+        self.in_flight: dict[int, Attempt] = {}  # attempt number -> attempt
+        self.possibly_executed: dict[int, int] = {}  # attempt number -> send time; only with an idempotency key
         self.priority = 1
-        self.priority_pinned = False  # the priority is the operator's
-        self.terms: RequestTerms | None = None  # the operator's
-        self.hedge_requested = False  # the policy is being asked for a hedge
-        self.zones: tuple[str, ...] = ()  # the zones that a subrequest may run in; empty: any
+        self.priority_pinned = False  # the operator's terms set the priority
+        self.terms: RequestTerms | None = None  # the operator's terms
+        self.hedge_requested = False  # the policy is handling a `HedgeDue` event for the request
+        self.zones: tuple[str, ...] = ()  # zones in which a subrequest may run; empty: all zones
         self.is_subrequest = False
-        self.is_gathered = False  # the gather port has accepted it
-        self.gather_status: Any = None  # of a gathered answer: a `core.gather.GatherStatus`
+        self.is_gathered = False  # the gather port has accepted the request
+        self.gather_status: Any = None  # `core.gather.GatherStatus` of a gathered answer
 
 
 class AttemptState(enum.Enum):
-    """Where an attempt stands. Before `IN_FLIGHT` nothing of it has left, which proves that it never ran."""
+    """State of an attempt. Before `IN_FLIGHT` nothing was sent, which proves that the attempt did not run."""
 
-    PENDING = enum.auto()  # not with the engine port yet
-    QUEUED = enum.auto()  # set by the port: its connection is not up, or takes no bytes
+    PENDING = enum.auto()  # not passed to the engine port yet
+    QUEUED = enum.auto()  # set by the port: the connection is not established or not writable
     IN_FLIGHT = enum.auto()
-    CANCELLING = enum.auto()  # given up, the cancellation is on its way: what still comes of it is ignored
+    CANCELLING = enum.auto()  # cancellation in progress: further responses are ignored
     DONE = enum.auto()
 
 
 class Attempt:
-    """One attempt of a request on an engine. `connection` is the engine port's own."""
+    """One attempt of a request on an engine. `connection` is for the engine port's use only."""
 
     __slots__ = (
         "query",
@@ -135,33 +136,33 @@
         "timeout_configured",
     )
 
-    def __init__(self, query: Query, number: int, engine: str, sent: int) -> None:
-        """`sent` is the time in microseconds."""
+    def __init__(self, query: Query, number: int, engine: str, now: int) -> None:
+        """Create a pending attempt; `now` is the current time in microseconds."""
         self.query = query
         self.number = number
         self.engine = engine
-        self.sent_at = sent
-        self.deadline = sent
+        self.sent_at = now
+        self.deadline = now
         self.state = AttemptState.PENDING
         self.connection: Any = None
-        self.send_by = 0  # the port must not send it from then on; 0: no limit
-        self.timeout_configured = False  # the deadline is by the operator's time-out, not by the request's deadline
+        self.send_by = 0  # time from which the port must not send the attempt; 0: no limit
+        self.timeout_configured = False  # the deadline is the operator's time-out, not the request's deadline
 
     @property
     def done(self) -> bool:
-        """Whether it is completed, or its completion is on its way."""
+        """True if the attempt is completed or its cancellation is in progress."""
         return self.state in (AttemptState.CANCELLING, AttemptState.DONE)
 
     @property
     def unsent(self) -> bool:
-        """Whether it surely never ran, as nothing of it has left."""
+        """True if nothing was sent, so that the attempt certainly did not run."""
         return self.state in (AttemptState.PENDING, AttemptState.QUEUED)
 
     def send_blocked_by(self, now: int, lease: "EndpointLease | None" = None) -> str:
-        """The outcome of an attempt that must not be sent now; empty if it may be.
+        """Return the outcome of an attempt that must not be sent at `now`, or an empty string if it may be sent.
 
-        A client that is not read from may be gone; an engine may have forgotten an idempotency key that is too old;
-        an engine that the endpoint list's lease doesn't cover may be draining.
+        While reading is paused the client may have disconnected. An engine may have forgotten an idempotency key that
+        is too old. An engine that the endpoint list's lease does not cover may be draining.
         """
         if self.query.reply.reading_paused:
             return Outcome.NOT_EXECUTED
@@ -175,7 +176,7 @@
 
 
 class EnginePort(Protocol):
-    """The way to the engines. It reports by `Coordinator.complete_attempt` and `Coordinator.report_progress`."""
+    """Sends attempts to engines; reports to `Coordinator.complete_attempt` and `Coordinator.report_progress`."""
 
     def send(self, attempt: Attempt) -> None:
         """Send an attempt, or queue it for a connection."""
@@ -184,7 +185,7 @@
         """Cancel an attempt that is queued or in flight."""
 
     def promote(self, attempt: Attempt) -> None:
-        """Tell the engine the new priority of an attempt's request."""
+        """Notify the engine of the new priority of an attempt's request."""
 
     def close_idle(self, engine: str) -> None:
-        """Close the connections to an engine that have nothing in flight."""
+        """Close the connections to an engine that have no attempt in flight."""
--- a/rackhub/core/request_completion.py
+++ b/rackhub/core/request_completion.py
@@ -1,4 +1,4 @@
-"""The end of a request: its one answer, its counts, and the ports that are notified of it."""
+"""Completion of a request: its one answer, its counters, and the notification of the ports."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,7 +10,7 @@
 
 log = logs.logger(__name__)
 
-# Python 3.11 looks up an enum's member by a slow call: each request would pay for some.
+# Module constant: looking up an enum's member is a slow call in Python 3.11, and each request needs it.
 SERVED = RequestOutcome.SERVED
 
 CLASS_COUNTERS = {
@@ -21,29 +21,29 @@
 
 
 class RequestCompletion:
-    """Completes requests, and remembers the ids of the last ones."""
+    """Completes requests and remembers the ids of the most recent ones."""
 
     def __init__(self, state: CoordinatorState, give_up: Callable[[Attempt, Outcome], None]) -> None:
-        """`give_up` stops an attempt that has not left for its engine."""
+        """`give_up` cancels an attempt."""
         self._state = state
         self._give_up = give_up
         self._recent_ids: dict[str, None] = {}  # oldest first
 
     def is_recent(self, id: str) -> bool:
-        """Whether a request of this id was completed lately."""
+        """Return whether a request of this id was completed recently."""
         return id in self._recent_ids
 
     def complete(self, query: Query, outcome: RequestOutcome, *details: Any) -> bool:
-        """End a request once: answer its client with `details`, and give up what has not left for it.
+        """Complete a request: answer its client with `details` and cancel the attempts that were not sent.
 
-        Returns False if the request was completed before; then nothing happens.
+        Returns False, without any effect, if the request was completed before.
         """
         if query.closed:
             return False
         query.closed = True
         self._remember(query.id)
         self._count(query, outcome)
-        if self._state.queries.get(query.id) is query:  # else it was rejected before it was admitted
+        if self._state.queries.get(query.id) is query:  # a request rejected at admission is not registered
             self._release(query, outcome)
         self._answer(query, outcome, details)
         for attempt in [attempt for attempt in query.in_flight.values() if attempt.unsent]:
@@ -53,19 +53,19 @@
         return True
 
     def reject(self, action: interface.Reject) -> None:
-        """Carry out the policy's rejection of a request."""
+        """Reject a request at the policy's request."""
         if query := self._state.queries.get(action.query):
             log.debug("request_rejected", request=query.id, reason=action.reason, retry_after_us=action.retry_after)
             self.complete(query, RequestOutcome.REJECTED, action.retry_after)
 
     def fail(self, action: interface.Fail) -> None:
-        """Carry out the policy's decision that a request has failed and can't be repeated."""
+        """Complete a request as failed at the policy's request: it may have run and can't be retried."""
         if query := self._state.queries.get(action.query):
             log.debug("request_failed", request=query.id, reason=action.reason)
             self.complete(query, RequestOutcome.FAILED, "failed: its effect is not known")
 
     def _remember(self, id: str) -> None:
-        # A faulty client may use one id for hundreds of requests, each cancelled at once.
+        # Each id is kept once: a faulty client may use one id for hundreds of requests, each cancelled at once.
         self._recent_ids[id] = None
         if len(self._recent_ids) > self._state.limits.max_recent_ids:
             del self._recent_ids[next(iter(self._recent_ids))]
@@ -77,7 +77,7 @@
             self._state.count_by_class(query.cls, counter)
 
     def _release(self, query: Query, outcome: RequestOutcome) -> None:
-        """Remove a request from the open ones and notify the ports."""
+        """Remove a request from the open requests and notify the ports."""
         state = self._state
         del state.queries[query.id]
         state.statement_bytes -= len(query.statement)
--- a/rackhub/core/request_journal.py
+++ b/rackhub/core/request_journal.py
@@ -1,4 +1,4 @@
-"""The port through which the core records what becomes of requests with an idempotency key."""
+"""Port to the record of requests with an idempotency key."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class RequestJournal(Protocol):
-    """Notified of requests that have an idempotency key, and of no others. It never blocks the caller."""
+    """Records requests that have an idempotency key; it is not called for others, and never blocks."""
 
     def request_admitted(self, query: Query) -> None:
         """Record that a request was admitted."""
@@ -15,4 +15,4 @@
         """Record that an attempt is about to be sent."""
 
     def request_completed(self, query: Query, how: str) -> None:
-        """Record the end of a request: a `RequestOutcome`."""
+        """Record the end of a request; `how` is a value of `RequestOutcome`."""
--- a/rackhub/core/request_policy.py
+++ b/rackhub/core/request_policy.py
@@ -1,21 +1,21 @@
-"""The port through which the core asks for the operator's terms of a request. Times are microseconds."""
+"""Port to the operator's terms for requests, attempts and retries. Times are microseconds."""
 
 from typing import Any, NamedTuple, Protocol
 
 
 class RequestTerms(Protocol):
-    """The terms that one request began with; later ones don't change them."""
+    """Terms of one request, as of its admission; a later reload does not change them."""
 
     max_attempts: int
-    retry_window: int  # how long a request with an idempotency key may be retried
+    retry_window: int  # time in which a request with an idempotency key may be retried
 
 
 class AttemptTerms(NamedTuple):
-    """The terms of one attempt; 0 stands for none."""
+    """Terms of one attempt; 0 means none."""
 
     timeout: int = 0
-    send_by: int = 0  # it must not be sent after this time
-    hedge_after: int = 0  # the delay until a hedge is due
+    send_by: int = 0  # time from which the attempt must not be sent
+    hedge_after: int = 0  # delay until a hedge is due
     priority: int | None = None
 
 
@@ -28,31 +28,31 @@
 
 
 class RequestPolicy(Protocol):
-    """All terms in force.
+    """The active terms of the operator.
 
-    `terms` is what `begin_request` gave for the request, `attempts` the number of its attempts so far, `kind` the
-    engine's kind, `now` the time of the core's clock.
+    Parameters of several methods: `terms` is the result of `begin_request`, `attempts` the number of the request's
+    attempts so far, `kind` the engine's kind, `now` the time of the core's clock.
     """
 
     def begin_request(self, cls: str, tenant: str, estimate: int, now: int) -> RequestTerms:
-        """The terms of a request that was admitted; `estimate` is its estimated cost."""
+        """Return the terms of an admitted request; `estimate` is its estimated cost."""
 
     def end_request(self, terms: Any, now: int) -> None:
-        """Note that a request is completed."""
+        """Record that a request is completed."""
 
     def may_send(self, terms: Any, attempts: int, is_hedge: bool, now: int) -> bool:
-        """Whether a retry or a hedge may be sent."""
+        """Return whether a retry or a hedge may be sent."""
 
     def attempt_terms(self, terms: Any, number: int, kind: str, is_hedge: bool, now: int) -> AttemptTerms:
-        """The terms of an attempt that is sent now."""
+        """Return the terms of an attempt that is sent now."""
 
     def may_hedge(self, terms: Any, kind: str, attempts: int, now: int) -> bool:
-        """Whether a hedge may be sent beside the attempt in flight."""
+        """Return whether a hedge may be sent in addition to the attempt in flight."""
 
     def attempt_completed(
         self, terms: Any, number: int, kind: str, engine: str, reason: str, elapsed: int, timed_out: bool, now: int
     ) -> None:
-        """Note an attempt's outcome; `timed_out`: by the time-out of its terms."""
+        """Record an attempt's outcome `reason`; `timed_out` is true if the time-out of its terms ended it."""
 
     def retry_decision(self, terms: Any, reason: str, attempts: int, now: int) -> RetryDecision:
-        """Whether a request may be retried after an attempt with this outcome."""
+        """Return whether a request may be retried after an attempt with the outcome `reason`."""
--- a/rackhub/core/source.py
+++ b/rackhub/core/source.py
@@ -1,4 +1,4 @@
-"""The port through which settings and endpoint lists reach the core."""
+"""Port through which the core gets settings and endpoint lists."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -9,7 +9,7 @@
 
 
 class EndpointSnapshot(NamedTuple):
-    """The endpoint list as of one revision."""
+    """Endpoint list as of one revision."""
 
     revision: int
     entries: tuple[interface.EngineEntry, ...]
@@ -20,14 +20,14 @@
     """Notified of polls of the endpoint list. Times are microseconds."""
 
     def endpoint_poll_started(self) -> int:
-        """Note that a poll was sent; the time of that, which `endpoint_poll_confirmed` gets."""
+        """Record that a poll was sent; return the time, which is passed to `endpoint_poll_confirmed`."""
 
     def endpoint_poll_confirmed(self, started_at: int) -> None:
-        """Note a good answer to the poll that started at `started_at`."""
+        """Record a valid answer to the poll that started at `started_at`."""
 
 
 class Source(Protocol):
-    """Where the settings and the endpoint list come from."""
+    """Source of the settings and the endpoint list."""
 
     settings: interface.Settings
     initial_snapshot: EndpointSnapshot
@@ -35,10 +35,10 @@
     def subscribe(
         self, on_change: Callable[[EndpointSnapshot], None], observer: EndpointPollObserver | None = None
     ) -> None:
-        """Call back with each new endpoint list from now on, and notify `observer` of polls and good answers."""
+        """Call `on_change` with each new endpoint list; notify `observer` of polls and valid answers."""
 
     def reload(self) -> None:
         """Read the configuration again.
 
-        What can't be used is logged by its key, and its former value stays in force.
+        An invalid value is logged with its key; the previous value stays active.
         """
--- a/rackhub/core/state.py
+++ b/rackhub/core/state.py
@@ -1,4 +1,4 @@
-"""What the coordinator's parts share: the settings, the open requests, and the ports that they act through."""
+"""State that the coordinator's objects share: settings, open requests and ports."""
 
 import enum
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from rackhub.counters import Counters
 from rackhub.limits import SECOND, Limits
 
-if TYPE_CHECKING:  # ports of optional components: nothing of them is loaded here
+if TYPE_CHECKING:  # ports of optional components, whose modules are not imported at run time
     from rackhub.core.fleet import FleetCoordinator
     from rackhub.core.gather import GatherPort
     from rackhub.core.request_journal import RequestJournal
@@ -19,7 +19,7 @@
 
 
 class ClassCounter(enum.IntEnum):
-    """The index of a count in the list that `CoordinatorState.counts_by_class` has for each class."""
+    """Index of a count in the lists of `CoordinatorState.counts_by_class`."""
 
     SERVED = 0
     REJECTED = 1
@@ -28,9 +28,9 @@
 
 
 class CoordinatorState:
-    """The state of one process's coordinator. Times are microseconds of `clock`, sizes are bytes.
+    """State of one process's coordinator. Times are microseconds of `clock`, sizes are bytes.
 
-    A port that is None belongs to a component that is turned off.
+    A port of a disabled component is None.
     """
 
     def __init__(
@@ -44,26 +44,28 @@
         self.classes = {each.name: each for each in settings.classes}
         self.tenants = {each.name for each in settings.tenants} or {""}
 
-        self.queries: dict[str, Query] = {}  # open requests by id
-        self.in_flight: dict[tuple[str, int], Attempt] = {}  # by request id and number, also of a closed request
-        self.statement_bytes = 0  # statements of all open requests
-        self.engine_kinds: dict[str, str] = {}  # by engine, as the endpoint list has them
-        self.accepting = True  # False from SIGTERM on: every new request is rejected
-        self.loop_delay = 0  # the worst delay of the event loop lately; it decays
-        self.loop_overloaded = False  # the loop is so late that new requests are rejected unread
+        self.queries: dict[str, Query] = {}  # request id -> open request
+        self.in_flight: dict[
+            tuple[str, int], Attempt
+        ] = {}  # (request id, attempt number) -> attempt, also of a completed request
+        self.statement_bytes = 0  # total size of the statements of all open requests
+        self.engine_kinds: dict[str, str] = {}  # engine -> kind, by the endpoint list
+        self.accepting = True  # False after SIGTERM: every new request is rejected
+        self.loop_delay = 0  # recent maximum of the event loop's delay; decays over time
+        self.loop_overloaded = False  # the event loop is so late that new requests are rejected
         self.counts_by_class: dict[str, list[int]] = {name: [0] * len(ClassCounter) for name in self.classes}
-        self.on_idle: Callable[[], None] | None = None  # called when the last open request is answered
+        self.on_idle: Callable[[], None] | None = None  # called after the last open request was answered
 
         self.engines: EnginePort | None = None
-        self.lease: EndpointLease | None = None  # on the endpoint list; None: the list is always in force
-        self.request_journal: RequestJournal | None = None  # of requests with an idempotency key
-        self.request_policy: RequestPolicy | None = None  # the operator's terms, by route
-        self.gather_port: GatherPort | None = None  # takes requests that go to several sites
-        self.fleet_coordinator: FleetCoordinator | None = None  # what the fleet's gateways agree on
+        self.lease: EndpointLease | None = None  # lease on the endpoint list; None: the list is always confirmed
+        self.request_journal: RequestJournal | None = None  # record of requests with an idempotency key
+        self.request_policy: RequestPolicy | None = None  # the operator's terms
+        self.gather_port: GatherPort | None = None  # answers requests from several sites
+        self.fleet_coordinator: FleetCoordinator | None = None  # the gateways' common view of the fleet
 
     @property
     def engine_port(self) -> EnginePort:
-        """The way to the engines, which `Coordinator.start` has set.
+        """The engine port, which `Coordinator.start` sets.
 
         Raises:
             RuntimeError: the coordinator is not started.
@@ -73,16 +75,16 @@
         return self.engines
 
     def count_by_class(self, cls: str, counter: ClassCounter) -> None:
-        """Add one to a count of a class, which may be one that the settings don't have."""
+        """Add one to a count of a class; classes that the settings don't define are counted too."""
         counts = self.counts_by_class.get(cls)
         if counts is None:
             counts = self.counts_by_class[cls] = [0] * len(ClassCounter)
         counts[counter] += 1
 
     def kind_of(self, engine: str) -> str:
-        """The kind of an engine; empty if the endpoint list doesn't have the engine."""
+        """Return the kind of an engine, or an empty string if the engine is not in the endpoint list."""
         return self.engine_kinds.get(engine, "")
 
     def overload_backoff(self) -> int:
-        """The Retry-After of a request that is rejected as this process is overloaded."""
+        """Return the Retry-After in microseconds of a request that this process sheds."""
         return min(SECOND, self.settings.max_retry_after or SECOND)
--- a/rackhub/core/timers.py
+++ b/rackhub/core/timers.py
@@ -1,4 +1,4 @@
-"""Many timers on one wake-up of the event loop. Times are microseconds."""
+"""Timers that share one wake-up call of the event loop. Times are microseconds."""
 
 import heapq
 import logging
@@ -7,51 +7,53 @@
 
 log = logging.getLogger(__name__)
 
-DEFER_UNCONDITIONALLY = -1  # as a tolerated delay: the call waits for the reads, however early the event loop is
-ITERATIONS_TO_READ_TWICE = 3  # the reads of the present iteration may be half made, so they don't count
+# Tolerated delay that always defers the call until all sockets have been read, even if the event loop is not late.
+DEFER_UNCONDITIONALLY = -1
+ITERATIONS_TO_READ_TWICE = 3  # the current iteration does not count: some of its reads may be done already
 
 
 class Clock(Protocol):
-    """A clock that is never set back."""
+    """Monotonic clock."""
 
     def now(self) -> int:
-        """The time in microseconds."""
+        """Return the time in microseconds."""
 
 
 class Waker(Protocol):
-    """Calls back once after some microseconds; a new call replaces the one before it."""
+    """One-shot wake-up call of the event loop; a new one replaces the previous one."""
 
     def wake_after(self, delay: int, call: Callable[[], None]) -> None:
-        """Call back after `delay` microseconds."""
+        """Make `call` after `delay` microseconds."""
 
 
-# The time of a call, its number, the function and its arguments: ordered by time and then by number, which is unique.
+# Time, unique sequence number, function, arguments. Tuples are ordered by time, then by sequence number.
 _Timer = tuple[int, int, Callable[..., None], tuple[Any, ...]]
 
 
 class Timers:
-    """Makes calls at given times, in the order of the times and then of the requests for them."""
+    """Makes calls at given times, ordered by time; calls for the same time are made in the order of their requests."""
 
     def __init__(self, clock: Clock, waker: Waker) -> None:
         self._clock = clock
         self._waker = waker
         self._heap: list[_Timer] = []
-        self._last_number = 0
-        self._wakes_at = 0  # 0: no wake-up is planned
-        self._last_delay = 0  # how late the last wake-up was
+        self._last_sequence_number = 0
+        self._wakes_at = 0  # time of the next wake-up; 0: none is scheduled
+        self._last_delay = 0  # delay of the last wake-up
 
     def call_at(self, when: int, call: Callable[..., None], *args: Any) -> None:
-        """Call at a time; a timer is never withdrawn."""
-        self._last_number += 1
-        heapq.heappush(self._heap, (when, self._last_number, call, args))
+        """Make `call` with `args` at the time `when`; a timer can't be cancelled."""
+        self._last_sequence_number += 1
+        heapq.heappush(self._heap, (when, self._last_sequence_number, call, args))
         if not self._wakes_at or when < self._wakes_at:
-            self._plan_wake_up()
+            self._schedule_wake_up()
 
     def call_after_reads(self, tolerated_delay: int, call: Callable[..., None], *args: Any) -> None:
-        """Call now; where the event loop is later than `tolerated_delay`, after all sockets have been read twice.
+        """Call now, or if the event loop is later than `tolerated_delay`, after it has read all sockets twice.
 
-        The loop makes calls that are due before it reads. While it is late, a client's disconnect may lie in the
-        kernel, alone or behind its last bytes, that a loop in time would have seen. The call is put off only once.
+        The event loop makes due calls before it reads. While it is late, a client's disconnect may be in the kernel's
+        buffers, alone or behind the client's last bytes, although a punctual loop would have seen it. A call is
+        deferred only once.
         """
         now = self._clock.now()
         delay = max(self._last_delay, now - (self._wakes_at or now))
@@ -61,26 +63,26 @@
             self._call_after_iterations(ITERATIONS_TO_READ_TWICE, call, args)
 
     def run_expired(self) -> None:
-        """Make the calls that are due; those requested meanwhile wait for the next iteration of the loop."""
+        """Make the due calls; calls requested meanwhile wait for the next event-loop iteration."""
         now = self._clock.now()
-        last_number = self._last_number
+        last_sequence_number = self._last_sequence_number
         self._last_delay = now - self._wakes_at
         new_timers: list[_Timer] = []
         while self._heap and self._heap[0][0] <= now:
             timer = heapq.heappop(self._heap)
-            _, number, call, args = timer
-            if number > last_number:
+            _, sequence_number, call, args = timer
+            if sequence_number > last_sequence_number:
                 new_timers.append(timer)
                 continue
             try:
                 call(*args)
-            except Exception:  # deadlines are among the other timers: they must be called all the same
+            except Exception:  # the other timers, deadlines among them, must still be called
                 log.exception("a timer's call failed")
         for timer in new_timers:
             heapq.heappush(self._heap, timer)
-        self._plan_wake_up()
+        self._schedule_wake_up()
 
-    def _plan_wake_up(self) -> None:
+    def _schedule_wake_up(self) -> None:
         self._wakes_at = self._heap[0][0] if self._heap else 0
         if self._wakes_at:
             self._waker.wake_after(max(self._wakes_at - self._clock.now(), 0), self.run_expired)
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -205,7 +205,7 @@
     def _visible_endpoints(self, listing: EndpointSnapshot) -> tuple[interface.EngineEntry, ...]:
         """The endpoint list as the decision module is to see it."""
         self._listing = listing
-        entries: Iterable[interface.EngineEntry] = self._starts.on_local_clock(listing.entries, self._clock.now())
+        entries: Iterable[interface.EngineEntry] = self._starts.convert(listing.entries, self._clock.now())
         for component in self.components.values():
             entries = component.visible_endpoints(tuple(entries))
         return tuple(entries)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -122,4 +122,4 @@
 def confirm_only(kept, at):
     """As `poll_confirmed`, with all evidence kept."""
     kept._confirmed_at = max(kept._confirmed_at, at)
-    kept._waiting_since = None
+    kept._unanswered_since = None
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -9,13 +9,13 @@
 
 
 def told(starts, came_up, now=NOW):
-    return [entry.started_at for entry in starts.on_local_clock([EngineEntry("a", started_at=came_up)], now)][0]
+    return [entry.started_at for entry in starts.convert([EngineEntry("a", started_at=came_up)], now)][0]
 
 
 def serving():
     """Of a process that has read its first list, without the engine."""
     starts = EngineStartTimes()
-    starts.on_local_clock([], NOW - 100 * S)
+    starts.convert([], NOW - 100 * S)
     return starts
 
 
