--- a/rackhub/core/coordinator.py
+++ b/rackhub/core/coordinator.py
@@ -69,7 +69,7 @@
 
     def is_near_deadline(self, query: Query) -> bool:
         """Return whether so little time is left that an answer given now counts as caused by the deadline."""
-        return self.clock.now() >= query.deadline - ANSWER_PERIODS * self.settings.period
+        return self.clock.now() >= query.deadline - ANSWER_PERIODS * self.settings.clock_period
 
     def submit(self, query: Query) -> None:
         """Admit a request, which then gets exactly one answer, or reject it at once."""
