--- a/rackhub/__init__.py
+++ b/rackhub/__init__.py
@@ -1,4 +1,4 @@
-"""rackhub: the decisions of a query gateway in front of query engines with limited memory."""
+"""rackhub: a load balancer for query engines with limited memory."""
 
 from rackhub.policy.router import Router
 
--- a/rackhub/__main__.py
+++ b/rackhub/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rackhub`."""
+"""Entry point of `python -m rackhub`."""
 
 import os
 import signal
@@ -6,9 +6,9 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["serve"]:
-        # Until the daemon's handlers stand these would end the process, and the imports take long on a slow core: they
-        # wait, and are delivered then (`Daemon.run`). Nothing is taken before that, so that told to end it ends at
-        # once, and in no other way if it is told twice.
+        # Before the daemon installs its handlers (`Daemon.run`), SIGHUP and SIGUSR1 would end the process, and the
+        # imports take long on a slow core: block them until then. Before that no request is accepted, so on SIGTERM
+        # the process exits at once; a second SIGTERM has the same effect.
         signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGUSR1))
         signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     # Before anything heavy is imported: see rackhub/ops/process_replacement.py, imported only where a lock file is.
--- a/rackhub/components.py
+++ b/rackhub/components.py
@@ -1,4 +1,4 @@
-"""The optional components of the daemon, in the order of their start. One that is off is not imported."""
+"""The optional components of the daemon, in the order of their start. Disabled components are not imported."""
 
 from importlib import import_module
 from typing import Any
@@ -7,7 +7,7 @@
 from rackhub.core.component import Component, ComponentContext
 from rackhub.operatorfile import Operator
 
-# component -> the entry point `module:function` that creates it; each starts after those above it and stops before them
+# component -> entry point `module:function`; components start in this order and stop in reverse order
 ENTRY_POINTS = {
     "store": "rackhub.state.component:create_component",
     "timings": "rackhub.timings.part:part",
@@ -15,14 +15,14 @@
     "fleet": "rackhub.fleet.part:create_component",
     "gather": "rackhub.gather.component:part",
 }
-RELOADABLE = ("timings",)  # may be turned on by a reload; the others take a restart
+RELOADABLE = ("timings",)  # a reload can enable these; the others require a restart
 
 
 def enabled(config: Config, operator: Operator) -> list[str]:
-    """The names of the components that are on, in the order of their start."""
+    """Return the names of the enabled components, in the order of their start."""
     conditions = {
         "ops": config.operator is not None,
-        # the rule set may enable gathers at any time; the check of the operator's file rejects them with `peers`
+        # the rule set may enable gathers at any time; where gossip is forbidden, the operator's file is rejected
         "gather": operator.gather is not None or _rules_may_enable_gathers(operator.fleet or {}),
     }
     return [name for name in ENTRY_POINTS if conditions.get(name, getattr(operator, name, None) is not None)]
@@ -33,7 +33,7 @@
 
 
 def load(name: str, context: ComponentContext) -> Component:
-    """Import and create a component. Raises `ComponentStartError`."""
+    """Import and create a component. Raises `ComponentStartError` if it can't start."""
     module_name, function_name = ENTRY_POINTS[name].split(":")
     component = getattr(import_module(module_name), function_name)(context)
     assert isinstance(component, Component)
--- a/rackhub/config.py
+++ b/rackhub/config.py
@@ -1,7 +1,7 @@
-"""Reads the configuration and the operator's file, checks them and fills in defaults.
+"""Reads and checks the configuration and the operator's file, and fills in defaults.
 
-Every error is a `ConfigError` of one line that names the key. The site's settings are parsed by `rackhub.settings`,
-which the simulator's adapter uses too.
+Every error is a `ConfigError` with one line that names the key. `rackhub.settings`, which the simulator's adapter uses
+too, parses the site's settings.
 """
 
 import os
@@ -24,16 +24,16 @@
     from rackhub.state.settings import StoreSettings
     from rackhub.timings.table import Table
 
-ENGINE_STATES = {"ready": "Ready", "draining": "Terminating", "gone": "Gone"}  # by the status in the file
-RESERVED_DESCRIPTORS = 48  # the program's own, listening sockets, the resolver, new connections to be rejected
+ENGINE_STATES = {"ready": "Ready", "draining": "Terminating", "gone": "Gone"}  # status in the file -> state
+RESERVED_DESCRIPTORS = 48  # files, listening sockets, resolver sockets, and new connections to be rejected
 STORE_DESCRIPTORS = 24  # tables, segments, directory and lock of a store
 MINIMUM_MEMORY_MB = 32
-IDLE_MEMORY_MB = 24  # of a process without requests
+IDLE_MEMORY_MB = 24  # memory of a process without requests
 BYTES_PER_MB = 1_048_576
-MEMORY_PER_HELD_REQUEST = 65_536  # bytes of spare memory for each request that may be held
-MINIMUM_HELD_REQUESTS = 64
-MINIMUM_REQUEST_LINE = 16_384  # bytes
-MAXIMUM_REQUEST_LINE = 65_536  # bytes
+BYTES_PER_OPEN_REQUEST = 65_536  # spare memory for each open request
+MINIMUM_OPEN_REQUESTS = 64
+MINIMUM_REQUEST_BYTES = 16_384
+MAXIMUM_REQUEST_BYTES = 65_536
 GOSSIP_KEY = "settings.Permissions.Peers"
 SITE_LIMITS = (  # key of the site's permissions, attribute of `Limits`, minimum
     ("DialTimeout", "dial_timeout", 1),
@@ -43,11 +43,11 @@
 
 
 class ConfigError(ValueError):
-    """A configuration that can't be used; the text names the key."""
+    """An invalid configuration; the text names the key."""
 
 
 class Endpoint(msgspec.Struct):
-    """An engine as the file lists it; `since_ms`: when it started, Unix milliseconds."""
+    """An engine in the file. `since_ms` is the time of its start in Unix milliseconds."""
 
     name: str
     address: str
@@ -60,7 +60,7 @@
 
 
 class EnginePool(msgspec.Struct):
-    """Changed engines, or all of them where it is a snapshot."""
+    """The engines of a watch event: all engines if it is a snapshot, else the changed ones."""
 
     endpoints: list[Endpoint]
     snapshot: bool = False
@@ -74,14 +74,14 @@
 
 
 class KnownEndpoints(msgspec.Struct):
-    """The watch events that make up the endpoint list at the start, and its revision."""
+    """The watch events that make up the initial endpoint list, and the list's revision."""
 
     revision: int = msgspec.field(name="rev")
     notices: list[WatchNotice]
 
 
 class ResourceLimits(msgspec.Struct):
-    """What the platform gives the process; `sockets` are file descriptors."""
+    """Resources that the platform assigns to the process; `sockets` are file descriptors."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -89,7 +89,7 @@
 
 
 class ConfigFile(msgspec.Struct):
-    """The configuration as the platform writes it; `operator` is the second address."""
+    """The configuration file that the platform writes; `operator` is the address of the operators' port."""
 
     listen: str
     nameserver: str
@@ -102,7 +102,7 @@
 
 
 class Config(msgspec.Struct, frozen=True):
-    """The checked configuration; `operator` is the second address, None where there is none."""
+    """The checked configuration; `operator` is the address of the operators' port, None if it is disabled."""
 
     name: str
     listen: tuple[str, int]
@@ -115,7 +115,7 @@
 
 
 def parse_address(text: str, key: str) -> tuple[str, int]:
-    """Parse an address and port. Raises `ConfigError`, which names `key`."""
+    """Parse `HOST:PORT`. Raises `ConfigError`, which names `key`."""
     try:
         return address.parse_ipv4_address(text, key)
     except ValueError as error:
@@ -123,15 +123,15 @@
 
 
 def config_path(environment: Mapping[str, str], option: str | None = None) -> Path:
-    """The path of the configuration: `option`, or BALANCER_CONFIG. Raises `ConfigError` where neither is set."""
+    """Return the configuration's path: `option`, or BALANCER_CONFIG. Raises `ConfigError` if neither is set."""
     text = option or environment.get("BALANCER_CONFIG", "")
     if not text:
-        raise ConfigError("BALANCER_CONFIG: not set, and no --config given")
+        raise ConfigError("BALANCER_CONFIG: not set, and --config not given")
     return Path(text)
 
 
 def load(path: Path) -> Config:
-    """Read and check a configuration. Raises `ConfigError`."""
+    """Read and check a configuration file. Raises `ConfigError`."""
     try:
         return parse(path.read_bytes())
     except OSError as error:
@@ -139,7 +139,7 @@
 
 
 def parse(text: bytes) -> Config:
-    """Check the content of a configuration. Raises `ConfigError`."""
+    """Parse and check the content of a configuration file. Raises `ConfigError`."""
     file = _decode(text)
     seed = _parse_seed(file.seed)
     settings = _parse_site_settings(file.settings)
@@ -159,7 +159,7 @@
 def _decode(text: bytes) -> ConfigFile:
     try:
         return msgspec.json.decode(text, type=ConfigFile)
-    except msgspec.ValidationError as error:  # its text ends in the path of the key
+    except msgspec.ValidationError as error:  # the text ends with the path of the key
         raise ConfigError(str(error)) from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"the file: not JSON: {error}") from None
@@ -169,7 +169,7 @@
     try:
         return int(digits, 16) if digits else 0
     except ValueError:
-        raise ConfigError(f"seed: {digits!r} is not hex digits") from None
+        raise ConfigError(f"seed: {digits!r} is not a hexadecimal number") from None
 
 
 def _parse_site_settings(tree: Mapping[str, Any]) -> interface.Settings:
@@ -178,12 +178,12 @@
     except ValueError as error:
         raise ConfigError(str(error)) from None
     if not settings.classes:
-        raise ConfigError("settings.Services: no class of requests is told")
+        raise ConfigError("settings.Services: at least one request class is required")
     return settings
 
 
 def _operator_address(file: ConfigFile) -> tuple[str, int] | None:
-    """The second address, from the first source that sets it."""
+    """Return the address of the operators' port, from the first source that sets it."""
     sources = (
         ("operator", file.operator),
         ("settings.operator", file.settings.get("operator", "")),
@@ -192,13 +192,13 @@
     for key, text in sources:
         if text:
             if not isinstance(text, str):
-                raise ConfigError(f"{key}: {text!r} is not an address and port")
+                raise ConfigError(f"{key}: {text!r} is not an IPv4 address with a port from 1 to 65535")
             return parse_address(text, key)
     return None
 
 
 def load_operator(path: Path | None) -> Operator:
-    """Read and check the operator's file; without one all that it turns on is off. Raises `ConfigError`."""
+    """Read and check the operator's file; without a file its features are disabled. Raises `ConfigError`."""
     if path is None:
         return Operator()
     try:
@@ -210,14 +210,17 @@
     if operator.tds_front is not None:
         parse_address(operator.tds_front.listen, "tds_front.listen")
         if not operator.tds_front.login:
-            raise ConfigError("tds_front.login: no login is set up")
+            raise ConfigError("tds_front.login: at least one login is required")
     if operator.store is not None:
         store_settings(operator.store)
     return operator
 
 
 def store_settings(table: dict[str, Any]) -> "StoreSettings":
-    """Check the `[store]` table. Raises `ConfigError`. Its packages are imported here: the platform has none."""
+    """Check the `[store]` table. Raises `ConfigError`.
+
+    The store is imported only here, because its packages are not installed on the platform.
+    """
     from rackhub.state.settings import store_settings
 
     try:
@@ -227,7 +230,7 @@
 
 
 def timings_table(table: dict[str, Any], settings: interface.Settings) -> "Table":
-    """Check the `[timings]` table against the site's settings. Raises one `ConfigError` of all its errors."""
+    """Check the `[timings]` table against the site's settings. Raises a `ConfigError` with all errors."""
     from rackhub.timings.table import read_table
 
     try:
@@ -237,9 +240,11 @@
 
 
 def fleet_settings(table: dict[str, Any], settings: interface.Settings, name: str) -> "FleetSettings":
-    """Check the `[fleet]` table of the gateway `name`. Raises `ConfigError`, also where the site forbids gossip."""
+    """Check the `[fleet]` table of the gateway `name`. Raises `ConfigError`, also if the site forbids gossip."""
     if not settings.gossip:
-        raise ConfigError(f"operator file: fleet: gateways must not speak to one another here: {GOSSIP_KEY} is false")
+        raise ConfigError(
+            f"operator file: fleet: the site does not allow gossip between gateways: {GOSSIP_KEY} is false"
+        )
     from rackhub.fleet.settings import fleet_settings
 
     try:
@@ -249,10 +254,10 @@
 
 
 def gather_rules(table: dict[str, Any], settings: interface.Settings) -> "GatherRules":
-    """Check the `[gather]` table against the site's settings. Raises one `ConfigError` of all its errors."""
+    """Check the `[gather]` table against the site's settings. Raises a `ConfigError` with all errors."""
     if not settings.gossip:
         raise ConfigError(
-            f"operator file: gather: the platform's clients know no partial answers: {GOSSIP_KEY} is false"
+            f"operator file: gather: the platform's clients do not support partial answers: {GOSSIP_KEY} is false"
         )
     from rackhub.gather.rules import gather_rules
 
@@ -280,30 +285,32 @@
     if login.cls not in classes:
         raise ConfigError(f"{key}.class: the site has no class {login.cls!r}")
     if tenants and not login.tenants:
-        raise ConfigError(f"{key}.tenants: none is named")
+        raise ConfigError(f"{key}.tenants: at least one tenant is required")
     for tenant in login.tenants:
         if tenant not in tenants:
             raise ConfigError(f"{key}.tenants: the site has no tenant {tenant!r}")
 
 
 def share_descriptors(limits: Limits, operator: Operator) -> Limits:
-    """The limits with the clients' descriptors divided between the listeners and the store's files.
+    """Return the limits with the clients' file descriptors divided between the listeners and the store.
 
-    Engines keep theirs: a TDS listener and a store take from what clients would get.
+    The descriptors for engines are not changed: a TDS listener and a store reduce those for JSON-RPC clients.
     """
     if operator.store is not None:
         client_connections = max(limits.max_client_connections - STORE_DESCRIPTORS, 1)
         limits = msgspec.structs.replace(limits, max_client_connections=client_connections)
     if operator.tds_front is None:
         return limits
-    tds = min(limits.max_tds_connections, limits.max_client_connections // 2)
+    tds_connections = min(limits.max_tds_connections, limits.max_client_connections // 2)
     return msgspec.structs.replace(
-        limits, max_tds_connections=tds, max_client_connections=limits.max_client_connections - tds
+        limits,
+        max_tds_connections=tds_connections,
+        max_client_connections=limits.max_client_connections - tds_connections,
     )
 
 
 def _initial_endpoints(known: KnownEndpoints) -> EndpointSnapshot:
-    """The endpoint list that the recorded watch events make up."""
+    """Return the endpoint list that the recorded watch events make up."""
     events: list[EndpointSnapshot] = []
     for index, notice in enumerate(known.notices):
         if notice.pool.snapshot:
@@ -318,7 +325,7 @@
     for index, endpoint in enumerate(notice.pool.endpoints):
         endpoint_key = f"{key}.endpoints[{index}]"
         if endpoint.status not in ENGINE_STATES:
-            raise ConfigError(f"{endpoint_key}.status: {endpoint.status!r} is not known")
+            raise ConfigError(f"{endpoint_key}.status: {endpoint.status!r} is not one of ready, draining, gone")
         entries.append(_engine_entry(endpoint))
         addresses[endpoint.name] = parse_address(endpoint.address, f"{endpoint_key}.address")
     return EndpointSnapshot(notice.revision, tuple(entries), addresses)
@@ -337,17 +344,15 @@
 
 
 def _derive_limits(file: ConfigFile) -> Limits:
-    """The limits: those that the site sets, those derived from the process's resources, defaults for the others."""
+    """Return the limits: set by the site, derived from the process's resources, or defaults."""
     site_limits = _site_limits(file.settings.get("Permissions", {}))
     site_limits["poll_interval"] = _poll_interval(file.settings.get("Instances", 1))  # checked with the settings
     resources = file.limits
     needed_descriptors = 2 * RESERVED_DESCRIPTORS
     if resources.sockets < needed_descriptors:
-        raise ConfigError(f"limits.sockets: {resources.sockets} is under {needed_descriptors}, which the program needs")
+        raise ConfigError(f"limits.sockets: {resources.sockets} is below the minimum of {needed_descriptors}")
     if resources.memory_mb < MINIMUM_MEMORY_MB:
-        raise ConfigError(
-            f"limits.memory_mb: {resources.memory_mb} is under {MINIMUM_MEMORY_MB}, which the program needs"
-        )
+        raise ConfigError(f"limits.memory_mb: {resources.memory_mb} is below the minimum of {MINIMUM_MEMORY_MB}")
     spare_bytes = (resources.memory_mb - IDLE_MEMORY_MB) * BYTES_PER_MB
     clients = (resources.sockets - RESERVED_DESCRIPTORS) // 2
     return Limits(
@@ -355,15 +360,15 @@
         memory_mb=resources.memory_mb,
         max_client_connections=clients,
         max_engine_connections=resources.sockets - RESERVED_DESCRIPTORS - clients,
-        max_open_requests=max(spare_bytes // MEMORY_PER_HELD_REQUEST, MINIMUM_HELD_REQUESTS),
+        max_open_requests=max(spare_bytes // BYTES_PER_OPEN_REQUEST, MINIMUM_OPEN_REQUESTS),
         max_statement_bytes=spare_bytes // 4,
-        max_request_bytes=min(max(spare_bytes // 4 // clients, MINIMUM_REQUEST_LINE), MAXIMUM_REQUEST_LINE),
+        max_request_bytes=min(max(spare_bytes // 4 // clients, MINIMUM_REQUEST_BYTES), MAXIMUM_REQUEST_BYTES),
         **site_limits,
     )
 
 
 def _site_limits(permissions: Mapping[str, Any]) -> dict[str, int]:
-    """The limits that the site's permissions set."""
+    """Return the limits that the site's permissions set."""
     site_limits: dict[str, int] = {}
     for key, attribute, minimum in SITE_LIMITS:
         if key in permissions:
--- a/rackhub/core/endpoint_gate.py
+++ b/rackhub/core/endpoint_gate.py
@@ -22,7 +22,7 @@
         self._resume = resume
         self._waiting: list[Attempt] = []
         self._ineligible: frozenset[str] = frozenset()
-        self._allocation = interface.FleetAllocation()  # from the fleet, without the ineligible engines
+        self._allocation = interface.FleetAllocation()  # the fleet's last allocation, without the ineligible engines
 
     def lease_status(self) -> LeaseStatus:
         """Return the status of the endpoint list's lease now; confirmed if there is no lease."""
--- a/rackhub/core/request.py
+++ b/rackhub/core/request.py
@@ -114,7 +114,7 @@
 class AttemptState(enum.Enum):
     """State of an attempt. Before `IN_FLIGHT` nothing was sent, which proves that the attempt did not run."""
 
-    PENDING = enum.auto()  # not passed to the engine port yet
+    PENDING = enum.auto()  # the engine port does not have the attempt yet
     QUEUED = enum.auto()  # set by the port: the connection is not established or not writable
     IN_FLIGHT = enum.auto()
     CANCELLING = enum.auto()  # cancellation in progress: further responses are ignored
--- a/rackhub/counters.py
+++ b/rackhub/counters.py
@@ -1,11 +1,8 @@
-"""Counters of what the process receives, sends and answers; printed on request and at exit.
-
-The names are those of the operators' pages and stay as they are.
-"""
+"""Counters of the process, printed on SIGUSR1 and at exit. Operators' tools depend on their names."""
 
 
 class Counters(dict[str, int]):
-    """Counters by name. Only names in `NAMES` exist, so that a misspelt one raises `KeyError` at once in a test."""
+    """Counters by name. Only the names in `NAMES` exist, so that a misspelt name raises `KeyError` in a test."""
 
     NAMES = (
         "clients_accepted",
@@ -106,9 +103,9 @@
         super().__init__(dict.fromkeys(self.NAMES, 0))
 
     def add(self, name: str, count: int = 1) -> None:
-        """Add to a counter; `KeyError` for a name that is not in `NAMES`."""
+        """Add `count` to a counter. Raises `KeyError` for a name that is not in `NAMES`."""
         self[name] = self[name] + count
 
-    def line(self) -> str:
-        """All counters above zero as `name=count` with spaces between them, or `nothing`."""
+    def summary(self) -> str:
+        """Return all counters above zero as `name=count`, separated by spaces, or `nothing`."""
         return " ".join(f"{name}={count}" for name, count in self.items() if count) or "nothing"
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -1,4 +1,4 @@
-"""Runs one coordinator as a process on Twisted's reactor: creates its components, starts them and shuts them down."""
+"""Process of one coordinator on Twisted's reactor: creates, starts and shuts down its components."""
 
 import gc
 import signal
@@ -36,12 +36,12 @@
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 LISTEN_BACKLOG = 512  # connections
 POOL_SWEEP_INTERVAL_S = 0.1
-LINGER_CHECK_INTERVAL = 20_000  # microseconds between looks whether clients have closed
-RESTART_FIELDS = ("name", "listen", "settings", "limits")  # of the configuration: a reload doesn't apply them
+LINGER_CHECK_INTERVAL = 20_000  # microseconds between two checks whether clients have closed their connections
+RESTART_FIELDS = ("name", "listen", "settings", "limits")  # fields of the configuration that a reload does not apply
 
 
 class Daemon:
-    """One coordinator as a process: it serves, drains after SIGTERM and stops once all requests are answered."""
+    """One coordinator process: it serves, drains after SIGTERM and stops when all requests are answered."""
 
     def __init__(
         self,
@@ -53,8 +53,8 @@
     ):
         """Create the coordinator and its components. Raises `ComponentStartError`.
 
-        `config` is used as it is; `file_config` is its file's content, which a reload compares with what
-        `read_config` returns then. `read_operator` is None where there is no operator's file.
+        `config` is the configuration to use; `file_config` is the unchanged content of its file, which a reload
+        compares with the result of `read_config`. `read_operator` is None if there is no operator's file.
         """
         self.config = config
         self.counters = Counters()
@@ -69,8 +69,8 @@
         self._ports: list[SharedPort] = []
         self._serving = False
         self._stopping = False
-        self._listing: EndpointSnapshot | None = None
-        self._starts = EngineStartTimes()
+        self._last_snapshot: EndpointSnapshot | None = None
+        self._start_times = EngineStartTimes()
         self._context = self._create_context(operator)
         self.components: dict[str, Component] = self._context.components
         for name in components.enabled(config, operator):
@@ -101,7 +101,7 @@
         return resp_pools(reactor, *shared)
 
     def _create_listeners(self, operator: Operator) -> list[tuple[Address, Any]]:
-        """The address and the protocol factory of each listener for clients."""
+        """Return the address and the protocol factory of each listener for clients."""
         config = self.config
         listeners = [(config.listen, jsonrpc_front(self.core, config.limits, self.counters))]
         if operator.tds_front:
@@ -124,36 +124,36 @@
         )
 
     def run(self) -> None:
-        """Start, serve until the reactor stops and let go of all resources."""
-        listing = self._start_core()
+        """Start, serve until the reactor stops, then release all resources."""
+        snapshot = self._start_core()
         self._handle_signals()
         self._listen()
-        self._log_start(len(listing.entries))
+        self._log_start(len(snapshot.entries))
         self._schedule_garbage_collection()
         reactor.run(installSignalHandlers=False)
         for component in reversed(self.components.values()):
             component.stop()
         self.print_summary()
-        # Python restores the default handlers as it exits: a second signal would end the process as by a crash.
+        # Python restores the default handlers at exit, when another signal would end the process with an error status.
         for number in SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
     def _start_core(self) -> EndpointSnapshot:
-        """Start the coordinator; returns the endpoint list that it starts with."""
-        listing = self.source.initial_snapshot
+        """Start the coordinator; return its initial endpoint list."""
+        snapshot = self.source.initial_snapshot
         for component in self.components.values():
-            listing = component.begin(listing)
-        entries = self._visible_endpoints(listing)
-        self.engines.update_endpoints(listing.addresses, entries)
-        self.core.start(self.engines, entries, listing.revision)
-        # Log errors in the reactor's callbacks, which would be lost otherwise.
+            snapshot = component.begin(snapshot)
+        entries = self._visible_endpoints(snapshot)
+        self.engines.update_endpoints(snapshot.addresses, entries)
+        self.core.start(self.engines, entries, snapshot.revision)
+        # Without this observer, errors in the reactor's callbacks would not be logged.
         PythonLoggingObserver().start()  # type: ignore[no-untyped-call]
         self.core.lease = EndpointLease(self.config.limits, self.config.settings.drain_grace, self._clock.now())
         self.source.subscribe(self._endpoints_received, self.core)
-        return listing
+        return snapshot
 
     def _handle_signals(self) -> None:
-        """Install the handlers, before anyone can connect: an earlier signal would end the process."""
+        """Install the signal handlers, before clients can connect: without handlers a signal would end the process."""
         handlers = (self._begin_shutdown, self._begin_shutdown, self.print_summary, self._reload)
         for number, handler in zip(SIGNALS, handlers, strict=True):
             signal.signal(number, lambda *_, handler=handler: reactor.callFromThread(handler))
@@ -162,7 +162,7 @@
     def _listen(self) -> None:
         for (host, port), factory in self.listeners:
             self._ports.append(SharedPort(reactor, host, port, factory, LISTEN_BACKLOG))
-        for component in list(self.components.values()):  # a copy: the rules of one may load another
+        for component in list(self.components.values()):  # a copy: the rules may load another component
             component.open()
         self._serving = True
         LoopingCall(self.engines.sweep).start(POOL_SWEEP_INTERVAL_S, now=False)
@@ -176,36 +176,36 @@
         )
 
     def _schedule_garbage_collection(self) -> None:
-        """Collect garbage by the clock, and without the objects of the start.
+        """Collect garbage at a fixed interval, excluding the objects created at the start.
 
-        Requests leave no reference cycles behind, but connections do, with their transports: their remains have to be
-        collected, and the pauses have to be short.
+        Requests leave no reference cycles, but connections with their transports do: these must be collected, in
+        short pauses.
         """
         gc.collect()
         gc.freeze()
         gc.disable()
         LoopingCall(gc.collect).start(self.config.limits.garbage_collection_interval / SECOND, now=False)
 
-    def _endpoints_received(self, listing: EndpointSnapshot) -> None:
-        self._publish_endpoints(listing)
+    def _endpoints_received(self, snapshot: EndpointSnapshot) -> None:
+        self._publish_endpoints(snapshot)
         for component in self.components.values():
-            component.endpoints_changed(listing)
+            component.endpoints_changed(snapshot)
 
     def _republish_endpoints(self) -> None:
-        """Publish the last endpoint list again: a component has changed what is visible of it."""
-        if self._listing is not None:
-            self._publish_endpoints(self._listing)
-
-    def _publish_endpoints(self, listing: EndpointSnapshot) -> None:
-        # The coordinator first: it stops sending to a draining engine, so that what the pools return goes elsewhere.
-        entries = self._visible_endpoints(listing)
-        self.core.update_endpoints(entries, listing.revision)
-        self.engines.update_endpoints(listing.addresses, entries)
-
-    def _visible_endpoints(self, listing: EndpointSnapshot) -> tuple[interface.EngineEntry, ...]:
-        """The endpoint list as the decision module is to see it."""
-        self._listing = listing
-        entries: Iterable[interface.EngineEntry] = self._starts.convert(listing.entries, self._clock.now())
+        """Publish the last endpoint list again: a component's `visible_endpoints` has changed."""
+        if self._last_snapshot is not None:
+            self._publish_endpoints(self._last_snapshot)
+
+    def _publish_endpoints(self, snapshot: EndpointSnapshot) -> None:
+        # The coordinator first: it stops sending to a draining engine, so attempts that the pools return go elsewhere.
+        entries = self._visible_endpoints(snapshot)
+        self.core.update_endpoints(entries, snapshot.revision)
+        self.engines.update_endpoints(snapshot.addresses, entries)
+
+    def _visible_endpoints(self, snapshot: EndpointSnapshot) -> tuple[interface.EngineEntry, ...]:
+        """Return the endpoint list for the routing policy, with the changes of the components."""
+        self._last_snapshot = snapshot
+        entries: Iterable[interface.EngineEntry] = self._start_times.convert(snapshot.entries, self._clock.now())
         for component in self.components.values():
             entries = component.visible_endpoints(tuple(entries))
         return tuple(entries)
@@ -213,7 +213,8 @@
     def _reload(self) -> None:
         """Reload the platform's file, then the operator's.
 
-        A component whose new settings can't be used keeps its old ones; what no component reloads takes a restart.
+        A component keeps its previous settings if the new ones are invalid. Settings that no component reloads require
+        a restart.
         """
         self.source.reload()
         if self._read_operator is None:
@@ -224,14 +225,14 @@
             added = self._load_added_components(operator)
         except ValueError as error:
             self.counters.add("operator_reloads_bad")
-            log.error("reload: bad operator's file, the previous one stays in force: %s", error)
+            log.error("reload: invalid operator's file, the previous one stays active: %s", error)
             return
         for component in list(self.components.values()):
             component.reload(operator)
         self.components.update(added)
 
     def _load_added_components(self, operator: Operator) -> dict[str, Component]:
-        """Load the components that a reload turns on; open requests go on without them."""
+        """Load the components that a reload enables; they don't affect requests that are open already."""
         return {
             name: components.load(name, self._context)
             for name in components.enabled(self.config, operator)
@@ -239,7 +240,7 @@
         }
 
     def _reread_file(self) -> ReloadedFile:
-        """What a reload uses of the configuration; a warning names changes that take a restart."""
+        """Read the configuration for a reload; log a warning with the changes that require a restart."""
         config = self._read_config()
         changed = [name for name in RESTART_FIELDS if getattr(config, name) != getattr(self._file_config, name)]
         if changed:
@@ -247,8 +248,8 @@
         return ReloadedFile(config.nameserver, config.engines)
 
     def print_summary(self) -> None:
-        """Print the counters and the components' summaries on standard error."""
-        print(f"counters: {self.counters.line()}", file=sys.stderr, flush=True)
+        """Print the counters and the components' summaries to standard error."""
+        print(f"counters: {self.counters.summary()}", file=sys.stderr, flush=True)
         for component in self.components.values():
             for line in component.summary_lines():
                 print(line, file=sys.stderr, flush=True)
@@ -257,19 +258,19 @@
         """Reject new requests and answer the open ones; the process stops after the last answer."""
         if not self.core.accepting:
             return
-        succeeded = any(component.has_successor() for component in self.components.values())
-        # With a successor on the address a retry needn't wait.
-        self.core.start_draining(0 if succeeded else self.config.settings.max_retry_after)
+        is_replaced = any(component.has_successor() for component in self.components.values())
+        # With a successor on the same address a retry need not wait.
+        self.core.start_draining(0 if is_replaced else self.config.settings.max_retry_after)
         log.info("shutting down: %d requests open", len(self.core.queries))
         for component in self.components.values():
             component.drain()
-        if succeeded:
+        if is_replaced:
             self._hand_over()
         reactor.callLater(self.config.limits.drain_connections_delay / SECOND, self._drain_connections)
         reactor.callLater(self.config.limits.close_listeners_delay / SECOND, self._close_ports)
 
     def _hand_over(self) -> None:
-        """Direct new connections to the successor, and close each client's connection with its next answer."""
+        """Direct new connections to the successor, and close each client's connection after its next answer."""
         handed_over = [port.hand_over() for port in self._ports]
         for _, factory in self.listeners:
             factory.replaced = True
@@ -279,10 +280,10 @@
         )
 
     def _drain_connections(self) -> None:
-        """Close each connection once it has no open request and no partly read one.
+        """Close each connection once it has no open and no partially received request.
 
-        Clients that keep their connections open would keep the process running. Requests that are still read reach the
-        coordinator, which rejects them (`Coordinator.start_draining`).
+        Otherwise clients that keep their connections open would keep the process running. The coordinator rejects the
+        requests that still arrive (`Coordinator.start_draining`).
         """
         for _, factory in self.listeners:
             factory.drain()
@@ -292,17 +293,17 @@
         gatherResults([port.close() for port in self._ports]).addCallback(self._ports_closed)
 
     def _ports_closed(self, _: object) -> None:
-        self._drain_connections()  # those that were accepted meanwhile too
+        self._drain_connections()  # includes connections accepted since the first call
         self.core.on_idle = self._idle
         if not self.core.queries:
             self._idle()
 
     def _idle(self) -> None:
-        """Every request is answered. Called while the last answer is being written, so that the rest waits."""
+        """Schedule the end of the shutdown; called while the answer to the last open request is being written."""
         reactor.callLater(0, self._finish_shutdown)
 
     def _finish_shutdown(self) -> None:
-        # A request may have come on an open connection; and several answers may each have been the last.
+        # Another request may have arrived meanwhile, and `_idle` may have been called more than once.
         if self.core.queries or self._stopping:
             return
         log.info("all_answered")
--- a/rackhub/limits.py
+++ b/rackhub/limits.py
@@ -11,7 +11,7 @@
     Times are microseconds; sizes are bytes.
     """
 
-    file_descriptors: int = 1_024  # of all processes together
+    file_descriptors: int = 1_024  # limit for all processes together
     memory_mb: int = 192
 
     # clients
@@ -22,13 +22,13 @@
     # time between an answer and the client's deadline: covers the network and one event-loop iteration
     deadline_margin: int = 60 * MS
     max_event_loop_delay: int = 50 * MS  # new requests are rejected above this delay of the event loop
-    # from cancelling an attempt to completing it, so that a retry does not overtake the cancellation
+    # time between cancelling an attempt and completing it, so that a retry does not overtake the cancellation
     cancellation_delay: int = 10 * MS
     max_open_requests: int = 1_000  # open requests of all clients
     max_statement_bytes: int = 16_777_216  # statements of all open requests together
     garbage_collection_interval: int = 5 * SECOND
     max_client_connections: int = 400
-    client_check_interval: int = 250 * MS  # how often the client timeouts below are checked
+    client_check_interval: int = 250 * MS  # interval between two checks of the client timeouts below
     first_message_timeout: int = 1_750 * MS  # time from the connection to the first byte of a message
     message_timeout: int = 1_750 * MS  # time from the first byte of a message to its last byte
     client_idle_timeout: int = 5 * SECOND  # time without an open request
@@ -54,7 +54,7 @@
     max_engine_connections: int = 400  # connections to all engines together
     max_resp_header_bytes: int = 64  # line with the length of a RESP array or string
     max_resp_string_bytes: int = 16_384  # bulk string from an engine
-    max_page_bytes: int = 6_000  # one page of a result
+    max_page_bytes: int = 6_000  # size of one page of a result
     max_result_size: int = 48_000  # all pages of a result; bytes in RESP, characters of the rows in TDS
     max_result_pages: int = 64
     # an attempt moves to another engine after its socket has not been writable for this time
@@ -75,13 +75,13 @@
     tds_message_timeout: int = 10 * SECOND  # time from the first byte of a message to its last byte
     tds_idle_timeout: int = 600 * SECOND  # long, because drivers pool their connections
     tds_write_timeout: int = 60 * SECOND  # long, because a person may read the rows
-    max_tds_message_bytes: int = 262_144  # one message
-    max_tds_token_bytes: int = 65_536  # one token of an engine's response
-    max_tds_connections_per_engine: int = 32  # each carries one attempt at a time
+    max_tds_message_bytes: int = 262_144
+    max_tds_token_bytes: int = 65_536  # size of one token of an engine's response
+    max_tds_connections_per_engine: int = 32  # a TDS connection carries one attempt at a time
 
     # resolver
     poll_interval: int = 250 * MS  # longer where many coordinators are configured, see `rackhub.config`
-    poll_retry_interval: int = 60 * MS  # after the first failed poll; doubled after each further one
+    poll_retry_interval: int = 60 * MS  # delay after the first failed poll; doubled after each further one
     max_poll_retry_interval: int = 500 * MS
     poll_jitter: float = 0.2  # fraction of each interval
     max_fleet_polls_per_s: int = 160  # polls per second of all coordinators together
--- a/rackhub/logs.py
+++ b/rackhub/logs.py
@@ -1,11 +1,11 @@
-"""Structured logging: one line an event, with its fields as `name=value`.
+"""Structured logging: one line for each event, with its fields as `name=value`.
 
-Every logger writes through the standard library's logger of the same name, so that handlers, tests and the libraries'
-own lines share one stream. `RACKHUB_LOG_LEVEL` chooses what is written: `info` (the default) holds changes of state of
-the process, the list of engines and the resolver; `debug` adds an event for each request, attempt and connection, with
-the reason for each refusal, retry and close. A level that is off costs a call of an empty function.
+Every logger writes to the standard library's logger of the same name, so that handlers, tests and libraries share one
+stream. `RACKHUB_LOG_LEVEL` sets the level: `info` (the default) logs state changes of the process, the endpoint list
+and the resolver; `debug` adds an event for each request, attempt and connection, with the reason for each rejection,
+retry and close. A call below the level costs a call of an empty function.
 
-Lines bear a monotonic time in seconds beside the wall clock, because the wall clock may be stepped.
+Each line has a monotonic time in seconds in addition to the wall clock, because the wall clock may be stepped.
 """
 
 import logging
@@ -19,11 +19,11 @@
 
 LEVEL_VARIABLE = "RACKHUB_LOG_LEVEL"
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-LINE = "%(asctime)s %(levelname)s %(name)s: %(message)s"
+LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
 
 
 def level() -> int:
-    """The level that the environment asks for; `info` where it asks for none or one that is not known."""
+    """Return the level from `RACKHUB_LOG_LEVEL`; `info` if the variable is not set or its value is not a level."""
     return LEVELS.get(os.environ.get(LEVEL_VARIABLE, "").lower(), logging.INFO)
 
 
@@ -33,7 +33,7 @@
 
 
 def _render(_: Any, __: str, event: MutableMapping[str, Any]) -> str:
-    """The event's name, then its fields in the order of the call."""
+    """Return the event's name, its fields in the order of the call, and the traceback, if any."""
     name = event.pop("event")
     trace = event.pop("exception", "")
     line = " ".join([str(name), *(f"{field}={value}" for field, value in event.items())])
@@ -41,7 +41,7 @@
 
 
 def logger(name: str) -> Any:
-    """The logger of a module. Its level is the environment's when this is called, at import as a rule."""
+    """Return the logger of a module. The level is read from the environment now, usually at import."""
     return structlog.wrap_logger(
         logging.getLogger(name),
         wrapper_class=structlog.make_filtering_bound_logger(level()),
@@ -50,6 +50,6 @@
 
 
 def configure() -> None:
-    """Send the process's log to standard error, at the environment's level; of the libraries only their warnings."""
-    logging.basicConfig(stream=sys.stderr, level=level(), format=LINE)
+    """Write the log to standard error at the configured level; Twisted logs warnings and errors only."""
+    logging.basicConfig(stream=sys.stderr, level=level(), format=LOG_FORMAT)
     logging.getLogger("twisted").setLevel(logging.WARNING)
--- a/rackhub/version.py
+++ b/rackhub/version.py
@@ -1,3 +1,3 @@
-"""The version, in one place; pyproject reads it from here."""
+"""The version, also read by pyproject.toml."""
 
 VERSION = "0.2.0"
