--- a/rackhub/core/attempts.py
+++ b/rackhub/core/attempts.py
@@ -1,4 +1,8 @@
-"""Attempts of requests: when an attempt may start, how it is cancelled, and how it completes."""
+"""Attempts of requests: when an attempt may start, how it is cancelled, and how it completes.
+
+Two policies decide: the routing policy (`rackhub.policy`) chooses engines and retries, and the operator's request
+policy (`core.request_policy`) restricts attempts, retries and hedges.
+"""
 
 from collections.abc import Sequence
 
@@ -23,12 +27,16 @@
 ATTEMPTS = ClassCounter.ATTEMPTS
 
 ACCEPTED_OUTCOMES = (Outcome.SUCCESS, Outcome.ERROR)  # outcomes that show that the engine accepted the request
-RETRY_AT_ONCE = RetryDecision(may_retry=True)
-WINDOW_MARGIN_DIVISOR = 20  # retries stop a 20th of the idempotency window before its end
+UNRESTRICTED = RetryDecision(may_retry=True)  # the operator's request policy does not restrict a retry
+WINDOW_MARGIN_DIVISOR = 20  # the margin before the end of the idempotency window is at least a 20th of it
 
 
 class AttemptRunner:
-    """Starts, cancels and completes attempts."""
+    """Starts, cancels and completes attempts.
+
+    `start` checks and registers an attempt. `begin` passes it to the engine port, possibly later and after several
+    calls. `give_up` cancels an attempt. `complete` removes it and reports its outcome.
+    """
 
     def __init__(self, state: CoordinatorState, decisions: DecisionDriver) -> None:
         self._state = state
@@ -43,14 +51,14 @@
 
     @property
     def completion(self) -> RequestCompletion:
-        """The component that completes requests."""
+        """The object that completes requests."""
         return self._completion
 
     def start(self, action: interface.Send) -> None:
-        """Start the attempt that the policy decided on. One that the settings forbid completes as not executed."""
+        """Start an attempt that the routing policy decided on; if it may not start, complete it as not executed."""
         state = self._state
         query = state.queries.get(action.query)
-        if query is None:  # the policy has completed the request itself
+        if query is None:  # the request was completed before this action was executed
             state.counters.add("attempts_not_sent")
             return
         now = state.clock.now()
@@ -78,24 +86,25 @@
         if blocked_by := attempt.send_blocked_by(attempt.sent_at, self._state.lease):
             self._reject(attempt, blocked_by)
             return
-        if attempt.query.reply.may_have_unread_input:  # the unread input may contain a disconnect
+        if attempt.query.reply.may_have_unread_input:  # which may show that the client has disconnected
             self._state.timers.call_after_reads(DEFER_UNCONDITIONALLY, self.begin, attempt)
             return
-        attempt.state = AttemptState.IN_FLIGHT
+        attempt.state = AttemptState.IN_FLIGHT  # the port sets QUEUED if it can't send the attempt now
         self._state.engine_port.send(attempt)
 
     def cancel(self, action: interface.Cancel) -> None:
-        """Cancel an attempt at the policy's request."""
+        """Cancel an attempt at the routing policy's request; a completed attempt is ignored."""
         attempt = self._state.in_flight.get((action.query, action.attempt))
         if attempt is not None:
             self.give_up(attempt, Outcome.CANCELLED)
 
     def give_up(self, attempt: Attempt, outcome: str) -> None:
-        """Cancel an attempt. An attempt that was not sent completes at once, as not executed.
+        """Cancel an attempt, for the reason `outcome`.
 
-        A sent attempt completes `cancellation_delay` later: a retry that overtakes the cancellation on another
-        connection would run at the same time as the cancelled attempt. The cancellation is sent in the next iteration
-        of the event loop, which may take long, so the delay starts with the iteration after it.
+        An attempt that was not sent completes at once: as CONNECT_FAILED, which allows a retry, or as NOT_EXECUTED if
+        its request is completed. A sent attempt completes with `outcome` after `cancellation_delay`: a retry that
+        overtakes the cancellation on another connection would run at the same time as the cancelled attempt. The delay
+        starts one event-loop iteration later, when the cancellation has been written, as that iteration may take long.
         """
         if attempt.done:
             return
@@ -119,7 +128,11 @@
     def complete(
         self, attempt: Attempt, outcome: str, report: dict[str, float] | None = None, rows: Sequence[bytes] = ()
     ) -> None:
-        """Complete an attempt. The client is answered before the policy is notified."""
+        """Remove an attempt and report its outcome.
+
+        If it succeeded the client is answered first. The fleet, the operator's request policy and the routing policy
+        are notified after that, in this order.
+        """
         query = attempt.query
         now = self._state.clock.now()
         was_registered = self._remove(attempt, outcome)
@@ -137,7 +150,7 @@
             self._completion.complete(query, SERVED, rows)
         if was_registered and self._state.fleet_coordinator is not None:
             self._state.fleet_coordinator.attempt_completed(attempt, outcome, now)
-        decision = self._retry_decision(attempt, outcome, now)
+        decision = self._report_and_decide_retry(attempt, outcome, now)
         self._decisions.dispatch(
             interface.AttemptCompleted(
                 query.id,
@@ -154,7 +167,7 @@
         )
 
     def apply_hints(self, action: interface.ExecutionHints) -> None:
-        """Set a request's priority for its next attempts and for those in flight."""
+        """Set a request's priority for its next attempts and for those in flight; other hints are ignored."""
         query = self._state.queries.get(action.query)
         if query is None or query.priority == action.priority or query.priority_pinned:
             return
@@ -168,6 +181,10 @@
         self._state.timers.call_after_reads(self._state.limits.late_iteration_delay, self.begin, attempt)
 
     def _may_start(self, attempt: Attempt, timeout: int, now: int) -> bool:
+        """Return whether the settings, the deadline and, for a retry or hedge, the operator's terms allow an attempt.
+
+        The settings limit the attempts in total and at once.
+        """
         query = attempt.query
         settings = self._state.settings
         in_flight = len(query.in_flight)
@@ -175,26 +192,30 @@
             return False
         if query.attempts >= settings.max_attempts or timeout < 0 or attempt.deadline <= now:
             return False
-        policy = self._state.request_policy
-        if query.terms is None or policy is None or not query.attempts:
+        operator_policy = self._state.request_policy
+        if query.terms is None or operator_policy is None or not query.attempts:
             return True
-        return policy.may_send(query.terms, query.attempts, self._is_hedge(query), now)
+        return operator_policy.may_send(query.terms, query.attempts, self._is_configured_hedge(query), now)
 
     def _reject(self, attempt: Attempt, outcome: str) -> None:
         self._state.counters.add("attempts_not_sent")
         self.complete(attempt, outcome)
 
-    def _is_hedge(self, query: Query) -> bool:
+    def _is_configured_hedge(self, query: Query) -> bool:
+        """Return whether a new attempt is a hedge that `_offer_hedge` offered, not one chosen by the routing policy."""
         return bool(query.in_flight) and query.hedge_requested
 
     def _apply_operator_terms(self, attempt: Attempt, now: int) -> int:
-        """Apply the operator's terms to an attempt; return the microseconds until a hedge is due, 0 for none."""
+        """Set the attempt's `send_by` and deadline and the request's priority by the operator's terms.
+
+        Returns the delay in microseconds until a hedge is due, 0 for none.
+        """
         query = attempt.query
-        policy = self._state.request_policy
-        if query.terms is None or policy is None:
+        operator_policy = self._state.request_policy
+        if query.terms is None or operator_policy is None:
             return 0
         kind = self._state.kind_of(attempt.engine)
-        terms = policy.attempt_terms(query.terms, attempt.number, kind, self._is_hedge(query), now)
+        terms = operator_policy.attempt_terms(query.terms, attempt.number, kind, self._is_configured_hedge(query), now)
         attempt.send_by = terms.send_by
         if terms.timeout and now + terms.timeout < attempt.deadline:
             attempt.deadline = now + terms.timeout
@@ -205,9 +226,10 @@
         return terms.hedge_after
 
     def _guard_idempotency_window(self, attempt: Attempt, now: int) -> None:
-        """Set the time until which a retry may be sent: engines forget an idempotency key after the window.
+        """Forbid to send a retry near the end of the idempotency window, after which engines forget the key.
 
-        The limit also applies while the attempt waits for a connection.
+        The window starts with the earliest attempt that may have run. The limit also applies while the attempt waits
+        for a connection. Then record this attempt as one that may run.
         """
         query = attempt.query
         settings = self._state.classes.get(query.cls)
@@ -221,7 +243,7 @@
         query.possibly_executed[attempt.number] = now
 
     def _register(self, attempt: Attempt, now: int) -> None:
-        """Register an attempt as in flight, count it and notify the ports."""
+        """Register an attempt as in flight, count it, and notify the request journal and the fleet coordinator."""
         state = self._state
         query = attempt.query
         query.attempts += 1
@@ -257,19 +279,21 @@
         elif outcome in ACCEPTED_OUTCOMES:
             lease.engine_accepted(attempt.engine, attempt.sent_at)
 
-    def _retry_decision(self, attempt: Attempt, outcome: str, now: int) -> RetryDecision:
-        """Report a completed attempt to the operator's request policy; return its decision on a retry."""
+    def _report_and_decide_retry(self, attempt: Attempt, outcome: str, now: int) -> RetryDecision:
+        """Report an attempt's outcome to the operator's request policy; return whether and when it allows a retry."""
         query = attempt.query
-        policy = self._state.request_policy
-        if query.terms is None or policy is None or outcome == Outcome.NOT_EXECUTED:
-            return RETRY_AT_ONCE
+        operator_policy = self._state.request_policy
+        if query.terms is None or operator_policy is None or outcome == Outcome.NOT_EXECUTED:
+            return UNRESTRICTED
         timed_out = outcome == Outcome.TIMED_OUT and attempt.timeout_configured
         kind = self._state.kind_of(attempt.engine)
         elapsed = now - attempt.sent_at
-        policy.attempt_completed(query.terms, attempt.number, kind, attempt.engine, outcome, elapsed, timed_out, now)
+        operator_policy.attempt_completed(
+            query.terms, attempt.number, kind, attempt.engine, outcome, elapsed, timed_out, now
+        )
         if query.closed or query.in_flight:
-            return RETRY_AT_ONCE
-        return policy.retry_decision(query.terms, outcome, query.attempts, now)
+            return UNRESTRICTED
+        return operator_policy.retry_decision(query.terms, outcome, query.attempts, now)
 
     def _cancellation_sent(self, attempt: Attempt, outcome: str) -> None:
         completes_at = self._state.clock.now() + self._state.limits.cancellation_delay
@@ -278,11 +302,11 @@
     def _offer_hedge(self, attempt: Attempt) -> None:
         """Offer the routing policy a hedge for an attempt in flight, if the operator's terms still allow it."""
         query = attempt.query
-        policy = self._state.request_policy
-        if attempt.done or query.closed or len(query.in_flight) != 1 or query.terms is None or policy is None:
+        operator_policy = self._state.request_policy
+        if attempt.done or query.closed or len(query.in_flight) != 1 or query.terms is None or operator_policy is None:
             return
         kind = self._state.kind_of(attempt.engine)
-        if policy.may_hedge(query.terms, kind, query.attempts, self._state.clock.now()):
+        if operator_policy.may_hedge(query.terms, kind, query.attempts, self._state.clock.now()):
             query.hedge_requested = True
             self._decisions.dispatch(interface.HedgeDue(query.id))
             query.hedge_requested = False
--- a/rackhub/core/endpoint_gate.py
+++ b/rackhub/core/endpoint_gate.py
@@ -25,10 +25,10 @@
         self._allocation = interface.FleetAllocation()  # the fleet's last allocation, without the ineligible engines
 
     def lease_status(self) -> LeaseStatus:
-        """Return the status of the endpoint list's lease now; confirmed if there is no lease."""
+        """Return the status of the endpoint list's lease now; valid if there is no lease."""
         lease = self._state.lease
         if lease is None:
-            return LeaseStatus.CONFIRMED
+            return LeaseStatus.VALID
         return lease.status(self._state.clock.now())
 
     def defer(self, attempt: Attempt) -> None:
--- a/rackhub/core/lease.py
+++ b/rackhub/core/lease.py
@@ -1,13 +1,17 @@
-"""Lease on the endpoint list: for how long requests may be sent by it. Without I/O; times are microseconds.
+"""Decides how long the gateway may use an endpoint list that the resolver has not confirmed again.
 
-An engine may begin to drain right after the last answered poll. The gateway counts as notified of it after a bounded
-time, whether or not the notification arrived, and may send to the engine for the grace period after that. While polls
-are answered the lease has no effect. It takes effect after too long a time without an answer: the process was suspended
-and did not poll, or the resolver does not respond.
+An engine may begin to drain right after the last answered poll. The gateway counts as notified of the drain after
+`notification_time`, whether or not the notification arrived, and may send to the engine for the grace period after it.
+So the list is valid for `notification_time` plus the grace period after the start of the last answered poll. While the
+resolver does not respond, `max_notification_time` replaces `notification_time`. The limit has no effect while polls are
+answered; it is reached if the process was suspended and did not poll, or if the resolver does not respond.
 
-While the resolver does not respond, the engines' responses are evidence: an engine that accepts a request is not
-draining, an engine that rejects one may be. So an engine gets requests for the grace period after the last request that
-it accepted, and none after it has rejected one.
+Once the last answered poll is older than `poll_answer_timeout`, the engines' responses are evidence too: an engine that
+accepts a request is not draining, an engine that rejects one may be. An engine that rejects a request is excluded until
+it accepts a later one or a poll confirms the list. Beyond `notification_time` plus the grace period, an engine gets
+requests only until the grace period after the last request that it accepted has passed.
+
+The module does no I/O. Times are microseconds.
 """
 
 import enum
@@ -19,7 +23,7 @@
 class LeaseStatus(enum.Enum):
     """Status of the lease on the endpoint list."""
 
-    CONFIRMED = enum.auto()
+    VALID = enum.auto()  # confirmed recently, or the resolver does not respond and the list is not too old yet
     UNCONFIRMED = enum.auto()  # the list may be outdated, and a poll is pending or due: wait for its answer
     EXPIRED = enum.auto()  # the list may be outdated, and the resolver does not respond: send nothing
 
@@ -29,14 +33,16 @@
 
     def __init__(self, limits: Limits, grace: int, now: int) -> None:
         """Start the lease at `now`; a draining engine accepts requests for `grace` after gateways are notified."""
-        self._grace = grace - limits.lease_margin
-        self._max_confirmed_age = limits.notification_time + self._grace
-        self._max_age = limits.max_notification_time + self._grace
+        self._usable_grace = grace - limits.lease_margin
+        self._max_age_while_answered = limits.notification_time + self._usable_grace
+        self._max_age_while_unanswered = limits.max_notification_time + self._usable_grace
         self._answer_timeout = limits.poll_answer_timeout
         self._confirmed_at = now
         self._last_poll_at = now
-        self._unanswered_since: int | None = None  # start of the unanswered polls; None: the last poll was answered
-        self._accepted_at: dict[str, int] = {}  # engine -> send time of the last request that it accepted
+        # Time of the first poll since the last answer, or since the last gap of `poll_answer_timeout` between polls.
+        # None: the last poll was answered.
+        self._unanswered_since: int | None = None
+        self._accepted_at: dict[str, int] = {}  # engine -> `Attempt.sent_at` of the last request that it accepted
         self._rejected_at: dict[str, int] = {}  # engine -> time when it last rejected a request
 
     def poll_started(self, now: int) -> None:
@@ -46,7 +52,7 @@
         self._last_poll_at = now
 
     def poll_confirmed(self, started_at: int) -> None:
-        """Renew the lease: the list contains every event up to the start of the poll."""
+        """Renew the lease: the list contains all changes that the resolver knew when the poll was sent."""
         self._confirmed_at = max(self._confirmed_at, started_at)
         self._unanswered_since = None
         for evidence in (self._accepted_at, self._rejected_at):  # the list supersedes older evidence
@@ -56,14 +62,14 @@
     def status(self, now: int) -> LeaseStatus:
         """Return the status of the lease at `now`."""
         age = now - self._confirmed_at
-        if age <= self._max_confirmed_age:
-            return LeaseStatus.CONFIRMED
+        if age <= self._max_age_while_answered:
+            return LeaseStatus.VALID
         unanswered_since = self._unanswered_since
         if unanswered_since is None or now - self._last_poll_at >= self._answer_timeout:
-            return LeaseStatus.UNCONFIRMED  # the process was suspended
+            return LeaseStatus.UNCONFIRMED  # no poll is pending, as after a suspension: wait for the next one
         if now - unanswered_since < self._answer_timeout:
-            return LeaseStatus.UNCONFIRMED
-        return LeaseStatus.CONFIRMED if age <= self._max_age else LeaseStatus.EXPIRED
+            return LeaseStatus.UNCONFIRMED  # the pending poll may still be answered
+        return LeaseStatus.VALID if age <= self._max_age_while_unanswered else LeaseStatus.EXPIRED
 
     # ---- single engines
 
@@ -76,7 +82,10 @@
         self._rejected_at[engine] = now
 
     def allows(self, engine: str, now: int) -> bool:
-        """Return whether requests may be sent to the engine, by the list's age and the engine's responses."""
+        """Return whether requests may be sent to the engine, by the list's age and the engine's responses.
+
+        An engine without a response counts as having accepted a request when the list was last confirmed.
+        """
         age = now - self._confirmed_at
         if age <= self._answer_timeout:
             return True
@@ -84,7 +93,7 @@
         rejected_at = self._rejected_at.get(engine, self._confirmed_at)
         if rejected_at > max(accepted_at, self._confirmed_at):
             return False
-        return age <= self._max_confirmed_age or now <= accepted_at + self._grace
+        return age <= self._max_age_while_answered or now <= accepted_at + self._usable_grace
 
     def ineligible(self, engines: Iterable[str], now: int) -> frozenset[str]:
         """Return those of the engines to which no request may be sent."""
--- a/rackhub/core/request.py
+++ b/rackhub/core/request.py
@@ -99,7 +99,7 @@
         self.tables = tables
         self.closed = False
         self.attempts = 0  # number of attempts started so far
-        self.in_flight: dict[int, Attempt] = {}  # attempt number -> attempt
+        self.in_flight: dict[int, Attempt] = {}  # attempt number -> attempt that is not completed, sent or not
         self.possibly_executed: dict[int, int] = {}  # attempt number -> send time; only with an idempotency key
         self.priority = 1
         self.priority_pinned = False  # the operator's terms set the priority
@@ -141,7 +141,7 @@
         self.query = query
         self.number = number
         self.engine = engine
-        self.sent_at = now
+        self.sent_at = now  # creation, then the last try to pass the attempt to the engine port
         self.deadline = now
         self.state = AttemptState.PENDING
         self.connection: Any = None
@@ -170,7 +170,7 @@
             status = lease.status(now)
             if status is LeaseStatus.EXPIRED:
                 return Outcome.NOT_EXECUTED
-            if status is not LeaseStatus.CONFIRMED or not lease.allows(self.engine, now):
+            if status is not LeaseStatus.VALID or not lease.allows(self.engine, now):
                 return Outcome.CONNECT_FAILED
         return Outcome.CONNECT_FAILED if 0 < self.send_by <= now else ""
 
--- a/rackhub/core/state.py
+++ b/rackhub/core/state.py
@@ -45,9 +45,7 @@
         self.tenants = {each.name for each in settings.tenants} or {""}
 
         self.queries: dict[str, Query] = {}  # request id -> open request
-        self.in_flight: dict[
-            tuple[str, int], Attempt
-        ] = {}  # (request id, attempt number) -> attempt, also of a completed request
+        self.in_flight: dict[tuple[str, int], Attempt] = {}  # (request id, number) -> attempt that is not completed
         self.statement_bytes = 0  # total size of the statements of all open requests
         self.engine_kinds: dict[str, str] = {}  # engine -> kind, by the endpoint list
         self.accepting = True  # False after SIGTERM: every new request is rejected
--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -1,4 +1,4 @@
-"""Process of one coordinator on Twisted's reactor: creates, starts and shuts down its components."""
+"""The process of one coordinator on Twisted's reactor: its start, reload and shutdown."""
 
 import gc
 import signal
@@ -35,9 +35,9 @@
 reactor: Any = installed_reactor
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 LISTEN_BACKLOG = 512  # connections
-POOL_SWEEP_INTERVAL_S = 0.1
+POOL_SWEEP_INTERVAL_S = 0.1  # seconds
 LINGER_CHECK_INTERVAL = 20_000  # microseconds between two checks whether clients have closed their connections
-RESTART_FIELDS = ("name", "listen", "settings", "limits")  # fields of the configuration that a reload does not apply
+RESTART_FIELDS = ("name", "listen", "settings", "limits")  # a change of these fields is reported as requiring a restart
 
 
 class Daemon:
@@ -53,8 +53,12 @@
     ):
         """Create the coordinator and its components. Raises `ComponentStartError`.
 
-        `config` is the configuration to use; `file_config` is the unchanged content of its file, which a reload
-        compares with the result of `read_config`. `read_operator` is None if there is no operator's file.
+        Args:
+            config: the configuration, with the limits divided between the listeners and the store.
+            operator: the content of the operator's file.
+            file_config: the configuration as in its file; a reload compares it with the new content.
+            read_config: reads the configuration file again.
+            read_operator: reads the operator's file again; None if there is none.
         """
         self.config = config
         self.counters = Counters()
@@ -66,7 +70,7 @@
         self.core = self._create_coordinator()
         self.engines = self._create_engine_pools(operator)
         self.listeners = self._create_listeners(operator)
-        self._ports: list[SharedPort] = []
+        self._listening_sockets: list[SharedPort] = []
         self._serving = False
         self._stopping = False
         self._last_snapshot: EndpointSnapshot | None = None
@@ -85,7 +89,7 @@
             config.nameserver,
             config.limits,
             self.counters,
-            self._reread_file,
+            self._reread_config,
         )
 
     def _create_coordinator(self) -> Coordinator:
@@ -126,7 +130,7 @@
     def run(self) -> None:
         """Start, serve until the reactor stops, then release all resources."""
         snapshot = self._start_core()
-        self._handle_signals()
+        self._install_signal_handlers()
         self._listen()
         self._log_start(len(snapshot.entries))
         self._schedule_garbage_collection()
@@ -134,7 +138,7 @@
         for component in reversed(self.components.values()):
             component.stop()
         self.print_summary()
-        # Python restores the default handlers at exit, when another signal would end the process with an error status.
+        # At exit Python restores the default handlers: a second signal would end the process with an error status.
         for number in SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
@@ -152,17 +156,19 @@
         self.source.subscribe(self._endpoints_received, self.core)
         return snapshot
 
-    def _handle_signals(self) -> None:
+    def _install_signal_handlers(self) -> None:
         """Install the signal handlers, before clients can connect: without handlers a signal would end the process."""
         handlers = (self._begin_shutdown, self._begin_shutdown, self.print_summary, self._reload)
         for number, handler in zip(SIGNALS, handlers, strict=True):
             signal.signal(number, lambda *_, handler=handler: reactor.callFromThread(handler))
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # blocked by `rackhub.__main__`
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # `rackhub.__main__` has blocked SIGHUP and SIGUSR1
 
     def _listen(self) -> None:
         for (host, port), factory in self.listeners:
-            self._ports.append(SharedPort(reactor, host, port, factory, LISTEN_BACKLOG))
-        for component in list(self.components.values()):  # a copy: the rules may load another component
+            self._listening_sockets.append(SharedPort(reactor, host, port, factory, LISTEN_BACKLOG))
+        for component in list(
+            self.components.values()
+        ):  # a copy: the fleet's rule set may load the timings component meanwhile
             component.open()
         self._serving = True
         LoopingCall(self.engines.sweep).start(POOL_SWEEP_INTERVAL_S, now=False)
@@ -178,8 +184,8 @@
     def _schedule_garbage_collection(self) -> None:
         """Collect garbage at a fixed interval, excluding the objects created at the start.
 
-        Requests leave no reference cycles, but connections with their transports do: these must be collected, in
-        short pauses.
+        Requests leave no reference cycles, but connections with their transports do. A collection at short intervals
+        finds few objects and pauses the process only briefly.
         """
         gc.collect()
         gc.freeze()
@@ -197,13 +203,13 @@
             self._publish_endpoints(self._last_snapshot)
 
     def _publish_endpoints(self, snapshot: EndpointSnapshot) -> None:
-        # The coordinator first: it stops sending to a draining engine, so attempts that the pools return go elsewhere.
+        # The coordinator first: attempts that the pools return from a draining engine are then retried elsewhere.
         entries = self._visible_endpoints(snapshot)
         self.core.update_endpoints(entries, snapshot.revision)
         self.engines.update_endpoints(snapshot.addresses, entries)
 
     def _visible_endpoints(self, snapshot: EndpointSnapshot) -> tuple[interface.EngineEntry, ...]:
-        """Return the endpoint list for the routing policy, with the changes of the components."""
+        """Return the endpoint list for the routing policy, with converted start times and the components' changes."""
         self._last_snapshot = snapshot
         entries: Iterable[interface.EngineEntry] = self._start_times.convert(snapshot.entries, self._clock.now())
         for component in self.components.values():
@@ -211,7 +217,7 @@
         return tuple(entries)
 
     def _reload(self) -> None:
-        """Reload the platform's file, then the operator's.
+        """Reload the configuration file, then the operator's file, on SIGHUP.
 
         A component keeps its previous settings if the new ones are invalid. Settings that no component reloads require
         a restart.
@@ -225,7 +231,7 @@
             added = self._load_added_components(operator)
         except ValueError as error:
             self.counters.add("operator_reloads_bad")
-            log.error("reload: invalid operator's file, the previous one stays active: %s", error)
+            log.error("reload: operator's file rejected, no component was reloaded: %s", error)
             return
         for component in list(self.components.values()):
             component.reload(operator)
@@ -239,8 +245,8 @@
             if name not in self.components and name in components.RELOADABLE
         }
 
-    def _reread_file(self) -> ReloadedFile:
-        """Read the configuration for a reload; log a warning with the changes that require a restart."""
+    def _reread_config(self) -> ReloadedFile:
+        """Return the fields of the configuration file that a reload applies; warn of changes that require a restart."""
         config = self._read_config()
         changed = [name for name in RESTART_FIELDS if getattr(config, name) != getattr(self._file_config, name)]
         if changed:
@@ -255,11 +261,16 @@
                 print(line, file=sys.stderr, flush=True)
 
     def _begin_shutdown(self) -> None:
-        """Reject new requests and answer the open ones; the process stops after the last answer."""
+        """Reject new requests, and stop once all open requests are answered.
+
+        Open connections are drained after `drain_connections_delay`, and the listening sockets are closed after
+        `close_listeners_delay`. When no request is open, all connections are closed, and the process waits up to
+        `linger_timeout` for the clients to close theirs.
+        """
         if not self.core.accepting:
             return
         is_replaced = any(component.has_successor() for component in self.components.values())
-        # With a successor on the same address a retry need not wait.
+        # A successor serves on the same address, so that clients may retry at once (Retry-After 0).
         self.core.start_draining(0 if is_replaced else self.config.settings.max_retry_after)
         log.info("shutting down: %d requests open", len(self.core.queries))
         for component in self.components.values():
@@ -267,15 +278,15 @@
         if is_replaced:
             self._hand_over()
         reactor.callLater(self.config.limits.drain_connections_delay / SECOND, self._drain_connections)
-        reactor.callLater(self.config.limits.close_listeners_delay / SECOND, self._close_ports)
+        reactor.callLater(self.config.limits.close_listeners_delay / SECOND, self._close_listening_sockets)
 
     def _hand_over(self) -> None:
         """Direct new connections to the successor, and close each client's connection after its next answer."""
-        handed_over = [port.hand_over() for port in self._ports]
+        handed_over = [listening_socket.hand_over() for listening_socket in self._listening_sockets]
         for _, factory in self.listeners:
             factory.replaced = True
         log.info(
-            "the process that replaces this one serves%s",
+            "successor is running%s",
             " and receives all new connections" if all(handed_over) else "",
         )
 
@@ -288,22 +299,24 @@
         for _, factory in self.listeners:
             factory.drain()
 
-    def _close_ports(self) -> None:
+    def _close_listening_sockets(self) -> None:
         log.info("listeners_closed", open=len(self.core.queries))
-        gatherResults([port.close() for port in self._ports]).addCallback(self._ports_closed)
+        gatherResults([listening_socket.close() for listening_socket in self._listening_sockets]).addCallback(
+            self._listening_sockets_closed
+        )
 
-    def _ports_closed(self, _: object) -> None:
-        self._drain_connections()  # includes connections accepted since the first call
-        self.core.on_idle = self._idle
+    def _listening_sockets_closed(self, _: object) -> None:
+        self._drain_connections()  # again, for connections accepted since the first call
+        self.core.on_idle = self._last_request_answered
         if not self.core.queries:
-            self._idle()
+            self._last_request_answered()
 
-    def _idle(self) -> None:
-        """Schedule the end of the shutdown; called while the answer to the last open request is being written."""
+    def _last_request_answered(self) -> None:
+        """Schedule the end of the shutdown. The answer to the last open request is still being written."""
         reactor.callLater(0, self._finish_shutdown)
 
     def _finish_shutdown(self) -> None:
-        # Another request may have arrived meanwhile, and `_idle` may have been called more than once.
+        # Another request may have arrived meanwhile, and `_last_request_answered` may have been called before.
         if self.core.queries or self._stopping:
             return
         log.info("all_answered")
