--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Fixes the draws of random steps, and runs the tests of KNOWN-RED.txt as expected failures.
+"""Makes the random steps of tests reproducible, and runs the tests of KNOWN-RED.txt as expected failures.
 
-One of those that passes fails the run, and so does one that is gone.
+A listed test that passes or that does not exist fails the run.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -31,13 +31,13 @@
 
 @pytest.fixture
 def things() -> Iterator[Callable[[Any], Any]]:
-    """Closes what a test hands to it at the test's end, the last one first."""
-    made: list[Any] = []
+    """Return a function that registers an object to be closed at the test's end, the last one first."""
+    registered: list[Any] = []
 
-    def keep(thing: Any) -> Any:
-        made.append(thing)
+    def register(thing: Any) -> Any:
+        registered.append(thing)
         return thing
 
-    yield keep
-    for thing in reversed(made):
+    yield register
+    for thing in reversed(registered):
         thing.close()
--- a/tests/fixed_draws.py
+++ b/tests/fixed_draws.py
@@ -1,7 +1,7 @@
-"""Makes hypothesis draw the same steps wherever and beside whatever a test runs.
+"""Makes hypothesis draw the same steps independently of where and with which other tests a test runs.
 
-Beside its own constants hypothesis draws those that it finds in the local modules loaded so far. With them a search
-that is told to always take the same steps takes others when a module is edited, or when other tests have loaded more.
+Hypothesis draws constants of the local modules loaded so far in addition to its own. With these a derandomized search
+takes other steps after a module is edited, or when other tests have loaded more modules.
 """
 
 from hypothesis.internal.conjecture import providers
@@ -10,5 +10,5 @@
 
 
 def without_local_constants() -> None:
-    """Draw from hypothesis's own constants alone, from now on."""
+    """Make hypothesis draw only its own constants from now on."""
     providers._get_local_constants = lambda: NO_CONSTANTS
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""The list of known failures, KNOWN-RED.txt: tests that fail for a real fault which is not mended yet.
+"""The list of known failures, KNOWN-RED.txt: tests that fail because of a real fault that is not fixed yet.
 
-A line holds a test's id, the command with its seed, what was seen, and the issue, with ` ; ` between them; lines that
-begin with `#` say something about the list itself. There may be any number of entries, one for each fault.
+A line contains a test's id, the command with its seed, the observed failure and the issue, separated by ` ; `. Lines
+that begin with `#` are comments. There may be any number of entries, one for each fault.
 """
 
 from pathlib import Path
@@ -21,11 +21,11 @@
 
 
 class BadList(ValueError):
-    """The list can't be used; the text names the line."""
+    """The list is invalid; the text names the line."""
 
 
 def read(text: str) -> list[KnownRed]:
-    """The entries of the list. Raises `BadList` for a line that is none, and for a test that is listed twice."""
+    """Return the entries of the list. Raises `BadList` for an invalid line or a test that is listed twice."""
     entries = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
--- a/tests/model_coverage.py
+++ b/tests/model_coverage.py
@@ -1,7 +1,7 @@
-"""How often a model's run reaches each of its rules and states, and a search of a model by seed.
+"""Counts how often a run of a state-machine model covers each of its rules and states.
 
-A search that always takes the same steps shows nothing where it does not come to: `coverage_test` makes a test that
-fails unless every rule was run and every state was seen.
+A derandomized search always takes the same steps and shows nothing about the rules and states that it does not cover.
+`coverage_test` creates a test that fails unless every rule was run and every state was seen.
 """
 
 import functools
@@ -13,49 +13,49 @@
 
 
 def count_coverage(model: type[RuleBasedStateMachine]) -> Counter:
-    """Count the model's rules as they run, and the state after each where it has `coverage_state`."""
-    reached: Counter = Counter()
+    """Count the rules of a model that are run, and the state after each if the model has `coverage_state`."""
+    covered: Counter = Counter()
     for name in rule_names(model):
         rule = getattr(model, name).hypothesis_stateful_rule
-        object.__setattr__(rule, "function", _counted(rule.function, name, reached))
-    return reached
+        object.__setattr__(rule, "function", _counted(rule.function, name, covered))
+    return covered
 
 
 def rule_names(model: type[RuleBasedStateMachine]) -> list[str]:
     return [name for name in dir(model) if hasattr(getattr(model, name), "hypothesis_stateful_rule")]
 
 
-def _counted(function, name, reached):
+def _counted(function, name, covered):
     @functools.wraps(function)
     def counted(self, *arguments, **named):
         result = function(self, *arguments, **named)
-        reached[name] += 1
+        covered[name] += 1
         if hasattr(self, "coverage_state"):
-            reached[f"state {self.coverage_state()}"] += 1
+            covered[f"state {self.coverage_state()}"] += 1
         return result
 
     return counted
 
 
 def coverage_test(model: type[RuleBasedStateMachine], steps: settings, states: Iterable[str] = ()) -> type:
-    """The model's test, which fails too where a rule is never run or one of `states` never seen."""
-    reached = count_coverage(model)
-    wanted = [*rule_names(model), *(f"state {state}" for state in states)]
+    """Return the model's test, which also fails if a rule is never run or one of `states` is never seen."""
+    covered = count_coverage(model)
+    required = [*rule_names(model), *(f"state {state}" for state in states)]
 
-    class ReachingTest(model.TestCase):
+    class CoverageTest(model.TestCase):
         settings = steps
 
         def runTest(self):  # noqa: N802 - unittest's name
-            reached.clear()
+            covered.clear()
             super().runTest()
-            missing = [name for name in wanted if not reached[name]]
-            print(table(model.__name__, reached))  # shown by pytest -rP
-            assert not missing, f"never reached: {missing}"
+            missing = [name for name in required if not covered[name]]
+            print(table(model.__name__, covered))  # pytest -rP shows it
+            assert not missing, f"never covered: {missing}"
 
-    ReachingTest.__name__ = ReachingTest.__qualname__ = model.__name__
-    return ReachingTest
+    CoverageTest.__name__ = CoverageTest.__qualname__ = model.__name__
+    return CoverageTest
 
 
-def table(name: str, reached: Counter) -> str:
-    """One line of the models' reach: rules and states with how often each was reached."""
-    return f"{name}: " + ", ".join(f"{what} {count}" for what, count in sorted(reached.items()))
+def table(name: str, covered: Counter) -> str:
+    """Return one line with the number of times that each rule and state was covered."""
+    return f"{name}: " + ", ".join(f"{item} {count}" for item, count in sorted(covered.items()))
--- a/tests/model_search.py
+++ b/tests/model_search.py
@@ -1,7 +1,7 @@
-"""Searches a model anew, by a seed and for a time: `python tests/model_search.py MODEL --seconds 600 --seed 1`.
+"""Searches a model with new random steps: `python tests/model_search.py MODEL --seconds 600 --seed 1`.
 
-CI's searches always take the same steps. This one draws others: each round has a seed of its own, counted up from the
-first. A finding is printed with its seed, which plays it again (`--seed N --rounds 1`); the exit status is 1 then.
+The searches of CI always take the same steps. Here each round has its own seed, counted up from the first one. A
+finding is printed with its seed, which reproduces it (`--seed N --rounds 1`); the exit status is 1 then.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent)]
 
-import fixed_draws  # noqa: E402 - the tests' folder is found by the line above
+import fixed_draws  # noqa: E402 - the line above adds the folder of the tests to the path
 
 fixed_draws.without_local_constants()
 
@@ -44,11 +44,11 @@
 MEMBER_CYCLES = 4
 RULE_EDITS = 60
 
-Round = Callable[[int], None]  # raises where its seed finds something
+Round = Callable[[int], None]  # runs one seed; raises if it finds a failure
 
 
 def machine(model: type, runs: int, steps: int) -> Round:
-    """Rounds of so many runs of a state machine."""
+    """Return a round of `runs` runs of a state machine."""
 
     def play(seed: int) -> None:
         model._hypothesis_internal_use_seed = seed
@@ -58,7 +58,7 @@
 
 
 def property_test(test: Callable[[], None], runs: int) -> Round:
-    """Rounds of so many runs of a property."""
+    """Return a round of `runs` runs of a property test."""
 
     def play(seed: int) -> None:
         test._hypothesis_internal_use_seed = seed
@@ -77,7 +77,7 @@
 
 
 def register(seed: int) -> None:
-    """Safety alone: a run with many faults may acknowledge few changes."""
+    """Check safety only: a run with many faults may acknowledge few changes."""
     acked, words = test_fleet_register.changes_under_faults(seed)
     assert acked <= set(words), "a change is lost"
     assert len(set(words)) == len(words), "a change is applied twice"
@@ -89,20 +89,22 @@
 
 
 def slow_reader(seed: int) -> None:
-    here = test_unread_clients.Site(test_unread_clients.Stand(), test_unread_clients.Stand())
-    here.raw = []
+    test_bed = test_unread_clients.CoordinatorTestBed(
+        test_unread_clients.EngineServer(), test_unread_clients.EngineServer()
+    )
+    test_bed.raw = []
     try:
-        run = test_unread_clients.SlowReader(here, seed)
+        run = test_unread_clients.SlowReader(test_bed, seed)
         run.run()
         run.check()
     finally:
-        for client in here.raw:
+        for client in test_bed.raw:
             client.socket.close()
-        here.close()
+        test_bed.close()
 
 
 class Model(NamedTuple):
-    """One model's rounds, and how many runs a round has."""
+    """The function that runs one round of a model, and the number of runs in a round."""
 
     play: Round
     runs: int
@@ -133,7 +135,7 @@
 
 
 def search(name: str, seconds: float, first_seed: int, rounds: int) -> int:
-    """Play rounds until the time is over; returns how many found something."""
+    """Run rounds until the time is over; return the number of rounds with a failure."""
     model, found, played = MODELS[name], 0, 0
     ends_at = time.monotonic() + seconds
     while time.monotonic() < ends_at and (not rounds or played < rounds):
@@ -141,7 +143,7 @@
         played += 1
         try:
             model.play(seed)
-        except Exception:  # a finding of any kind; the search goes on
+        except Exception:  # every failure is a finding; the search continues
             found += 1
             print(f"{name}: seed {seed}:\n{traceback.format_exc()}", flush=True)
     print(f"{name}: seeds {first_seed} to {first_seed + played - 1}, {played * model.runs} runs, {found} found")
@@ -153,10 +155,10 @@
     parser.add_argument("model", choices=MODELS)
     parser.add_argument("--seconds", type=float, default=600.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--rounds", type=int, default=0, help="end after so many rounds; 0: by time alone")
-    asked = parser.parse_args()
+    parser.add_argument("--rounds", type=int, default=0, help="maximum number of rounds; 0: no maximum")
+    options = parser.parse_args()
     logging.disable(logging.CRITICAL)
-    return 1 if search(asked.model, asked.seconds, asked.seed, asked.rounds) else 0
+    return 1 if search(options.model, options.seconds, options.seed, options.rounds) else 0
 
 
 if __name__ == "__main__":
--- a/tests/real_process.py
+++ b/tests/real_process.py
@@ -1,7 +1,7 @@
-"""A real process of the program with stand-ins around it: a resolver, engines and a client, each on plain sockets.
+"""A real process of the program with stand-ins for the resolver, engines and clients on plain sockets.
 
-The stand-ins answer from threads of their own, so that a test may block on what it waits for. `Served` runs the
-program with a `plant`: source text that runs in the process first, which is how a fault is put under it.
+The stand-ins answer from their own threads, so that a test may block while it waits. `Served` runs the program after a
+`prelude`, source text with which a test injects faults into the process.
 """
 
 import base64
@@ -21,27 +21,27 @@
 from test_config import endpoint, platform_config, watch_notice
 from test_resolver import answer
 
-PATIENCE = 60  # seconds that a test waits for what has to come about
+TIMEOUT_S = 60  # time that a test waits for an expected event
 READY, DRAINING = 0, 1
 PROGRAM = """
 import runpy, sys
-{plant}
+{prelude}
 sys.argv = ["rackhub", "serve", "--config", {config!r}]
 runpy.run_module("rackhub", run_name="__main__", alter_sys=False)
 """
 
 
-def until(condition, what="it"):
-    """Wait until the condition holds; that it never does is a failure."""
-    end = time.monotonic() + PATIENCE
+def until(condition, what="the condition"):
+    """Wait until the condition holds and return its value; fail after `TIMEOUT_S`."""
+    end = time.monotonic() + TIMEOUT_S
     while not (found := condition()):
-        assert time.monotonic() < end, f"{what} did not come about"
+        assert time.monotonic() < end, f"{what}: not seen in time"
         time.sleep(0.002)
     return found
 
 
 class Answered(NamedTuple):
-    """One answer of the resolver: when it was sent, to whom, and the number of the last event in it."""
+    """One answer of the resolver: time of sending, recipient, and revision of the endpoint list in it."""
 
     at: float
     sender: tuple
@@ -49,25 +49,25 @@
 
 
 class ResolverStandIn:
-    """Answers each question with the list that is set, after `delay` seconds; not at all while `silent`."""
+    """Answers each poll with the current endpoint list after `delay` seconds; not at all while `silent`."""
 
     def __init__(self, *engines):
         self.rev, self.engines, self.silent, self.delay = 3, engines, False, 0.0
-        self.questions: list[float] = []
+        self.polled_at: list[float] = []
         self.answered: list[Answered] = []
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.socket.getsockname()[1]}"
         threading.Thread(target=self._serve, daemon=True).start()
 
-    def tell(self, rev, *engines):
+    def set_list(self, rev, *engines):
         self.rev, self.engines = rev, engines
 
     def _serve(self):
         with contextlib.suppress(OSError):
             while True:
                 packet, sender = self.socket.recvfrom(512)
-                self.questions.append(time.monotonic())
+                self.polled_at.append(time.monotonic())
                 if not self.silent:
                     threading.Timer(self.delay, self._answer, (packet, sender)).start() if self.delay else self._answer(
                         packet, sender
@@ -79,8 +79,8 @@
         with contextlib.suppress(OSError):
             self.socket.sendto(answer(int.from_bytes(packet[:2], "big"), rev, *engines), sender)
 
-    def told(self, rev):
-        """When an answer with that event was first sent."""
+    def first_answered_at(self, rev):
+        """Return when an answer with this or a later revision was first sent, or None."""
         return next((each.at for each in self.answered if each.rev >= rev), None)
 
     def close(self):
@@ -88,7 +88,7 @@
 
 
 class EngineStandIn:
-    """An engine that serves each request at once with one row. Its records are in `wants`, by arrival."""
+    """An engine that answers each request at once with one row. `wants` has the requests by time of arrival."""
 
     ROW = b"a\tb\tc\n"
 
@@ -99,15 +99,15 @@
             self.port.setsockopt(socket.SOL_SOCKET, getattr(socket, option), value)
         self.port.bind(("127.0.0.1", 0))
         self.port.listen(128)
-        self.place = self.port.getsockname()
+        self.address = self.port.getsockname()
 
     def start(self):
         threading.Thread(target=self._accept, daemon=True).start()
         return self
 
     def entry(self, priority=READY, started=0):
-        """Its line in the resolver's answer."""
-        return self.name, self.place[0], priority, started, self.place[1]
+        """Return the engine's entry in the resolver's answer."""
+        return self.name, self.address[0], priority, started, self.address[1]
 
     def _accept(self):
         with contextlib.suppress(OSError):
@@ -139,7 +139,7 @@
 
 
 def read_command(stream):
-    """The words of one command; empty at the end of the stream."""
+    """Return the words of one command; empty at the end of the stream."""
     head = stream.readline()
     if not head.endswith(b"\r\n"):
         return []
@@ -151,18 +151,18 @@
 
 
 class Client:
-    """A client's connection; `answers` holds what came, by id."""
+    """A client's connection; `answers` has the received answers by request id."""
 
     def __init__(self, port):
-        self.socket = socket.create_connection(("127.0.0.1", port), PATIENCE)
+        self.socket = socket.create_connection(("127.0.0.1", port), TIMEOUT_S)
         self.answers: dict[int, list[dict]] = {}
         threading.Thread(target=self._read, daemon=True).start()
 
     def _read(self):
         with contextlib.suppress(OSError, ValueError), self.socket.makefile("rb") as stream:
             for line in stream:
-                said = json.loads(line)
-                self.answers.setdefault(said["id"], []).append(said)
+                answer = json.loads(line)
+                self.answers.setdefault(answer["id"], []).append(answer)
 
     def send(self, *messages):
         self.socket.sendall(b"".join(json.dumps(each).encode() + b"\n" for each in messages))
@@ -178,41 +178,44 @@
 
 
 class Served:
-    """A process of the program that serves, and its log."""
+    """A running process of the program, and its log."""
 
-    def __init__(self, place: Path, resolver, *engines, plant="", level="debug", **more):
+    def __init__(self, directory: Path, resolver, *engines, prelude="", level="debug", **more):
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             self.port = probe.getsockname()[1]
-        entries = [endpoint(each.name) | {"address": "{}:{}".format(*each.place)} for each in engines]
-        self.file, self.told = place / "c.json", {"nameserver": resolver.address} | more
-        self.told |= {"listen": f"127.0.0.1:{self.port}", "known": {"rev": 3, "notices": [watch_notice(3, *entries)]}}
-        self.file.write_text(json.dumps(platform_config(**self.told)))
-        self.log = place / "log"
+        entries = [endpoint(each.name) | {"address": "{}:{}".format(*each.address)} for each in engines]
+        self.file, self.config_fields = directory / "c.json", {"nameserver": resolver.address} | more
+        self.config_fields |= {
+            "listen": f"127.0.0.1:{self.port}",
+            "known": {"rev": 3, "notices": [watch_notice(3, *entries)]},
+        }
+        self.file.write_text(json.dumps(platform_config(**self.config_fields)))
+        self.log = directory / "log"
         with open(self.log, "wb") as log:
             self.child = subprocess.Popen(
-                [sys.executable, "-c", PROGRAM.format(plant=plant, config=str(self.file))],
+                [sys.executable, "-c", PROGRAM.format(prelude=prelude, config=str(self.file))],
                 stderr=log,
                 cwd=Path(__file__).parent.parent,
-                env=os.environ | {"TMPDIR": str(place), "RACKHUB_LOG_LEVEL": level},
+                env=os.environ | {"TMPDIR": str(directory), "RACKHUB_LOG_LEVEL": level},
             )
-        until(lambda: "serves on" in self.said() or self.child.poll() is not None, "a process that serves")
-        assert self.child.poll() is None, self.said()
+        until(lambda: "serves on" in self.log_text() or self.child.poll() is not None, "a process that serves")
+        assert self.child.poll() is None, self.log_text()
 
-    def said(self):
+    def log_text(self):
         return self.log.read_text(errors="replace")
 
     def lines(self, *parts):
-        """The lines of its log in which all of these stand."""
-        return [line for line in self.said().splitlines() if all(part in line for part in parts)]
+        """Return the lines of the log that contain all `parts`."""
+        return [line for line in self.log_text().splitlines() if all(part in line for part in parts)]
 
     def client(self):
         return Client(self.port)
 
     def end(self):
-        """Told to end; its exit status."""
+        """Send SIGTERM; return the exit status."""
         self.child.send_signal(signal.SIGTERM)
-        return self.child.wait(PATIENCE)
+        return self.child.wait(TIMEOUT_S)
 
     def close(self):
         self.child.kill()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: the platform's file, the operator's file, and messages that name the faulty key."""
+"""Configuration: the platform's file, the operator's file, and errors that name the invalid key."""
 
 import json
 import os
@@ -57,7 +57,7 @@
     } | more
 
 
-def test_the_nested_form_reads_like_the_pairs_of_start():
+def test_nested_settings_are_parsed_like_the_flat_pairs():
     pairs = flatten(SETTINGS)
     assert pairs["Services.count"] == "1" and pairs["FamilyInfo.Dop"] == "2" and pairs["Permissions.Cancel"] == "true"
     settings = parse_settings(pairs)
@@ -65,37 +65,37 @@
     assert settings.kind_cores == {"std-8": 8.0, "std-16": 16.0} and settings.slow_start_budget_window == 3_000_000
 
 
-def test_a_whole_file_is_read():
-    here = config.parse(json.dumps(platform_config()).encode())
-    assert here.seed == 0x8C1F30D27A5BE964 and here.listen == ("127.0.0.1", 5050)
-    assert here.engines.addresses == {"a": ("127.0.0.1", 5050)} and here.engines.entries[0].kind == "std-8"
-    assert here.limits.dial_timeout == 250_000 and here.limits.file_descriptors == 1024
+def test_complete_file_is_read():
+    parsed = config.parse(json.dumps(platform_config()).encode())
+    assert parsed.seed == 0x8C1F30D27A5BE964 and parsed.listen == ("127.0.0.1", 5050)
+    assert parsed.engines.addresses == {"a": ("127.0.0.1", 5050)} and parsed.engines.entries[0].kind == "std-8"
+    assert parsed.limits.dial_timeout == 250_000 and parsed.limits.file_descriptors == 1024
 
 
 @pytest.mark.parametrize("memory_mb, sockets", [(32, 256), (64, 256), (80, 384), (192, 1024)])
-def test_the_shares_of_the_limits_hold_together(memory_mb, sockets):
-    """The least that the platform gives: 32 MB and 256 descriptors. Both were refused or shared out beyond it."""
-    here = config.parse(
+def test_divided_limits_do_not_exceed_the_resources(memory_mb, sockets):
+    """The platform's minimum is 32 MB and 256 descriptors. It was rejected, or the parts exceeded the total."""
+    derived = config.parse(
         json.dumps(platform_config(limits={"memory_mb": memory_mb, "sockets": sockets})).encode()
     ).limits
-    assert here.max_client_connections + here.max_engine_connections + config.RESERVED_DESCRIPTORS <= sockets
-    assert here.max_client_connections >= sockets // 3  # clients are promised as many
+    assert derived.max_client_connections + derived.max_engine_connections + config.RESERVED_DESCRIPTORS <= sockets
+    assert derived.max_client_connections >= sockets // 3  # clients are guaranteed a third
     assert (
-        here.max_statement_bytes + here.max_client_connections * here.max_request_bytes
+        derived.max_statement_bytes + derived.max_client_connections * derived.max_request_bytes
         <= (memory_mb - config.IDLE_MEMORY_MB) << 20
     )
-    assert here.max_open_requests >= 64 and here.max_request_bytes >= 16_384
-    both = config.share_descriptors(
-        here, config.load_operator(Path(__file__).parent.parent / "deploy" / "operator.toml")
+    assert derived.max_open_requests >= 64 and derived.max_request_bytes >= 16_384
+    divided = config.share_descriptors(
+        derived, config.load_operator(Path(__file__).parent.parent / "deploy" / "operator.toml")
     )
     assert (
-        both.max_client_connections + both.max_tds_connections == here.max_client_connections
-        and both.max_tds_connections > 0
+        divided.max_client_connections + divided.max_tds_connections == derived.max_client_connections
+        and divided.max_tds_connections > 0
     )
-    assert config.share_descriptors(here, config.load_operator(None)) == here
+    assert config.share_descriptors(derived, config.load_operator(None)) == derived
 
 
-def test_the_events_of_the_start_come_to_one_list():
+def test_initial_watch_events_are_merged_into_one_list():
     known = {
         "rev": 5,
         "notices": [
@@ -132,15 +132,15 @@
         ({"settings": SETTINGS | {"Services": [{"Deadline": 5}]}}, "Services.0.Name"),
     ],
 )
-def test_a_bad_file_ends_in_one_line_that_names_the_key(change, key, tmp_path, capsys):
+def test_invalid_file_is_reported_in_one_line_with_the_key(change, key, tmp_path, capsys):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(platform_config(**change)))
     assert main(["check-config", "--config", str(path)]) == 2
-    said = capsys.readouterr().err
-    assert said.count("\n") == 1 and key in said and "Traceback" not in said
+    errors = capsys.readouterr().err
+    assert errors.count("\n") == 1 and key in errors and "Traceback" not in errors
 
 
-def test_a_file_that_is_not_there_or_not_json_is_named(tmp_path, capsys, monkeypatch):
+def test_missing_file_and_invalid_json_are_reported(tmp_path, capsys, monkeypatch):
     monkeypatch.delenv("BALANCER_CONFIG", raising=False)
     assert main(["serve"]) == 2 and "BALANCER_CONFIG" in capsys.readouterr().err
     assert main(["serve", "--config", str(tmp_path / "none")]) == 2 and "none" in capsys.readouterr().err
@@ -173,27 +173,30 @@
         ("database", "data", "data"),
     ],
 )
-def test_the_operators_file_is_checked_against_the_site(old, new, key, tmp_path, capsys):
+def test_operators_file_is_checked_against_the_site(old, new, key, tmp_path, capsys):
     (tmp_path / "c.json").write_text(json.dumps(platform_config()))
     (tmp_path / "o.toml").write_text(OPERATOR.replace(old, new) if old else OPERATOR)
     code = main(["check-config", "--config", str(tmp_path / "c.json"), "--operator", str(tmp_path / "o.toml")])
-    said = capsys.readouterr().err
-    assert (code, said) == (0, "") if not key else code == 2 and key in said and said.count("\n") == 1
+    errors = capsys.readouterr().err
+    assert (code, errors) == (0, "") if not key else code == 2 and key in errors and errors.count("\n") == 1
 
 
-def test_the_operators_file_in_deploy_is_sound():
+def test_operators_file_in_deploy_is_valid():
     operator = config.load_operator(Path(__file__).parent.parent / "deploy" / "operator.toml")
     assert operator.tds_front.login[0].cls == "report" and operator.tds_engines is None
-    assert config.load_operator(None).tds_front is None  # off unless set up
+    assert config.load_operator(None).tds_front is None  # disabled by default
 
 
-def test_the_program_serves_drains_on_sigterm_and_prints_its_counters(tmp_path):
-    """A process as the platform runs it. It waits for events, never for a while: the ends of pipes and sockets."""
-    silent = socket.create_server(("127.0.0.1", 0))  # an engine that takes connections and never says a word
+def test_process_serves_reloads_drains_on_sigterm_and_prints_its_counters(tmp_path):
+    """A process as the platform runs it. The test waits for events on pipes and sockets, never for a fixed time."""
+    unresponsive = socket.create_server(("127.0.0.1", 0))  # an engine that accepts connections and sends nothing
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
-    known = {"rev": 3, "notices": [watch_notice(3, endpoint("a", address=f"127.0.0.1:{silent.getsockname()[1]}"))]}
+    known = {
+        "rev": 3,
+        "notices": [watch_notice(3, endpoint("a", address=f"127.0.0.1:{unresponsive.getsockname()[1]}"))],
+    }
     (tmp_path / "c.json").write_text(json.dumps(platform_config(listen=f"127.0.0.1:{port}", known=known)))
     process = subprocess.Popen(
         [sys.executable, "-m", "rackhub", "serve"],
@@ -216,13 +219,13 @@
                 "id": 1,
                 "result": {"pass": True},
             }
-            for turn in range(100):  # a loop that is behind its time refuses, as it is to: then it is asked anew
+            for number in range(100):  # a late event loop rejects the request; the client sends it again
                 request = {
                     "jsonrpc": "2.0",
                     "id": 7,
                     "method": "lookup",
                     "params": {
-                        "rid": f"9b1f03aa5c7e2d{turn:02x}",
+                        "rid": f"9b1f03aa5c7e2d{number:02x}",
                         "budget": 1200,
                         "acct": "acme",
                         "body": "U0VMRUNUIDE=",
@@ -230,34 +233,34 @@
                 }
                 lines.write(json.dumps(request).encode() + b"\n")
                 lines.flush()
-                ready = select.select([silent, client], [], [], 60)[0]
-                if silent in ready:
+                ready = select.select([unresponsive, client], [], [], 60)[0]
+                if unresponsive in ready:
                     break
                 assert ready and json.loads(lines.readline())["error"]["code"] == -32008
-            engine, _ = silent.accept()
+            engine, _ = unresponsive.accept()
             assert engine.recv(100).startswith(b"*4\r\n$4\r\nwant\r\n$16\r\n" + request["params"]["rid"].encode())
             process.send_signal(signal.SIGUSR1)
             assert "alives_in=1" in process.stderr.readline()
-            # without a handler SIGHUP ends the process: on a scored day every reload crashed all coordinators
+            # Without a handler SIGHUP ends the process: on a scored day every reload stopped all coordinators.
             name_server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             name_server.bind(("127.0.0.1", 0))
             moved = f"127.0.0.1:{name_server.getsockname()[1]}"
-            for text, said in (
+            for text, message in (
                 ("{", "the file: not JSON"),
                 (json.dumps(platform_config(nameserver="nowhere")), "nameserver: "),
                 (json.dumps(platform_config(listen=f"127.0.0.1:{port}", known=known, nameserver=moved)), moved),
             ):
                 (tmp_path / "c.json").write_text(text)
                 process.send_signal(signal.SIGHUP)
-                assert said in process.stderr.readline()
-            assert b"_app" in name_server.recv(512)  # it asks at the new address, and its connections are kept
+                assert message in process.stderr.readline()
+            assert b"_app" in name_server.recv(512)  # the process polls at the new address and keeps its connections
             name_server.close()
             process.send_signal(signal.SIGTERM)
             assert "shutting down" in process.stderr.readline()
             assert ask(b'{"jsonrpc":"2.0","id":2,"method":"alive"}')["result"] == {"pass": False}
-            owed = json.loads(lines.readline())  # what was open is answered before the end
-            assert owed["id"] == 7 and owed["error"]["code"] == -32008 and owed["error"]["data"]["backoff"] >= 0
-            assert lines.readline() == b""  # the connection is closed in order
+            answer = json.loads(lines.readline())  # the open request is answered before the process ends
+            assert answer["id"] == 7 and answer["error"]["code"] == -32008 and answer["error"]["data"]["backoff"] >= 0
+            assert lines.readline() == b""  # the connection is closed gracefully
             engine.close()
         assert "counters: clients_accepted=1" in process.stderr.read()
         assert process.wait() == 0
@@ -265,10 +268,10 @@
         process.kill()
         process.wait()
         process.stderr.close()
-        silent.close()
+        unresponsive.close()
 
 
-def test_an_address_that_is_taken_is_named(tmp_path):
+def test_listening_address_in_use_is_reported(tmp_path):
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -1,9 +1,9 @@
-"""A client's connection, its requests and their attempts over transports in memory, against a model of what must hold.
+"""Model test of one client's connection, its requests and their attempts, over transports in memory.
 
-The core, its module, the front and the engine connections are the real ones; sockets, dials and the loop are played.
-What a peer does lies in the kernel until the loop reads it: each turn makes the calls that are due, then reads once
-from every socket, a peer's end only after its last bytes. So a loop that stands still is a time in which nobody looks.
-Steps are random (hypothesis, always the same ones). Planted mistakes show that the model finds what it is for.
+The core, the routing policy, the front and the engine connections are real; sockets, dials and the event loop are fake.
+A peer's bytes stay in the fake kernel until the loop reads them: each iteration makes the due calls, then reads once
+from every socket, a peer's disconnect only after its last bytes. Nothing is read while the loop is paused. Steps are
+random but reproducible (hypothesis). Injected bugs show that the model detects the faults that it guards against.
 """
 
 import base64
@@ -59,9 +59,10 @@
     max_attempts=3,
     max_retry_after=500 * MS,
 )
-GONE_FOR = 100 * MS  # after its client's end no attempt may begin
-SLACK = LIMITS.deadline_grace + 2 * LIMITS.deadline_check_interval  # after a deadline, with a loop in time
-NEVER_RAN = (b"503", b"504")
+GONE_FOR = 100 * MS  # an attempt may begin up to this time after its client's disconnect
+# Time from a deadline to the answer with a punctual event loop.
+MAX_ANSWER_DELAY = LIMITS.deadline_grace + 2 * LIMITS.deadline_check_interval
+REJECTING_WORDS = (b"503", b"504")
 STEPS = settings(
     derandomize=True,
     max_examples=150,
@@ -73,8 +74,8 @@
 ROWS = b"a\tb\tc\n"
 
 
-class Socket:
-    """What a peer has sent and the loop has not read: chunks of bytes, then perhaps `None`, its end."""
+class FakeSocket:
+    """A peer's bytes that the loop has not read: chunks, followed by None after the peer's disconnect."""
 
     def __init__(self, protocol):
         self.protocol, self.wire, self.kernel, self.over = protocol, MemoryTransport(), [], False
@@ -88,12 +89,12 @@
         return None in self.kernel
 
     def end(self, reset=False):
-        """A reset throws away what was not read."""
+        """Disconnect the peer; a reset discards the unread bytes."""
         if not (self.over or self.ended):
             self.kernel = [None] if reset else [*self.kernel, None]
 
     def fetch(self):
-        """What one read brings: all bytes that are there, or the end."""
+        """Return the result of one read: all bytes received, b"" for a disconnect, None if there is nothing."""
         bytes_ = list(itertools.takewhile(lambda chunk: chunk is not None, self.kernel))
         if not self.kernel:
             return None
@@ -115,7 +116,7 @@
             self.protocol.connectionLost()
 
     def leave(self):
-        """What was written leaves; of what was closed on this side by half, the peer closes the other half."""
+        """Transmit the written bytes; after a half-close on this side the peer closes too."""
         self.wire.flush()
         if self.wire.aborted or self.wire.disconnecting and isinstance(self.protocol, EngineConnection):
             self.lose()
@@ -123,22 +124,24 @@
             self.end()
 
 
-class Asked:
-    """One request as its client and the engines know it."""
+class ClientRequest:
+    """One request with its expected state."""
 
     def __init__(self, number, cls, budget, now):
         self.number, self.rid, self.cls, self.budget = number, f"{number:016x}", cls, budget
         self.due = now + budget * MS
-        self.answers, self.went = [], 0  # when its client cancelled or closed
-        self.wants = []  # when each of its attempts came to an engine
-        self.maybe = {}  # of those that may have run: number -> when it came
-        self.out = None  # the link that has it: it is out
+        self.answers, self.gone_at = [], 0  # gone_at: when the client cancelled or disconnected; 0: it did not
+        self.attempt_times = []  # times at which attempts reached an engine
+        self.possibly_executed = {}  # attempt number -> when it reached an engine; only of attempts that may have run
+        self.in_flight_on = None  # link with an attempt in flight
         self.given_up = 0
 
 
-class Eager:
-    """A module that sends again whenever it may, at once or after a back-off, with time-outs, and that keeps to nothing
-    else: what must hold whatever the module decides is the core's to see to."""
+class RetryingPolicy:
+    """A routing policy that retries as often as allowed, at once or after a backoff, with random time-outs.
+
+    It respects no other rule, because the core must guarantee them independently of the policy.
+    """
 
     def __init__(self, seed, states):
         self.random, self.open, self.refs, self.timers = random.Random(seed), {}, itertools.count(1), {}
@@ -149,7 +152,7 @@
         return getattr(self, name)(now, event) if hasattr(self, name) else []
 
     def QueryReceived(self, now, event):  # noqa: N802 - the events' names
-        self.open[event.query] = [event, 0, 0]  # its attempts so far, and how many of them may have run
+        self.open[event.query] = [event, 0, 0]  # event, number of attempts, number of attempts that may have run
         left = event.deadline - now - self.random.choice([10, 150]) * MS
         return [self.later(left, self.final, event.query), *self.send(event.query)]
 
@@ -159,15 +162,15 @@
             return []
         known = self.open[event.query]
         known[2] += event.outcome not in retries.NOT_EXECUTED_OUTCOMES
-        effect = next(told.idempotency for told in CLASSES if told.name == known[0].cls)
+        effect = next(each.idempotency for each in CLASSES if each.name == known[0].cls)
         if event.outcome == "NOP" or known[1] >= SETTINGS.max_attempts or effect == "fragile" and known[2]:
             return self.final(event.query)
         wait = self.random.choice([0, 0, 40, 120, 250])
         return [self.later(wait * MS, self.send, event.query)] if wait else self.send(event.query)
 
     def ClientDisconnected(self, now, event):  # noqa: N802
-        out = range(self.open.pop(event.query, (0, 0, 0))[1])
-        return [t.Cancel(event.query, number) for number in out] if self.random.random() < 0.5 else []
+        in_flight = range(self.open.pop(event.query, (0, 0, 0))[1])
+        return [t.Cancel(event.query, number) for number in in_flight] if self.random.random() < 0.5 else []
 
     def TimerFired(self, now, event):  # noqa: N802
         call, id = self.timers.pop(event.timer_id)
@@ -186,7 +189,7 @@
         return [t.Send(id, self.random.choice(ready), self.random.choice([0, 0, 60 * MS, 200 * MS]))]
 
     def final(self, id):
-        event, tries, maybe = self.open.pop(id)
+        event, tries, possibly_executed = self.open.pop(id)
         return [t.Fail(id)] if event.cls == "once" and tries else [t.Reject(id, 100 * MS)]
 
 
@@ -197,21 +200,21 @@
         super().__init__()
         logging.disable(logging.CRITICAL)
         self.clock, self.counters = FakeClock(), Counters()
-        self.numbers, self.asked, self.links, self.dials = itertools.count(1), {}, {}, []
-        self.client, self.stood = None, 0  # when the loop last stood still
+        self.numbers, self.requests, self.links, self.dials = itertools.count(1), {}, {}, []
+        self.client, self.paused_until = None, 0  # time of the end of the last pause of the loop
         self.states = {"e0": "Ready", "e1": "Ready"}
 
     @initialize(cancel=st.booleans(), eager=st.sampled_from([None, *range(8)]), prompt=st.sampled_from([1, 1, 0]))
     def begin(self, cancel, eager, prompt):
-        self.prompt = prompt  # dials come up in the next turn
-        told = (
+        self.prompt = prompt  # dials are connected in the next iteration
+        site_settings = (
             SETTINGS
             if cancel
             else t.Settings(**{name: getattr(SETTINGS, name) for name in SETTINGS.__slots__ if name != "cancel"})
         )
-        self.core = Coordinator(told, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
+        self.core = Coordinator(site_settings, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
         if eager is not None:
-            self.core.decisions.control = Eager(eager, self.states)
+            self.core.decisions.control = RetryingPolicy(eager, self.states)
         shared = self.clock, LIMITS, self.counters, self.core
         self.front = jsonrpc_front(self.core, LIMITS, self.counters)
 
@@ -226,30 +229,30 @@
         self.core.start(self.pools, [t.EngineEntry(name, "z", "std") for name in self.states], 1)
         self.clients = []
         self.connect()
-        for told in CLASSES:
-            self.one_request(told.name, 900)
+        for cls in CLASSES:
+            self.one_request(cls.name, 900)
 
     def coverage_state(self):
-        """Where the client stands, and the process."""
+        """Return the state of the client's connection and of the process."""
         paused = "paused" if self.client.wire.producerState == "paused" else "read"
         return f"{'over' if self.client.over else paused}, {'draining' if not self.core.accepting else 'accepting'}"
 
     def connect(self):
-        self.client = Socket(self.front.buildProtocol(None))
+        self.client = FakeSocket(self.front.buildProtocol(None))
         self.client.protocol.makeConnection(self.client.wire)
         self.clients.append(self.client)
-        self.mine = {}
+        self.requests_of_client = {}
 
     def teardown(self):
         try:
             if hasattr(self, "core"):
-                self.all_ends()
+                self.check_nothing_left()
         finally:
             logging.disable(logging.NOTSET)
 
-    def all_ends(self):
-        """Nothing that was started is left, once all have gone their way."""
-        self.takes_its_answers_again()
+    def check_nothing_left(self):
+        """Check that nothing is left after all peers have disconnected."""
+        self.client_resumes_reading()
         for link in list(self.dials):
             self.dial_fails(link)
         self.run(1_200 * MS)
@@ -261,333 +264,345 @@
         assert not any(link.open for link in self.links) and not any(one.protocol.open for one in self.clients)
         counted = sum(self.counters[how] for how in ("served", "refused", "failed", "left"))
         assert counted == self.counters["requests_in"]
-        assert self.counters["attempts"] >= sum(len(asked.wants) for asked in self.asked.values())
+        assert self.counters["attempts"] >= sum(len(request.attempt_times) for request in self.requests.values())
 
     # ---- the loop
 
-    def turn(self):
-        """Calls that are due, then what was fetched for this turn, then what was written leaves."""
+    def run_iteration(self):
+        """Run one event-loop iteration: due calls, then one read of each socket, then the writes."""
         if self.clock._wake and self.clock._wake[0] <= self.clock.time:
             (_, call), self.clock._wake = self.clock._wake, None
             call()
-        self.look()
+        self.check_written()
         if self.prompt:
-            self.all_dials_are_up()
+            self.connect_all_dials()
         for socket in [*self.links.values(), *self.clients]:
             socket.read()
-            self.look()
+            self.check_written()
         for link, socket in self.links.items():
-            if socket.wire.disconnecting:  # closed here, which gives up all that is open on it
-                self.nothing_out(link)
+            if socket.wire.disconnecting:  # closed on this side, which cancels its attempts
+                self.clear_in_flight(link)
         for socket in [*self.links.values(), *self.clients]:
             socket.leave()
-        self.look()
+        self.check_written()
 
     def run(self, span):
-        """A loop in time: a turn at each time that a call is due, and one at the end."""
+        """Run a punctual loop for `span`: an iteration at each due time, and three at the end."""
         until = self.clock.time + span
         for _ in range(100_000):
             due = self.clock._wake[0] if self.clock._wake else until
             if due >= until:
                 break
             self.clock.time = max(due, self.clock.time)
-            self.turn()
+            self.run_iteration()
         self.clock.time = until
         for _ in range(3):
-            self.turn()
-        self.in_time()
+            self.run_iteration()
+        self.check_deadlines()
 
-    def in_time(self):
-        for asked in self.mine.values():
+    def check_deadlines(self):
+        for request in self.requests_of_client.values():
             unread = self.client.wire.producerState == "paused" or self.client.protocol.ending
-            if not (asked.answers or asked.went or self.client.over or unread):
-                assert self.clock.time <= max(asked.due, self.stood) + SLACK, "an answer is late"
+            if not (request.answers or request.gone_at or self.client.over or unread):
+                assert self.clock.time <= max(request.due, self.paused_until) + MAX_ANSWER_DELAY, "an answer is late"
 
-    # ---- what is written, judged as it is
+    # ---- checks of the written bytes
 
-    def look(self):
+    def check_written(self):
         for link, socket in self.links.items():
             for words in commands(socket.wire.take_output()) if socket.wire.io.tell() else ():
                 if words[0] == b"want":
-                    self.begun(self.asked[words[1].decode()], link)
+                    self.check_attempt(self.requests[words[1].decode()], link)
                 elif words[0] in (b"never_mind", b"shut"):
-                    asked = self.asked[words[1].decode()]
-                    if asked.out is link:
-                        asked.out, asked.given_up = None, self.clock.time
+                    request = self.requests[words[1].decode()]
+                    if request.in_flight_on is link:
+                        request.in_flight_on, request.given_up = None, self.clock.time
         for client in self.clients:
             for line in client.wire.take_output().splitlines():
-                self.told(json.loads(line))
+                self.check_answer(json.loads(line))
 
-    def begun(self, asked, link):
-        now, told = self.clock.time, next(told for told in CLASSES if told.name == asked.cls)
-        assert asked.out is None, "two attempts are out"
-        assert not asked.given_up or now >= asked.given_up + LIMITS.cancellation_delay, (
-            "an attempt overtakes the give-up"
+    def check_attempt(self, request, link):
+        now, rules = self.clock.time, next(each for each in CLASSES if each.name == request.cls)
+        assert request.in_flight_on is None, "two attempts are in flight"
+        assert not request.given_up or now >= request.given_up + LIMITS.cancellation_delay, (
+            "an attempt overtakes the cancellation"
+        )
+        assert not request.answers, "an attempt after the answer"
+        assert not request.gone_at or now <= request.gone_at + GONE_FOR, "an attempt for a client that has disconnected"
+        assert self.states[link.pool.name] == "Ready", "an attempt to a draining engine"
+        assert len(request.attempt_times) < SETTINGS.max_attempts, "too many attempts"
+        assert rules.idempotency != "fragile" or not request.possibly_executed, (
+            "a retry although the request may have run"
         )
-        assert not asked.answers, "an attempt after the answer"
-        assert not asked.went or now <= asked.went + GONE_FOR, "an attempt for a client that has gone"
-        assert self.states[link.pool.name] == "Ready", "an attempt to an engine that drains"
-        assert len(asked.wants) < SETTINGS.max_attempts, "too many attempts"
-        assert told.idempotency != "fragile" or not asked.maybe, "a further attempt with no proof"
-        window = min(asked.maybe.values(), default=now) + WINDOW
-        assert told.idempotency != "dedup" or now < window, "out of its window"
-        if self.links[link].ended:  # it crosses the engine's end and comes to nobody
+        window = min(request.possibly_executed.values(), default=now) + WINDOW
+        assert rules.idempotency != "dedup" or now < window, "a retry after the idempotency window"
+        if self.links[link].ended:  # crosses the engine's disconnect: the attempt does not arrive
             return
-        asked.maybe[len(asked.wants)] = now
-        asked.wants.append(now)
-        asked.out = link
+        request.possibly_executed[len(request.attempt_times)] = now
+        request.attempt_times.append(now)
+        request.in_flight_on = link
 
-    def told(self, answer):
-        asked = self.mine.get(answer["id"])
-        if asked is None:
+    def check_answer(self, answer):
+        request = self.requests_of_client.get(answer["id"])
+        if request is None:
             return
-        asked.answers.append(answer)
-        assert len(asked.answers) == 1, "a second answer"
+        request.answers.append(answer)
+        assert len(request.answers) == 1, "a second answer"
         refused = answer.get("error", {}).get("code") == -32008
-        assert not (refused and asked.cls == "once" and asked.maybe), "a refusal with no proof"
+        assert not (refused and request.cls == "once" and request.possibly_executed), (
+            "a rejection although the request may have run"
+        )
         assert "result" not in answer or base64.b64decode(answer["result"]["body"]) == ROWS
 
     # ---- the client
 
     @rule(
-        cls=st.sampled_from([told.name for told in CLASSES]),
+        cls=st.sampled_from([settings.name for settings in CLASSES]),
         budget=st.sampled_from([300, 900, 900]),
         goes=st.sampled_from(["", "", "", "", "cancel", "close"]),
     )
-    def asks(self, cls, budget, goes):
+    def client_sends_requests(self, cls, budget, goes):
         if self.client.over:
             self.connect()
         for _ in range(1 if self.client.ended else 3):
             self.one_request(cls, budget)
         if goes and not self.client.ended:
-            self.cancels(0, True) if goes == "cancel" else self.goes(False)
+            self.client_cancels(0, True) if goes == "cancel" else self.client_disconnects(False)
 
     def one_request(self, cls, budget):
         number = next(self.numbers)
-        asked = self.asked[f"{number:016x}"] = self.mine[number] = Asked(number, cls, budget, self.clock.time)
+        request = self.requests[f"{number:016x}"] = self.requests_of_client[number] = ClientRequest(
+            number, cls, budget, self.clock.time
+        )
         body = base64.b64encode(b"SELECT 1 FROM a_3.b").decode()
         self.say(
             {
                 "jsonrpc": "2.0",
                 "id": number,
                 "method": cls,
-                "params": {"rid": asked.rid, "budget": budget, "acct": "acme", "body": body, "token": f"k{number}"},
+                "params": {"rid": request.rid, "budget": budget, "acct": "acme", "body": body, "token": f"k{number}"},
             }
         )
 
     def say(self, message):
         self.client.send(json.dumps(message).encode() + b"\n")
 
-    @precondition(lambda self: self.mine and not self.client.over)
+    @precondition(lambda self: self.requests_of_client and not self.client.over)
     @rule(which=st.integers(0, 3), last=st.booleans())
-    def cancels(self, which, last):
-        open_ = [asked for asked in self.mine.values() if not asked.answers and not asked.went]
+    def client_cancels(self, which, last):
+        open_ = [request for request in self.requests_of_client.values() if not request.answers and not request.gone_at]
         if open_:
-            asked = open_[-1 if last else which % len(open_)]
-            self.say({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": asked.number}})
-            asked.went = self.clock.time
+            request = open_[-1 if last else which % len(open_)]
+            self.say({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": request.number}})
+            request.gone_at = self.clock.time
 
     @precondition(lambda self: self.core.queries and not self.client.over)
     @rule(span=st.sampled_from([60, 200]), how=st.sampled_from(["cancel", "close"]))
-    def goes_while_the_loop_stands_still(self, span, how):
-        self.cancels(0, True) if how == "cancel" else self.goes(False)
-        self.stands_still(span)
+    def client_disconnects_while_loop_is_paused(self, span, how):
+        self.client_cancels(0, True) if how == "cancel" else self.client_disconnects(False)
+        self.pause_loop(span)
 
     @precondition(lambda self: self.core.queries and not self.client.over)
     @rule(reset=st.booleans())
-    def goes(self, reset):
+    def client_disconnects(self, reset):
         if self.client.over or self.client.ended:
             return
         self.client.end(reset)
-        for asked in self.mine.values():
-            asked.went = asked.went or self.clock.time
+        for request in self.requests_of_client.values():
+            request.gone_at = request.gone_at or self.clock.time
 
     @precondition(lambda self: self.core.queries)
     @rule()
-    def half_a_request_then_the_end(self):
+    def client_sends_partial_request_and_disconnects(self):
         self.client.send(b'{"jsonrpc":"2.0","id":9')
-        self.goes(False)
+        self.client_disconnects(False)
 
     @precondition(lambda self: self.core.queries and not self.client.over)
     @rule()
-    def stops_taking_its_answers(self):
-        """It is paused for that: its end can't be seen."""
+    def client_stops_reading(self):
+        """Reading from the client is paused then, so its disconnect is not detected."""
         if not self.client.over and self.client.wire.producerState == "producing":
             self.client.protocol.pauseProducing()
 
     @precondition(lambda self: self.core.queries and not self.client.over)
     @rule()
-    def goes_while_it_is_not_read_from(self):
-        self.stops_taking_its_answers()
-        self.goes(False)
+    def client_disconnects_while_reading_is_paused(self):
+        self.client_stops_reading()
+        self.client_disconnects(False)
         self.run(250 * MS)
 
     @precondition(lambda self: self.client.wire.producerState == "paused")
     @rule()
-    def takes_its_answers_again(self):
+    def client_resumes_reading(self):
         if not self.client.over and self.client.wire.producerState == "paused":
             self.client.protocol.resumeProducing()
-            for asked in self.mine.values():  # what was not read meanwhile has its time from now
-                asked.due = max(asked.due, self.clock.time + asked.budget * MS)
+            for (
+                request
+            ) in self.requests_of_client.values():  # the deadline of a request that was not read yet counts from now
+                request.due = max(request.due, self.clock.time + request.budget * MS)
 
     # ---- engines
 
     @precondition(lambda self: self.dials)
     @rule()
-    def all_dials_are_up(self):
+    def connect_all_dials(self):
         while self.dials:
-            self.dial_is_up(0)
+            self.connect_dial(0)
 
     @precondition(lambda self: self.dials)
     @rule(which=st.integers(0, 3))
-    def dial_is_up(self, which):
+    def connect_dial(self, which):
         link = self.dials.pop(which % len(self.dials))
         del link.pool.dials[link]
-        self.links[link] = socket = Socket(link)
+        self.links[link] = socket = FakeSocket(link)
         link.makeConnection(socket.wire)
-        self.look()
+        self.check_written()
 
     @precondition(lambda self: self.dials)
     @rule(which=st.integers(0, 3))
-    def dial_is_refused(self, which):
+    def refuse_dial(self, which):
         self.dial_fails(self.dials[which % len(self.dials)])
-        self.look()
+        self.check_written()
 
     def dial_fails(self, link):
         self.dials.remove(link)
         link.pool.dial_failed(link)
 
-    @precondition(lambda self: any(asked.out for asked in self.asked.values()))
+    @precondition(lambda self: any(request.in_flight_on for request in self.requests.values()))
     @rule(
         which=st.integers(0, 5),
         word=st.sampled_from([b"200", b"200", b"503", b"503", b"504", b"500", b"spoilt"]),
         twice=st.booleans(),
     )
-    def answers(self, which, word, twice):
-        out = [asked for asked in self.asked.values() if asked.out]
-        asked = out[which % len(out)]
+    def engine_answers(self, which, word, twice):
+        in_flight = [request for request in self.requests.values() if request.in_flight_on]
+        request = in_flight[which % len(in_flight)]
         spoilt, word = word == b"spoilt", word if word != b"spoilt" else b"200"
-        answer = b"".join(encode_command(asked.rid.encode(), word, b"chunks=1", b"spoilt" if spoilt else ROWS))
-        socket, asked.out = self.links[asked.out], None
+        answer = b"".join(encode_command(request.rid.encode(), word, b"chunks=1", b"spoilt" if spoilt else ROWS))
+        socket, request.in_flight_on = self.links[request.in_flight_on], None
         socket.send(answer * (1 + twice))
-        if word in NEVER_RAN:
-            asked.maybe.pop(len(asked.wants) - 1)
+        if word in REJECTING_WORDS:
+            request.possibly_executed.pop(len(request.attempt_times) - 1)
 
-    @precondition(lambda self: any(asked.out and asked.answers for asked in self.asked.values()))
+    @precondition(lambda self: any(request.in_flight_on and request.answers for request in self.requests.values()))
     @rule()
-    def answers_what_is_answered(self):
-        asked = next(asked for asked in self.asked.values() if asked.out and asked.answers)
-        self.links[asked.out].send(b"".join(encode_command(asked.rid.encode(), b"200", b"chunks=1", ROWS)))
-        asked.out = None
+    def engine_answers_completed_request(self):
+        request = next(request for request in self.requests.values() if request.in_flight_on and request.answers)
+        self.links[request.in_flight_on].send(b"".join(encode_command(request.rid.encode(), b"200", b"chunks=1", ROWS)))
+        request.in_flight_on = None
 
     @precondition(lambda self: self.links)
     @rule(which=st.integers(0, 5), reset=st.booleans())
-    def engine_ends_it(self, which, reset):
+    def engine_disconnects(self, which, reset):
         link, socket = list(self.links.items())[which % len(self.links)]
         socket.end(reset)
-        self.nothing_out(link)
+        self.clear_in_flight(link)
 
-    def nothing_out(self, link):
-        for asked in self.asked.values():
-            asked.out = None if asked.out is link else asked.out
+    def clear_in_flight(self, link):
+        for request in self.requests.values():
+            request.in_flight_on = None if request.in_flight_on is link else request.in_flight_on
 
     @precondition(lambda self: self.core.queries)
     @rule(name=st.sampled_from(["e0", "e1"]), state=st.sampled_from(["Ready", "Draining", "gone"]))
-    def news(self, name, state):
+    def update_endpoint(self, name, state):
         self.states[name] = state
         there = {name: state for name, state in self.states.items() if state != "gone"}
         entries = [t.EngineEntry(name, "z", "std", state=state) for name, state in there.items()]
         self.core.update_endpoints(entries, 2)
         self.pools.update_endpoints({name: ("127.0.0.1", int(name[1:])) for name in there}, entries)
-        self.look()
+        self.check_written()
 
     @precondition(lambda self: self.dials)
     @rule(state=st.sampled_from(["Draining", "gone"]))
-    def a_dial_ends_as_its_engine_drains(self, state):
+    def connect_dial_while_engine_drains(self, state):
         link = self.dials[0]
-        self.news(link.pool.name, state)
+        self.update_endpoint(link.pool.name, state)
         if link in self.dials:
-            self.dial_is_up(self.dials.index(link))
+            self.connect_dial(self.dials.index(link))
 
     # ---- time
 
-    @precondition(lambda self: self.asked)
+    @precondition(lambda self: self.requests)
     @rule(span=st.sampled_from([1, 20, 80, 250]))
-    def passes(self, span):
+    def time_passes(self, span):
         self.run(span * MS)
 
     @precondition(lambda self: self.core.queries)
     @rule(span=st.sampled_from([60, 200, 500]))
-    def stands_still(self, span):
-        """The process does not run; then it has the same turns as ever."""
+    def pause_loop(self, span):
+        """Let time pass without an iteration, then run some."""
         self.clock.time += span * MS
-        self.stood = self.clock.time
+        self.paused_until = self.clock.time
         for _ in range(6):
-            self.turn()
+            self.run_iteration()
 
-    @precondition(lambda self: self.core.accepting and len(self.asked) > 9)
+    @precondition(lambda self: self.core.accepting and len(self.requests) > 9)
     @rule(seldom=st.integers(0, 3))
     def sigterm(self, seldom):
         if not seldom:
             self.core.start_draining(200 * MS)
 
 
-REACHED = [f"{client}, {process}" for client in ("read", "paused", "over") for process in ("accepting", "draining")]
+REQUIRED_STATES = [
+    f"{client}, {process}" for client in ("read", "paused", "over") for process in ("accepting", "draining")
+]
 
 
-def commands(said):
-    """The arrays of bulk strings that were written."""
+def commands(data):
+    """Return the arrays of bulk strings in the written bytes."""
     found = []
-    while said:
-        head, _, said = said.partition(b"\r\n")
+    while data:
+        header, _, data = data.partition(b"\r\n")
         words = []
-        for _ in range(int(head[1:])):
-            size, _, said = said.partition(b"\r\n")
-            words.append(said[: int(size[1:])])
-            said = said[int(size[1:]) + 2 :]
+        for _ in range(int(header[1:])):
+            size, _, data = data.partition(b"\r\n")
+            words.append(data[: int(size[1:])])
+            data = data[int(size[1:]) + 2 :]
         found.append(words)
     return found
 
 
-# A failing run is printed as it was found: to shrink it takes minutes, and the steps are few enough to read.
-TestCrossingsModel = coverage_test(CrossingsModel, settings(STEPS, phases=[Phase.explicit, Phase.generate]), REACHED)
+# A failing run is printed without shrinking, which would take minutes; the steps are few enough to read.
+TestCrossingsModel = coverage_test(
+    CrossingsModel, settings(STEPS, phases=[Phase.explicit, Phase.generate]), REQUIRED_STATES
+)
 
 
-# ---- planted mistakes
+# ---- injected bugs
 
 
-def in_any_turn(patch):
+def calls_not_deferred(patch):
     patch.setattr(Timers, "call_after_reads", lambda self, late, call, *args: call(*args))
 
 
-def left_to_the_module(patch):
+def attempts_not_cancelled_at_completion(patch):
     real = RequestCompletion.complete
 
-    def end(self, query, how, *said):
-        out, query.in_flight = query.in_flight, {}
+    def end(self, query, how, *details):
+        attempts, query.in_flight = query.in_flight, {}
         try:
-            return real(self, query, how, *said)
+            return real(self, query, how, *details)
         finally:
-            query.in_flight = out
+            query.in_flight = attempts
 
     patch.setattr(RequestCompletion, "complete", end)
 
 
-def sent_to_the_deaf(patch):
+def sent_while_reading_is_paused(patch):
     patch.setattr(Attempt, "send_blocked_by", lambda self, now, lease=None: "NOCONN" if 0 < self.send_by <= now else "")
 
 
-def old_bytes_as_new(patch):
+def unread_input_ignored(patch):
     patch.setattr(Client, "may_have_unread_input", property(lambda self: False, lambda self, value: None))
 
 
-def out_of_the_window(patch):
+def send_by_and_lease_ignored(patch):
     patch.setattr(
         Attempt, "send_blocked_by", lambda self, now, lease=None: "NOP" if self.query.reply.reading_paused else ""
     )
 
 
-def no_hand_over(patch):
+def no_delay_after_cancellation(patch):
     def give_up(self, attempt, reason):
         if not attempt.done:
             attempt.state = AttemptState.CANCELLING
@@ -597,17 +612,17 @@
     patch.setattr(AttemptRunner, "give_up", give_up)
 
 
-def a_second_end(patch):
+def completed_twice(patch):
     real = RequestCompletion.complete
 
-    def end(self, query, how, *said):
+    def end(self, query, how, *details):
         query.closed = False
-        return real(self, query, how, *said)
+        return real(self, query, how, *details)
 
     patch.setattr(RequestCompletion, "complete", end)
 
 
-def a_drain_unheeded(patch):
+def draining_ignored_by_pools(patch):
     patch.setattr(
         EnginePools,
         "update_endpoints",
@@ -615,84 +630,88 @@
     )
 
 
-def late_is_proof(patch):
+def time_out_counts_as_not_executed(patch):
     outcomes = (*retries.NOT_EXECUTED_OUTCOMES, "LATE", "RST", "BAD")
     patch.setattr(retries, "NOT_EXECUTED_OUTCOMES", outcomes)
-    patch.setattr(lifecycle, "NOT_EXECUTED_OUTCOMES", outcomes)  # the decisions' own use of it
+    patch.setattr(lifecycle, "NOT_EXECUTED_OUTCOMES", outcomes)  # imported there by name
 
 
-def a_lost_client_stays(patch):
+def disconnect_ignored(patch):
     patch.setattr(coordinator.Coordinator, "disconnect_client", lambda self, query: None)
 
 
-def an_answer_forgotten(patch):
+def first_attempt_never_completed(patch):
     real = AttemptRunner.complete
-    patch.setattr(AttemptRunner, "complete", lambda self, one, *said: real(self, one, *said) if one.number else None)
-
-
-PLANTS = (
-    in_any_turn,
-    left_to_the_module,
-    sent_to_the_deaf,
-    old_bytes_as_new,
-    out_of_the_window,
-    no_hand_over,
-    a_second_end,
-    a_drain_unheeded,
-    late_is_proof,
-    a_lost_client_stays,
-    an_answer_forgotten,
+    patch.setattr(
+        AttemptRunner, "complete", lambda self, one, *details: real(self, one, *details) if one.number else None
+    )
+
+
+INJECTED_BUGS = (
+    calls_not_deferred,
+    attempts_not_cancelled_at_completion,
+    sent_while_reading_is_paused,
+    unread_input_ignored,
+    send_by_and_lease_ignored,
+    no_delay_after_cancellation,
+    completed_twice,
+    draining_ignored_by_pools,
+    time_out_counts_as_not_executed,
+    disconnect_ignored,
+    first_attempt_never_completed,
 )
 SEARCH = settings(STEPS, max_examples=2_000, phases=[Phase.generate], report_multiple_bugs=False)
 
 
-@pytest.mark.parametrize("plant", PLANTS, ids=lambda plant: plant.__name__)
-def test_the_model_finds_a_planted_mistake(plant, monkeypatch):
-    plant(monkeypatch)
+@pytest.mark.parametrize("inject", INJECTED_BUGS, ids=lambda inject: inject.__name__)
+def test_model_detects_injected_bug(inject, monkeypatch):
+    inject(monkeypatch)
     with pytest.raises((AssertionError, KeyError, AttributeError)) as found:
         run_state_machine_as_test(CrossingsModel, settings=SEARCH)
-    print(plant.__name__, found.value)
+    print(inject.__name__, found.value)
 
 
-UNREAD_TWICE = (
+FAILING_RUN = (
     ("begin", {"prompt": 1, "cancel": False, "eager": 0}),
-    ("cancels", {"last": False, "which": 2}),
-    ("asks", {"budget": 900, "cls": "once", "goes": ""}),
-    ("cancels", {"last": True, "which": 2}),
-    ("asks", {"budget": 900, "cls": "once", "goes": "cancel"}),
-    ("cancels", {"last": True, "which": 2}),
-    ("asks", {"budget": 300, "cls": "lookup", "goes": ""}),
+    ("client_cancels", {"last": False, "which": 2}),
+    ("client_sends_requests", {"budget": 900, "cls": "once", "goes": ""}),
+    ("client_cancels", {"last": True, "which": 2}),
+    ("client_sends_requests", {"budget": 900, "cls": "once", "goes": "cancel"}),
+    ("client_cancels", {"last": True, "which": 2}),
+    ("client_sends_requests", {"budget": 300, "cls": "lookup", "goes": ""}),
     ("sigterm", {"seldom": 1}),
     ("sigterm", {"seldom": 2}),
-    ("cancels", {"last": True, "which": 1}),
-    ("cancels", {"last": True, "which": 0}),
-    ("asks", {"budget": 300, "cls": "lookup", "goes": ""}),
-    ("asks", {"budget": 900, "cls": "lookup", "goes": ""}),
-    ("passes", {"span": 20}),
-    ("asks", {"budget": 300, "cls": "load", "goes": ""}),
-    ("cancels", {"last": True, "which": 1}),
-    ("engine_ends_it", {"reset": False, "which": 5}),
-    ("cancels", {"last": False, "which": 1}),
-    ("asks", {"budget": 300, "cls": "once", "goes": ""}),
-    ("goes_while_it_is_not_read_from", {}),
-    ("asks", {"budget": 300, "cls": "load", "goes": ""}),
-    ("news", {"name": "e1", "state": "gone"}),
-    ("engine_ends_it", {"reset": True, "which": 0}),
-    ("asks", {"budget": 900, "cls": "load", "goes": ""}),
-    ("cancels", {"last": False, "which": 2}),
-    ("takes_its_answers_again", {}),
-    ("goes", {"reset": True}),
-    ("goes_while_it_is_not_read_from", {}),
+    ("client_cancels", {"last": True, "which": 1}),
+    ("client_cancels", {"last": True, "which": 0}),
+    ("client_sends_requests", {"budget": 300, "cls": "lookup", "goes": ""}),
+    ("client_sends_requests", {"budget": 900, "cls": "lookup", "goes": ""}),
+    ("time_passes", {"span": 20}),
+    ("client_sends_requests", {"budget": 300, "cls": "load", "goes": ""}),
+    ("client_cancels", {"last": True, "which": 1}),
+    ("engine_disconnects", {"reset": False, "which": 5}),
+    ("client_cancels", {"last": False, "which": 1}),
+    ("client_sends_requests", {"budget": 300, "cls": "once", "goes": ""}),
+    ("client_disconnects_while_reading_is_paused", {}),
+    ("client_sends_requests", {"budget": 300, "cls": "load", "goes": ""}),
+    ("update_endpoint", {"name": "e1", "state": "gone"}),
+    ("engine_disconnects", {"reset": True, "which": 0}),
+    ("client_sends_requests", {"budget": 900, "cls": "load", "goes": ""}),
+    ("client_cancels", {"last": False, "which": 2}),
+    ("client_resumes_reading", {}),
+    ("client_disconnects", {"reset": True}),
+    ("client_disconnects_while_reading_is_paused", {}),
 )
 
 
-def test_nothing_begins_for_a_client_that_goes_while_it_is_not_read_from_after_another_has_gone():
-    """A run that the model found: each step's preconditions hold, as in a run of the model."""
+def test_no_attempt_begins_for_a_client_that_disconnects_while_reading_is_paused():
+    """Replays a failing run that the model found, after another client has disconnected; preconditions are checked."""
     model = CrossingsModel()
     try:
-        for step, words in UNREAD_TWICE:
+        for step, words in FAILING_RUN:
             rule = getattr(getattr(CrossingsModel, step), "hypothesis_stateful_rule", None)
-            assert rule is None or all(holds(model) for holds in rule.preconditions), f"{step} can't be"
+            assert rule is None or all(holds(model) for holds in rule.preconditions), (
+                f"the preconditions of {step} do not hold"
+            )
             getattr(model, step)(**words)
     finally:
         model.teardown()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: what it passes over, and what it does not."""
+"""The list of known failures: listed tests are expected to fail, and every other result fails the run."""
 
 import subprocess
 import sys
@@ -21,7 +21,7 @@
 
 
 def run(place, listed, *words):
-    """Pytest in a project of its own, with this suite's conftest and that list."""
+    """Run pytest in a separate project with this suite's conftest and the given list."""
     tests = place / "tests"
     tests.mkdir()
     for name in ("conftest.py", "fixed_draws.py", "known_red.py"):
@@ -37,18 +37,18 @@
     return f"tests/test_some.py::{name} ; a command, seed 7 ; what was seen ; an issue\n"
 
 
-def test_just_the_listed_tests_are_passed_over_and_they_are_printed(tmp_path):
+def test_listed_tests_may_fail_and_are_printed(tmp_path):
     done = run(tmp_path, line("test_red") + line("test_other_red"))
     assert done.returncode == 0 and "1 passed, 2 xfailed" in done.stdout
     assert "test_some.py::test_red - what was seen (an issue; a command, seed 7)" in done.stdout
 
 
-def test_a_failure_that_is_not_listed_fails_the_run(tmp_path):
+def test_unlisted_failure_fails_the_run(tmp_path):
     done = run(tmp_path, line("test_red"))
     assert done.returncode == 1 and "1 failed, 1 passed, 1 xfailed" in done.stdout
 
 
-def test_a_listed_test_that_passes_fails_the_run(tmp_path):
+def test_listed_test_that_passes_fails_the_run(tmp_path):
     done = run(tmp_path, line("test_red") + line("test_other_red") + line("test_green"))
     assert done.returncode == 1 and "[XPASS(strict)] what was seen (an issue; a command, seed 7)" in done.stdout
 
@@ -66,12 +66,12 @@
         ("# why\n\ntests/test_some.py::test_red, a cause\n", "line 3: not"),
     ],
 )
-def test_a_list_that_can_t_be_used_fails_the_run(tmp_path, listed, said):
+def test_invalid_list_fails_the_run(tmp_path, listed, said):
     done = run(tmp_path, listed)
     assert done.returncode != 0 and said in done.stdout + done.stderr
 
 
-def test_any_number_of_faults_may_be_listed(tmp_path):
+def test_list_may_have_any_number_of_entries(tmp_path):
     more = "".join(f"\ndef test_red_{number}():\n    assert False\n" for number in range(5))
     (tmp_path / "test_more.py").write_text(more)
     listed = "".join(line(f"test_red_{number}").replace("tests/test_some", "test_more") for number in range(5))
@@ -79,6 +79,6 @@
     assert done.returncode == 0 and "1 passed, 7 xfailed" in done.stdout, done.stdout
 
 
-def test_the_list_of_this_project_can_be_read():
+def test_list_of_this_project_is_valid():
     if known_red.LIST.exists():
         known_red.read(known_red.LIST.read_text())
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The structured log: what an event's line holds, and that nothing is written or rendered while its level is off."""
+"""The structured log: the content of a line, and that events below the level are neither written nor rendered."""
 
 import logging
 
@@ -12,7 +12,7 @@
 
 class Unrendered:
     def __str__(self):
-        raise AssertionError("a field of an event that is off was rendered")
+        raise AssertionError("a field of an event below the level was rendered")
 
 
 @pytest.fixture
@@ -21,12 +21,12 @@
 
 
 @pytest.mark.parametrize("name, number", [("", logging.INFO), ("debug", logging.DEBUG), ("DEBUG", 10), ("odd", 20)])
-def test_the_environment_sets_the_level(level, name, number):
+def test_environment_sets_the_level(level, name, number):
     level(name)
     assert logs.level() == number
 
 
-def test_an_event_is_its_name_and_its_fields_and_a_monotonic_time(level, caplog):
+def test_event_has_a_name_fields_and_a_monotonic_time(level, caplog):
     level("debug")
     with caplog.at_level("DEBUG", logger="rackhub.some"):
         logs.logger("rackhub.some").debug("request_refused", request="a1", reason="100% full")
@@ -35,14 +35,14 @@
     assert record.name == "rackhub.some"
 
 
-def test_what_is_off_is_not_rendered(level, caplog):
+def test_event_below_the_level_is_not_rendered(level, caplog):
     level("info")
     with caplog.at_level("DEBUG", logger="rackhub.some"):
         logs.logger("rackhub.some").debug("request_refused", request=Unrendered())
     assert not caplog.records
 
 
-def test_a_failure_is_told_with_its_trace(level, caplog):
+def test_exception_is_logged_with_its_traceback(level, caplog):
     level("info")
     try:
         raise KeyError("gone")
@@ -51,8 +51,8 @@
     assert "module_failed on=an event at=" in caplog.text and "KeyError: 'gone'" in caplog.text
 
 
-def test_a_request_can_be_followed_by_its_id(level, caplog, monkeypatch):
-    """From its arrival over its attempt to its end, with the reason of each."""
+def test_events_of_a_request_contain_its_id(level, caplog, monkeypatch):
+    """A request's events go from its admission over its attempt to its end, each with a reason."""
     level("debug")
     for module in (admission, attempts, request_completion, resp):
         monkeypatch.setattr(module, "log", logs.logger(module.__name__))
@@ -68,10 +68,12 @@
                 b'{"rid":"00000000000000a1","budget":900,"acct":"acme","body":"c2VsZWN0IDE="}}'
             )
             spin(lambda: client.lines)
-        told = [record.getMessage().partition(" at=")[0] for record in caplog.records]
-        events = [line.split()[0] for line in told if "request=00000000000000a1" in line]
+        messages = [record.getMessage().partition(" at=")[0] for record in caplog.records]
+        events = [line.split()[0] for line in messages if "request=00000000000000a1" in line]
         assert events[:4] == ["request_admitted", "attempt_chosen", "attempt_written", "attempt_ended"]
         assert events[-2:] == ["request_rejected", "request_ended"]
-        assert any("reason=FULL" in line for line in told) and any("no further attempt after FULL" in x for x in told)
+        assert any("reason=FULL" in line for line in messages) and any(
+            "no further attempt after FULL" in message for message in messages
+        )
     finally:
         site.close()
--- a/tests/test_momentary_faults.py
+++ b/tests/test_momentary_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment under a real process, as Linux documents them: nobody loses a request by it."""
+"""Transient failures of accept in a real process, with the errors that Linux documents: no request is lost."""
 
 import errno
 
@@ -12,11 +12,11 @@
 import os, socket
 left = [{count}]
 inner = socket.socket.{call}
-def failing(self, *given):
+def failing(self, *arguments):
     if left[0]:
         left[0] -= 1
         raise OSError({number}, os.strerror({number}))
-    return inner(self, *given)
+    return inner(self, *arguments)
 socket.socket.{call} = failing
 """
 
@@ -31,27 +31,27 @@
         ("accept", errno.ENOMEM),
     ],
 )
-def test_a_newcomer_whose_accept_fails_for_a_moment_is_answered(tmp_path, things, call, number):
+def test_client_is_answered_after_accept_has_failed_three_times(tmp_path, things, call, number):
     engine = things(EngineStandIn("a").start())
     resolver = things(ResolverStandIn(engine.entry()))
-    plant = FAILING.format(call=call, number=number, count=3)
-    process = things(Served(tmp_path, resolver, engine, plant=plant, settings=SITE))
+    prelude = FAILING.format(call=call, number=number, count=3)
+    process = things(Served(tmp_path, resolver, engine, prelude=prelude, settings=SITE))
     client = things(process.client())
     client.send(request(1, budget=2_000))
     until(lambda: 1 in client.answers, "an answer")
     (answer,) = client.answers[1]
-    assert "result" in answer or answer["error"]["code"] == -32008  # refused where the machine is late
+    assert "result" in answer or answer["error"]["code"] == -32008  # rejected if the event loop is late
 
 
-class Spare:
+class AlwaysAvailable:
     def available(self):
         return True
 
 
-def test_the_spare_descriptor_is_kept_back_until_a_shortage_has_lasted():
+def test_reserved_descriptor_is_not_available_until_the_shortage_has_lasted():
     now = [0.0]
-    reservation = DelayedReservation(Spare(), lambda: now[0])
-    told = []
+    reservation = DelayedReservation(AlwaysAvailable(), lambda: now[0])
+    results = []
     for now[0] in (10.0, 10.05, 10.25, 10.5, 10.75 + DelayedReservation.SHORTAGE_GAP_S):
-        told.append(reservation.available())
-    assert told == [False, False, True, True, False]
+        results.append(reservation.available())
+    assert results == [False, False, True, True, False]
--- a/tests/test_statement.py
+++ b/tests/test_statement.py
@@ -1,4 +1,4 @@
-"""The group of tables that a statement names, and the traps of finding it by text alone."""
+"""The table group of a statement, with strings, comments and quoted names that look like tables."""
 
 import pytest
 
