--- a/rackhub/daemon.py
+++ b/rackhub/daemon.py
@@ -166,9 +166,8 @@
     def _listen(self) -> None:
         for (host, port), factory in self.listeners:
             self._listening_sockets.append(SharedPort(reactor, host, port, factory, LISTEN_BACKLOG))
-        for component in list(
-            self.components.values()
-        ):  # a copy: the fleet's rule set may load the timings component meanwhile
+        # A copy, because the fleet's rule set may load the timings component meanwhile.
+        for component in list(self.components.values()):
             component.open()
         self._serving = True
         LoopingCall(self.engines.sweep).start(POOL_SWEEP_INTERVAL_S, now=False)
--- a/tests/real_process.py
+++ b/tests/real_process.py
@@ -99,7 +99,7 @@
             self.port.setsockopt(socket.SOL_SOCKET, getattr(socket, option), value)
         self.port.bind(("127.0.0.1", 0))
         self.port.listen(128)
-        self.address = self.port.getsockname()
+        self.socket_address = self.port.getsockname()
 
     def start(self):
         threading.Thread(target=self._accept, daemon=True).start()
@@ -107,7 +107,7 @@
 
     def entry(self, priority=READY, started=0):
         """Return the engine's entry in the resolver's answer."""
-        return self.name, self.address[0], priority, started, self.address[1]
+        return self.name, self.socket_address[0], priority, started, self.socket_address[1]
 
     def _accept(self):
         with contextlib.suppress(OSError):
@@ -184,7 +184,7 @@
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             self.port = probe.getsockname()[1]
-        entries = [endpoint(each.name) | {"address": "{}:{}".format(*each.address)} for each in engines]
+        entries = [endpoint(each.name) | {"address": "{}:{}".format(*each.socket_address)} for each in engines]
         self.file, self.config_fields = directory / "c.json", {"nameserver": resolver.address} | more
         self.config_fields |= {
             "listen": f"127.0.0.1:{self.port}",
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -223,9 +223,8 @@
 def test_late_event_loop_rejects_requests_until_it_has_caught_up():
     """On a scored day one CPU core was too slow for the load: iterations got longer until answers were 10 s late."""
     harness = CoordinatorHarness()
-    harness.clock.time += (
-        LIMITS.deadline_check_interval + LIMITS.max_event_loop_delay + 1
-    )  # the event loop was busy: its timers fire late
+    # The event loop was busy, so its timers fire late.
+    harness.clock.time += LIMITS.deadline_check_interval + LIMITS.max_event_loop_delay + 1
     harness.clock.advance(0)
     harness.ask()
     assert [kind for kind, *_ in harness.port.answers] == ["refused"] and harness.counters["over_behind"] == 1
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -508,9 +508,8 @@
     spin(lambda: site.counters["engine_strays"] == 1 + (first == "time-out"))
     run_iterations(site)
     assert ["result" in answer for answer in client.heard()] == [first == "answer"]
-    assert (
-        is_idle(site) and site.counters["served"] + site.counters["refused"] == 1 + 1
-    )  # including the request of `open_engine_connection`
+    # The counts include the request of `open_engine_connection`.
+    assert is_idle(site) and site.counters["served"] + site.counters["refused"] == 1 + 1
 
 
 # ---- a request is completed once, whatever completes it
--- a/tests/test_incident_drain.py
+++ b/tests/test_incident_drain.py
@@ -245,7 +245,7 @@
     behind = things(ResolverStandIn(drained.entry(), sound.entry()))
     process = things(Served(tmp_path, resolver, drained, sound, settings=SETTINGS))
     client = things(process.client())
-    change = endpoint("a") | {"address": "{}:{}".format(*drained.address), "status": "draining"}
+    change = endpoint("a") | {"address": "{}:{}".format(*drained.socket_address), "status": "draining"}
     notices = [*process.config_fields["known"]["notices"], watch_notice(4, change)]
     process.config_fields |= {"nameserver": behind.address, "known": {"rev": 4, "notices": notices}}
     process.file.write_text(json.dumps(platform_config(**process.config_fields)))
