--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -272,10 +272,10 @@
 
 
 def test_listening_address_in_use_is_reported(tmp_path):
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        listen = f"127.0.0.1:{taken.getsockname()[1]}"
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        listen = f"127.0.0.1:{listener.getsockname()[1]}"
         (tmp_path / "c.json").write_text(json.dumps(platform_config(listen=listen)))
         done = subprocess.run(
             [sys.executable, "-m", "rackhub", "serve", "--config", str(tmp_path / "c.json")],
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -264,19 +264,21 @@
 
 def test_draining_rejects_new_requests_and_serves_admitted_ones():
     harness = CoordinatorHarness()
-    taken = harness.ask(budget=2 * S)
+    admitted = harness.ask(budget=2 * S)
     assert harness.core.accepting
     harness.core.start_draining(500 * MS)
     assert not harness.core.accepting
     short, long = harness.ask(budget=200 * MS), harness.ask(budget=2 * S)
     assert harness.port.answers == [("refused", short.id, 500 * MS), ("refused", long.id, 500 * MS)]
-    assert [attempt.query for attempt in harness.port.sent] == [taken] and list(harness.core.queries) == [taken.id]
+    assert [attempt.query for attempt in harness.port.sent] == [admitted] and list(harness.core.queries) == [
+        admitted.id
+    ]
     assert harness.counters["refused_ending"] == 2 and harness.core.counts_by_class["lookup"][1] == 2
     harness.core.complete_attempt(harness.port.sent[0], "BAD")  # retries of an admitted request continue
     harness.clock.advance(200 * MS)
-    assert [attempt.query for attempt in harness.port.sent] == [taken, taken]
+    assert [attempt.query for attempt in harness.port.sent] == [admitted, admitted]
     harness.core.complete_attempt(harness.port.sent[1], "GOOD", {}, (b"a",))
-    assert harness.port.answers[2:] == [("served", taken.id, b"a")]
+    assert harness.port.answers[2:] == [("served", admitted.id, b"a")]
 
 
 def test_counts_by_class_include_every_outcome():
--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -261,7 +261,9 @@
             socket.end()
         self.run(200 * MS)
         assert not self.core.queries and not self.core.in_flight and self.core.statement_bytes == 0
-        assert not any(link.open for link in self.links) and not any(one.protocol.open for one in self.clients)
+        assert not any(link.open for link in self.links) and not any(
+            connection.protocol.open for connection in self.clients
+        )
         counted = sum(self.counters[how] for how in ("served", "refused", "failed", "left"))
         assert counted == self.counters["requests_in"]
         assert self.counters["attempts"] >= sum(len(request.attempt_times) for request in self.requests.values())
@@ -359,15 +361,15 @@
     @rule(
         cls=st.sampled_from([settings.name for settings in CLASSES]),
         budget=st.sampled_from([300, 900, 900]),
-        goes=st.sampled_from(["", "", "", "", "cancel", "close"]),
+        disconnects=st.sampled_from(["", "", "", "", "cancel", "close"]),
     )
-    def client_sends_requests(self, cls, budget, goes):
+    def client_sends_requests(self, cls, budget, disconnects):
         if self.client.over:
             self.connect()
         for _ in range(1 if self.client.ended else 3):
             self.one_request(cls, budget)
-        if goes and not self.client.ended:
-            self.client_cancels(0, True) if goes == "cancel" else self.client_disconnects(False)
+        if disconnects and not self.client.ended:
+            self.client_cancels(0, True) if disconnects == "cancel" else self.client_disconnects(False)
 
     def one_request(self, cls, budget):
         number = next(self.numbers)
@@ -643,7 +645,9 @@
 def first_attempt_never_completed(patch):
     real = AttemptRunner.complete
     patch.setattr(
-        AttemptRunner, "complete", lambda self, one, *details: real(self, one, *details) if one.number else None
+        AttemptRunner,
+        "complete",
+        lambda self, attempt, *details: real(self, attempt, *details) if attempt.number else None,
     )
 
 
@@ -674,28 +678,28 @@
 FAILING_RUN = (
     ("begin", {"prompt": 1, "cancel": False, "eager": 0}),
     ("client_cancels", {"last": False, "which": 2}),
-    ("client_sends_requests", {"budget": 900, "cls": "once", "goes": ""}),
+    ("client_sends_requests", {"budget": 900, "cls": "once", "disconnects": ""}),
     ("client_cancels", {"last": True, "which": 2}),
-    ("client_sends_requests", {"budget": 900, "cls": "once", "goes": "cancel"}),
+    ("client_sends_requests", {"budget": 900, "cls": "once", "disconnects": "cancel"}),
     ("client_cancels", {"last": True, "which": 2}),
-    ("client_sends_requests", {"budget": 300, "cls": "lookup", "goes": ""}),
+    ("client_sends_requests", {"budget": 300, "cls": "lookup", "disconnects": ""}),
     ("sigterm", {"seldom": 1}),
     ("sigterm", {"seldom": 2}),
     ("client_cancels", {"last": True, "which": 1}),
     ("client_cancels", {"last": True, "which": 0}),
-    ("client_sends_requests", {"budget": 300, "cls": "lookup", "goes": ""}),
-    ("client_sends_requests", {"budget": 900, "cls": "lookup", "goes": ""}),
+    ("client_sends_requests", {"budget": 300, "cls": "lookup", "disconnects": ""}),
+    ("client_sends_requests", {"budget": 900, "cls": "lookup", "disconnects": ""}),
     ("time_passes", {"span": 20}),
-    ("client_sends_requests", {"budget": 300, "cls": "load", "goes": ""}),
+    ("client_sends_requests", {"budget": 300, "cls": "load", "disconnects": ""}),
     ("client_cancels", {"last": True, "which": 1}),
     ("engine_disconnects", {"reset": False, "which": 5}),
     ("client_cancels", {"last": False, "which": 1}),
-    ("client_sends_requests", {"budget": 300, "cls": "once", "goes": ""}),
+    ("client_sends_requests", {"budget": 300, "cls": "once", "disconnects": ""}),
     ("client_disconnects_while_reading_is_paused", {}),
-    ("client_sends_requests", {"budget": 300, "cls": "load", "goes": ""}),
+    ("client_sends_requests", {"budget": 300, "cls": "load", "disconnects": ""}),
     ("update_endpoint", {"name": "e1", "state": "gone"}),
     ("engine_disconnects", {"reset": True, "which": 0}),
-    ("client_sends_requests", {"budget": 900, "cls": "load", "goes": ""}),
+    ("client_sends_requests", {"budget": 900, "cls": "load", "disconnects": ""}),
     ("client_cancels", {"last": False, "which": 2}),
     ("client_resumes_reading", {}),
     ("client_disconnects", {"reset": True}),
--- a/tests/test_crossings_requests.py
+++ b/tests/test_crossings_requests.py
@@ -59,7 +59,7 @@
     def go(self, number, how):
         self.cancel(number) if how == "cancel" else self.socket.close()
 
-    def heard(self):
+    def received_answers(self):
         """Return all answers received so far."""
         self.socket.setblocking(False)
         try:
@@ -283,7 +283,7 @@
     spin(lambda: link.up)
     run_iterations(site)
     assert received_requests(site) == [] and is_idle(site) and site.counters["out_nop"] == 1
-    assert len(client.heard() if how == "deadline" else []) == (how == "deadline")
+    assert len(client.received_answers() if how == "deadline" else []) == (how == "deadline")
 
 
 def test_time_out_during_the_dial_counts_as_not_executed(site):
@@ -507,7 +507,7 @@
     answer(id, b"200", b"chunks=1", ROWS)  # a duplicate
     spin(lambda: site.counters["engine_strays"] == 1 + (first == "time-out"))
     run_iterations(site)
-    assert ["result" in answer for answer in client.heard()] == [first == "answer"]
+    assert ["result" in answer for answer in client.received_answers()] == [first == "answer"]
     # The counts include the request of `open_engine_connection`.
     assert is_idle(site) and site.counters["served"] + site.counters["refused"] == 1 + 1
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    "listed, said",
+    "listed, message",
     [
         (line("test_gone"), "there is no test tests/test_some.py::test_gone"),
         (line("test_red").replace("some", "none"), "there is no test tests/test_none.py::test_red"),
@@ -66,9 +66,9 @@
         ("# why\n\ntests/test_some.py::test_red, a cause\n", "line 3: not"),
     ],
 )
-def test_invalid_list_fails_the_run(tmp_path, listed, said):
+def test_invalid_list_fails_the_run(tmp_path, listed, message):
     done = run(tmp_path, listed)
-    assert done.returncode != 0 and said in done.stdout + done.stderr
+    assert done.returncode != 0 and message in done.stdout + done.stderr
 
 
 def test_list_may_have_any_number_of_entries(tmp_path):
