--- a/rackhub/components.py
+++ b/rackhub/components.py
@@ -10,10 +10,10 @@
 # component -> entry point `module:function`; components start in this order and stop in reverse order
 ENTRY_POINTS = {
     "store": "rackhub.state.component:create_component",
-    "timings": "rackhub.timings.part:part",
+    "timings": "rackhub.timings.component:create_component",
     "ops": "rackhub.ops.component:create_component",
     "fleet": "rackhub.fleet.part:create_component",
-    "gather": "rackhub.gather.component:part",
+    "gather": "rackhub.gather.component:create_component",
 }
 RELOADABLE = ("timings",)  # a reload can enable these; the others require a restart
 
