--- a/tests/test_crossings_model.py
+++ b/tests/test_crossings_model.py
@@ -359,7 +359,7 @@
     # ---- the client
 
     @rule(
-        cls=st.sampled_from([settings.name for settings in CLASSES]),
+        cls=st.sampled_from([each.name for each in CLASSES]),
         budget=st.sampled_from([300, 900, 900]),
         disconnects=st.sampled_from(["", "", "", "", "cancel", "close"]),
     )
