--- a/rackhub/core/lease.py
+++ b/rackhub/core/lease.py
@@ -1,13 +1,17 @@
-"""How long the endpoint list in force may be acted on. It does no I/O; times are microseconds.
+"""Decides how long the gateway may use an endpoint list that the resolver has not confirmed again.
 
-An engine may begin to drain right after the poll whose answer came last. The gateway counts as notified of that a
-bounded time later, whether it was or not, and may send to the engine for the grace period after it. While polls are
-answered in turn the lease never binds. It binds once nothing has come for too long: the process was suspended and has
-not polled, or nothing answers.
+An engine may begin to drain right after the last answered poll. The gateway counts as notified of the drain after
+`notification_time`, whether or not the notification arrived, and may send to the engine for the grace period after it.
+So the list is valid for `notification_time` plus the grace period after the start of the last answered poll. While the
+resolver does not respond, `max_notification_time` replaces `notification_time`. The limit has no effect while polls are
+answered; it is reached if the process was suspended and did not poll, or if the resolver does not respond.
 
-While the resolver doesn't respond the engines themselves are evidence: one that accepts a request isn't draining, and
-one that rejects a request may be. So an engine goes on getting requests for the grace period after the last one that
-it accepted, and none once it has rejected one.
+Once the last answered poll is older than `poll_answer_timeout`, the engines' responses are evidence too: an engine that
+accepts a request is not draining, an engine that rejects one may be. An engine that rejects a request is excluded until
+it accepts a later one or a poll confirms the list. Beyond `notification_time` plus the grace period, an engine gets
+requests only until the grace period after the last request that it accepted has passed.
+
+The module does no I/O. Times are microseconds.
 """
 
 import enum
@@ -17,66 +21,71 @@
 
 
 class LeaseStatus(enum.Enum):
-    """Whether the endpoint list may be relied on."""
+    """Status of the lease on the endpoint list."""
 
-    CONFIRMED = enum.auto()
-    UNCONFIRMED = enum.auto()  # it may be out of date, and an answer is on its way: wait for it
-    EXPIRED = enum.auto()  # it may be out of date, and nothing answers: send nothing by it
+    VALID = enum.auto()  # confirmed recently, or the resolver does not respond and the list is not too old yet
+    UNCONFIRMED = enum.auto()  # the list may be outdated, and a poll is pending or due: wait for its answer
+    EXPIRED = enum.auto()  # the list may be outdated, and the resolver does not respond: send nothing
 
 
 class EndpointLease:
-    """A lease on the endpoint list, renewed by each answered poll as of the poll's start."""
+    """Lease on the endpoint list. An answered poll renews it as of the poll's start."""
 
     def __init__(self, limits: Limits, grace: int, now: int) -> None:
-        """`grace` is how long a draining engine still accepts requests after gateways are notified."""
-        self._grace = grace - limits.lease_margin
-        self._prompt = limits.notification_time + self._grace
-        self._longest = limits.max_notification_time + self._grace
+        """Start the lease at `now`; a draining engine accepts requests for `grace` after gateways are notified."""
+        self._usable_grace = grace - limits.lease_margin
+        self._max_age_while_answered = limits.notification_time + self._usable_grace
+        self._max_age_while_unanswered = limits.max_notification_time + self._usable_grace
         self._answer_timeout = limits.poll_answer_timeout
         self._confirmed_at = now
         self._last_poll_at = now
-        self._waiting_since: int | None = None  # polling without an answer since then; None: the last was answered
-        self._accepted_at: dict[str, int] = {}  # by engine: the send time of the last request that it accepted
-        self._rejected_at: dict[str, int] = {}  # by engine: when it last rejected a request
+        # Time of the first poll since the last answer, or since the last gap of `poll_answer_timeout` between polls.
+        # None: the last poll was answered.
+        self._unanswered_since: int | None = None
+        self._accepted_at: dict[str, int] = {}  # engine -> `Attempt.sent_at` of the last request that it accepted
+        self._rejected_at: dict[str, int] = {}  # engine -> time when it last rejected a request
 
     def poll_started(self, now: int) -> None:
-        """Note that a poll was sent."""
-        if self._waiting_since is None or now - self._last_poll_at >= self._answer_timeout:
-            self._waiting_since = now
+        """Record that a poll was sent."""
+        if self._unanswered_since is None or now - self._last_poll_at >= self._answer_timeout:
+            self._unanswered_since = now
         self._last_poll_at = now
 
     def poll_confirmed(self, started_at: int) -> None:
-        """Renew the lease: the list holds all that had happened when the poll started."""
+        """Renew the lease: the list contains all changes that the resolver knew when the poll was sent."""
         self._confirmed_at = max(self._confirmed_at, started_at)
-        self._waiting_since = None
-        for evidence in (self._accepted_at, self._rejected_at):  # older evidence than the list says nothing more
+        self._unanswered_since = None
+        for evidence in (self._accepted_at, self._rejected_at):  # the list supersedes older evidence
             for engine in [engine for engine, at in evidence.items() if at <= self._confirmed_at]:
                 del evidence[engine]
 
     def status(self, now: int) -> LeaseStatus:
-        """Whether the list may be relied on at `now`."""
+        """Return the status of the lease at `now`."""
         age = now - self._confirmed_at
-        if age <= self._prompt:
-            return LeaseStatus.CONFIRMED
-        waiting_since = self._waiting_since
-        if waiting_since is None or now - self._last_poll_at >= self._answer_timeout:
-            return LeaseStatus.UNCONFIRMED  # the process was suspended
-        if now - waiting_since < self._answer_timeout:
-            return LeaseStatus.UNCONFIRMED
-        return LeaseStatus.CONFIRMED if age <= self._longest else LeaseStatus.EXPIRED
+        if age <= self._max_age_while_answered:
+            return LeaseStatus.VALID
+        unanswered_since = self._unanswered_since
+        if unanswered_since is None or now - self._last_poll_at >= self._answer_timeout:
+            return LeaseStatus.UNCONFIRMED  # no poll is pending, as after a suspension: wait for the next one
+        if now - unanswered_since < self._answer_timeout:
+            return LeaseStatus.UNCONFIRMED  # the pending poll may still be answered
+        return LeaseStatus.VALID if age <= self._max_age_while_unanswered else LeaseStatus.EXPIRED
 
     # ---- single engines
 
     def engine_accepted(self, engine: str, sent_at: int) -> None:
-        """Note that an engine accepted a request that was sent at `sent_at`."""
+        """Record that an engine accepted a request that was sent at `sent_at`."""
         self._accepted_at[engine] = max(sent_at, self._accepted_at.get(engine, sent_at))
 
     def engine_rejected(self, engine: str, now: int) -> None:
-        """Note that an engine rejected a request: it is overloaded, or it is draining."""
+        """Record that an engine rejected a request: it is overloaded or draining."""
         self._rejected_at[engine] = now
 
     def allows(self, engine: str, now: int) -> bool:
-        """Whether the engine may be sent to, as far as the list is in force for it."""
+        """Return whether requests may be sent to the engine, by the list's age and the engine's responses.
+
+        An engine without a response counts as having accepted a request when the list was last confirmed.
+        """
         age = now - self._confirmed_at
         if age <= self._answer_timeout:
             return True
@@ -84,10 +93,10 @@
         rejected_at = self._rejected_at.get(engine, self._confirmed_at)
         if rejected_at > max(accepted_at, self._confirmed_at):
             return False
-        return age <= self._prompt or now <= accepted_at + self._grace
+        return age <= self._max_age_while_answered or now <= accepted_at + self._usable_grace
 
     def ineligible(self, engines: Iterable[str], now: int) -> frozenset[str]:
-        """Those of the engines that may not be sent to."""
+        """Return those of the engines to which no request may be sent."""
         if now - self._confirmed_at <= self._answer_timeout:
             return frozenset()
         return frozenset(engine for engine in engines if not self.allows(engine, now))
