--- a/rackhub/fleet/register/acceptor.py
+++ b/rackhub/fleet/register/acceptor.py
@@ -1,6 +1,6 @@
 """The acceptor's decisions, without I/O: `handle(state, message)` returns the next state and the replies.
 
-The replies may be sent only once that state is durable. All that an acceptor must not lose is in `AcceptorState`.
+The caller may send the replies only after the returned state is durable.
 """
 
 import msgspec
@@ -44,9 +44,10 @@
         "join_replies": "answers",
     },
 ):
-    """The durable state of one acceptor.
+    """The complete durable state of one acceptor.
 
-    `voting`: it has joined with this disk; until then it abstains. `join_replies` are those received so far.
+    `voting`: the acceptor has joined with this disk; until then it abstains. `join_replies`: the replies to its join
+    request that it has received so far.
     """
 
     acceptors: tuple[str, ...]
@@ -61,14 +62,18 @@
 
 
 def new_acceptor(acceptors: tuple[str, ...], local_name: str, incarnation: DiskIncarnation) -> AcceptorState:
-    """The state on an empty disk. A single acceptor votes at once: no other one could know an earlier disk of it."""
+    """Return the state for an empty disk.
+
+    A single acceptor votes at once, because no other acceptor could know an earlier disk of it.
+    """
     return AcceptorState(acceptors, local_name, incarnation, voting=len(acceptors) == 1)
 
 
 def handle(state: AcceptorState, message: Message) -> tuple[AcceptorState, list[Reply]]:
-    """The state after one message, and the replies to its sender.
+    """Return the state after one message, and the replies to its sender.
 
-    A message with an invalid ballot, or from a process that is no other acceptor, gets no reply.
+    No reply is sent to a vote request with an invalid ballot or an oversized value, nor to a join message that does
+    not name another acceptor.
     """
     if isinstance(message, Prepare | Accept):
         if not 0 < message.ballot.number <= MAX_BALLOT_NUMBER:
@@ -89,7 +94,7 @@
     ballot = message.ballot
     if not state.voting:
         return state, [_rejection(state, ballot, NOT_JOINED_REASON)]
-    if set(message.acceptors) != set(state.acceptors):  # quorums of two sets need not intersect
+    if set(message.acceptors) != set(state.acceptors):  # quorums of different sets may not intersect
         return state, [_rejection(state, ballot, f"its keepers are {', '.join(state.acceptors)}")]
     if ballot < state.promised:
         return state, [_rejection(state, ballot)]
@@ -115,7 +120,10 @@
 
 
 def _handle_join_request(state: AcceptorState, message: JoinRequest) -> tuple[AcceptorState, list[Reply]]:
-    """Record the incarnation: from here on no quorum counts this acceptor beside an earlier disk of that one."""
+    """Record the requester's incarnation.
+
+    From then on no quorum contains both this acceptor and an earlier disk of the requester.
+    """
     if message.incarnation < find_known(state.known_incarnations, message.acceptor).incarnation:
         return state, [JoinRejected(state.local_name, message.incarnation, OLDER_DISK_REASON)]
     known = merge_known(state.known_incarnations, KnownIncarnation(message.acceptor, message.incarnation))
@@ -148,9 +156,10 @@
 
 
 def _may_join(state: AcceptorState) -> bool:
-    """Whether the replies suffice: a quorum of voting acceptors or, for the very first disk, all other acceptors.
+    """Return whether the replies suffice to vote.
 
-    A disk counts as the first where none of the others has known an earlier one.
+    A quorum of voting acceptors suffices. For the first disk of this acceptor, replies of all other acceptors suffice
+    too; the disk is the first if none of them has known an earlier one.
     """
     voting = tuple(reply for reply in state.join_replies if reply.voting)
     if consistent_quorum(voting, quorum_size(state.acceptors)):
@@ -160,7 +169,7 @@
 
 
 def _join(state: AcceptorState) -> AcceptorState:
-    """Take over the highest promise, the newest accepted value and all known incarnations, and begin to vote."""
+    """Adopt the highest promise, the newest accepted value and all known incarnations, and begin to vote."""
     known = state.known_incarnations
     promised = state.promised
     for reply in state.join_replies:
--- a/rackhub/fleet/register/messages.py
+++ b/rackhub/fleet/register/messages.py
@@ -1,7 +1,7 @@
 """The messages between acceptors and proposers, and the rules for counting a quorum of replies.
 
-Plain data: the explorer of message orders and the network use the same types. Encoded names differ from the attribute
-names where `rename` says so: they are a stable format, shared with processes of other versions.
+The network and the exploration of message orders use the same types. `rename` gives the encoded name of a field where
+it differs from the attribute; the encoded names are a stable format, shared with processes of other versions.
 """
 
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 
 MESSAGE_OVERHEAD_BYTES = 4_096  # reserved for the other fields of a message that carries the value
 MAX_VALUE_BYTES = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES
-MAX_BALLOT_NUMBER = 1 << 48  # limits what a malformed message can do: no proposer gets there
+MAX_BALLOT_NUMBER = 1 << 48  # out of reach for proposers; a malformed message can't exhaust the ballot numbers
 
 
 class Ballot(NamedTuple):
-    """The identifier of one round, ordered. Unique, because a proposer's boot number is never used twice."""
+    """The identifier of one round. Ballots are ordered, and unique because a proposer never reuses a generation."""
 
     number: int = 0
     proposer: str = ""
@@ -25,9 +25,9 @@
 
 
 class DiskIncarnation(NamedTuple):
-    """One disk of one acceptor: the boot number at its first use, and the identity drawn then.
+    """One disk of one acceptor: the process generation at the disk's first use, and the random identity drawn then.
 
-    A greater incarnation of the same acceptor is a newer disk, which lost what the earlier one stored.
+    A greater incarnation of the same acceptor is a newer disk, without the data of the earlier one.
     """
 
     generation: int = 0
@@ -39,9 +39,9 @@
 
 
 class KnownIncarnation(NamedTuple):
-    """The newest disk incarnation of another acceptor that one knows of.
+    """The newest disk incarnation that an acceptor knows of another acceptor.
 
-    `replaced`: an earlier incarnation was known before.
+    `replaced`: the acceptor knew an earlier incarnation before this one.
     """
 
     acceptor: str
@@ -55,8 +55,8 @@
 class Prepare(msgspec.Struct, frozen=True, tag="prepare", rename={"acceptors": "keepers", "known_ballot": "known"}):
     """Phase 1 request: promise to accept nothing below `ballot`.
 
-    `acceptors` is the set of which the proposer counts a quorum. The value accepted under `known_ballot` need not be
-    returned: the proposer has it.
+    The proposer counts a quorum of `acceptors`. It has the value that was accepted under `known_ballot`, so the reply
+    may omit that value.
     """
 
     ballot: Ballot
@@ -70,7 +70,10 @@
     tag="promise",
     rename={"acceptor": "keeper", "incarnation": "life", "known_incarnations": "views"},
 ):
-    """Phase 1 reply: the ballot accepted last and its value, None where the proposer has it or there is none."""
+    """Phase 1 reply: the last accepted ballot and its value.
+
+    `value` is None if the proposer has the value already or nothing was accepted.
+    """
 
     ballot: Ballot
     acceptor: str
@@ -94,7 +97,7 @@
     tag="accepted",
     rename={"acceptor": "keeper", "incarnation": "life", "known_incarnations": "views"},
 ):
-    """Phase 2 reply: the value is accepted under `ballot`, and durable."""
+    """Phase 2 reply: the value was accepted under `ballot` and is durable."""
 
     ballot: Ballot
     acceptor: str
@@ -105,8 +108,8 @@
 class Rejected(msgspec.Struct, frozen=True, tag="refused", rename={"acceptor": "keeper", "abstain_reason": "abstains"}):
     """The negative reply to either phase.
 
-    `promised` is the ballot that takes precedence; `abstain_reason`, unless empty, says why this acceptor votes on no
-    ballot of the request's kind now.
+    `promised` is the ballot that takes precedence. `abstain_reason`, unless empty, says why the acceptor votes
+    on none of this proposer's ballots at present.
     """
 
     ballot: Ballot
@@ -116,7 +119,7 @@
 
 
 class JoinRequest(msgspec.Struct, frozen=True, tag="enter", rename={"acceptor": "keeper", "incarnation": "life"}):
-    """From an acceptor whose disk is new: record this incarnation, and reply with your state."""
+    """An acceptor with a new disk requests the receiver's state, and that the receiver records the incarnation."""
 
     acceptor: str
     incarnation: DiskIncarnation
@@ -134,9 +137,10 @@
         "known_incarnations": "views",
     },
 ):
-    """The requested incarnation is recorded durably; the rest is the replying acceptor's own state.
+    """Positive reply to `JoinRequest`: the incarnation `requested` is recorded durably.
 
-    `knows_predecessor`: the replying acceptor has known an earlier disk of the requester.
+    `knows_predecessor`: the replying acceptor has known an earlier disk of the requester. The other fields are the
+    replying acceptor's own state.
     """
 
     acceptor: str
@@ -156,7 +160,7 @@
     tag="barred",
     rename={"acceptor": "keeper", "requested": "to", "reason": "why"},
 ):
-    """The requested incarnation is older than a known one, and can never join."""
+    """Negative reply to `JoinRequest`: a newer incarnation is known, so the incarnation `requested` can never join."""
 
     acceptor: str
     requested: DiskIncarnation
@@ -164,8 +168,8 @@
 
 
 ReplyT = TypeVar("ReplyT", bound=Promise | Accepted | JoinAccepted)
-Request = Prepare | Accept | JoinRequest  # to an acceptor
-Vote = Promise | Accepted | Rejected  # to a proposer
+Request = Prepare | Accept | JoinRequest  # requests to an acceptor
+Vote = Promise | Accepted | Rejected  # replies to a proposer
 Reply = Vote | JoinAccepted | JoinRejected
 Message = Request | Reply
 
@@ -174,20 +178,20 @@
 
 
 def quorum_size(acceptors: tuple[str, ...]) -> int:
-    """How many of the acceptors are a majority."""
+    """Return the number of acceptors that form a majority."""
     return len(acceptors) // 2 + 1
 
 
 def find_known(known: KnownIncarnations, acceptor: str) -> KnownIncarnation:
-    """What is known of that acceptor's disk; `NO_INCARNATION` where nothing is."""
-    for one in known:
-        if one.acceptor == acceptor:
-            return one
+    """Return the entry of `acceptor`, with `NO_INCARNATION` if there is none."""
+    for entry in known:
+        if entry.acceptor == acceptor:
+            return entry
     return KnownIncarnation(acceptor, NO_INCARNATION)
 
 
 def merge_known(known: KnownIncarnations, found: KnownIncarnation) -> KnownIncarnations:
-    """Add one: an acceptor's newest incarnation only grows, and `replaced` is never reset."""
+    """Return `known` with `found` merged in: incarnations only grow, and `replaced` is never reset."""
     before = find_known(known, found.acceptor)
     differs = before.incarnation not in (NO_INCARNATION, found.incarnation) and found.incarnation != NO_INCARNATION
     after = KnownIncarnation(
@@ -197,14 +201,14 @@
     )
     if after == before:
         return known
-    others = [one for one in known if one.acceptor != found.acceptor]
+    others = [entry for entry in known if entry.acceptor != found.acceptor]
     return tuple(sorted([*others, after]))
 
 
 def consistent_quorum(replies: tuple[ReplyT, ...], size: int) -> tuple[ReplyT, ...]:
-    """The first `size` replies that are pairwise consistent; empty where there are not so many.
+    """Return the first `size` replies that are pairwise consistent, or an empty tuple if there are fewer.
 
-    A quorum of inconsistent replies could count what an acceptor said before it lost its disk.
+    A quorum of inconsistent replies could count a reply that an acceptor sent before it lost its disk.
     """
     return _extend_quorum((), replies, size)
 
@@ -220,9 +224,9 @@
     return ()
 
 
-def _consistent(one: ReplyT, other: ReplyT) -> bool:
-    """Whether neither sender knows of a newer disk of the other one than the disk that replied."""
+def _consistent(first: ReplyT, second: ReplyT) -> bool:
+    """Return whether neither sender knows a newer disk of the other than the one that the other replied from."""
     return (
-        find_known(one.known_incarnations, other.acceptor).incarnation <= other.incarnation
-        and find_known(other.known_incarnations, one.acceptor).incarnation <= one.incarnation
+        find_known(first.known_incarnations, second.acceptor).incarnation <= second.incarnation
+        and find_known(second.known_incarnations, first.acceptor).incarnation <= first.incarnation
     )
