--- a/rackhub/fleet/register/acceptor_shell.py
+++ b/rackhub/fleet/register/acceptor_shell.py
@@ -1,4 +1,4 @@
-"""An acceptor on messages, timers and a disk: a reply is sent only when the state behind it is durable."""
+"""Connects an acceptor to the network, timers and a disk. Replies are sent only once the state is durable."""
 
 import logging
 from collections import deque
@@ -26,21 +26,21 @@
 DEFAULT_REGISTER = "register"
 INITIAL_JOIN_BACKOFF_US = 200_000
 MAX_JOIN_BACKOFF_US = 2_000_000
-MAX_PENDING_WRITES = 256  # beyond, messages are dropped, which the sender handles like a loss
+MAX_PENDING_WRITES = 256  # further messages are dropped, which senders handle like a loss on the network
 
 
 def disk_key(register: str) -> str:
-    """The disk key of an acceptor's state."""
+    """Return the disk key of an acceptor's state."""
     return f"{register}/voter"
 
 
 def request_kind(register: str) -> str:
-    """The message kind of requests to an acceptor."""
+    """Return the message kind of requests to an acceptor."""
     return register
 
 
 def reply_kind(register: str) -> str:
-    """The message kind of replies to a proposer."""
+    """Return the message kind of replies to a proposer."""
     return f"{register}.told"
 
 
@@ -54,22 +54,22 @@
 
 
 class _PendingEnvelopes(NamedTuple):
-    """Messages that wait until the write of that number is durable."""
+    """Messages to send once the write `write_number` is durable."""
 
     write_number: int
     envelopes: list[_Envelope]
 
 
 def _ignore(message: Message) -> None:
-    """The receiver of local replies where there is no local proposer."""
+    """Drop a reply: this process has no proposer of its own."""
 
 
 class AcceptorShell:
     """This gateway as one of `acceptors`.
 
-    `generation` is this process's. `register` names the register in message kinds and disk keys, so one process can
-    vote in several. Raises `ValueError` where the disk holds the state of another acceptor, or of another set of them.
-    `damage`, unless empty, describes a fault that operators must know of.
+    `generation` is that of this process. `register` names the register in message kinds and disk keys, so that one
+    process can vote in several registers. `damage`, unless empty, describes a fault that the operator has to know of.
+    Raises `ValueError` if the disk contains the state of another acceptor or of another set of acceptors.
     """
 
     def __init__(
@@ -102,21 +102,21 @@
             self._save()
 
     def connect_local_proposer(self, receive: Callable[[Message], None]) -> None:
-        """Replies to this gateway's own proposer go to `receive` instead of the network."""
+        """Pass replies for this process's proposer to `receive` instead of the network."""
         self._receive_locally = receive
 
     def start(self) -> None:
-        """Receive messages, and ask to join until this disk votes."""
+        """Receive messages, and request to join until this acceptor votes."""
         self._fleet.messenger.subscribe(self._request_kind, self._receive_encoded)
         self._request_join()
 
     def stop(self) -> None:
-        """Send and receive nothing any more."""
+        """Stop sending and receiving messages."""
         self._stopped = True
         self._cancel_join()
 
     def receive(self, sender: Name, message: Message) -> None:
-        """Handle one message, also of this gateway's own proposer."""
+        """Handle a message of another gateway or of this process's proposer."""
         if self._stopped or len(self._pending) >= MAX_PENDING_WRITES:
             self._fleet.add_count("register_dropped", 1)
             return
@@ -131,7 +131,7 @@
         if self.state != before:
             self._save()
             if self.state.voting and not before.voting:
-                log.warning("fleet: the other acceptors have admitted this one, whose disk is new")
+                log.warning("fleet: the other acceptors have admitted this acceptor with its new disk")
         if replies:
             self._send_when_durable([_Envelope(sender, reply) for reply in replies])
 
@@ -155,10 +155,10 @@
         self._join_backoff = min(self._join_backoff * 2, MAX_JOIN_BACKOFF_US)
 
     def _handle_join_rejected(self, sender: Name, message: JoinRejected) -> None:
-        """Begin a new incarnation if the boot number has grown, else report the damage.
+        """Begin a new incarnation if the generation has grown, else report the damage.
 
-        An old disk was restored; or the disk is new but was begun while this machine's clock was set back, and the
-        boot number with it.
+        Either an old disk was restored, or the disk is new but was first used while this machine's clock, and thus the
+        process's generation, was set back.
         """
         incarnation = self.state.incarnation
         generation = self._fleet.members.all()[self.local_name].generation
@@ -172,10 +172,13 @@
             self.damage = message.reason
             log.error("fleet: %s rejects this acceptor: %s; give it an empty state directory", sender, message.reason)
 
-    # ---- the disk, and what waits for it
+    # ---- the disk, and messages that depend on it
 
     def _load(self, acceptors: tuple[Name, ...]) -> AcceptorState | None:
-        """The stored state; None where there is none, or it can't be decoded: then this is a new disk."""
+        """Return the stored state.
+
+        None if there is none or it can't be decoded, in which case the disk is treated as new.
+        """
         body = self._disk.get(self._key)
         if body is None:
             return None
@@ -183,13 +186,13 @@
             state = msgspec.msgpack.decode(body, type=AcceptorState)
         except msgspec.MsgspecError as error:
             self.damage = f"{self._key} can't be read: {error}"
-            log.error("fleet: %s; it is fetched anew from the other acceptors", self.damage)
+            log.error("fleet: %s; its state is fetched from the other acceptors", self.damage)
             self._fleet.add_count("register_damaged", 1)
             return None
         if state.local_name != self.local_name or set(state.acceptors) != set(acceptors):
             raise ValueError(
-                f"keepers: {list(acceptors)!r}: the state directory is of {state.local_name!r} of "
-                f"{list(state.acceptors)!r}; a set of keepers can't be changed in place"
+                f"keepers: {list(acceptors)!r}: the state directory belongs to {state.local_name!r} with the keepers "
+                f"{list(state.acceptors)!r}; the set of keepers can't be changed in place"
             )
         return state
 
@@ -204,7 +207,7 @@
             self._send(self._pending.popleft().envelopes)
 
     def _send_when_durable(self, envelopes: list[_Envelope]) -> None:
-        """Send what rests on the present state."""
+        """Send messages that depend on the present state, once all writes started so far are durable."""
         if self._writes_durable >= self._writes_started:
             self._send(envelopes)
         else:
