--- a/rackhub/fleet/register/deferred_writes.py
+++ b/rackhub/fleet/register/deferred_writes.py
@@ -1,45 +1,45 @@
-"""Writes that wait in memory for a disk that fails, in their order. Pure."""
+"""A queue in memory for writes that a failing disk can't accept yet. No I/O."""
 
 from collections import deque
 from collections.abc import Callable, Iterator, Mapping
 from typing import NamedTuple
 
-MAX_MERGED_BYTES = 4 << 20  # writes are merged up to this size, well below what a store takes in one batch
+MAX_MERGED_BYTES = 4 << 20  # limit up to which writes are merged; well below the size of a batch that the store accepts
 
 Acknowledge = Callable[[], None]
 
 
 class DeferredWrite(NamedTuple):
-    """One or several consecutive writes, merged: the value written last of each key; None deletes it."""
+    """One write, or several consecutive writes merged. `changes` has the last value of each key; None deletes it."""
 
     changes: dict[bytes, bytes | None]
     acknowledgements: list[Acknowledge]
 
     def acknowledge(self) -> None:
-        """Tell those who wait that it is durable, in the order of their writes."""
+        """Call the acknowledgements of all merged writes, in the order of the writes."""
         for acknowledge in self.acknowledgements:
             acknowledge()
 
 
 class DeferredWrites:
-    """The writes that wait, and what they change about what is stored.
+    """The queued writes in order, readable by key.
 
-    Consecutive writes are merged, so that a key that is written often waits with its newest value alone.
+    Consecutive writes are merged, so that only the newest value of a frequently written key is queued.
     """
 
     def __init__(self) -> None:
         self._writes: deque[DeferredWrite] = deque()
 
     def __bool__(self) -> bool:
-        """Whether any write waits."""
+        """Return whether any write is queued."""
         return bool(self._writes)
 
     def __contains__(self, key: bytes) -> bool:
-        """Whether a write of that key waits."""
+        """Return whether a write of `key` is queued."""
         return any(key in write.changes for write in self._writes)
 
     def __getitem__(self, key: bytes) -> bytes | None:
-        """The newest value that waits for that key; None where it is deleted. Raises `KeyError` where none waits."""
+        """Return the newest queued value of `key`; None deletes it. Raises `KeyError` if no write of it is queued."""
         for write in reversed(self._writes):
             if key in write.changes:
                 return write.changes[key]
@@ -47,11 +47,11 @@
 
     @property
     def size(self) -> int:
-        """Bytes of all keys and values that wait."""
+        """The size of all queued keys and values in bytes."""
         return sum(_size(write.changes) for write in self._writes)
 
     def add(self, changes: Mapping[bytes, bytes | None], acknowledge: Acknowledge) -> None:
-        """Put a write behind all others."""
+        """Append a write to the queue."""
         newest = self._writes[-1] if self._writes else None
         if newest is None or _size(newest.changes) + _size(changes) > MAX_MERGED_BYTES:
             self._writes.append(DeferredWrite(dict(changes), [acknowledge]))
@@ -60,15 +60,18 @@
             newest.acknowledgements.append(acknowledge)
 
     def take_first(self) -> DeferredWrite:
-        """Remove the write that is next, and return it. Raises `IndexError` where none waits."""
+        """Remove the oldest write and return it. Raises `IndexError` if none is queued."""
         return self._writes.popleft()
 
-    def put_back(self, write: DeferredWrite) -> None:
-        """Put the write that was taken before all others: the disk still fails."""
+    def return_first(self, write: DeferredWrite) -> None:
+        """Return a write taken by `take_first` to the head of the queue, because the disk still fails."""
         self._writes.appendleft(write)
 
     def merged_into(self, stored: Mapping[bytes, bytes], prefix: bytes) -> Iterator[tuple[bytes, bytes]]:
-        """The keys with that prefix and their values, as they will be once all is written, in order of key."""
+        """Yield the keys with `prefix` and their values in key order, as they will be after all queued writes.
+
+        `stored` contains the stored entries with that prefix.
+        """
         merged: dict[bytes, bytes | None] = dict(stored)
         for write in self._writes:
             merged.update({key: value for key, value in write.changes.items() if key.startswith(prefix)})
