--- a/rackhub/fleet/register/proposer.py
+++ b/rackhub/fleet/register/proposer.py
@@ -1,4 +1,7 @@
-"""A proposer on messages and timers, at any gateway: one change at a time, limited attempts, randomized backoff."""
+"""Connects a proposer to the network and timers: one change at a time, limited attempts, randomized backoff.
+
+Any gateway can run one, with or without an acceptor in the same process.
+"""
 
 import logging
 import random
@@ -38,20 +41,20 @@
 log = logging.getLogger(__name__)
 
 RESEND_INTERVAL_US = 150_000
-MAX_ATTEMPTS = 3  # sends of one request before another round
+MAX_ATTEMPTS = 3  # times that one request is sent before a new round
 INITIAL_BACKOFF_US = 20_000
 MAX_BACKOFF_US = 1_000_000
 MAX_BACKOFF_DOUBLINGS = 8
 RANDOM_GENERATION_BITS = 12
-MAX_QUEUED_CHANGES = 64  # beyond, changes are rejected at once
-STOPPED_REASON = "this gateway ends"
+MAX_QUEUED_CHANGES = 64  # further changes are rejected at once
+STOPPED_REASON = "this gateway is stopping"
 
 
 class Outcome(NamedTuple):
     """The result of a change.
 
-    `done`: `value` is chosen, `answer` is the change's. `refused`: certainly not done, for `reason`. `unknown`: it may
-    have been done or may still be.
+    The kind `done`: `value` is chosen, and `answer` is the change's answer. `refused`: the change was certainly not
+    made, for `reason`. `unknown`: the change may have been made, or may still be made.
     """
 
     kind: Literal["done", "refused", "unknown"]
@@ -67,10 +70,10 @@
 
 
 class Proposer:
-    """Changes the register of that name.
+    """Proposes changes of the register named `register`.
 
-    `generation` is this process's: with the name and a number it makes ballots unique. `local_acceptor` is the one in
-    this process, if any.
+    `generation` is that of this process; with the gateway's name and a number it makes ballots unique.
+    `local_acceptor` is the acceptor in this process, if any.
     """
 
     def __init__(
@@ -87,16 +90,17 @@
         self._local_acceptor = local_acceptor
         self._request_kind = request_kind(register)
         self._reply_kind = reply_kind(register)
-        # a gateway without a state directory has its boot number from the wall clock, which may be set back
+        # Without a state directory the generation comes from the wall clock, which may be set back. Random bits keep it
+        # from being used twice.
         self._unique_generation = generation << RANDOM_GENERATION_BITS | secrets.randbits(RANDOM_GENERATION_BITS)
         self._random = random.Random(f"{fleet.seed} proposer {self._local_name} {generation}")
         self._queue: deque[_QueuedChange] = deque()
         self._current: _QueuedChange | None = None
         self._round: Round | None = None
         self._request: Prepare | Accept | None = None
-        self._attempts = 0  # sends of the present request
-        self._rounds = 0  # of the present change
-        self._accept_sent = False  # in any round of the present change
+        self._attempts = 0  # times that the present request was sent
+        self._rounds = 0  # rounds of the present change so far
+        self._accept_sent = False  # an Accept was sent in any round of the present change
         self._failure_reason = ""
         self._known_ballot = NO_BALLOT
         self._known_value: bytes | None = None
@@ -106,11 +110,14 @@
             local_acceptor.connect_local_proposer(self._receive)
 
     def start(self) -> None:
-        """Receive replies."""
+        """Subscribe to replies of acceptors."""
         self._fleet.messenger.subscribe(self._reply_kind, self._receive_encoded)
 
     def stop(self) -> None:
-        """End all changes: the outcome of one that acceptors may have accepted is unknown."""
+        """End all changes.
+
+        The outcome of the present change is `unknown` if acceptors may have accepted it; all others are `refused`.
+        """
         self._cancel_timer()
         queued = list(self._queue)
         self._queue = deque()
@@ -120,24 +127,25 @@
             self._current = None
             self._round = None
             current.done(outcome)
-        for one in queued:
-            one.done(Outcome("refused", reason=STOPPED_REASON))
+        for queued_change in queued:
+            queued_change.done(Outcome("refused", reason=STOPPED_REASON))
 
-    def change(self, change: ChangeFunction, done: Callable[[Outcome], None], within: int) -> None:
-        """Apply `change` to the value, and call `done` once, after some more than `within` microseconds at the latest.
+    def change(self, change: ChangeFunction, done: Callable[[Outcome], None], timeout: int) -> None:
+        """Apply `change` to the value, and call `done` once with the outcome.
 
-        `change` may be called several times, with other values, so it must be a pure function.
+        The deadline, `timeout` microseconds from now, is checked before each round, so `done` may be called one round
+        and one backoff later. `change` may be called several times with different values and must be a pure function.
         """
         if len(self._queue) >= MAX_QUEUED_CHANGES:
-            done(Outcome("refused", reason=f"{MAX_QUEUED_CHANGES} changes wait already"))
+            done(Outcome("refused", reason=f"{MAX_QUEUED_CHANGES} changes are queued already"))
             return
-        self._queue.append(_QueuedChange(change, done, self._fleet.clock.now() + within))
+        self._queue.append(_QueuedChange(change, done, self._fleet.clock.now() + timeout))
         if self._current is None:
             self._start_next_change()
 
-    def read(self, done: Callable[[Outcome], None], within: int) -> None:
-        """The value at some moment between the call and the answer (a linearizable read)."""
-        self.change(lambda value: (value, None), done, within)
+    def read(self, done: Callable[[Outcome], None], timeout: int) -> None:
+        """Call `done` with the value at some moment between this call and the answer (a linearizable read)."""
+        self.change(lambda value: (value, None), done, timeout)
 
     # ---- one change
 
@@ -177,19 +185,19 @@
     def _back_off(self) -> None:
         self._cancel_timer()
         self._round = None
-        longest = min(INITIAL_BACKOFF_US << min(self._rounds, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_US)
-        delay = self._random.randint(longest // 4, longest)
+        max_delay = min(INITIAL_BACKOFF_US << min(self._rounds, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_US)
+        delay = self._random.randint(max_delay // 4, max_delay)
         self._cancel_timer = self._fleet.call_later(delay, self._start_round)
 
     def _describe_missing_quorum(self) -> str:
-        """Why there is no quorum, as far as it is known."""
+        """Return why there is no quorum, as far as the replies show."""
         state = self._round
         if state is None:
             return self._failure_reason or "no majority of the keepers answered"
         replies: list[Vote] = [*state.rejections, *state.promises, *state.accepts]
         replied = {reply.acceptor for reply in replies}
-        silent = [name for name in self._acceptors if name not in replied]
-        reasons = [f"no answer from {', '.join(silent)}"] if silent else []
+        unresponsive = [name for name in self._acceptors if name not in replied]
+        reasons = [f"no answer from {', '.join(unresponsive)}"] if unresponsive else []
         reasons += describe_abstentions(state.rejections)
         return f"no majority of the keepers {', '.join(self._acceptors)}: " + "; ".join(reasons)
 
@@ -201,7 +209,10 @@
         self._send_attempt()
 
     def _send_attempt(self) -> None:
-        """Send the request to all acceptors that have not replied positively, and again after a while."""
+        """Send the request to all acceptors that have not replied positively, and again after `RESEND_INTERVAL_US`.
+
+        After `MAX_ATTEMPTS` the round ends, and another one starts after a backoff.
+        """
         request = self._request
         if self._round is None or request is None:
             return
@@ -243,8 +254,8 @@
             return
         try:
             self._round, effects = handle_reply(self._round, reply, self._current.change)
-        except Exception as error:  # the caller's change must not end the proposer
-            log.exception("fleet: a change of the register failed")
+        except Exception as error:  # a fault in the caller's function must not stop the proposer
+            log.exception("fleet: the function that changes the register raised an exception")
             self._finish(self._failure(str(error)))
             return
         for effect in effects:
@@ -265,7 +276,7 @@
     def _propose(self, accept: Accept) -> None:
         size = len(accept.value)
         if size > MAX_VALUE_BYTES:
-            self._finish(Outcome("refused", reason=f"{size} bytes, more than {MAX_VALUE_BYTES}"))
+            self._finish(Outcome("refused", reason=f"the new value has {size} bytes, more than {MAX_VALUE_BYTES}"))
             return
         self._cancel_timer()
         self._accept_sent = True
--- a/rackhub/fleet/register/round.py
+++ b/rackhub/fleet/register/round.py
@@ -1,7 +1,7 @@
-"""One round of a proposer, without I/O: collect promises, apply the change to the newest value, have it accepted.
+"""One round of a proposer, without I/O: collect promises, apply a change to the newest value, have the result accepted.
 
-A change that rejects the value it is applied to has read that value, so the value is made durable first, like any other
-result.
+A change that leaves the value as it is has read it. Unless a quorum has already accepted that value under one ballot,
+the value is proposed again, so that a later read can't return an older one.
 """
 
 from collections.abc import Callable
@@ -30,8 +30,8 @@
 class Round(msgspec.Struct, frozen=True):
     """The state of one ballot.
 
-    `known_ballot` and `value` are the newest that the proposer had before; once `accept_sent`, `value` is the proposed
-    one. `answer` is the change's.
+    `known_ballot` and `value` are the newest ballot and value that the proposer knew before this round. Once
+    `accept_sent` is set, `value` is the proposed value. `answer` is the change's answer for the caller.
     """
 
     acceptors: tuple[str, ...]
@@ -46,7 +46,7 @@
 
 
 class Chosen(NamedTuple):
-    """A quorum has accepted the value: it is chosen for good."""
+    """A quorum has accepted the value, which is thereby chosen permanently."""
 
     value: bytes | None
     ballot: Ballot
@@ -54,7 +54,7 @@
 
 
 class Preempted(NamedTuple):
-    """This ballot can't be chosen any more; `highest_ballot` is the highest one that a rejection named."""
+    """This round can no longer reach a quorum; `highest_ballot` is the highest ballot that a rejection named."""
 
     highest_ballot: Ballot
     reason: str
@@ -66,14 +66,14 @@
 def start_round(
     acceptors: tuple[str, ...], ballot: Ballot, known_ballot: Ballot = NO_BALLOT, value: bytes | None = None
 ) -> tuple[Round, Prepare]:
-    """A new round, and the request to send to all acceptors."""
+    """Return a new round, and the request to send to all acceptors."""
     return Round(acceptors, ballot, known_ballot, value), Prepare(ballot, acceptors, known_ballot)
 
 
 def handle_reply(state: Round, reply: Vote, change: ChangeFunction) -> tuple[Round, list[Effect]]:
-    """The round after one acceptor's reply, and what to do.
+    """Return the round after one acceptor's reply, and the effects for the caller to perform.
 
-    Replies to other ballots, from other processes, or received before change nothing. Raises what `change` raises.
+    Replies to other ballots, from other processes, and duplicates have no effect. Raises whatever `change` raises.
     """
     if reply.ballot != state.ballot or reply.acceptor not in state.acceptors:
         return state, []
@@ -105,14 +105,14 @@
 
 
 def _with_reply(replies: tuple[PositiveVoteT, ...], reply: PositiveVoteT) -> tuple[PositiveVoteT, ...]:
-    """Add a reply; of one acceptor's, that of its newest disk is kept.
+    """Return `replies` with `reply` added; for each acceptor the reply from its newest disk is kept.
 
-    Ordered by acceptor, so that the same replies in any order lead to the same state.
+    The replies are sorted by acceptor, so that any order of arrival leads to the same state.
     """
-    if any(one.acceptor == reply.acceptor and one.incarnation > reply.incarnation for one in replies):
+    if any(other.acceptor == reply.acceptor and other.incarnation > reply.incarnation for other in replies):
         return replies
-    rest = [one for one in replies if one.acceptor != reply.acceptor]
-    return tuple(sorted([*rest, reply], key=lambda one: one.acceptor))
+    others = [other for other in replies if other.acceptor != reply.acceptor]
+    return tuple(sorted([*others, reply], key=lambda vote: vote.acceptor))
 
 
 def _propose(state: Round, quorum: tuple[Promise, ...], change: ChangeFunction) -> tuple[Round, list[Effect]]:
@@ -121,7 +121,7 @@
     proposed, answer = change(current)
     already_chosen = all(promise.accepted == newest.accepted for promise in quorum)
     if proposed is None or (proposed == current and already_chosen):
-        # a read of a value that a quorum has accepted under one ballot, or of no value, needs no second phase
+        # no second phase for a read if a quorum has accepted the value under one ballot, or there is no value yet
         return msgspec.structs.replace(state, accept_sent=True), [Chosen(current, newest.accepted, answer)]
     state = msgspec.structs.replace(state, accept_sent=True, value=proposed, answer=answer)
     return state, [Accept(state.ballot, state.acceptors, proposed)]
@@ -129,17 +129,21 @@
 
 def _handle_rejection(state: Round, reply: Rejected) -> tuple[Round, list[Effect]]:
     before = state.rejections
-    rest = [one for one in before if one.acceptor != reply.acceptor]
-    rejections = tuple(sorted([*rest, reply], key=lambda one: one.acceptor))
+    others = [rejection for rejection in before if rejection.acceptor != reply.acceptor]
+    rejections = tuple(sorted([*others, reply], key=lambda rejection: rejection.acceptor))
     state = msgspec.structs.replace(state, rejections=rejections)
     tolerated = len(state.acceptors) - quorum_size(state.acceptors)
     if len(before) <= tolerated < len(rejections):
-        highest = max(one.promised for one in rejections)
+        highest = max(rejection.promised for rejection in rejections)
         reasons = "; ".join(describe_abstentions(rejections))
-        return state, [Preempted(highest, reasons or f"a later edit by way of {highest.proposer} is under way")]
+        return state, [Preempted(highest, reasons or f"preempted by a higher ballot of {highest.proposer}")]
     return state, []
 
 
 def describe_abstentions(rejections: tuple[Rejected, ...]) -> list[str]:
-    """One phrase for each acceptor that abstains, for the reason of an outcome."""
-    return [f"{one.acceptor} abstains: {one.abstain_reason}" for one in rejections if one.abstain_reason]
+    """Return one phrase for each acceptor that abstains, for the reason of an outcome."""
+    return [
+        f"{rejection.acceptor} abstains: {rejection.abstain_reason}"
+        for rejection in rejections
+        if rejection.abstain_reason
+    ]
