--- a/rackhub/fleet/rules/active_version.py
+++ b/rackhub/fleet/rules/active_version.py
@@ -1,7 +1,8 @@
-"""Which version applies at this gateway: versions only advance, and a trial ends by the local clock. Pure.
+"""Decides which version applies at this gateway, without I/O. Versions only advance; a trial ends by the local clock.
 
-A version on trial stands for two contents: its own where it is on trial, its parent's elsewhere. It is on trial only at
-the gateways it names, and only while its age is known and below its duration. After a restart no age is known.
+A version on trial has two contents: its own where it is on trial, and its parent's elsewhere. It is on trial only at
+the gateways that it names, and only while the trial's age is known and below its duration. A restarted gateway does not
+know the age of any trial.
 """
 
 from typing import Any, NamedTuple
@@ -13,7 +14,7 @@
 
 
 class ActiveVersion(NamedTuple):
-    """The version and the content that new requests are to meet."""
+    """The version that applies to new requests, and its content at this gateway."""
 
     version: int
     on_trial: bool
@@ -21,33 +22,37 @@
 
 
 class StoredRules(msgspec.Struct, frozen=True):
-    """The record on disk. `version` is the newest that was applied."""
+    """The record on disk. `version` is the newest version that this gateway has applied."""
 
     rule_set: RuleSet = msgspec.field(name="book")
     version: int
 
 
 class LearnResult(NamedTuple):
-    """`advanced`: there is a newer version now. `conflicts`: numbers under which the contents differ."""
+    """The result of merging versions.
+
+    `advanced`: the newest version is newer than before. `conflicts`: the numbers of versions whose local and received
+    copies differ.
+    """
 
     advanced: bool
     conflicts: list[int]
 
 
 class VersionTracker:
-    """The rule set that this gateway knows. Times are microseconds of the local clock."""
+    """The rule set that this gateway knows, and the open trial's end. Times are microseconds of the local clock."""
 
     def __init__(self, gateway: str, stored: StoredRules | None = None):
         self.gateway = gateway
         self.rule_set = stored.rule_set if stored is not None else RuleSet()
         self.applied_version = stored.version if stored is not None else 0
-        self._timed_version = 0  # the version whose trial's end is known
+        self._timed_version = 0  # the version whose trial ends at `_trial_end`; 0: no trial's end is known
         self._trial_end = 0
 
     def learn(self, versions: tuple[Version, ...], trial_age: int, now: int) -> LearnResult:
-        """Merge versions that a majority chose.
+        """Merge versions that a majority of the acceptors chose.
 
-        `trial_age` is an upper bound of the age of the newest one's trial, or `UNKNOWN_AGE`.
+        `trial_age` is an upper bound of the age of the newest version's trial, or `UNKNOWN_AGE`.
         """
         before = self.rule_set.newest_number
         self.rule_set, conflicts = merge(self.rule_set, versions)
@@ -58,7 +63,7 @@
         return LearnResult(self.rule_set.newest_number > before, conflicts)
 
     def target(self, now: int) -> ActiveVersion:
-        """Return what should apply at this moment."""
+        """Return the version and the content that should apply at `now`."""
         newest = self.rule_set.newest
         if newest is None:
             return ActiveVersion(0, False, {})
@@ -69,19 +74,22 @@
         return ActiveVersion(newest.number, False, content_of(self.rule_set, newest.parent))
 
     def trial_remaining(self, now: int) -> int:
-        """Return the time until the newest version's trial ends; 0: it is over, has no known age, or is none."""
+        """Return the time until the newest version's trial ends.
+
+        0 if the trial is over or its age is not known, or if the newest version is not on trial.
+        """
         if not self._timed_version or self._timed_version != self.rule_set.newest_number:
             return 0
         return max(self._trial_end - now, 0)
 
     def trial_age(self, now: int) -> int:
-        """Return the age of the newest version's trial as it is sent to others, or `UNKNOWN_AGE`."""
+        """Return the age of the newest version's trial, to be sent to other gateways, or `UNKNOWN_AGE`."""
         newest = self.open_trial()
         if newest is None or newest.trial is None or self._timed_version != newest.number:
             return UNKNOWN_AGE
         return now - (self._trial_end - newest.trial.duration_ms * 1_000)
 
     def open_trial(self) -> Version | None:
-        """Return the newest version where that is on trial."""
+        """Return the newest version if it is on trial, else None."""
         newest = self.rule_set.newest
         return newest if newest is not None and newest.trial is not None else None
--- a/rackhub/fleet/rules/messages.py
+++ b/rackhub/fleet/rules/messages.py
@@ -1,6 +1,6 @@
 """The types of the versioned rule set, and the messages that gateways exchange about it.
 
-Where the name of an encoded field differs from the attribute, the encoded name is the one on the wire and on disk.
+`msgspec.field(name=...)` gives the name of a field on the wire and on disk where it differs from the attribute.
 """
 
 import hashlib
@@ -10,20 +10,23 @@
 
 from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
-MAX_CONTENT_BYTES = 98_304  # of one version
-MAX_RULE_SET_BYTES = MAX_VALUE_BYTES - 16_384  # of all retained versions: two contents of the maximum size fit
+MAX_CONTENT_BYTES = 98_304  # encoded size of one version's content
+MAX_RULE_SET_BYTES = MAX_VALUE_BYTES - 16_384  # size of all retained versions; fits two contents of the maximum size
 MAX_RETAINED_VERSIONS = 64
-MAX_TEXT_LENGTH = 500  # characters of an author, a reason, an id
-FORMAT_VERSION = 1  # of the encoded rule set
-MESSAGE_KIND = "rules"  # of messages between gateways and of gossiped records
-UNKNOWN_AGE = -1  # in place of a trial's age in microseconds
+MAX_TEXT_LENGTH = 500  # characters of an author, a reason or an id
+FORMAT_VERSION = 1  # format of the encoded rule set
+MESSAGE_KIND = "rules"  # kind of the messages between gateways and of the gossiped records
+UNKNOWN_AGE = -1  # stands for an unknown age of a trial; known ages are in microseconds
 
 ChangeKind = Literal["edit", "undo", "confirm", "lapse"]
-RequestCounts = tuple[int, int, int]  # requests, rejected, late
+RequestCounts = tuple[int, int, int]  # numbers of requests, of rejected requests and of late requests
 
 
 class Trial(msgspec.Struct, frozen=True):
-    """Limits a version to `gateways` for `duration_ms`; elsewhere and afterwards its parent's content applies."""
+    """Limits a version to some gateways for `duration_ms`.
+
+    At all other gateways, and after the trial, the content of the version's parent applies.
+    """
 
     duration_ms: int = msgspec.field(name="span_ms")
     gateways: tuple[str, ...] = msgspec.field(name="first")
@@ -33,7 +36,7 @@
     """One version of the rules.
 
     `created_at` is in Unix seconds by the clock of the editor's gateway, for display only. `source_version` is the
-    version whose content an undo, a confirmation or the end of a trial starts from.
+    version from which an undo, a confirmation or the end of a trial takes its content; 0 for an edit.
     """
 
     number: int
@@ -49,19 +52,19 @@
 
     @property
     def parent(self) -> int:
-        """The number of the version that this one builds on."""
+        """The number of the version that this version is based on."""
         return self.number - 1
 
     def digest(self) -> str:
-        """A hash of all fields as encoded, to compare versions of one number between gateways."""
+        """Return a hash of all encoded fields, to compare a version between gateways."""
         return hashlib.sha256(msgspec.msgpack.encode(self, order="deterministic")).hexdigest()[:16]
 
 
 class RuleSet(msgspec.Struct, frozen=True):
     """The retained versions, oldest first, with consecutive numbers.
 
-    `format` is that of the program that wrote it. An earlier program can read a later format but must not write it,
-    as it would drop the fields that it doesn't know.
+    `format` is the format of the program that wrote the rule set. An older program can read a newer format but must not
+    write it, because it would drop fields that it doesn't know.
     """
 
     versions: tuple[Version, ...] = ()
@@ -69,26 +72,26 @@
 
     @property
     def newest(self) -> Version | None:
-        """The newest version; None before the first one."""
+        """The newest version; None if there is none yet."""
         return self.versions[-1] if self.versions else None
 
     @property
     def newest_number(self) -> int:
-        """The number of the newest version; 0 before the first one."""
+        """The number of the newest version; 0 if there is none yet."""
         return self.versions[-1].number if self.versions else 0
 
     def find(self, number: int) -> Version | None:
-        """Return the version of that number; None where it is not retained."""
+        """Return the version with the given number; None if it is not retained."""
         index = number - self.versions[0].number if self.versions else -1
         return self.versions[index] if 0 <= index < len(self.versions) else None
 
 
 class EditRequest(msgspec.Struct, frozen=True):
-    """A change that an editor, or the monitor of a trial, requests.
+    """A change that an editor or the monitor of a trial requests.
 
-    `base_version` is the newest version that the editor knew. `changes` are sections by name, None removes one.
-    `target_version` is the version whose content an undo restores; -1: the newest earlier one that differs.
-    `created_at` is in Unix seconds.
+    `base_version` is the newest version that the editor knew. `changes` maps names of sections to their new contents;
+    None removes a section. `target_version` is the version whose content an undo restores; -1 stands for the newest
+    earlier version with a different content. `created_at` is in Unix seconds.
     """
 
     kind: ChangeKind
@@ -104,17 +107,17 @@
 
 
 class ChangeRejectedError(Exception):
-    """The rule set stays as it is; the text tells the editor why."""
+    """A change was rejected and the rule set is unchanged; the message tells the editor why."""
 
 
 class NewestVersion(msgspec.Struct, frozen=True, tag="have"):
-    """Announces the number of the newest version that the sender has."""
+    """Announces the number of the sender's newest version."""
 
     newest: int
 
 
 class FetchVersions(msgspec.Struct, frozen=True, tag="fetch"):
-    """Requests all versions after `known`. `request_id` is returned with the answer."""
+    """Requests all versions after `known`. The answer carries the same `request_id`."""
 
     known: int
     request_id: int = msgspec.field(name="mark")
@@ -123,8 +126,8 @@
 class VersionsSent(msgspec.Struct, frozen=True, tag="told"):
     """Answers `FetchVersions`.
 
-    `trial_age_us` is the age of the newest version's trial by the sender's clock, in microseconds; `UNKNOWN_AGE`: the
-    sender doesn't know it, so the trial counts as over.
+    `trial_age_us` is the age of the newest version's trial by the sender's clock, in microseconds. `UNKNOWN_AGE`: the
+    sender doesn't know the age, so the receiver treats the trial as over.
     """
 
     request_id: int = msgspec.field(name="mark")
@@ -133,21 +136,24 @@
 
 
 class CheckRequest(msgspec.Struct, frozen=True, tag="check"):
-    """Asks whether the receiver could apply a content."""
+    """Requests a check whether the receiver can apply a content."""
 
     request_id: int = msgspec.field(name="mark")
     content: dict[str, Any]
 
 
 class CheckResult(msgspec.Struct, frozen=True, tag="checked"):
-    """Answers `CheckRequest`; `fault` is empty where the content can be applied."""
+    """Answers `CheckRequest`; `fault` is empty if the content can be applied."""
 
     request_id: int = msgspec.field(name="mark")
     fault: str
 
 
 class VersionApplied(msgspec.Struct, frozen=True, tag="holding"):
-    """Sent to the gateway that made a version, whose editor may be waiting; gossip reports the same later."""
+    """Reports to the gateway of a version's editor that the sender has applied the version.
+
+    The editor may be waiting for this report; gossip carries the same information, but later.
+    """
 
     version: int
 
@@ -156,11 +162,12 @@
 
 
 class GossipedStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway publishes about its rules.
+    """The status of a gateway's rules as published by gossip.
 
-    `on_trial`: it applies `version` as one of its trial's gateways. `fault`: why it can't apply a newer one. `counts`:
-    under `version` so far, while that is on trial. `acceptor_status`: empty where the gateway is no acceptor, "votes"
-    where it votes, else why it doesn't.
+    `version`: the version that the gateway applies. `on_trial`: the gateway is one of those on which the version is on
+    trial. `newest`: the newest version that it knows. `digest`: that of `version`. `fault`: why the gateway can't apply
+    a newer version. `counts`: the requests since the gateway began to apply `version`, while a trial of it is open.
+    `acceptor_status`: empty if the gateway is no acceptor, "votes" if it votes, else the reason why it doesn't.
     """
 
     version: int
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -25,7 +25,7 @@
     encode,
 )
 from rackhub.fleet.rules.timings import TimingsSection
-from rackhub.fleet.rules.trial_guard import GroupCounts, verdict
+from rackhub.fleet.rules.trial_guard import GroupCounts, reason_to_end
 from rackhub.fleet.rules.versioned_rules import DISK_KEY
 from rackhub.timings.desk import Desk
 from rackhub.timings.table import Table, read_table
@@ -168,7 +168,7 @@
     ],
 )
 def test_the_guard_needs_a_significant_and_relevant_difference_and_enough_requests(on, off, found):
-    assert verdict(on, off).partition(":")[0] == found
+    assert reason_to_end(on, off).partition(":")[0] == found
 
 
 # ---- on the twin
