--- a/rackhub/fleet/rules/changes.py
+++ b/rackhub/fleet/rules/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the rule set in the register: an editor's, the end of a trial, and one whose outcome is not known."""
+"""Proposes changes of the rule set to the register, and finds out the outcome of changes that were left unsettled."""
 
 import logging
 import time
@@ -24,11 +24,11 @@
 
 log = logging.getLogger(__name__)
 CHANGE_TIMEOUT = 5_000_000  # microseconds, for one change or read of the register
-UNSETTLED_DELAY = 1_000_000  # microseconds for which an acceptor may have an accepted value that is not known as chosen
+UNSETTLED_DELAY = 1_000_000  # microseconds that an acceptor waits to learn that a value it accepted was chosen
 
 
-class _Change:
-    """One change: what the register calls with its value, and then with the outcome."""
+class _ProposedChange:
+    """One change in the register, which calls `propose` with its value and then `complete` with the outcome."""
 
     def __init__(
         self,
@@ -47,40 +47,43 @@
         self._proposed = False
 
     def propose(self, value: bytes | None) -> tuple[bytes | None, Version | ChangeRejectedError]:
-        """Return the register's next value, and the answer that the outcome is to carry."""
+        """Return the register's new value, and the answer for the outcome: the version or the rejection."""
         try:
-            rule_set = self._current(value)
-            changed, made = versions.apply(rule_set, self._request)
+            rule_set = self._current_rule_set(value)
+            changed, new_version = versions.apply(rule_set, self._request)
         except ChangeRejectedError as rejection:
             return value, rejection
-        if changed == rule_set:  # an earlier attempt made it: its trial's age is known only if this change proposed it
-            return value, made
+        if changed == rule_set:  # an earlier attempt made the version
+            return value, new_version
         self._proposed = True
-        return encode(changed), made
+        return encode(changed), new_version
 
-    def _current(self, value: bytes | None) -> RuleSet:
+    def _current_rule_set(self, value: bytes | None) -> RuleSet:
         local = self._tracker.rule_set
-        # a register that was never written, or lost with the acceptors' disks, continues from the local rule set
+        # a register that was never written, or was lost with the acceptors' disks, continues from the local rule set
         rule_set = versions.decode_rule_set(value) if value is not None else local
         if rule_set.newest_number < local.newest_number:
             raise ChangeRejectedError(
-                f"the keepers hold version {rule_set.newest_number}, and this gateway {local.newest_number}: they "
-                "were put back; docs/operators/rules.md says what to do"
+                f"the keepers have version {rule_set.newest_number}, and this gateway {local.newest_number}: the "
+                "keepers' disks were restored from an older state; docs/operators/rules.md says what to do"
             )
         if rule_set.format > FORMAT_VERSION:
             raise ChangeRejectedError(
-                f"the book was written by a later program (format {rule_set.format}, here {FORMAT_VERSION}): "
-                "edit it at a gateway that runs that one"
+                f"the rules were written by a newer program (format {rule_set.format}, this gateway has "
+                f"{FORMAT_VERSION}): edit them at a gateway that runs the newer program"
             )
         return rule_set
 
     def complete(self, outcome: Outcome) -> None:
-        """Learn what was chosen, then report the outcome."""
+        """Learn the chosen versions, then report the outcome.
+
+        The age of a new trial is known only if this change proposed its version.
+        """
         if outcome.kind == "done" and outcome.value is not None:
             chosen = versions.decode_rule_set(outcome.value)
-            made = outcome.answer
-            made_here = self._proposed and isinstance(made, Version) and made.number == chosen.newest_number
-            age = self._fleet.clock.now() - self._started_at if made_here else UNKNOWN_AGE
+            answer = outcome.answer
+            is_own = self._proposed and isinstance(answer, Version) and answer.number == chosen.newest_number
+            age = self._fleet.clock.now() - self._started_at if is_own else UNKNOWN_AGE
             self._learn(chosen.versions, age)
         if outcome.kind == "done" and isinstance(outcome.answer, ChangeRejectedError):
             outcome = Outcome("refused", reason=str(outcome.answer))
@@ -88,9 +91,10 @@
 
 
 class ChangeCoordinator:
-    """Proposes changes to the register.
+    """Proposes changes of the rule set to the register.
 
-    `learn` gets the chosen versions and the age of the newest one's trial in microseconds, or `UNKNOWN_AGE`.
+    `learn` is called with the chosen versions and the age of the newest version's trial in microseconds, or with
+    `UNKNOWN_AGE`.
     """
 
     def __init__(
@@ -107,25 +111,26 @@
         self._dissemination = dissemination
         self._learn = learn
         self._ending_trial = False
-        self._unsettled_since = 0  # since when the local acceptor has a value that is not known as chosen; 0: it hasn't
-        self._last_value: bytes | None = None
-        self._accepted_number = 0  # the newest version of the local acceptor's value
+        # when the local acceptor's value was first seen to be newer than the versions known as chosen; 0: it is not
+        self._unsettled_since = 0
+        self._last_value: bytes | None = None  # the local acceptor's value as last seen
+        self._accepted_number = 0  # the number of the newest version in that value
 
     def propose(self, request: EditRequest, done: Callable[[Outcome], None]) -> None:
-        """Propose a change; `done` gets the version as the answer, or the text of the rejection as `reason`."""
-        change = _Change(self._fleet, self._tracker, self._learn, request, done)
+        """Propose a change; the outcome has the version as `answer`, or the rejection's message as `reason`."""
+        change = _ProposedChange(self._fleet, self._tracker, self._learn, request, done)
         published = max((status.newest for status in gossiped_statuses(self._fleet).values()), default=0)
         if published > self._tracker.rule_set.newest_number:
             self._dissemination.fetch_published()
         self._proposer.change(change.propose, change.complete, CHANGE_TIMEOUT)
 
     def end_trial(self, request: EditRequest) -> None:
-        """Propose the end of a trial, unless such a proposal is in flight already."""
+        """Propose the end of a trial, unless such a proposal is already in progress."""
 
         def complete(outcome: Outcome) -> None:
             self._ending_trial = False
             if outcome.kind == "done":
-                log.warning("fleet: rule version %d is undone: %s", request.base_version, request.reason)
+                log.warning("fleet: the trial of rule version %d was ended: %s", request.base_version, request.reason)
                 self._fleet.add_count("rules_lapsed", 1)
 
         if not self._ending_trial:
@@ -133,9 +138,10 @@
             self.propose(msgspec.structs.replace(request, created_at=int(time.time())), complete)
 
     def settle(self, acceptor: AcceptorShell) -> None:
-        """Read the register where the local acceptor's value has not become known as chosen for `UNSETTLED_DELAY`.
+        """Read the register if a value of the local acceptor has not become known as chosen for `UNSETTLED_DELAY`.
 
-        The proposer may have stopped between accept and answer, with the value chosen and nobody aware of it.
+        The proposer may have stopped after its Accept was sent, so that the value was chosen without any gateway
+        learning of it. The read completes the change if too few acceptors had accepted it.
         """
         now = self._fleet.clock.now()
         self._observe(acceptor.state.value if acceptor.state.voting else None)
@@ -154,8 +160,8 @@
         self._unsettled_since = 0
         try:
             self._accepted_number = versions.decode_rule_set(value).newest_number
-        except msgspec.MsgspecError as error:  # written by a later program: left to gateways that run it
-            log.error("fleet: the register's value can't be read: %s", error)
+        except msgspec.MsgspecError as error:  # written by a newer program: left to gateways that run that program
+            log.error("fleet: the register's value can't be decoded: %s", error)
             self._accepted_number = 0
 
     def _on_read(self, outcome: Outcome) -> None:
--- a/rackhub/fleet/rules/checks.py
+++ b/rackhub/fleet/rules/checks.py
@@ -1,4 +1,4 @@
-"""Checks a content at all living gateways before it is proposed: each must be able to apply it."""
+"""Has all live gateways check a content before it is proposed: each of them must be able to apply it."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -6,14 +6,18 @@
 from rackhub.fleet.ports import Fleet, Name
 from rackhub.fleet.rules.messages import MESSAGE_KIND, CheckRequest, CheckResult, encode
 
-CHECK_TIMEOUT = 4_000_000  # microseconds; a gateway that has just ended is known as gone by then
+CHECK_TIMEOUT = 4_000_000  # microseconds; long enough to detect that a gateway has just ended
 RESEND_INTERVAL = 400_000  # microseconds
 MAX_CONCURRENT_CHECKS = 16
-MAX_FAULT_LENGTH = 2_000  # characters of the fault that is sent
+MAX_FAULT_LENGTH = 2_000  # characters of a fault that are sent
 
 
 class CheckOutcome(NamedTuple):
-    """`faults` by gateway. Without an answer: `unresponsive` are still received from, `unreachable` are cut off."""
+    """The result of a check at all live gateways.
+
+    `faults`: why gateways can't apply the content. `unresponsive`: reachable gateways that did not answer.
+    `unreachable`: live gateways that did not answer and are cut off from this one.
+    """
 
     faults: dict[Name, str]
     unresponsive: list[Name]
@@ -32,7 +36,10 @@
 
 
 class FleetChecks:
-    """`check_locally` is this gateway's check: it returns the fault, empty where there is none."""
+    """Sends checks to other gateways and answers theirs.
+
+    `check_locally` checks a content at this gateway and returns the fault, or an empty text.
+    """
 
     def __init__(self, fleet: Fleet, check_locally: Callable[[Mapping[str, Any]], str]):
         self._fleet = fleet
@@ -41,7 +48,11 @@
         self._open: dict[int, _OpenCheck] = {}
 
     def check(self, content: Mapping[str, Any], done: Callable[[CheckOutcome], None]) -> None:
-        """Call `done` once, within `CHECK_TIMEOUT`: on the first fault, or when all have answered."""
+        """Check `content` at all live gateways, and call `done` once.
+
+        That is on the first fault, when all gateways have answered, when all that have not answered are unreachable, or
+        after `CHECK_TIMEOUT`.
+        """
         local = self._fleet.members.local_name
         fault = self._check_locally(content)
         if not fault and len(self._open) >= MAX_CONCURRENT_CHECKS:
@@ -63,8 +74,8 @@
         if check is None:
             return
         remaining = check.deadline - self._fleet.clock.now()
-        all_cut_off = not check.pending & self._fleet.members.reachable()
-        if remaining <= 0 or (remaining < CHECK_TIMEOUT and all_cut_off):
+        all_unreachable = not check.pending & self._fleet.members.reachable()
+        if remaining <= 0 or (remaining < CHECK_TIMEOUT and all_unreachable):
             self._complete(request_id)
             return
         body = encode(CheckRequest(request_id, check.content))
@@ -93,7 +104,7 @@
     def _complete(self, request_id: int) -> None:
         check = self._open.pop(request_id)
         reachable = self._fleet.members.reachable()
-        living = self._fleet.members.live()
+        live = self._fleet.members.live()
         unresponsive = sorted(check.pending & reachable)
-        unreachable = sorted((check.pending - reachable) & living)
+        unreachable = sorted((check.pending - reachable) & live)
         check.done(CheckOutcome(check.faults, unresponsive, unreachable))
--- a/rackhub/fleet/rules/dissemination.py
+++ b/rackhub/fleet/rules/dissemination.py
@@ -1,7 +1,7 @@
-"""How a version reaches every gateway: whoever has a newer one announces it, and whoever lacks it fetches it.
+"""Spreads versions to all gateways: a gateway announces its newest version, and gateways that lack it fetch it.
 
-Versions are pulled, never pushed, so that the fetching gateway can count a trial's age from the moment of its own
-request: the age that it computes is never too low, however long the answer was in transit.
+Versions are pulled, never pushed: the fetching gateway adds the time since its request to the trial's age in the
+answer, so the age that it computes is never too low, however long the answer was in transit.
 """
 
 import random
@@ -22,14 +22,18 @@
     encode,
 )
 
-FETCH_INTERVAL = 200_000  # microseconds between two fetches from the same gateway
-MAX_OPEN_FETCHES = 64  # whose answers are still accepted
+FETCH_INTERVAL = 200_000  # minimum microseconds between two fetches from the same gateway
+MAX_OPEN_FETCHES = 64  # open fetches whose answers are still accepted
 
 LearnVersions = Callable[[tuple[Version, ...], int], None]
 
 
 class Dissemination:
-    """`learn` gets received versions and the age of the newest one's trial in microseconds, or `UNKNOWN_AGE`."""
+    """Announces and fetches versions.
+
+    `learn` is called with received versions and the age of the newest version's trial in microseconds, or with
+    `UNKNOWN_AGE`.
+    """
 
     def __init__(self, fleet: Fleet, tracker: VersionTracker, learn: LearnVersions):
         self._fleet = fleet
@@ -38,17 +42,17 @@
         generation = fleet.members.all()[fleet.members.local_name].generation
         self._random = random.Random(f"{fleet.seed} spread {fleet.members.local_name} {generation}")
         self._request_id = self._random.getrandbits(48)
-        self._open_fetches: dict[int, int] = {}  # request id -> when it was sent
+        self._open_fetches: dict[int, int] = {}  # request id -> time of sending
         self._fetched_at: dict[Name, int] = {}
 
     def announce(self) -> None:
-        """Tell all living gateways the number of the newest version here."""
+        """Send the number of the newest local version to all live gateways."""
         body = encode(NewestVersion(self._tracker.rule_set.newest_number))
         for name in sorted(self._fleet.members.live() - {self._fleet.members.local_name}):
             self._fleet.messenger.send(name, MESSAGE_KIND, body)
 
     def fetch_published(self) -> None:
-        """Fetch from one of those that published the highest number, where that is above the local one."""
+        """Fetch from a gateway that has published the highest number, if that is above the local one."""
         newest = self._tracker.rule_set.newest_number
         ahead = {
             owner: status.newest
@@ -60,9 +64,9 @@
             self.fetch(self._random.choice(sorted(name for name, number in ahead.items() if number == highest)))
 
     def compare_with_random_peer(self) -> None:
-        """Announce the newest number to one gateway, which fetches or answers with its own.
+        """Announce the newest local version to a random gateway, which fetches it or answers with a newer number.
 
-        This repairs announcements that were lost.
+        This makes up for lost announcements.
         """
         peers = sorted(self._fleet.members.reachable() - {self._fleet.members.local_name})
         if peers:
@@ -70,7 +74,7 @@
             self._fleet.messenger.send(self._random.choice(peers), MESSAGE_KIND, body)
 
     def fetch(self, source: Name) -> None:
-        """Request what `source` has above the local versions, at most once in `FETCH_INTERVAL`."""
+        """Request versions newer than the local ones from `source`, at most once per `FETCH_INTERVAL`."""
         now = self._fleet.clock.now()
         if now - self._fetched_at.get(source, -FETCH_INTERVAL) < FETCH_INTERVAL:
             return
@@ -102,14 +106,14 @@
         rule_set = self._tracker.rule_set
         if rule_set.newest_number <= message.known:
             return
-        # the last known one is included: its content applies where the next one is not on trial
+        # the requester's newest version is included: its content applies where the next version is not on trial
         newer = tuple(version for version in rule_set.versions if version.number >= message.known)
         age = self._tracker.trial_age(self._fleet.clock.now())
         self._fleet.messenger.send(source, MESSAGE_KIND, encode(VersionsSent(message.request_id, newer, age)))
 
     def _on_versions(self, source: Name, message: VersionsSent) -> None:
         requested_at = self._open_fetches.pop(message.request_id, None)
-        if requested_at is None:  # of an earlier process, or dropped: a later fetch replaces it
+        if requested_at is None:  # a fetch of an earlier process, or one dropped beyond `MAX_OPEN_FETCHES`
             self._fleet.add_count("rules_unasked", 1)
             return
         self._fetched_at.pop(source, None)
@@ -118,11 +122,11 @@
 
 
 def gossiped_statuses(fleet: Fleet) -> dict[Name, GossipedStatus]:
-    """Return what each living gateway published last; records that can't be decoded are counted and left out."""
+    """Return the status that each live gateway published last; undecodable records are counted and left out."""
     statuses = {}
-    living = fleet.members.live()
+    live = fleet.members.live()
     for owner, record in fleet.gossip_state.read(MESSAGE_KIND).items():
-        if owner not in living:
+        if owner not in live:
             continue
         try:
             statuses[owner] = msgspec.msgpack.decode(record.body, type=GossipedStatus)
--- a/rackhub/fleet/rules/versions.py
+++ b/rackhub/fleet/rules/versions.py
@@ -1,4 +1,4 @@
-"""Applies changes to a rule set and merges rule sets: pure functions. History only grows."""
+"""Pure functions that apply changes to a rule set and merge rule sets. Existing versions are never changed."""
 
 import msgspec
 
@@ -14,27 +14,27 @@
     encode,
 )
 
-MAX_NAMED_CONFLICTS = 3  # newer versions that the text of a conflict names
+MAX_NAMED_CONFLICTS = 3  # newer versions that the error message of a conflict names
 
 
 def content_of(rule_set: RuleSet, number: int) -> dict[str, object]:
-    """Return the content of a version; empty before the first one, when the operator's files apply."""
+    """Return the content of a version; empty for version 0, which stands for the operator's files."""
     version = rule_set.find(number)
     return version.content if version is not None else {}
 
 
 def is_retained(rule_set: RuleSet, number: int) -> bool:
-    """Whether the content of that number is still known; version 0 is as long as version 1 is."""
+    """Return whether the content of a version is retained; that of version 0 is as long as version 1 is."""
     if rule_set.find(number) is not None:
         return True
     return number == 0 and (not rule_set.versions or rule_set.find(1) is not None)
 
 
 def apply(rule_set: RuleSet, request: EditRequest) -> tuple[RuleSet, Version]:
-    """Return the rule set after a change, and the version that it made.
+    """Return the rule set after a change, and the version that the change made.
 
-    A request is idempotent by its id: where that made a version already, the rule set is returned as it is with that
-    version. Raises `ChangeRejectedError`.
+    A request is idempotent by its id: if a request with this id has already made a version, the rule set is returned
+    unchanged with that version. Raises `ChangeRejectedError`.
     """
     existing = next((version for version in reversed(rule_set.versions) if version.id == request.id), None)
     if existing is not None:
@@ -44,7 +44,7 @@
     _require_newest_base(rule_set, request)
     _require_trial_state(rule_set, request)
     source = _source_version(rule_set, request)
-    made = Version(
+    new_version = Version(
         number=rule_set.newest_number + 1,
         content=_changed_content(rule_set, request, source),
         author=request.author,
@@ -56,7 +56,7 @@
         source_version=source if request.kind != "edit" else 0,
         trial=request.trial if request.kind == "edit" else None,
     )
-    return trim(RuleSet((*rule_set.versions, made))), made
+    return trim(RuleSet((*rule_set.versions, new_version))), new_version
 
 
 def _require_same_request(existing: Version, request: EditRequest) -> None:
@@ -70,7 +70,7 @@
 def _require_texts(request: EditRequest) -> None:
     for key, text in (("author", request.author), ("reason", request.reason), ("id", request.id)):
         if not 0 < len(text) <= MAX_TEXT_LENGTH:
-            raise ChangeRejectedError(f"{key}: {text[:40]!r}: from 1 to {MAX_TEXT_LENGTH} letters are needed")
+            raise ChangeRejectedError(f"{key}: {text[:40]!r}: 1 to {MAX_TEXT_LENGTH} characters are allowed")
 
 
 def _require_newest_base(rule_set: RuleSet, request: EditRequest) -> None:
@@ -91,7 +91,7 @@
 
 
 def _require_trial_state(rule_set: RuleSet, request: EditRequest) -> None:
-    """Only a trial can be confirmed or lapse, and no edit may build on one."""
+    """Reject a confirmation or lapse if no trial is open, and an edit if one is."""
     newest = rule_set.newest
     trial = newest if newest is not None and newest.trial is not None else None
     if request.kind in ("confirm", "lapse") and trial is None:
@@ -107,15 +107,15 @@
     content = {name: section for name, section in merged.items() if section is not None}
     newest = rule_set.newest_number
     if request.kind != "confirm" and content == content_of(rule_set, newest):
-        raise ChangeRejectedError(f"it changes nothing: version {newest} says the same")
+        raise ChangeRejectedError(f"the request changes nothing: version {newest} has the same content")
     size = len(encode(content))
     if size > MAX_CONTENT_BYTES:
-        raise ChangeRejectedError(f"its content has {size} bytes, more than {MAX_CONTENT_BYTES}")
+        raise ChangeRejectedError(f"the content has {size} bytes, more than {MAX_CONTENT_BYTES}")
     return content
 
 
 def _source_version(rule_set: RuleSet, request: EditRequest) -> int:
-    """Return the number of the version whose content the new one starts from."""
+    """Return the number of the version whose content the new version starts from."""
     newest = rule_set.newest_number
     if request.kind in ("edit", "confirm"):
         return newest
@@ -126,12 +126,15 @@
     target = request.target_version if request.target_version >= 0 else _newest_different(rule_set)
     if not 0 <= target < newest or not is_retained(rule_set, target):
         oldest = 0 if is_retained(rule_set, 0) else rule_set.versions[0].number
-        raise ChangeRejectedError(f"version {target} is not kept: there are {oldest} to {newest}")
+        raise ChangeRejectedError(f"version {target} is not retained: versions {oldest} to {newest} are")
     return target
 
 
 def _newest_different(rule_set: RuleSet) -> int:
-    """Return the newest earlier version with another content: a confirmation repeats that of the version before."""
+    """Return the number of the newest earlier version with a different content.
+
+    The version before the newest may have the same content, because a confirmation repeats the content of the trial.
+    """
     newest = rule_set.newest_number
     number = newest - 1
     while is_retained(rule_set, number) and content_of(rule_set, number) == content_of(rule_set, newest):
@@ -140,7 +143,7 @@
 
 
 def trim(rule_set: RuleSet) -> RuleSet:
-    """Drop the oldest versions beyond the limits of count and size, but never the newest two."""
+    """Drop the oldest versions until the limits of count and size are met, but never the newest two."""
     versions = rule_set.versions[-MAX_RETAINED_VERSIONS:]
     sizes = [len(encode(version)) for version in versions]
     while len(versions) > 2 and sum(sizes) > MAX_RULE_SET_BYTES:
@@ -150,9 +153,10 @@
 
 
 def merge(rule_set: RuleSet, received: tuple[Version, ...]) -> tuple[RuleSet, list[int]]:
-    """Return the rule set with another gateway's versions, and the numbers under which the two differ.
+    """Return the rule set with another gateway's versions, and the numbers of the versions that differ between the two.
 
-    Only versions that a majority chose are ever sent, so none should differ; where one does, the local one stays.
+    Gateways send only versions that a majority of the acceptors chose, so no version should differ. If one does, the
+    local version is kept.
     """
     known = {version.number: version for version in rule_set.versions}
     conflicts = [version.number for version in received if version.number in known and known[version.number] != version]
@@ -166,5 +170,5 @@
 
 
 def decode_rule_set(value: bytes | None) -> RuleSet:
-    """Decode the register's value; None is one that was never written. Raises `msgspec.MsgspecError`."""
+    """Decode the register's value; None means that it was never written. Raises `msgspec.MsgspecError`."""
     return msgspec.msgpack.decode(value, type=RuleSet) if value is not None else RuleSet()
