--- a/rackhub/fleet/rules/ports.py
+++ b/rackhub/fleet/rules/ports.py
@@ -1,4 +1,4 @@
-"""What the control port's calls need of the rules: used by `queries`, `propagation` and `service`."""
+"""The view of the rules that `queries`, `propagation` and `service` use to answer calls on the control port."""
 
 from typing import Protocol
 
@@ -10,10 +10,10 @@
 
 
 class RulesView(Protocol):
-    """The rules as one gateway has them.
+    """The rules of this gateway.
 
-    `confirmed_versions`: what other gateways reported to this one directly as applied; gossip reports it a little
-    later.
+    `reported_versions`: the version that each other gateway has reported directly to this one as applied; gossip
+    carries the same information a little later.
     """
 
     fleet: Fleet
@@ -23,11 +23,11 @@
     checks: FleetChecks
     changes: ChangeCoordinator
     trials: TrialMonitor
-    confirmed_versions: dict[Name, int]
+    reported_versions: dict[Name, int]
 
     @property
     def active(self) -> ActiveVersion:
-        """What requests meet at this gateway."""
+        """The version and the content that apply to new requests at this gateway."""
 
     def damage_report(self) -> str:
-        """Return what of this gateway's disk could not be read; empty where all could."""
+        """Return which data of this gateway's disk could not be read; empty if there is no damage."""
--- a/rackhub/fleet/rules/propagation.py
+++ b/rackhub/fleet/rules/propagation.py
@@ -1,4 +1,4 @@
-"""Waits until all living gateways have applied a version, as long as its editor wants to wait, then answers."""
+"""Waits until all live gateways have applied a version or the editor's waiting time is over, then answers."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class PropagationWait:
-    """One editor's wait for `version`. `extra` is added to the answer, whose times are milliseconds."""
+    """One editor's wait for `version`. `extra` is added to the answer. Times in the answer are in milliseconds."""
 
     def __init__(self, rules: RulesView, version: Version, wait_ms: int, answer: Answer, extra: Mapping[str, Any]):
         self._rules = rules
@@ -23,11 +23,11 @@
         self._started_at = rules.fleet.clock.now()
 
     def poll(self) -> None:
-        """Answer if all have applied it or the time is over, else poll later."""
+        """Answer if all live gateways have applied the version or the waiting time is over, else poll again later."""
         statuses = gossiped_statuses(self._rules.fleet)
-        living = self._rules.fleet.members.live()
-        applied = {name for name in living if self._has_applied(name, statuses.get(name))}
-        missing = [self._missing(name, statuses.get(name)) for name in sorted(living - applied)]
+        live = self._rules.fleet.members.live()
+        applied = {name for name in live if self._has_applied(name, statuses.get(name))}
+        missing = [self._describe_missing(name, statuses.get(name)) for name in sorted(live - applied)]
         elapsed = self._rules.fleet.clock.now() - self._started_at
         if missing and elapsed < self._wait_ms * 1_000:
             self._rules.fleet.call_later(POLL_INTERVAL, self.poll)
@@ -38,14 +38,14 @@
         reported = status.version if status is not None else -1
         if name == self._rules.gateway:
             reported = self._rules.active.version
-        return max(reported, self._rules.confirmed_versions.get(name, -1)) >= self._version.number
+        return max(reported, self._rules.reported_versions.get(name, -1)) >= self._version.number
 
-    def _missing(self, name: Name, status: GossipedStatus | None) -> Mapping[str, Any]:
+    def _describe_missing(self, name: Name, status: GossipedStatus | None) -> Mapping[str, Any]:
         fault = status.fault if status is not None else ""
         return {
             "name": name,
             "version": status.version if status is not None else None,
-            "why": fault or "has not said that it holds it",
+            "why": fault or "has not reported that it applies this version",
         }
 
     def _result(self, applied: list[Name], missing: list[Mapping[str, Any]], took_ms: int) -> Mapping[str, Any]:
@@ -61,4 +61,4 @@
         if not missing or not self._wait_ms:
             return result
         names = ", ".join(f"{entry['name']} ({entry['why']})" for entry in missing)
-        return result | {"exit": 1, "error": f"version {self._version.number} is made, and not held by {names}"}
+        return result | {"exit": 1, "error": f"version {self._version.number} is made, but not applied at {names}"}
--- a/rackhub/fleet/rules/requests.py
+++ b/rackhub/fleet/rules/requests.py
@@ -1,20 +1,20 @@
-"""The parameters of a call on the control port: one type for all calls on rules, with and without relays."""
+"""The parameters of calls for rules on the control port; one type for all calls, in fleets with and without relays."""
 
 from collections.abc import Mapping
 from typing import Any
 
 import msgspec
 
-MAX_WAIT_MS = 60_000  # for all gateways to apply a version
+MAX_WAIT_MS = 60_000  # wait until all gateways have applied a version
 MIN_TRIAL_MS = 1_000
 MAX_TRIAL_MS = 3_600_000
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """The call's JSON object; unknown keys are ignored.
+    """The JSON object of a call. Unknown keys are ignored, times are in milliseconds.
 
-    `base_version`: the version that a change builds on; -1: the newest one that this gateway knows. `changes`: sections
-    by name, None removes one. In a fleet with relays a version is a revision. Times are milliseconds.
+    `base_version`: the version that a change is based on; -1: the newest version that this gateway knows. `changes`:
+    the new contents of sections by name; None removes a section. In a fleet with relays, versions are revisions.
     """
 
     version: int = -1
@@ -32,7 +32,7 @@
 
 
 def parse_request(call: Mapping[str, Any]) -> Request:
-    """Decode a call. Raises `ValueError` or `msgspec.ValidationError` that names the key at fault."""
+    """Decode a call. Raises `ValueError` or `msgspec.ValidationError` with the name of the invalid key."""
     request = msgspec.convert({key: value for key, value in call.items() if key != "call"}, Request)
     if not 0 <= request.wait_ms <= MAX_WAIT_MS:
         raise ValueError(f"wait_ms: {request.wait_ms} is not from 0 to {MAX_WAIT_MS}")
--- a/rackhub/fleet/rules/service.py
+++ b/rackhub/fleet/rules/service.py
@@ -1,4 +1,4 @@
-"""The rules' calls on the control port. What they mean for the operator: docs/operators/rules.md."""
+"""The calls for rules on the control port. They are described for operators in docs/operators/rules.md."""
 
 import time
 from collections.abc import Callable, Mapping
@@ -21,18 +21,18 @@
 # exit statuses of the command line
 EXIT_REJECTED = 1
 EXIT_INVALID = 2
-DEFAULT_TRIAL_DIVISOR = 4  # a trial has one in this many gateways where the editor names no number
+DEFAULT_TRIAL_DIVISOR = 4  # one gateway in this many is on a trial if the editor gives no number
 
 
 class RulesService:
-    """Answers each call once: at once, or when the register and the other gateways have answered."""
+    """Answers each call once, immediately or when the register and the other gateways have answered."""
 
     def __init__(self, rules: RulesView, control: Control | None):
         self._rules = rules
         self._control = control
 
     def start(self) -> None:
-        """Register the calls at the control port, where there is one."""
+        """Register the calls at the control port, if there is one."""
         calls: dict[str, Call] = {
             "show": self._query(queries.show),
             "history": self._query(queries.history),
@@ -52,12 +52,12 @@
 
     def _edit(self, request: Request, answer: Answer) -> None:
         if request.base_version < 0:
-            raise ValueError("on: an edit names the version that it builds on")
+            raise ValueError("on: is missing: an edit must name the version that it is based on")
         rule_set = self._rules.tracker.rule_set
-        edit = self._edit_request("edit", request, changes=request.changes, trial=self._trial(request))
-        changed, made = versions.apply(rule_set, edit)  # rejects early what the register would reject, too
+        edit = self._edit_request("edit", request, changes=request.changes, trial=self._requested_trial(request))
+        changed, new_version = versions.apply(rule_set, edit)  # an edit that the register would reject fails here
         if changed is rule_set:
-            self._wait(made, request, answer, {})
+            self._answer_when_applied(new_version, request, answer, {})
             return
 
         def complete(outcome: CheckOutcome) -> None:
@@ -67,7 +67,7 @@
             else:
                 self._propose(edit, request, answer, {"unasked": outcome.unreachable})
 
-        self._rules.checks.check(made.content, complete)
+        self._rules.checks.check(new_version.content, complete)
 
     def _undo(self, request: Request, answer: Answer) -> None:
         self._propose(self._edit_request("undo", request, target_version=request.target_version), request, answer, {})
@@ -75,7 +75,7 @@
     def _confirm(self, request: Request, answer: Answer) -> None:
         trial = self._rules.tracker.open_trial()
         if trial is not None and not self._rules.tracker.trial_remaining(self._rules.fleet.clock.now()):
-            raise ChangeRejectedError(f"the trial of version {trial.number} is over here: edit anew")
+            raise ChangeRejectedError(f"the trial of version {trial.number} has ended at this gateway: make a new edit")
         self._propose(self._edit_request("confirm", request), request, answer, {})
 
     def _edit_request(self, kind: ChangeKind, request: Request, **fields: Any) -> EditRequest:
@@ -95,37 +95,44 @@
             **fields,
         )
 
-    def _trial(self, request: Request) -> Trial | None:
-        """Return the trial that a call asks for: this gateway and the first others by name that it reaches."""
+    def _requested_trial(self, request: Request) -> Trial | None:
+        """Return the trial that a call requests, None without one. Raises `ValueError`.
+
+        The trial is on this gateway and on the first reachable gateways in the order of their names.
+        """
         if not request.trial_ms:
             if request.trial_gateways:
-                raise ValueError(f"first: {request.trial_gateways} without a trial")
+                raise ValueError(f"first: {request.trial_gateways} has no effect without a trial")
             return None
         if not MIN_TRIAL_MS <= request.trial_ms <= MAX_TRIAL_MS:
             raise ValueError(f"trial: {request.trial_ms} ms is not from {MIN_TRIAL_MS} to {MAX_TRIAL_MS}")
         members = self._rules.fleet.members
-        living = len(members.live())
-        count = request.trial_gateways or max(living // DEFAULT_TRIAL_DIVISOR, 1)
-        if not 0 < count < max(living, 2):
-            raise ValueError(f"first: {count} of {living} gateways: at least one must stay off it, to compare with")
+        live_count = len(members.live())
+        count = request.trial_gateways or max(live_count // DEFAULT_TRIAL_DIVISOR, 1)
+        if not 0 < count < max(live_count, 2):
+            raise ValueError(
+                f"first: {count} of {live_count} gateways: at least one must be on the trial and one off it"
+            )
         peers = sorted(members.reachable() - {members.local_name})
         return Trial(request.trial_ms, tuple(sorted([members.local_name, *peers[: count - 1]])))
 
     def _propose(self, edit: EditRequest, request: Request, answer: Answer, extra: Mapping[str, Any]) -> None:
         def complete(outcome: Outcome) -> None:
             if outcome.kind == "done":
-                self._wait(outcome.answer, request, answer, extra)
+                self._answer_when_applied(outcome.answer, request, answer, extra)
             else:
                 answer(_change_error(edit, outcome))
 
         self._rules.changes.propose(edit, complete)
 
-    def _wait(self, made: Version, request: Request, answer: Answer, extra: Mapping[str, Any]) -> None:
-        PropagationWait(self._rules, made, request.wait_ms, answer, extra).poll()
+    def _answer_when_applied(
+        self, version: Version, request: Request, answer: Answer, extra: Mapping[str, Any]
+    ) -> None:
+        PropagationWait(self._rules, version, request.wait_ms, answer, extra).poll()
 
 
 def _with_error_answers(call: Call) -> Callable[[Mapping[str, Any], Answer], None]:
-    """Decode the JSON object for a call, and answer with what is wrong with it."""
+    """Return a handler that decodes a JSON object for `call`, and answers with an error if it is invalid."""
 
     def handle(call_object: Mapping[str, Any], answer: Answer) -> None:
         try:
@@ -139,13 +146,13 @@
 
 
 def _check_error(outcome: CheckOutcome) -> Mapping[str, Any] | None:
-    """Return why the gateways' own checks forbid an edit; None where they do not."""
+    """Return the error answer for an edit that some gateway can't apply or did not check; None if all can apply it."""
     if outcome.faults:
-        faults = "; ".join(f"{name} can't take it: {fault}" for name, fault in outcome.faults.items())
+        faults = "; ".join(f"{name} can't apply the edit: {fault}" for name, fault in outcome.faults.items())
         return {"error": faults, "exit": EXIT_INVALID}
     if outcome.unresponsive:
         names = ", ".join(outcome.unresponsive)
-        error = f"no answer from {names}, which live and must be able to take it: nothing was changed"
+        error = f"nothing was changed: no answer from {names}, and all live gateways must be able to apply the edit"
         return {"error": error, "exit": EXIT_REJECTED}
     return None
 
@@ -153,5 +160,8 @@
 def _change_error(edit: EditRequest, outcome: Outcome) -> Mapping[str, Any]:
     if outcome.kind == "refused":
         return {"error": f"nothing was changed: {outcome.reason}", "exit": EXIT_REJECTED}
-    error = f"it may have been taken or not: {outcome.reason}; say it again with id {edit.id}, which does nothing twice"
+    error = (
+        f"the change may or may not have been made: {outcome.reason}; "
+        f"retry with id {edit.id}, which can't make it twice"
+    )
     return {"error": error, "exit": EXIT_REJECTED, "id": edit.id, "unknown": True}
--- a/rackhub/fleet/rules/timings.py
+++ b/rackhub/fleet/rules/timings.py
@@ -1,4 +1,4 @@
-"""The `timings` section of the rules: checked like the operator's file, applied by a reload of the route policy."""
+"""The `timings` section of the rules: checked like the operator's file, and applied by reloading the route policy."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -12,7 +12,7 @@
 
 
 class ParsedSection(NamedTuple):
-    """The section that was parsed last, encoded, and under which settings."""
+    """The section that was parsed last: its encoded form, the site's settings at that time, and the resulting table."""
 
     encoded: bytes
     settings: interface.Settings
@@ -22,54 +22,55 @@
 class TimingsSection:
     """Applies the `timings` section.
 
-    `settings` returns the site's settings of this moment. `file` returns the section of the operator's file, which
-    applies where the rules have none. `reload` applies a table to requests from now on; open requests end under theirs.
+    `settings` returns the site's present settings. `file_section` returns the section of the operator's file, which
+    applies if the rules have none. `reload` applies a table to new requests; open requests keep the table that they
+    began with.
     """
 
     def __init__(
         self,
         settings: Callable[[], interface.Settings],
-        file: Callable[[], Section | None],
+        file_section: Callable[[], Section | None],
         reload: Callable[[Table], None],
     ):
         self._settings = settings
-        self._file = file
+        self._file_section = file_section
         self._reload = reload
         self.version = 0
         self._section: Section | None = None
         self._last_parsed: ParsedSection | None = None
 
     def check(self, section: Section | None) -> None:
-        """Raise `ValueError` that names each key at fault; None: the rules have no such section."""
+        """Raise `ValueError` with the name of each invalid key. None means that the rules have no such section."""
         if section is not None:
             self._parse(section)
 
     def apply(self, section: Section | None, version: int) -> None:
-        """Apply a section, or the operator's file where there is none.
+        """Apply a section, or that of the operator's file if `section` is None.
 
-        Raises `ValueError`; what applied before stays then.
+        Raises `ValueError` if it is invalid; the previous section stays active then.
         """
-        self._reload(self._parse(section if section is not None else self._file() or {}))
+        self._reload(self._parse(section if section is not None else self._file_section() or {}))
         self._section = section
         self.version = version
 
     def reload_file(self) -> None:
-        """Apply the operator's file, which was reread, where the rules have no such section.
+        """Apply the present section again after the operator's file or the site's settings were reread.
 
-        Raises `ValueError` where the file's section, or that of the rules under the site's new settings, can't be
-        used; what applied before stays.
+        If the rules have no such section, that of the file applies. Raises `ValueError` if the section is invalid under
+        the present settings; the previous table stays active then.
         """
         self.apply(self._section, self.version)
 
     def _parse(self, section: Section) -> Table:
-        """Return the section's table.
+        """Return the table of a section; the last table is cached.
 
-        An edit is checked for its editor, checked when it arrives, and applied: it is parsed once for all three. The
-        table can be shared, as its only state is a cache of lookups.
+        A gateway checks an edit for the editor, checks it again when it arrives, and applies it; the cache makes it
+        parse the edit once. The table can be shared, because its only state is a cache of lookups.
         """
         settings = self._settings()
         last = self._last_parsed
-        encoded = _encoded(section)
+        encoded = _encode(section)
         if last is not None and last.settings is settings and last.encoded == encoded:
             return last.table
         table = read_table(dict(section), settings)
@@ -77,10 +78,10 @@
         return table
 
 
-def _encoded(section: Section) -> bytes:
-    """Encode a section for comparison: values that are equal in Python, as 1 and true, differ in it.
+def _encode(section: Section) -> bytes:
+    """Encode a section for comparison; values that are equal in Python, such as 1 and True, have different encodings.
 
-    Empty where the section can't be encoded.
+    Returns an empty string if the section can't be encoded.
     """
     try:
         return msgspec.msgpack.encode(section)
--- a/rackhub/fleet/rules/versioned_rules.py
+++ b/rackhub/fleet/rules/versioned_rules.py
@@ -1,4 +1,4 @@
-"""The rules as a component of the fleet: `ports.Rules`, on top of the register, dissemination, checks and trials."""
+"""The versioned rules of one gateway: `ports.Rules` on top of the register, dissemination, checks and trials."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -31,7 +31,7 @@
 log = logging.getLogger(__name__)
 DISK_KEY = "rules/held"
 TICK_INTERVAL = 500_000  # microseconds between two runs of the periodic work
-REPUBLISH_TICKS = 10  # after which an unchanged status is republished
+REPUBLISH_TICKS = 10  # number of ticks after which an unchanged status is published again
 MAX_PUBLISHED_FAULT = 300  # characters
 MAX_PUBLISHED_ACCEPTOR_STATUS = 120  # characters
 
@@ -47,9 +47,9 @@
 class VersionedRules:
     """The rules of one gateway.
 
-    `counts` returns requests, rejected and late since the start; trials compare differences of them. `part` is called
-    before `start` for each section that this gateway applies. Without `disk` nothing is stored, and the gateway is no
-    acceptor. Raises `ValueError` where the disk is another acceptor's.
+    `counts` returns the counts of all, rejected and late requests since the start; trials compare their increases.
+    `add_section` has to be called before `start` for each section that this gateway applies. Without `disk` nothing is
+    stored, and the gateway is no acceptor. Raises `ValueError` if the disk belongs to another acceptor.
     """
 
     def __init__(
@@ -67,39 +67,39 @@
         self._counts = counts
         generation = fleet.members.all()[self.gateway].generation
         self.sections: dict[str, RuleSection] = {}
-        self.damage = ""  # why the record on disk could not be read
+        self.damage = ""  # description of a stored record that could not be decoded
         self.tracker = VersionTracker(self.gateway, self._load())
         self.acceptor: AcceptorShell | None = None
         if disk is not None and self.gateway in self.acceptors:
             self.acceptor = AcceptorShell(fleet, self.acceptors, disk, generation)
         self.proposer = Proposer(fleet, self.acceptors, generation, self.acceptor)
         self.dissemination = Dissemination(fleet, self.tracker, self._learn)
-        self.checks = FleetChecks(fleet, self.fault)
+        self.checks = FleetChecks(fleet, self.find_faults)
         self.changes = ChangeCoordinator(fleet, self.tracker, self.proposer, self.dissemination, self._learn)
         self.trials = TrialMonitor(fleet, self.tracker, self.acceptors, self.changes.end_trial)
         self.service = RulesService(self, control)
-        self.confirmed_versions: dict[Name, int] = {}
-        self.apply_fault = ""  # why the newest version can't be applied here
+        self.reported_versions: dict[Name, int] = {}
+        self.apply_fault = ""  # the reason why this gateway can't apply the newest version
         self._active = ActiveVersion(0, False, {})
         self._baseline = _TrialBaseline(0, False, counts())
         self._published = b""
         self._ticks = 0
-        self._digest = (0, "")  # of which version, and the digest
+        self._digest = (0, "")  # cached digest: the number of a version, and its digest
         self._cancel_tick: Callable[[], None] = lambda: None
         self._stopped = False
 
     @property
     def version(self) -> int:
-        """The version that applies; 0: the operator's files do."""
+        """The number of the version that applies; 0 if the operator's files apply."""
         return self._active.version
 
     @property
     def active(self) -> ActiveVersion:
-        """What requests meet at this gateway."""
+        """The version and the content that apply to new requests."""
         return self._active
 
     def add_section(self, name: str, section: RuleSection) -> None:
-        """Set who applies the section of that name."""
+        """Register `section` to check and apply the section with that name."""
         self.sections[name] = section
 
     def _load(self) -> StoredRules | None:
@@ -110,18 +110,21 @@
             return msgspec.msgpack.decode(body, type=StoredRules)
         except msgspec.MsgspecError as error:
             self.damage = f"{DISK_KEY} can't be read: {error}"
-            log.error("fleet: %s; it is fetched from other gateways", self.damage)
+            log.error("fleet: %s; the rules are fetched from other gateways", self.damage)
             self.fleet.add_count("rules_damaged", 1)
             return None
 
     def damage_report(self) -> str:
-        """Return what of this gateway's disk could not be read, and is fetched from others; empty where all could."""
+        """Return which data of this gateway's disk could not be read; empty if there is no damage.
+
+        The damaged data is fetched from other gateways.
+        """
         acceptor_damage = self.acceptor.damage if self.acceptor is not None else ""
         damages = (getattr(self._disk, "damage", ""), self.damage, acceptor_damage)
         return "; ".join(filter(None, damages))
 
     def start(self) -> None:
-        """Receive messages, answer calls, and apply the stored version."""
+        """Start receiving messages and answering calls, and apply the stored version."""
         self.fleet.messenger.subscribe(MESSAGE_KIND, self._on_message)
         self.proposer.start()
         if self.acceptor is not None:
@@ -131,7 +134,7 @@
         self._tick()
 
     def drain(self) -> None:
-        """Stop the periodic work; messages and calls are still answered."""
+        """Stop the periodic work. Messages and calls are still answered."""
         self._cancel_tick()
 
     def stop(self) -> None:
@@ -156,12 +159,15 @@
     # ---- applying versions
 
     def _learn(self, versions: tuple[Version, ...], trial_age: int) -> None:
-        """Handle versions that a majority chose."""
+        """Merge versions that a majority of the acceptors chose, and apply and announce a newer one."""
         if self._stopped:
             return
         result = self.tracker.learn(versions, trial_age, self.fleet.clock.now())
         if result.conflicts:
-            log.error("fleet: two contents under rule versions %s: the register was lost or put back", result.conflicts)
+            log.error(
+                "fleet: rule versions %s differ between gateways: the register was lost or its disks were restored",
+                result.conflicts,
+            )
             self.fleet.add_count("rules_two_contents", len(result.conflicts))
         if result.advanced:
             self._apply_target()
@@ -170,9 +176,9 @@
             self.trials.check()
 
     def _apply_target(self) -> None:
-        """Apply what should apply now.
+        """Apply the version and the content that should apply now.
 
-        A newer version is stored first, so that a restart can't return to an older one.
+        A newer version is stored before it is applied, so that a restarted gateway can't return to an older one.
         """
         if self._stopped:
             return
@@ -181,7 +187,7 @@
         if target == self._active or target.version < self.tracker.applied_version:
             return
         previous_fault = self.apply_fault
-        self.apply_fault = self.fault(target.content)
+        self.apply_fault = self.find_faults(target.content)
         if self.apply_fault:
             if self.apply_fault != previous_fault:
                 self._report_fault(target)
@@ -208,23 +214,23 @@
         if self._stopped or target.version < self.tracker.applied_version:
             return
         self.tracker.applied_version = target.version
-        if target != self.tracker.target(self.fleet.clock.now()):  # superseded while it was being stored
+        if target != self.tracker.target(self.fleet.clock.now()):  # superseded while being stored
             self._apply_target()
             return
         for name, section in self.sections.items():
             section.apply(target.content.get(name), target.version)
         self._active = target
-        made = self.tracker.rule_set.find(target.version)
-        if made is not None and made.gateway != self.gateway:
-            self.fleet.messenger.send(made.gateway, MESSAGE_KIND, encode(VersionApplied(target.version)))
+        version = self.tracker.rule_set.find(target.version)
+        if version is not None and version.gateway != self.gateway:
+            self.fleet.messenger.send(version.gateway, MESSAGE_KIND, encode(VersionApplied(target.version)))
         trial = self.tracker.open_trial()
         if trial is not None:
             self._baseline = _TrialBaseline(trial.number, target.on_trial, self._counts())
         log.info("fleet: rule version %d applied%s", target.version, ", on trial" if target.on_trial else "")
         self._publish()
 
-    def fault(self, content: Mapping[str, Any]) -> str:
-        """Return why this gateway can't apply a content, each key by name; empty where it can."""
+    def find_faults(self, content: Mapping[str, Any]) -> str:
+        """Return why this gateway can't apply a content, with the name of each invalid key; empty if it can."""
         known = ", ".join(sorted(self.sections)) or "none"
         faults = [
             f"{name}: is not known at {self.gateway}; there are {known}"
@@ -243,7 +249,7 @@
     # ---- gossip and messages
 
     def _publish(self) -> None:
-        """Publish this gateway's status where it has changed."""
+        """Publish this gateway's status if it has changed."""
         status = GossipedStatus(
             version=self._active.version,
             on_trial=self._active.on_trial,
@@ -265,7 +271,10 @@
         return self._digest[1]
 
     def _trial_counts(self) -> RequestCounts:
-        """Return the counts since the open trial began here; zeros where none is open or its version not active."""
+        """Return the request counts since this gateway began to apply the open trial's version.
+
+        Zeros if no trial is open or its version is not active.
+        """
         baseline = self._baseline
         is_active = baseline.version == self._active.version and baseline.on_trial == self._active.on_trial
         if self.tracker.open_trial() is None or not is_active:
@@ -303,7 +312,7 @@
             return
         if isinstance(message, VersionApplied):
             if source in self.fleet.members.live():
-                self.confirmed_versions[source] = message.version
+                self.reported_versions[source] = message.version
         elif isinstance(message, CheckRequest | CheckResult):
             self.checks.on_message(source, message)
         else:
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -201,7 +201,7 @@
 
     stand.rules["g03"].sections["shed"].check = picky
     refused = stand.edit("g00", 9, 0, "a")
-    assert refused["exit"] == 2 and "g03 can't take it: shed.level = 9: too high here" in refused["error"]
+    assert refused["exit"] == 2 and "g03 can't apply the edit: shed.level = 9: too high here" in refused["error"]
     for words, named in (
         ({"parts": {"shed": {"level": "x"}}}, "shed.level = 'x'"),
         ({"parts": {"speed": {}}}, "speed: is not known"),
@@ -545,7 +545,7 @@
     stand.net.nodes["g03"].pause()
     stand.run(SECOND)
     assert call("undo", "--wait", "500ms") == 1
-    assert "not held by g03" in capsys.readouterr().err
+    assert "not applied at g03" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
