--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -1,4 +1,4 @@
-"""The versioned rules: edits, undo, trials and their end, on the faulty twin; each checker on planted mistakes."""
+"""The versioned rules: edits, undo and trials on a simulated fleet with faults, and the checkers on injected bugs."""
 
 import msgspec
 import pytest
@@ -35,47 +35,47 @@
 from rackhub.trials.fleet.twin import MS, SECOND
 
 
-def request(kind="edit", base=0, id="1", level=None, author="ann", **fields):
+def edit_request(kind="edit", base=0, id="1", level=None, author="ann", **fields):
     changes = {} if level is None else {"shed": {"level": level}}
     return EditRequest(kind, base, author, f"because of {id}", id, 0, "g00", changes=changes, **fields)
 
 
-def made(*requests):
+def applied(*requests):
     rule_set = RuleSet()
-    for one in requests:
-        rule_set, _ = versions.apply(rule_set, one)
+    for each in requests:
+        rule_set, _ = versions.apply(rule_set, each)
     return rule_set
 
 
 def levels(rule_set):
-    return [one.content.get("shed", {}).get("level") for one in rule_set.versions]
+    return [version.content.get("shed", {}).get("level") for version in rule_set.versions]
 
 
 # ---- the rule set
 
 
 def test_history_only_grows_and_undo_of_undo_is_redo():
-    rule_set = made(
-        request(level=1),
-        request(base=1, id="2", level=2),
-        request("undo", 2, "3"),
-        request("undo", 3, "4"),
-        request("undo", 4, "5", target_version=0),
+    rule_set = applied(
+        edit_request(level=1),
+        edit_request(base=1, id="2", level=2),
+        edit_request("undo", 2, "3"),
+        edit_request("undo", 3, "4"),
+        edit_request("undo", 4, "5", target_version=0),
     )
-    assert levels(rule_set) == [1, 2, 1, 2, None] and [one.number for one in rule_set.versions] == [1, 2, 3, 4, 5]
-    assert [one.source_version for one in rule_set.versions] == [0, 0, 1, 2, 0]
+    assert levels(rule_set) == [1, 2, 1, 2, None] and [each.number for each in rule_set.versions] == [1, 2, 3, 4, 5]
+    assert [each.source_version for each in rule_set.versions] == [0, 0, 1, 2, 0]
 
 
-def test_a_newer_version_rejects_an_edit_and_names_both_authors():
-    rule_set = made(request(level=1), request(base=1, id="2", level=2, author="bob"))
+def test_an_edit_based_on_an_older_version_is_rejected_naming_both_authors():
+    rule_set = applied(edit_request(level=1), edit_request(base=1, id="2", level=2, author="bob"))
     with pytest.raises(
         ChangeRejectedError, match=r"ann's edit \(because of 3\) builds on version 1; .*2 by bob \(because of 2\)"
     ):
-        versions.apply(rule_set, request(base=1, id="3", level=3))
-    repeated, found = versions.apply(rule_set, request(base=1, id="2", level=2, author="bob"))
-    assert repeated is rule_set and found.number == 2  # a repeated request is idempotent
+        versions.apply(rule_set, edit_request(base=1, id="3", level=3))
+    repeated, found = versions.apply(rule_set, edit_request(base=1, id="2", level=2, author="bob"))
+    assert repeated is rule_set and found.number == 2  # a repeated request makes no further version
     with pytest.raises(ChangeRejectedError, match="id '2' was used by bob"):
-        versions.apply(rule_set, request(base=2, id="2", level=5))
+        versions.apply(rule_set, edit_request(base=2, id="2", level=5))
 
 
 @pytest.mark.parametrize(
@@ -91,23 +91,23 @@
 )
 def test_an_invalid_change_is_rejected_with_the_reason(base, fields, reason):
     with pytest.raises(ChangeRejectedError, match=reason):
-        versions.apply(made(request(level=1)), request(**{"base": base, "id": "2", **fields}))
+        versions.apply(applied(edit_request(level=1)), edit_request(**{"base": base, "id": "2", **fields}))
 
 
-def test_a_trial_is_confirmed_or_lapses_and_an_undo_after_either_brings_back_something_else():
-    rule_set = made(request(level=1), request(base=1, id="2", level=2, trial=Trial(1_000, ("g00",))))
+def test_undo_after_a_confirmed_or_lapsed_trial_restores_a_different_content():
+    rule_set = applied(edit_request(level=1), edit_request(base=1, id="2", level=2, trial=Trial(1_000, ("g00",))))
     with pytest.raises(ChangeRejectedError, match="on trial: confirm or undo"):
-        versions.apply(rule_set, request(base=2, id="3", level=3))
-    confirmed, _ = versions.apply(rule_set, request("confirm", 2, "3"))
-    assert levels(versions.apply(confirmed, request("undo", 3, "4"))[0]) == [1, 2, 2, 1]
-    lapsed, _ = versions.apply(rule_set, request("lapse", 2, "3"))
-    assert levels(versions.apply(lapsed, request("undo", 3, "4"))[0]) == [1, 2, 1, 2]
+        versions.apply(rule_set, edit_request(base=2, id="3", level=3))
+    confirmed, _ = versions.apply(rule_set, edit_request("confirm", 2, "3"))
+    assert levels(versions.apply(confirmed, edit_request("undo", 3, "4"))[0]) == [1, 2, 2, 1]
+    lapsed, _ = versions.apply(rule_set, edit_request("lapse", 2, "3"))
+    assert levels(versions.apply(lapsed, edit_request("undo", 3, "4"))[0]) == [1, 2, 1, 2]
 
 
 def test_the_rule_set_stays_within_its_limits_and_retains_at_least_two_versions():
     rule_set = RuleSet()
     for number in range(100):
-        rule_set, _ = versions.apply(rule_set, request(base=number, id=str(number), level=str(number) * 30_000))
+        rule_set, _ = versions.apply(rule_set, edit_request(base=number, id=str(number), level=str(number) * 30_000))
         assert len(encode(rule_set)) < MAX_RULE_SET_BYTES + 1_000 and rule_set.newest_number == number + 1
     assert 2 <= len(rule_set.versions) < 10
 
@@ -124,10 +124,10 @@
         max_size=25,
     )
 )
-def test_any_requests_only_append_versions_and_change_none(operations):
+def test_requests_only_append_versions_and_change_none(operations):
     rule_set, seen = RuleSet(), {}
     for kind, level, back, id in operations:
-        one = request(
+        change = edit_request(
             "edit" if kind == "trial" else kind,
             max(rule_set.newest_number - back, 0),
             str(id),
@@ -136,18 +136,20 @@
         )
         before = rule_set
         try:
-            rule_set, found = versions.apply(rule_set, one)
-        except ChangeRejectedError as why:
-            assert rule_set is before and str(why)
+            rule_set, found = versions.apply(rule_set, change)
+        except ChangeRejectedError as rejection:
+            assert rule_set is before and str(rejection)
             continue
         assert (
             rule_set.newest_number in (before.newest_number, before.newest_number + 1)
             and rule_set.find(found.number) == found
         )
-        assert rule_set is before or one.base_version == before.newest_number and found.number == rule_set.newest_number
+        assert (
+            rule_set is before or change.base_version == before.newest_number and found.number == rule_set.newest_number
+        )
         for version in rule_set.versions:
             assert seen.setdefault(version.number, version) == version
-        assert versions.apply(rule_set, one) == (rule_set, found)
+        assert versions.apply(rule_set, change) == (rule_set, found)
         assert versions.merge(before, rule_set.versions) == (rule_set, []) and versions.merge(
             rule_set, before.versions
         ) == (rule_set, [])
@@ -157,7 +159,7 @@
 
 
 @pytest.mark.parametrize(
-    "on, off, found",
+    "trial, others, reason",
     [
         (GroupCounts(500, 50, 0), GroupCounts(4_000, 40, 0), "refused"),
         (GroupCounts(500, 5, 60), GroupCounts(4_000, 40, 40), "late"),
@@ -167,42 +169,44 @@
         (GroupCounts(90_000, 950, 0), GroupCounts(90_000, 450, 0), ""),
     ],
 )
-def test_the_guard_needs_a_significant_and_relevant_difference_and_enough_requests(on, off, found):
-    assert reason_to_end(on, off).partition(":")[0] == found
+def test_the_guard_needs_a_significant_and_relevant_difference_and_enough_requests(trial, others, reason):
+    assert reason_to_end(trial, others).partition(":")[0] == reason
 
 
-# ---- on the twin
+# ---- on a simulated fleet
 
 
-def test_an_edit_reaches_all_and_an_undo_waits_for_all_or_names_the_missing_gateways():
-    stand = Stand()
-    stand.run(SECOND)
-    assert stand.edit("g04", 7, 0, "a", wait_ms=2_000)["held"] == stand.names
-    assert {part["level"] for part, _ in stand.held.values()} == {7}
-    stand.net.nodes["g03"].pause()
-    answer = stand.ask("g04", "undo", id="b", wait_ms=1_000)
-    assert answer["exit"] == 1 and [one["name"] for one in answer["missing"]] == ["g03"] and "g03" in answer["error"]
-    stand.net.nodes["g03"].wake()
-    stand.run(3 * SECOND)
-    assert {held for held in (stand.rules[name].version for name in stand.names)} == {2}
-    assert stand.ask("g01", "undo", id="b")["version"] == 2  # the same id: found, not repeated
-    assert stand.ask("g00", "show", version=0)["version"]["content"] == {}
-    assert [one["number"] for one in stand.ask("g00", "history")["versions"]] == [2, 1]
-    assert stand.ask("g00", "diff", old=1, version=2)["parts"] == {"shed": {"old": {"level": 7}, "new": None}}
+def test_an_edit_reaches_all_gateways_and_an_undo_names_those_that_lack_it():
+    fleet = Stand()
+    fleet.run(SECOND)
+    assert fleet.edit("g04", 7, 0, "a", wait_ms=2_000)["held"] == fleet.names
+    assert {section["level"] for section, _ in fleet.held.values()} == {7}
+    fleet.net.nodes["g03"].pause()
+    answer = fleet.ask("g04", "undo", id="b", wait_ms=1_000)
+    assert (
+        answer["exit"] == 1 and [entry["name"] for entry in answer["missing"]] == ["g03"] and "g03" in answer["error"]
+    )
+    fleet.net.nodes["g03"].wake()
+    fleet.run(3 * SECOND)
+    assert {version for version in (fleet.rules[name].version for name in fleet.names)} == {2}
+    assert fleet.ask("g01", "undo", id="b")["version"] == 2  # the same id makes no further version
+    assert fleet.ask("g00", "show", version=0)["version"]["content"] == {}
+    assert [version["number"] for version in fleet.ask("g00", "history")["versions"]] == [2, 1]
+    assert fleet.ask("g00", "diff", old=1, version=2)["parts"] == {"shed": {"old": {"level": 7}, "new": None}}
 
 
 def test_an_edit_that_a_gateway_rejects_or_does_not_answer_changes_nothing():
-    stand = Stand()
-    stand.run(SECOND)
+    fleet = Stand()
+    fleet.run(SECOND)
 
-    def picky(part):
-        if part and part["level"] > 5:
+    def check_level(section):
+        if section and section["level"] > 5:
             raise ValueError("shed.level = 9: too high here")
 
-    stand.rules["g03"].sections["shed"].check = picky
-    refused = stand.edit("g00", 9, 0, "a")
-    assert refused["exit"] == 2 and "g03 can't apply the edit: shed.level = 9: too high here" in refused["error"]
-    for words, named in (
+    fleet.rules["g03"].sections["shed"].check = check_level
+    rejected = fleet.edit("g00", 9, 0, "a")
+    assert rejected["exit"] == 2 and "g03 can't apply the edit: shed.level = 9: too high here" in rejected["error"]
+    for parameters, fault in (
         ({"parts": {"shed": {"level": "x"}}}, "shed.level = 'x'"),
         ({"parts": {"speed": {}}}, "speed: is not known"),
         ({"trial_ms": 5}, "trial: 5 ms"),
@@ -210,86 +214,88 @@
         ({"wait_ms": -1}, "wait_ms: -1"),
         ({"on": "x"}, "on"),
     ):
-        answer = stand.ask("g00", "edit", **{"on": 0, "id": "b", **words})
-        assert answer["exit"] == 2 and named in answer["error"]
-    stand.net.nodes["g02"].pause()
-    silent = stand.ask("g00", "edit", parts={"shed": {"level": 1}}, on=0, id="c", within=50 * MS)
-    assert not silent and not stand.seen  # it is checked first, and the answer awaited
-    stand.run(5 * SECOND)  # by now it counts as cut off
-    assert stand.acked == {"c": 1} and stand.rules["g02"].version == 0
+        answer = fleet.ask("g00", "edit", **{"on": 0, "id": "b", **parameters})
+        assert answer["exit"] == 2 and fault in answer["error"]
+    fleet.net.nodes["g02"].pause()
+    unanswered = fleet.ask("g00", "edit", parts={"shed": {"level": 1}}, on=0, id="c", within=50 * MS)
+    assert not unanswered and not fleet.seen  # the edit waits for the answer to the check
+    fleet.run(5 * SECOND)  # g02 counts as cut off after this time
+    assert fleet.acked == {"c": 1} and fleet.rules["g02"].version == 0
 
 
 def test_a_restarted_gateway_that_cannot_apply_a_version_reports_why():
-    stand = Stand()
-    stand.run(SECOND)
-    stand.down("g04")
-    stand.run(SECOND)
-    stand.edit("g00", 1, 0, "a")
-    stand.edit("g00", 9, 1, "b")
-    stand.net.nodes["g04"].restart()
+    fleet = Stand()
+    fleet.run(SECOND)
+    fleet.down("g04")
+    fleet.run(SECOND)
+    fleet.edit("g00", 1, 0, "a")
+    fleet.edit("g00", 9, 1, "b")
+    fleet.net.nodes["g04"].restart()
     check = rules_torture.Shed.check
-    rules_torture.Shed.check = lambda self, part: (_ for _ in ()).throw(ValueError("shed.level: no")) if part else None
+    rules_torture.Shed.check = lambda self, section: (
+        (_ for _ in ()).throw(ValueError("shed.level: no")) if section else None
+    )
     try:
-        stand.up("g04")
-        stand.run(3 * SECOND)
-        row = next(one for one in stand.ask("g00", "status")["gateways"] if one["name"] == "g04")
+        fleet.up("g04")
+        fleet.run(3 * SECOND)
+        row = next(entry for entry in fleet.ask("g00", "status")["gateways"] if entry["name"] == "g04")
         assert row["version"] == 0 and row["newest"] == 2 and row["why"] == "shed.level: no"
     finally:
         rules_torture.Shed.check = check
-    stand.run(3 * SECOND)
-    assert stand.rules["g04"].version == 2
+    fleet.run(3 * SECOND)
+    assert fleet.rules["g04"].version == 2
 
 
 def test_two_operators_undo_at_once_and_the_bad_version_is_undone_once():
-    stand, got = Stand(), []
-    stand.run(SECOND)
-    stand.edit("g00", 1, 0, "a")
-    stand.edit("g00", 2, 1, "b", wait_ms=1_000)
+    fleet, answers = Stand(), []
+    fleet.run(SECOND)
+    fleet.edit("g00", 1, 0, "a")
+    fleet.edit("g00", 2, 1, "b", wait_ms=1_000)
     for name, author in (("g03", "ann"), ("g04", "bob")):
-        stand.call(name, "undo", got.append, on=2, author=author, reason="bad", id=author)
-    stand.run(5 * SECOND)
-    assert sorted("error" in one for one in got) == [False, True] and max(stand.seen) == 3
-    assert "since then there is version 3" in next(one["error"] for one in got if "error" in one)
-    assert {part["level"] for part, _ in stand.held.values()} == {1}
-
-
-def test_a_minority_is_rejected_with_the_reason_and_later_applies_only_the_newest():
-    stand = Stand()
-    stand.run(SECOND)
-    stand.edit("g00", 1, 0, "a", wait_ms=1_000)
-    stand.net.cut({"g00", "g04"}, set(stand.names))
-    stand.run(SECOND)
-    refused = stand.edit("g00", 2, 1, "b")
-    assert refused["exit"] == 1 and "nothing was changed: no majority of the keepers" in refused["error"]
-    assert "no answer from g01, g02" in refused["error"]
-    assert [one["name"] for one in stand.edit("g01", 3, 1, "c", wait_ms=500)["missing"]] == ["g00", "g04"]
-    stand.ask("g02", "undo", id="d")
-    stand.net.heal()
-    stand.run(3 * SECOND)
-    assert {rules.version for rules in stand.rules.values()} == {3} and stand.judge().violations == 0
-    assert stand.held["g04"] == ({"level": 1}, 3)
+        fleet.call(name, "undo", answers.append, on=2, author=author, reason="bad", id=author)
+    fleet.run(5 * SECOND)
+    assert sorted("error" in answer for answer in answers) == [False, True] and max(fleet.seen) == 3
+    assert "since then there is version 3" in next(answer["error"] for answer in answers if "error" in answer)
+    assert {section["level"] for section, _ in fleet.held.values()} == {1}
+
+
+def test_a_minority_rejects_edits_and_applies_only_the_newest_version_after_healing():
+    fleet = Stand()
+    fleet.run(SECOND)
+    fleet.edit("g00", 1, 0, "a", wait_ms=1_000)
+    fleet.net.cut({"g00", "g04"}, set(fleet.names))
+    fleet.run(SECOND)
+    rejected = fleet.edit("g00", 2, 1, "b")
+    assert rejected["exit"] == 1 and "nothing was changed: no majority of the keepers" in rejected["error"]
+    assert "no answer from g01, g02" in rejected["error"]
+    assert [entry["name"] for entry in fleet.edit("g01", 3, 1, "c", wait_ms=500)["missing"]] == ["g00", "g04"]
+    fleet.ask("g02", "undo", id="d")
+    fleet.net.heal()
+    fleet.run(3 * SECOND)
+    assert {rules.version for rules in fleet.rules.values()} == {3} and fleet.judge().violations == 0
+    assert fleet.held["g04"] == ({"level": 1}, 3)
 
 
 def test_an_acceptor_settles_a_change_whose_gateway_was_killed():
-    for gap in range(2, 26, 2):
-        stand = Stand(seed=gap)
-        stand.run(SECOND)
-        stand.call(
+    for delay_ms in range(2, 26, 2):
+        fleet = Stand(seed=delay_ms)
+        fleet.run(SECOND)
+        fleet.call(
             "g04", "edit", lambda answer: None, parts={"shed": {"level": 1}}, on=0, id="a", author="ann", reason="a try"
         )
-        stand.net.time.run(gap * MS)
-        stand.down("g04")
-        stand.run(8 * SECOND)
-        again = stand.edit("g01", 1, 0, "a")
-        assert again["version"] == 1 and max(stand.seen) == 1
-        stand.run(2 * SECOND)
-        assert {stand.rules[name].version for name in stand.rules} == {1}
-
-
-def test_a_rule_set_of_a_later_program_is_applied_and_not_written_by_an_earlier_one():
-    stand = Stand()
-    stand.run(SECOND)
-    later = {
+        fleet.net.time.run(delay_ms * MS)
+        fleet.down("g04")
+        fleet.run(8 * SECOND)
+        repeated = fleet.edit("g01", 1, 0, "a")
+        assert repeated["version"] == 1 and max(fleet.seen) == 1
+        fleet.run(2 * SECOND)
+        assert {fleet.rules[name].version for name in fleet.rules} == {1}
+
+
+def test_rules_of_a_newer_program_are_applied_but_not_written_by_an_older_one():
+    fleet = Stand()
+    fleet.run(SECOND)
+    newer_format = {
         "format": 2,
         "versions": [
             {
@@ -304,113 +310,117 @@
             }
         ],
     }
-    stand.rules["g01"].proposer.change(lambda value: (value or encode(later), None), lambda outcome: None, SECOND)
-    stand.run(5 * SECOND)  # nobody announces it: an acceptor reads the register
-    assert [stand.held[name] for name in stand.names] == [({"level": 4}, 1)] * 5
-    refused = stand.edit("g00", 5, 1, "b")
-    assert "written by a newer program (format 2, this gateway has 1)" in refused["error"]
+    fleet.rules["g01"].proposer.change(
+        lambda value: (value or encode(newer_format), None), lambda outcome: None, SECOND
+    )
+    fleet.run(5 * SECOND)  # no gateway announces the version; an acceptor reads the register
+    assert [fleet.held[name] for name in fleet.names] == [({"level": 4}, 1)] * 5
+    rejected = fleet.edit("g00", 5, 1, "b")
+    assert "written by a newer program (format 2, this gateway has 1)" in rejected["error"]
 
 
-def trial(stand, span=3_000, first=2):
-    stand.run(SECOND)
-    stand.edit("g00", 1, 0, "a", wait_ms=1_000)
-    answer = stand.edit("g00", 2, 1, "b", trial_ms=span, first=first, wait_ms=1_000)
-    assert answer["held"] == stand.names
-    return [name for name in stand.names if stand.rules[name].active.on_trial]
+def start_trial(fleet, duration_ms=3_000, gateway_count=2):
+    """Start a trial of level 2 over level 1, and return the names of its gateways."""
+    fleet.run(SECOND)
+    fleet.edit("g00", 1, 0, "a", wait_ms=1_000)
+    answer = fleet.edit("g00", 2, 1, "b", trial_ms=duration_ms, first=gateway_count, wait_ms=1_000)
+    assert answer["held"] == fleet.names
+    return [name for name in fleet.names if fleet.rules[name].active.on_trial]
 
 
 def test_a_trial_applies_at_its_gateways_and_lapses_or_is_confirmed():
-    stand = Stand()
-    assert trial(stand) == ["g00", "g01"] and [stand.held[name][0]["level"] for name in stand.names] == [2, 2, 1, 1, 1]
-    stand.run(4 * SECOND)
-    assert {part["level"] for part, _ in stand.held.values()} == {1} and stand.seen[3].kind == "lapse"
-    stand = Stand(2)
-    trial(stand)
-    assert stand.ask("g03", "confirm", id="c", wait_ms=1_000)["held"] == stand.names
-    stand.run(5 * SECOND)
-    assert {part["level"] for part, _ in stand.held.values()} == {2}
-    assert "not on trial" in stand.ask("g03", "confirm", id="d")["error"]
+    fleet = Stand()
+    gateways = start_trial(fleet)
+    assert gateways == ["g00", "g01"] and [fleet.held[name][0]["level"] for name in fleet.names] == [2, 2, 1, 1, 1]
+    fleet.run(4 * SECOND)
+    assert {section["level"] for section, _ in fleet.held.values()} == {1} and fleet.seen[3].kind == "lapse"
+    fleet = Stand(2)
+    start_trial(fleet)
+    assert fleet.ask("g03", "confirm", id="c", wait_ms=1_000)["held"] == fleet.names
+    fleet.run(5 * SECOND)
+    assert {section["level"] for section, _ in fleet.held.values()} == {2}
+    assert "not on trial" in fleet.ask("g03", "confirm", id="d")["error"]
 
 
 def test_the_guard_ends_a_trial_that_rejects_more_requests_early():
-    stand = Stand()
-    assert trial(stand, 60_000) == ["g00", "g01"]
-    began = stand.net.time.now()
+    fleet = Stand()
+    assert start_trial(fleet, 60_000) == ["g00", "g01"]
+    began = fleet.net.time.now()
     for _ in range(30):
-        for i, name in enumerate(stand.names):
-            requests, refused, late = stand.counts[name]
-            stand.counts[name] = requests + 20, refused + (6 if i < 2 else 0), late
-        stand.run(200 * MS)
-        if 3 in stand.seen:
+        for index, name in enumerate(fleet.names):
+            requests, rejected, late = fleet.counts[name]
+            fleet.counts[name] = requests + 20, rejected + (6 if index < 2 else 0), late
+        fleet.run(200 * MS)
+        if 3 in fleet.seen:
             break
-    assert stand.seen[3].kind == "lapse" and stand.seen[3].reason.startswith("guard: refused: 0.3")
-    assert stand.net.time.now() - began < 10 * SECOND
+    assert fleet.seen[3].kind == "lapse" and fleet.seen[3].reason.startswith("guard: refused: 0.3")
+    assert fleet.net.time.now() - began < 10 * SECOND
 
 
-def test_a_gateway_that_is_cut_off_ends_a_trial_by_its_local_clock_and_a_restart_resumes_none():
-    stand = Stand()
-    trial(stand, 3_000)
-    stand.net.cut({"g01"}, set(stand.names))
-    stand.run(3 * SECOND)
+def test_a_trial_ends_by_the_local_clock_if_cut_off_and_is_not_resumed_by_a_restart():
+    fleet = Stand()
+    start_trial(fleet, 3_000)
+    fleet.net.cut({"g01"}, set(fleet.names))
+    fleet.run(3 * SECOND)
     assert (
-        stand.rules["g01"].version == 2
-        and not stand.rules["g01"].active.on_trial
-        and stand.held["g01"][0] == {"level": 1}
+        fleet.rules["g01"].version == 2
+        and not fleet.rules["g01"].active.on_trial
+        and fleet.held["g01"][0] == {"level": 1}
     )
-    stand = Stand(3)
-    trial(stand, 30_000)
-    stand.down("g01")
-    stand.again("g01")
-    stand.run(SECOND)
-    assert stand.rules["g01"].version == 2 and not stand.rules["g01"].active.on_trial
+    fleet = Stand(3)
+    start_trial(fleet, 30_000)
+    fleet.down("g01")
+    fleet.again("g01")
+    fleet.run(SECOND)
+    assert fleet.rules["g01"].version == 2 and not fleet.rules["g01"].active.on_trial
 
 
 def test_a_delayed_answer_does_not_lower_the_age_of_a_trial():
-    stand = Stand()
-    tracker, node = stand.rules["g03"].tracker, stand.net.nodes["g03"]
+    fleet = Stand()
+    tracker, node = fleet.rules["g03"].tracker, fleet.net.nodes["g03"]
     learned = []
     dissemination = Dissemination(node.fleet(1), tracker, lambda versions, age: learned.append(age))
     dissemination.fetch("g00")
-    mark = dissemination._request_id
-    stand.run(20 * SECOND)
-    dissemination.on_message("g00", VersionsSent(mark, (), 1 * SECOND))
-    dissemination.on_message("g00", VersionsSent(mark, (), 1 * SECOND))  # twice: an answer to nothing
+    request_id = dissemination._request_id
+    fleet.run(20 * SECOND)
+    dissemination.on_message("g00", VersionsSent(request_id, (), 1 * SECOND))
+    dissemination.on_message("g00", VersionsSent(request_id, (), 1 * SECOND))  # a duplicate, for which no fetch is open
     assert learned == [21 * SECOND] and node.counts["rules_unasked"] == 1
 
 
-def test_undecodable_messages_gossip_and_disk_records_are_counted_and_named():
-    stand = Stand()
-    stand.run(SECOND)
-    stand.edit("g00", 1, 0, "a", wait_ms=1_000)
+def test_undecodable_messages_gossip_and_disk_records_are_counted_and_reported():
+    fleet = Stand()
+    fleet.run(SECOND)
+    fleet.edit("g00", 1, 0, "a", wait_ms=1_000)
     for body in (b"", b"\xc1", encode({"type": "what"}), encode(FetchVersions(MAX_BALLOT_NUMBER, -1))):
-        stand.net.nodes["g04"].send("g01", MESSAGE_KIND, body)
-    stand.net.nodes["g04"].publish(MESSAGE_KIND, b"\xc1")
-    stand.down("g03")
-    stand.disks["g03"]._synced[DISK_KEY] = b"\xc1"
-    stand.disks["g03"].crash()
-    stand.again("g03")
-    stand.run(3 * SECOND)
-    assert stand.net.nodes["g01"].counts["rules_unread"] >= 3
-    assert DISK_KEY in stand.ask("g03", "status")["damage"] and stand.rules["g03"].version == 1
-
-
-def test_the_timings_section_checks_like_the_file_and_open_requests_end_under_their_version():
+        fleet.net.nodes["g04"].send("g01", MESSAGE_KIND, body)
+    fleet.net.nodes["g04"].publish(MESSAGE_KIND, b"\xc1")
+    fleet.down("g03")
+    fleet.disks["g03"]._synced[DISK_KEY] = b"\xc1"
+    fleet.disks["g03"].crash()
+    fleet.again("g03")
+    fleet.run(3 * SECOND)
+    assert fleet.net.nodes["g01"].counts["rules_unread"] >= 3
+    assert DISK_KEY in fleet.ask("g03", "status")["damage"] and fleet.rules["g03"].version == 1
+
+
+def test_timings_sections_are_checked_like_the_file_and_open_requests_keep_theirs():
     site = t.Settings(classes=(t.ClassSettings("lookup"),))
     desk = Desk(Table([], site), {}, 1)
     section = TimingsSection(lambda: site, lambda: None, desk.reload)
     with pytest.raises(ValueError, match=r"timings\.route\[0\]\.class = \"nosuch\""):
         section.check({"route": [{"class": "nosuch"}]})
-    life = desk.begin_request("lookup", "", 0, 0)
+    first = desk.begin_request("lookup", "", 0, 0)
     section.reload_file()
     section.apply({"route": [{"class": "lookup", "attempts": 1}]}, 4)
-    assert life.max_attempts == site.max_attempts and desk.begin_request("lookup", "", 0, 0).max_attempts == 1
+    assert first.max_attempts == site.max_attempts and desk.begin_request("lookup", "", 0, 0).max_attempts == 1
     section.apply(None, 5)
     assert desk.begin_request("lookup", "", 0, 0).max_attempts == site.max_attempts and section.version == 5
     section.reload_file()
     assert desk.open == {1: 1, 3: 1, 4: 1, 5: 0}
 
 
-def test_the_timings_section_parses_an_edit_once_and_anew_under_other_settings(monkeypatch):
+def test_the_timings_section_parses_an_edit_once_per_settings(monkeypatch):
     sites = [t.Settings(classes=(t.ClassSettings("lookup"),)), t.Settings(classes=(t.ClassSettings("report"),))]
     reads = []
     monkeypatch.setattr(timings, "read_table", lambda section, site: reads.append(section) or read_table(section, site))
@@ -429,10 +439,10 @@
     assert len(reads) == 3
 
 
-# ---- the checkers, and what they must find
+# ---- the checkers, on good histories and on injected bugs
 
 
-GOOD = [
+LINEARIZABLE = [
     Op(0, 10, "a", 0, "done", 1),
     Op(5, 20, "b", 1, "done", 2),
     Op(6, 30, "c", 1, "conflict"),
@@ -442,41 +452,41 @@
 ]
 
 
-def test_a_good_history_is_found_linearizable():
-    assert linearizable(GOOD) == (True, ["a", "b", "d", "e"])
-    assert linearizable([*GOOD, Op(80, 90, "b", 1, "done", 2)])[0]
+def test_linearizable_histories_are_accepted():
+    assert linearizable(LINEARIZABLE) == (True, ["a", "b", "d", "e"])
+    assert linearizable([*LINEARIZABLE, Op(80, 90, "b", 1, "done", 2)])[0]
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "history",
     [
-        [Op(0, 1, "a", 0, "done", 1), Op(2, 3, "b", 0, "done", 1)],  # two under one number
-        [Op(0, 1, "a", 0, "done", 1), Op(2, 3, "r", -1, "done", 0)],  # an acknowledged edit is lost
-        [Op(0, 1, "a", 0, "done", 1), Op(2, 3, "b", 2, "done", 3)],  # on a version that nobody made
-        [Op(0, 1, "b", 1, "done", 2), Op(2, 3, "a", 0, "done", 1)],  # before what it builds on was begun
-        [Op(0, 1, "a", 0, "done", 1), Op(2, 3, "a", 0, "done", 2)],  # said again, and done twice
-        [Op(0, 1, "a", 0, "conflict")],  # refused for a later one that was not there
+        [Op(0, 1, "a", 0, "done", 1), Op(2, 3, "b", 0, "done", 1)],  # two edits made the same version number
+        [Op(0, 1, "a", 0, "done", 1), Op(2, 3, "r", -1, "done", 0)],  # an acknowledged edit was lost
+        [Op(0, 1, "a", 0, "done", 1), Op(2, 3, "b", 2, "done", 3)],  # based on a version that no edit made
+        [Op(0, 1, "b", 1, "done", 2), Op(2, 3, "a", 0, "done", 1)],  # ended before the edit that it builds on began
+        [Op(0, 1, "a", 0, "done", 1), Op(2, 3, "a", 0, "done", 2)],  # a retry made a second version
+        [Op(0, 1, "a", 0, "conflict")],  # rejected because of a newer version that did not exist
         [Op(0, 9, "a", 0, "unknown"), Op(1, 2, "r", -1, "done", 1), Op(3, 4, "r", -1, "done", 0)],
     ],
     ids=str,
 )
-def test_bad_histories_are_found(bad):
-    assert not linearizable(bad)[0]
+def test_histories_that_are_not_linearizable_are_rejected(history):
+    assert not linearizable(history)[0]
 
 
 @pytest.mark.parametrize("seed, keepers", [(1, 3), (2, 3), (3, 5), (4, 1)])
-def test_a_hundred_edits_with_faults_lose_and_repeat_nothing_and_leave_no_undone_rule_active(seed, keepers):
+def test_edits_under_faults_are_not_lost_or_repeated_and_undone_rules_stop_applying(seed, keepers):
     report = Torture(seed, 100, keepers=keepers, undos=10).run()
     assert report.violations == 0, report
     assert report.acknowledged > 30 and report.trials > 5 and len(report.faults) >= 6 and report.undos_timed == 10
 
 
-def test_the_torture_is_the_same_from_one_seed():
+def test_fault_injection_is_reproducible_from_its_seed():
     first, second = (msgspec.structs.replace(Torture(3, 25, undos=0).run(), seconds=0) for _ in range(2))
     assert first == second
 
 
-def test_planted_a_trial_that_a_cut_keeps_is_found(monkeypatch):
+def test_injected_bug_trial_outlives_its_duration_is_found(monkeypatch):
     monkeypatch.setattr(
         VersionTracker,
         "trial_remaining",
@@ -485,21 +495,21 @@
     assert Torture(1, 60, undos=0).run().trials_kept > 0
 
 
-def test_planted_an_undo_by_content_without_a_number_is_found(monkeypatch):
+def test_injected_bug_undo_removes_the_newest_version_is_found(monkeypatch):
     apply = versions.apply
 
-    def by_content(rule_set: RuleSet, one: EditRequest):
-        if one.kind != "undo" or not rule_set.versions or one.base_version != rule_set.newest_number:
-            return apply(rule_set, one)
-        back: Version = rule_set.versions[-2] if len(rule_set.versions) > 1 else rule_set.versions[-1]
-        return RuleSet(rule_set.versions[:-1]), back
+    def undo_by_removal(rule_set: RuleSet, change: EditRequest):
+        if change.kind != "undo" or not rule_set.versions or change.base_version != rule_set.newest_number:
+            return apply(rule_set, change)
+        restored: Version = rule_set.versions[-2] if len(rule_set.versions) > 1 else rule_set.versions[-1]
+        return RuleSet(rule_set.versions[:-1]), restored
 
-    monkeypatch.setattr(versions, "apply", by_content)
+    monkeypatch.setattr(versions, "apply", undo_by_removal)
     report = Torture(1, 40, undos=0).run()
     assert report.violations > 0 and report.lost + report.still_held + (not report.linearizable) > 0
 
 
-def test_planted_a_version_that_is_lost_over_a_restart_is_found(monkeypatch):
+def test_injected_bug_version_is_lost_at_a_restart_is_found(monkeypatch):
     monkeypatch.setattr(rules_torture.VersionedRules, "_load", lambda self: None)
     assert Torture(1, 60, undos=0).run().back > 0
 
@@ -508,48 +518,51 @@
 
 
 @pytest.fixture
-def desk(monkeypatch, tmp_path):
-    """`rackhub rules` at a gateway of a stand; gives what to call with, and the stand."""
-    stand = Stand()
-    stand.run(SECOND)
+def command_line(monkeypatch, tmp_path):
+    """`rackhub rules` against gateway g01 of a simulated fleet.
+
+    Returns a function that runs the command, the fleet, a file with valid rules, and the directory of that file.
+    """
+    fleet = Stand()
+    fleet.run(SECOND)
 
-    def asked(at, words, timeout):
+    def ask_gateway(at, parameters, timeout):
         assert at == ("127.0.0.1", 7101)
-        words = dict(words)
-        return dict(stand.ask("g01", words.pop("call").removeprefix("rules."), **words))
+        parameters = dict(parameters)
+        return dict(fleet.ask("g01", parameters.pop("call").removeprefix("rules."), **parameters))
 
-    monkeypatch.setattr(rules_cli, "ask", asked)
+    monkeypatch.setattr(rules_cli, "ask", ask_gateway)
     rules = tmp_path / "rules.toml"
     rules.write_text("[shed]\nlevel = 3\n")
 
-    def call(*words):
-        who = ["--author", "ann", "--reason", "a try"] if words[0] in ("edit", "undo", "confirm") else []
-        return main(["rules", *words, *who, "--at", "127.0.0.1:7101"])
+    def run_command(*arguments):
+        author = ["--author", "ann", "--reason", "a try"] if arguments[0] in ("edit", "undo", "confirm") else []
+        return main(["rules", *arguments, *author, "--at", "127.0.0.1:7101"])
 
-    return call, stand, str(rules), tmp_path
+    return run_command, fleet, str(rules), tmp_path
 
 
-def test_the_command_line_from_an_edit_to_its_undo(desk, capsys):
-    call, stand, rules, _ = desk
-    assert call("edit", rules, "--on", "0", "--wait", "3s") == 0
-    assert "version 1 is made" in capsys.readouterr().out and stand.held["g04"] == ({"level": 3}, 1)
-    assert call("undo", "--wait", "3s", "--json") == 0
-    assert msgspec.json.decode(capsys.readouterr().out)["held"] == stand.names and stand.held["g04"] == (None, 2)
-    for words, shown in (
+def test_the_command_line_makes_shows_and_undoes_an_edit(command_line, capsys):
+    run_command, fleet, rules, _ = command_line
+    assert run_command("edit", rules, "--on", "0", "--wait", "3s") == 0
+    assert "version 1 is made" in capsys.readouterr().out and fleet.held["g04"] == ({"level": 3}, 1)
+    assert run_command("undo", "--wait", "3s", "--json") == 0
+    assert msgspec.json.decode(capsys.readouterr().out)["held"] == fleet.names and fleet.held["g04"] == (None, 2)
+    for arguments, text in (
         (["history"], "undo to 0  ann"),
         (["show", "1"], '"level": 3'),
         (["diff"], "the files hold"),
         (["status"], "g02  alive  holds 2, keeper: votes"),
     ):
-        assert call(*words) == 0 and shown in capsys.readouterr().out
-    stand.net.nodes["g03"].pause()
-    stand.run(SECOND)
-    assert call("undo", "--wait", "500ms") == 1
+        assert run_command(*arguments) == 0 and text in capsys.readouterr().out
+    fleet.net.nodes["g03"].pause()
+    fleet.run(SECOND)
+    assert run_command("undo", "--wait", "500ms") == 1
     assert "not applied at g03" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
-    "words, status, why",
+    "arguments, status, error",
     [
         (["edit", "{rules}", "--on", "7"], 1, "no version 7 yet"),
         (["edit", "{none}", "--on", "0"], 2, "No such file"),
@@ -562,20 +575,20 @@
         (["confirm"], 1, "not on trial"),
     ],
 )
-def test_what_the_command_line_rejects_is_named_and_changes_nothing(desk, capsys, words, status, why):
-    call, stand, rules, path = desk
+def test_the_command_line_reports_rejected_calls_which_change_nothing(command_line, capsys, arguments, status, error):
+    run_command, fleet, rules, path = command_line
     (path / "bad.toml").write_text("speed = 1")
     (path / "wrong.toml").write_text("[shed]\nlevel = 'x'")
-    named = {"rules": rules, **{name: str(path / f"{name}.toml") for name in ("none", "bad", "wrong")}}
-    assert call(*(word.format(**named) for word in words)) == status
-    assert why in capsys.readouterr().err and not stand.seen
+    files = {"rules": rules, **{name: str(path / f"{name}.toml") for name in ("none", "bad", "wrong")}}
+    assert run_command(*(argument.format(**files) for argument in arguments)) == status
+    assert error in capsys.readouterr().err and not fleet.seen
 
 
 def test_without_an_answer_the_id_for_the_retry_is_printed(capsys, monkeypatch):
-    def silent(at, words, timeout):
+    def time_out(at, parameters, timeout):
         raise TimeoutError("no answer")
 
-    monkeypatch.setattr(rules_cli, "ask", silent)
+    monkeypatch.setattr(rules_cli, "ask", time_out)
     assert main(["rules", "undo", "--author", "a", "--reason", "b", "--id", "x1", "--at", "127.0.0.1:1"]) == 2
     assert "--id x1" in capsys.readouterr().err
     assert main(["rules", "status", "--at", "nowhere"]) == 2 and "--at: 'nowhere'" in capsys.readouterr().err
