--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -1,4 +1,4 @@
-"""The replicated register: the protocol under all message orders within bounds, and with I/O on a faulty network."""
+"""The replicated register: the protocol in all message orders within bounds, and on a simulated network with faults."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("bounds", SMALL, ids=str)
-def test_all_orders_of_messages_losses_crashes_and_lost_disks_within_small_bounds(bounds):
+def test_no_order_of_messages_losses_crashes_and_lost_disks_breaks_the_protocol(bounds):
     report = Explorer(bounds).run()
     assert report.complete and not report.violations and report.chosen > 100
 
@@ -40,13 +40,13 @@
     [Bounds((1, 1), crashes=1, unsynced=True), Bounds((1, 1), wipes=1, empty=True)],
     ids=["promise not synced", "acceptor replies with an empty disk"],
 )
-def test_planted_mistakes_of_acceptors_are_found(bounds):
+def test_injected_bugs_of_acceptors_are_found(bounds):
     assert "chosen" in Explorer(bounds).walk(1, 4_000).violations[0]
     correct = bounds._replace(unsynced=False, empty=False)
     assert not Explorer(correct).walk(1, 300).violations
 
 
-def test_planted_quorum_of_inconsistent_replies_is_found(monkeypatch):
+def test_injected_bug_quorum_of_inconsistent_replies_is_found(monkeypatch):
     def any_quorum(replies, size):
         return replies[:size] if len(replies) >= size else ()
 
@@ -66,32 +66,37 @@
     assert same == state and isinstance(reply, JoinRejected)
 
 
-def test_of_five_a_reply_from_before_its_sender_lost_its_disk_admits_nobody():
-    """Else a's old disk and b's new one accept one value with e, and a's new disk, c and d choose another."""
+def test_a_join_reply_from_before_its_sender_lost_its_disk_is_not_counted():
+    """Guards against two quorums of five acceptors that choose different values after a and b lost their disks.
+
+    If b's old reply counted, one quorum could be a's old disk, b's new disk and e, the other a's new disk, c and d.
+    """
     names = ("a", "b", "c", "d", "e")
     incarnations = {name: DiskIncarnation(1, name) for name in names}
-    old = {
-        me: msgspec.structs.replace(
-            new_acceptor(names, me, incarnations[me]),
+    states = {
+        name: msgspec.structs.replace(
+            new_acceptor(names, name, incarnations[name]),
             voting=True,
-            known_incarnations=tuple(KnownIncarnation(name, incarnations[name]) for name in names if name != me),
+            known_incarnations=tuple(KnownIncarnation(peer, incarnations[peer]) for peer in names if peer != name),
         )
-        for me in names
+        for name in names
     }
     new_a, new_b = new_acceptor(names, "a", DiskIncarnation(2, "a")), new_acceptor(names, "b", DiskIncarnation(2, "b"))
-    early = handle(old["b"], JoinRequest("a", DiskIncarnation(2, "a")))[1][0]  # and then b loses its disk, too
+    old_reply = handle(states["b"], JoinRequest("a", DiskIncarnation(2, "a")))[1][
+        0
+    ]  # b loses its disk after this reply
     for name in ("c", "d", "e"):
-        old[name], [reply] = handle(old[name], JoinRequest("b", DiskIncarnation(2, "b")))
+        states[name], [reply] = handle(states[name], JoinRequest("b", DiskIncarnation(2, "b")))
         new_b, _ = handle(new_b, reply)
     assert new_b.voting and find_known(new_b.known_incarnations, "a").incarnation == DiskIncarnation(1, "a")
-    new_a, _ = handle(new_a, early)
+    new_a, _ = handle(new_a, old_reply)
     for name in ("c", "d"):
-        old[name], [reply] = handle(old[name], JoinRequest("a", DiskIncarnation(2, "a")))
+        states[name], [reply] = handle(states[name], JoinRequest("a", DiskIncarnation(2, "a")))
         new_a, _ = handle(new_a, reply)
-    assert not new_a.voting  # three have replied, but c and d know that the first of them has lost its disk since
+    assert not new_a.voting  # three acceptors have replied, but c and d know that b has lost its disk since
     _, [reply] = handle(new_b, JoinRequest("a", DiskIncarnation(2, "a")))
     after, _ = handle(new_a, reply)
-    assert after.voting and handle(after, early)[0] == after
+    assert after.voting and handle(after, old_reply)[0] == after
 
 
 def test_a_proposer_with_another_set_of_acceptors_gets_no_vote():
@@ -132,26 +137,28 @@
         self.net.nodes[name].restart()
         self.start(name)
 
-    def submit(self, name, word, done, within=3 * SECOND):
+    def submit(self, name, entry, done, timeout=3 * SECOND):
+        """Append `entry` to the register's value, unless it is in there already."""
+
         def change(value):
             value = value or b""
-            return (value, "there") if word in value.split() else (value + word + b" ", "done")
+            return (value, "there") if entry in value.split() else (value + entry + b" ", "done")
 
-        self.proposers[name].change(change, done, within)
+        self.proposers[name].change(change, done, timeout)
 
-    def submit_and_wait(self, name, word, within=3 * SECOND):
-        got = []
-        self.submit(name, word, got.append, within)
-        self.net.time.run(within + 2 * SECOND, lambda: bool(got))
-        return got[0]
+    def submit_and_wait(self, name, entry, timeout=3 * SECOND):
+        outcomes = []
+        self.submit(name, entry, outcomes.append, timeout)
+        self.net.time.run(timeout + 2 * SECOND, lambda: bool(outcomes))
+        return outcomes[0]
 
 
 def test_a_majority_changes_the_value_and_a_minority_is_rejected_with_the_reason():
     cluster = RegisterCluster()
     assert cluster.submit_and_wait("d", b"one").value == b"one "
     cluster.net.cut({"a"}, {"b", "c", "d"})
-    refused = cluster.submit_and_wait("a", b"two")
-    assert refused.kind == "refused" and "no answer from b, c" in refused.reason
+    rejected = cluster.submit_and_wait("a", b"two")
+    assert rejected.kind == "refused" and "no answer from b, c" in rejected.reason
     assert cluster.submit_and_wait("d", b"three").value == b"one three "
     cluster.net.heal()
     assert cluster.submit_and_wait("a", b"four").value == b"one three four "
@@ -164,8 +171,8 @@
     cluster.disks["a"].wipe("a2")
     cluster.crash("b")
     cluster.restart("a")
-    refused = cluster.submit_and_wait("d", b"two", within=SECOND)
-    assert refused.kind == "refused" and "a abstains: its disk is new" in refused.reason
+    rejected = cluster.submit_and_wait("d", b"two", timeout=SECOND)
+    assert rejected.kind == "refused" and "a abstains: its disk is new" in rejected.reason
     cluster.restart("b")
     assert cluster.submit_and_wait("d", b"two").value == b"one two "
     cluster.net.time.run(3 * SECOND)
@@ -173,7 +180,7 @@
     assert cluster.acceptors["a"].state.voting and cluster.submit_and_wait("d", b"three").value == b"one two three "
 
 
-def test_a_new_disk_begun_while_the_clock_was_set_back_is_admitted_when_the_boot_number_has_grown():
+def test_a_new_disk_rejected_for_a_clock_set_back_joins_once_the_generation_grows():
     cluster = RegisterCluster()
     assert cluster.submit_and_wait("d", b"one").kind == "done"
     cluster.crash("a")
@@ -184,10 +191,11 @@
     assert not cluster.acceptors["a"].state.voting and "later disk" in cluster.acceptors["a"].damage
     cluster.crash("a")
     cluster.restart("a")
-    node, boot = cluster.net.nodes["a"], 9
-    all_of = node.all
+    node, generation = cluster.net.nodes["a"], 9
+    all_members = node.all
     node.all = lambda: {
-        name: one if name != "a" else msgspec.structs.replace(one, boot=boot) for name, one in all_of().items()
+        name: member if name != "a" else msgspec.structs.replace(member, generation=generation)
+        for name, member in all_members().items()
     }
     cluster.net.time.run(9 * SECOND)
     assert cluster.acceptors["a"].state.voting and cluster.acceptors["a"].state.incarnation.generation == 9
@@ -217,22 +225,27 @@
 
 
 def changes_under_faults(seed):
-    """A run of 25 changes with random faults: those that were acknowledged, and those that the register holds."""
-    draw, cluster, acked = random.Random(seed), RegisterCluster(seed), set()
+    """Run 25 changes with random faults; return those that were acknowledged, and those in the register's value."""
+    draw, cluster, acknowledged = random.Random(seed), RegisterCluster(seed), set()
     cluster.net.lose = cluster.net.double = 0.1
     cluster.net.time.run(SECOND)
     for number in range(25):
-        word = b"%d" % number
-        cluster.submit(draw.choice("abcd"), word, lambda got, word=word: got.kind == "done" and acked.add(word), SECOND)
+        entry = b"%d" % number
+        cluster.submit(
+            draw.choice("abcd"),
+            entry,
+            lambda outcome, entry=entry: outcome.kind == "done" and acknowledged.add(entry),
+            SECOND,
+        )
         cluster.net.time.run(draw.randrange(300) * MS)
-        what, name = draw.randrange(6), draw.choice(ACCEPTORS)
-        if what == 0 and len(cluster.acceptors) == 3:
+        fault, name = draw.randrange(6), draw.choice(ACCEPTORS)
+        if fault == 0 and len(cluster.acceptors) == 3:
             cluster.crash(name)
-            if all(one.state.voting for one in cluster.acceptors.values()) and draw.random() < 0.5:
+            if all(shell.state.voting for shell in cluster.acceptors.values()) and draw.random() < 0.5:
                 cluster.disks[name].wipe(f"{name}{number + 2}")
-        elif what == 1:
+        elif fault == 1:
             cluster.net.cut({name}, set(cluster.net.nodes) - {name}, both=draw.random() < 0.5)
-        elif what == 2:
+        elif fault == 2:
             cluster.net.heal()
         for name in ACCEPTORS:
             if name not in cluster.acceptors and draw.random() < 0.4:
@@ -243,19 +256,19 @@
             cluster.restart(name)
     cluster.net.time.run(5 * SECOND)
     found = cluster.submit_and_wait("d", b"last", 10 * SECOND)
-    return acked, found.value.split()
+    return acknowledged, found.value.split()
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_change_is_lost_or_applied_twice_under_losses_partitions_kills_and_lost_disks(seed):
-    acked, words = changes_under_faults(seed)
-    assert acked <= set(words) and len(set(words)) == len(words) and len(acked) > 5
+def test_no_change_is_lost_or_applied_twice_under_network_process_and_disk_faults(seed):
+    acknowledged, entries = changes_under_faults(seed)
+    assert acknowledged <= set(entries) and len(set(entries)) == len(entries) and len(acknowledged) > 5
 
 
 def test_the_store_disk_keeps_durable_values_and_its_identity(tmp_path):
-    def turned(until):
+    def run_reactor(condition):
         for _ in range(10_000):
-            if until():
+            if condition():
                 return True
             reactor.iterate(0.01)
         return False
@@ -263,17 +276,17 @@
     disk, done = StoreDisk(reactor, tmp_path / "state"), []
     for number in range(40):
         disk.put("key", b"%d" % number, lambda number=number: done.append(number))
-    assert turned(lambda: len(done) == 40) and done == sorted(done)
+    assert run_reactor(lambda: len(done) == 40) and done == sorted(done)
     disk.close()
-    again = StoreDisk(reactor, tmp_path / "state")
-    assert again.get("key") == b"39" and again.identity == disk.identity
-    again.close()
+    reopened = StoreDisk(reactor, tmp_path / "state")
+    assert reopened.get("key") == b"39" and reopened.identity == disk.identity
+    reopened.close()
     log = next((tmp_path / "state").glob("log-*"))
     log.write_bytes(b"x" * log.stat().st_size)
-    other = StoreDisk(reactor, tmp_path / "state")
-    assert other.damage and other.get("key") is None and other.identity != disk.identity
+    replaced = StoreDisk(reactor, tmp_path / "state")
+    assert replaced.damage and replaced.get("key") is None and replaced.identity != disk.identity
     assert len(list(tmp_path.glob("state.damaged-*"))) == 1
-    other.close()
+    replaced.close()
 
 
 def test_a_promise_is_sent_only_when_it_is_durable():
@@ -286,7 +299,9 @@
     began = cluster.net.time.now()
     shell = cluster.acceptors["a"]
     shell.receive("d", Prepare(Ballot(1, "d", 9), ACCEPTORS))
-    shell.receive("d", Prepare(Ballot(1, "d", 9), ACCEPTORS))  # the second changes nothing, and waits all the same
+    shell.receive(
+        "d", Prepare(Ballot(1, "d", 9), ACCEPTORS)
+    )  # the second request changes no state, but its reply waits too
     cluster.net.time.run(SECOND)
     assert len(seen) == 2 and all(at >= began + 50 * MS for at, _ in seen)
     assert isinstance(handle(shell.state, Prepare(Ballot(1, "d", 9), ACCEPTORS))[1][0], Promise)
