--- a/rackhub/fleet/rules/changes.py
+++ b/rackhub/fleet/rules/changes.py
@@ -24,11 +24,11 @@
 
 log = logging.getLogger(__name__)
 CHANGE_TIMEOUT = 5_000_000  # microseconds, for one change or read of the register
-UNSETTLED_DELAY = 1_000_000  # microseconds that an acceptor waits to learn that a value it accepted was chosen
+UNSETTLED_DELAY = 1_000_000  # microseconds until the register is read for an accepted value not known as chosen
 
 
 class _ProposedChange:
-    """One change in the register, which calls `propose` with its value and then `complete` with the outcome."""
+    """One change; the proposer calls `propose` with the register's value and then `complete` with the outcome."""
 
     def __init__(
         self,
--- a/rackhub/fleet/rules/checks.py
+++ b/rackhub/fleet/rules/checks.py
@@ -50,8 +50,8 @@
     def check(self, content: Mapping[str, Any], done: Callable[[CheckOutcome], None]) -> None:
         """Check `content` at all live gateways, and call `done` once.
 
-        That is on the first fault, when all gateways have answered, when all that have not answered are unreachable, or
-        after `CHECK_TIMEOUT`.
+        The check ends on the first fault, when all gateways have answered, when all gateways that have not answered are
+        unreachable, or after `CHECK_TIMEOUT`.
         """
         local = self._fleet.members.local_name
         fault = self._check_locally(content)
--- a/rackhub/fleet/rules/queries.py
+++ b/rackhub/fleet/rules/queries.py
@@ -87,7 +87,7 @@
             id="-",
         )
     oldest = rule_set.versions[0].number if rule_set.versions else 0
-    raise ChangeRejectedError(f"version {requested} is not retained: versions {oldest} to {rule_set.newest_number} are")
+    raise ChangeRejectedError(f"version {requested} is not retained: {oldest} to {rule_set.newest_number} are")
 
 
 def _gateway_status(rules: RulesView, name: str, status: GossipedStatus | None) -> Mapping[str, Any]:
--- a/rackhub/fleet/rules/service.py
+++ b/rackhub/fleet/rules/service.py
@@ -52,7 +52,7 @@
 
     def _edit(self, request: Request, answer: Answer) -> None:
         if request.base_version < 0:
-            raise ValueError("on: is missing: an edit must name the version that it is based on")
+            raise ValueError("on: an edit must name the version that it is based on")
         rule_set = self._rules.tracker.rule_set
         edit = self._edit_request("edit", request, changes=request.changes, trial=self._requested_trial(request))
         changed, new_version = versions.apply(rule_set, edit)  # an edit that the register would reject fails here
--- a/rackhub/fleet/rules/versions.py
+++ b/rackhub/fleet/rules/versions.py
@@ -24,7 +24,10 @@
 
 
 def is_retained(rule_set: RuleSet, number: int) -> bool:
-    """Return whether the content of a version is retained; that of version 0 is as long as version 1 is."""
+    """Return whether a version's content is retained.
+
+    That of version 0 is as long as version 1 is retained or there is no version yet.
+    """
     if rule_set.find(number) is not None:
         return True
     return number == 0 and (not rule_set.versions or rule_set.find(1) is not None)
@@ -126,7 +129,9 @@
     target = request.target_version if request.target_version >= 0 else _newest_different(rule_set)
     if not 0 <= target < newest or not is_retained(rule_set, target):
         oldest = 0 if is_retained(rule_set, 0) else rule_set.versions[0].number
-        raise ChangeRejectedError(f"version {target} is not retained: versions {oldest} to {newest} are")
+        raise ChangeRejectedError(
+            f"version {target} is not a retained earlier version: {oldest} to {newest} are retained"
+        )
     return target
 
 
