--- a/rackhub/fleet/register/acceptor.py
+++ b/rackhub/fleet/register/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor's decisions, without I/O: `handle(state, message)` returns the next state and the replies.
+"""An acceptor of the CASPaxos register, without I/O: `handle(state, message)` returns the next state and the replies.
 
 The caller may send the replies only after the returned state is durable.
 """
@@ -29,8 +29,13 @@
     quorum_size,
 )
 
-NOT_JOINED_REASON = "its disk is new, and the other keepers have not let it in yet"
-OLDER_DISK_REASON = "a later disk of this keeper was noted: this one was put back, and does not know what that one knew"
+# The reasons are shown to operators, to whom acceptors are known by the setting `keepers`. `NOT_JOINED_REASON` follows
+# the text "<acceptor> abstains: ".
+NOT_JOINED_REASON = "its disk is new, and the other keepers have not admitted it yet"
+OLDER_DISK_REASON = (
+    "a newer disk of this keeper is known: this disk was restored from an older state, or first used while the clock "
+    "was set back"
+)
 
 
 class AcceptorState(
@@ -46,8 +51,9 @@
 ):
     """The complete durable state of one acceptor.
 
-    `voting`: the acceptor has joined with this disk; until then it abstains. `join_replies`: the replies to its join
-    request that it has received so far.
+    `voting`: the acceptor has joined with this disk; until then it abstains. `promised` is the highest ballot that it
+    has promised, `value` the value that it accepted last, under the ballot `accepted`. `join_replies`: the replies to
+    its join request that it has received so far. `rename` gives the encoded names, which are a stable format.
     """
 
     acceptors: tuple[str, ...]
@@ -72,8 +78,9 @@
 def handle(state: AcceptorState, message: Message) -> tuple[AcceptorState, list[Reply]]:
     """Return the state after one message, and the replies to its sender.
 
-    No reply is sent to a vote request with an invalid ballot or an oversized value, nor to a join message that does
-    not name another acceptor.
+    A `Prepare` or `Accept` gets a `Promise`, `Accepted` or `Rejected`; a `JoinRequest` of another acceptor gets a
+    `JoinAccepted` or `JoinRejected`. There is no reply to a ballot number out of range, to an otherwise acceptable
+    `Accept` with an oversized value, or to any other message.
     """
     if isinstance(message, Prepare | Accept):
         if not 0 < message.ballot.number <= MAX_BALLOT_NUMBER:
@@ -120,9 +127,10 @@
 
 
 def _handle_join_request(state: AcceptorState, message: JoinRequest) -> tuple[AcceptorState, list[Reply]]:
-    """Record the requester's incarnation.
+    """Record the requester's incarnation, or reject it if a newer one is known.
 
-    From then on no quorum contains both this acceptor and an earlier disk of the requester.
+    From then on no quorum contains both this acceptor and an earlier disk of the requester, because this acceptor's
+    replies carry the recorded incarnation and only consistent replies are counted.
     """
     if message.incarnation < find_known(state.known_incarnations, message.acceptor).incarnation:
         return state, [JoinRejected(state.local_name, message.incarnation, OLDER_DISK_REASON)]
@@ -143,11 +151,12 @@
 
 
 def _handle_join_accepted(state: AcceptorState, message: JoinAccepted) -> AcceptorState:
-    if state.voting or message.requested != state.incarnation:
+    """Record a reply to the join request, and join once the replies suffice."""
+    if state.voting or message.requested != state.incarnation:  # the second: a reply to a request of an earlier disk
         return state
     if any(
         reply.acceptor == message.acceptor and reply.incarnation > message.incarnation for reply in state.join_replies
-    ):
+    ):  # the message was sent before its sender lost its disk
         return state
     others = [reply for reply in state.join_replies if reply.acceptor != message.acceptor]
     replies = tuple(sorted([*others, message], key=lambda reply: reply.acceptor))
@@ -156,10 +165,10 @@
 
 
 def _may_join(state: AcceptorState) -> bool:
-    """Return whether the replies suffice to vote.
+    """Return whether the replies suffice to join, that is to begin voting.
 
-    A quorum of voting acceptors suffices. For the first disk of this acceptor, replies of all other acceptors suffice
-    too; the disk is the first if none of them has known an earlier one.
+    Consistent replies of a quorum of voting acceptors suffice. For the first disk of this acceptor, consistent replies
+    of all other acceptors suffice too; the disk is the first if none of them has known an earlier one.
     """
     voting = tuple(reply for reply in state.join_replies if reply.voting)
     if consistent_quorum(voting, quorum_size(state.acceptors)):
--- a/tests/test_fleet_register.py
+++ b/tests/test_fleet_register.py
@@ -187,7 +187,7 @@
     cluster.net.nodes["a"].boot = -5
     cluster.restart("a")
     cluster.net.time.run(3 * SECOND)
-    assert not cluster.acceptors["a"].state.voting and "later disk" in cluster.acceptors["a"].damage
+    assert not cluster.acceptors["a"].state.voting and "newer disk" in cluster.acceptors["a"].damage
     cluster.crash("a")
     cluster.restart("a")
     node, generation = cluster.net.nodes["a"], 9
