--- a/rackhub/fleet/rules/active_version.py
+++ b/rackhub/fleet/rules/active_version.py
@@ -45,6 +45,7 @@
     def __init__(self, gateway: str, stored: StoredRules | None = None):
         self.gateway = gateway
         self.rule_set = stored.rule_set if stored is not None else RuleSet()
+        # the newest version applied by this gateway, also before a restart
         self.applied_version = stored.version if stored is not None else 0
         self._timed_version = 0  # the version whose trial ends at `_trial_end`; 0: no trial's end is known
         self._trial_end = 0
--- a/rackhub/fleet/rules/checks.py
+++ b/rackhub/fleet/rules/checks.py
@@ -1,4 +1,4 @@
-"""Has all live gateways check a content before it is proposed: each of them must be able to apply it."""
+"""Has all live gateways check a version's content before it is proposed: each of them must be able to apply it."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -38,7 +38,7 @@
 class FleetChecks:
     """Sends checks to other gateways and answers theirs.
 
-    `check_locally` checks a content at this gateway and returns the fault, or an empty text.
+    `check_locally` checks a version's content at this gateway and returns the fault, or an empty text.
     """
 
     def __init__(self, fleet: Fleet, check_locally: Callable[[Mapping[str, Any]], str]):
--- a/rackhub/fleet/rules/messages.py
+++ b/rackhub/fleet/rules/messages.py
@@ -19,7 +19,7 @@
 UNKNOWN_AGE = -1  # stands for an unknown age of a trial; known ages are in microseconds
 
 ChangeKind = Literal["edit", "undo", "confirm", "lapse"]
-RequestCounts = tuple[int, int, int]  # numbers of requests, of rejected requests and of late requests
+RequestCounts = tuple[int, int, int]  # numbers of requests, of rejected requests, and of late or failed requests
 
 
 class Trial(msgspec.Struct, frozen=True):
@@ -136,7 +136,7 @@
 
 
 class CheckRequest(msgspec.Struct, frozen=True, tag="check"):
-    """Requests a check whether the receiver can apply a content."""
+    """Requests a check whether the receiver can apply `content`."""
 
     request_id: int = msgspec.field(name="mark")
     content: dict[str, Any]
--- a/rackhub/fleet/rules/ports.py
+++ b/rackhub/fleet/rules/ports.py
@@ -4,7 +4,7 @@
 
 from rackhub.fleet.ports import Fleet, Name
 from rackhub.fleet.rules.active_version import ActiveVersion, VersionTracker
-from rackhub.fleet.rules.changes import ChangeCoordinator
+from rackhub.fleet.rules.changes import ChangeProposer
 from rackhub.fleet.rules.checks import FleetChecks
 from rackhub.fleet.rules.trials import TrialMonitor
 
@@ -21,7 +21,7 @@
     acceptors: tuple[Name, ...]
     tracker: VersionTracker
     checks: FleetChecks
-    changes: ChangeCoordinator
+    changes: ChangeProposer
     trials: TrialMonitor
     reported_versions: dict[Name, int]
 
--- a/rackhub/fleet/rules/versioned_rules.py
+++ b/rackhub/fleet/rules/versioned_rules.py
@@ -1,4 +1,8 @@
-"""The versioned rules of one gateway: `ports.Rules` on top of the register, dissemination, checks and trials."""
+"""The rules that this gateway applies, implementing `ports.Rules`.
+
+Each change of the rules makes a numbered version. The acceptors agree on the versions in a CASPaxos register, and
+gateways fetch them from each other.
+"""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -10,7 +14,7 @@
 from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.proposer import Proposer
 from rackhub.fleet.rules.active_version import ActiveVersion, StoredRules, VersionTracker
-from rackhub.fleet.rules.changes import ChangeCoordinator
+from rackhub.fleet.rules.changes import ChangeProposer
 from rackhub.fleet.rules.checks import FleetChecks
 from rackhub.fleet.rules.dissemination import Dissemination
 from rackhub.fleet.rules.messages import (
@@ -37,7 +41,10 @@
 
 
 class _TrialBaseline(NamedTuple):
-    """The request counts when this gateway began to apply a version on trial."""
+    """The request counts when this gateway activated the version whose trial is open.
+
+    `on_trial`: whether this gateway applies the version's own content, or that of its parent.
+    """
 
     version: int
     on_trial: bool
@@ -47,9 +54,11 @@
 class VersionedRules:
     """The rules of one gateway.
 
-    `counts` returns the counts of all, rejected and late requests since the start; trials compare their increases.
-    `add_section` has to be called before `start` for each section that this gateway applies. Without `disk` nothing is
-    stored, and the gateway is no acceptor. Raises `ValueError` if the disk belongs to another acceptor.
+    While the trial of a version is open, some gateways apply the version's content (they are on trial), and all others
+    that of its parent. `counts` returns the numbers of all requests, of rejected requests, and of late or failed
+    requests since the start; trials compare their increases. `add_section` has to be called before `start` for each
+    section that this gateway applies. Without `control` no calls are answered. Without `disk` nothing is stored, and
+    the gateway is no acceptor. Raises `ValueError` if the disk belongs to another acceptor or set of acceptors.
     """
 
     def __init__(
@@ -62,7 +71,7 @@
     ):
         self.fleet = fleet
         self.gateway = fleet.members.local_name
-        self.acceptors = settings.keepers
+        self.acceptors = settings.keepers  # settings and texts for operators call the acceptors keepers
         self._disk = disk
         self._counts = counts
         generation = fleet.members.all()[self.gateway].generation
@@ -75,27 +84,31 @@
         self.proposer = Proposer(fleet, self.acceptors, generation, self.acceptor)
         self.dissemination = Dissemination(fleet, self.tracker, self._learn)
         self.checks = FleetChecks(fleet, self.find_faults)
-        self.changes = ChangeCoordinator(fleet, self.tracker, self.proposer, self.dissemination, self._learn)
+        self.changes = ChangeProposer(fleet, self.tracker, self.proposer, self.dissemination, self._learn)
         self.trials = TrialMonitor(fleet, self.tracker, self.acceptors, self.changes.end_trial)
         self.service = RulesService(self, control)
-        self.reported_versions: dict[Name, int] = {}
+        self.reported_versions: dict[Name, int] = {}  # versions that other gateways reported directly as applied
         self.apply_fault = ""  # the reason why this gateway can't apply the newest version
         self._active = ActiveVersion(0, False, {})
         self._baseline = _TrialBaseline(0, False, counts())
         self._published = b""
         self._ticks = 0
-        self._digest = (0, "")  # cached digest: the number of a version, and its digest
+        self._digest = (0, "")  # number and digest of the active version, as last computed
         self._cancel_tick: Callable[[], None] = lambda: None
         self._stopped = False
 
     @property
     def version(self) -> int:
-        """The number of the version that applies; 0 if the operator's files apply."""
+        """The number of the active version; 0 if none has been activated.
+
+        If that version is on trial at other gateways only, its parent's content applies. For sections that the content
+        lacks, the operator's files apply.
+        """
         return self._active.version
 
     @property
     def active(self) -> ActiveVersion:
-        """The version and the content that apply to new requests."""
+        """The active version, and the content that applies to new requests."""
         return self._active
 
     def add_section(self, name: str, section: RuleSection) -> None:
@@ -109,17 +122,19 @@
         try:
             return msgspec.msgpack.decode(body, type=StoredRules)
         except msgspec.MsgspecError as error:
-            self.damage = f"{DISK_KEY} can't be read: {error}"
-            log.error("fleet: %s; the rules are fetched from other gateways", self.damage)
+            self.damage = f"the stored rules ({DISK_KEY}) can't be read: {error}"
+            log.error("fleet: %s; they are fetched from other gateways", self.damage)
             self.fleet.add_count("rules_damaged", 1)
             return None
 
     def damage_report(self) -> str:
-        """Return which data of this gateway's disk could not be read; empty if there is no damage.
+        """Return the faults of this gateway's stored state, joined by "; "; empty if there are none.
 
-        The damaged data is fetched from other gateways.
+        A store or record that can't be read is fetched again from other gateways. An acceptor that was rejected because
+        others know a newer disk of it needs an empty state directory.
         """
         acceptor_damage = self.acceptor.damage if self.acceptor is not None else ""
+        # `damage` is not part of `ports.Disk`; only `StoreDisk` has it
         damages = (getattr(self._disk, "damage", ""), self.damage, acceptor_damage)
         return "; ".join(filter(None, damages))
 
@@ -134,11 +149,17 @@
         self._tick()
 
     def drain(self) -> None:
-        """Stop the periodic work. Messages and calls are still answered."""
+        """Stop the periodic work.
+
+        Messages of gateways and calls on the control port are still answered, and trials still end here in time.
+        """
         self._cancel_tick()
 
     def stop(self) -> None:
-        """Stop all work; nothing is applied or published afterwards."""
+        """Stop the periodic work, the proposer and the acceptor.
+
+        Nothing is applied or published afterwards; messages of other gateways may still be answered.
+        """
         self._stopped = True
         self._cancel_tick()
         self.proposer.stop()
@@ -146,7 +167,11 @@
             self.acceptor.stop()
 
     def metrics(self) -> dict[str, float]:
-        """Return the metrics by name."""
+        """Return the metrics by name.
+
+        `rules_cannot_take` is 1 while this gateway can't apply the newest version, `rules_keeper_votes` while the local
+        acceptor votes.
+        """
         return {
             "rules_version": self._active.version,
             "rules_newest": self.tracker.rule_set.newest_number,
@@ -165,7 +190,8 @@
         result = self.tracker.learn(versions, trial_age, self.fleet.clock.now())
         if result.conflicts:
             log.error(
-                "fleet: rule versions %s differ between gateways: the register was lost or its disks were restored",
+                "fleet: received rule versions %s differ from the local ones, which are kept: "
+                "the keepers' disks were probably lost or restored",
                 result.conflicts,
             )
             self.fleet.add_count("rules_two_contents", len(result.conflicts))
@@ -176,9 +202,10 @@
             self.trials.check()
 
     def _apply_target(self) -> None:
-        """Apply the version and the content that should apply now.
+        """Activate the tracker's target, and again at the end of a trial.
 
-        A newer version is stored before it is applied, so that a restarted gateway can't return to an older one.
+        If this gateway can't apply the target, the active version stays and the fault is reported. A newer version is
+        stored first, if there is a disk, so that a restarted gateway can't return to an older one.
         """
         if self._stopped:
             return
@@ -211,6 +238,7 @@
         self._publish()
 
     def _activate(self, target: ActiveVersion) -> None:
+        # a newer version may have been activated while this one was being stored
         if self._stopped or target.version < self.tracker.applied_version:
             return
         self.tracker.applied_version = target.version
@@ -230,10 +258,10 @@
         self._publish()
 
     def find_faults(self, content: Mapping[str, Any]) -> str:
-        """Return why this gateway can't apply a content, with the name of each invalid key; empty if it can."""
+        """Return why this gateway can't apply `content`: the faults of all sections, joined by "; "; else empty."""
         known = ", ".join(sorted(self.sections)) or "none"
         faults = [
-            f"{name}: is not known at {self.gateway}; there are {known}"
+            f"{name}: is not a known section at {self.gateway}; known sections: {known}"
             for name in sorted(set(content) - set(self.sections))
         ]
         for name, section in self.sections.items():
@@ -265,6 +293,7 @@
             self.fleet.gossip_state.publish(MESSAGE_KIND, body)
 
     def _active_digest(self) -> str:
+        """Return the active version's digest; the last computed one if the version is not retained."""
         version = self.tracker.rule_set.find(self._active.version)
         if version is not None and self._digest[0] != version.number:
             self._digest = (version.number, version.digest())
@@ -295,13 +324,13 @@
         self._apply_target()
         self._ticks += 1
         if self._ticks % REPUBLISH_TICKS == 0:
-            self._published = b""
+            self._published = b""  # makes `_publish` publish an unchanged status
         self._publish()
         self.dissemination.fetch_published()
         self.dissemination.compare_with_random_peer()
         self.trials.check()
         if self.acceptor is not None:
-            self.changes.settle(self.acceptor)
+            self.changes.learn_accepted(self.acceptor)
         self._cancel_tick = self.fleet.call_later(TICK_INTERVAL, self._tick)
 
     def _on_message(self, source: Name, body: bytes) -> None:
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -208,7 +208,7 @@
     assert rejected["exit"] == 2 and "g03 can't apply the edit: shed.level = 9: too high here" in rejected["error"]
     for parameters, fault in (
         ({"parts": {"shed": {"level": "x"}}}, "shed.level = 'x'"),
-        ({"parts": {"speed": {}}}, "speed: is not known"),
+        ({"parts": {"speed": {}}}, "speed: is not a known section"),
         ({"trial_ms": 5}, "trial: 5 ms"),
         ({"first": 2}, "first: 2"),
         ({"wait_ms": -1}, "wait_ms: -1"),
@@ -276,7 +276,7 @@
     assert fleet.held["g04"] == ({"level": 1}, 3)
 
 
-def test_an_acceptor_settles_a_change_whose_gateway_was_killed():
+def test_an_acceptor_learns_a_change_whose_gateway_was_killed():
     for delay_ms in range(2, 26, 2):
         fleet = Stand(seed=delay_ms)
         fleet.run(SECOND)
@@ -316,7 +316,7 @@
     fleet.run(5 * SECOND)  # no gateway announces the version; an acceptor reads the register
     assert [fleet.held[name] for name in fleet.names] == [({"level": 4}, 1)] * 5
     rejected = fleet.edit("g00", 5, 1, "b")
-    assert "written by a newer program (format 2, this gateway has 1)" in rejected["error"]
+    assert "written by a newer program (format 2, this gateway can write 1)" in rejected["error"]
 
 
 def start_trial(fleet, duration_ms=3_000, gateway_count=2):
