--- a/rackhub/fleet/distribution/assembly.py
+++ b/rackhub/fleet/distribution/assembly.py
@@ -2,7 +2,7 @@
 
 from rackhub.fleet.distribution.messages import Entry, LogId, Revision, SnapshotPart, Update
 
-KEPT_UPDATES = 8  # that wait for the one before them
+MAX_BUFFERED_UPDATES = 8  # that wait for the one before them
 
 
 class SnapshotAssembly:
@@ -15,7 +15,7 @@
         self._received: dict[int, tuple[Entry, ...]] = {}
         self.contiguous = 0  # parts from the first on, none missing
 
-    def fits(self, part: SnapshotPart) -> bool:
+    def matches(self, part: SnapshotPart) -> bool:
         """Whether it is of this snapshot."""
         same = part.log == self.log and part.revision == self.revision and part.parts == self.parts
         return same and part.part < self.parts
@@ -46,7 +46,7 @@
         if update not in self._updates:
             self._updates.append(update)
             self._updates.sort(key=lambda one: one.previous)
-            del self._updates[KEPT_UPDATES:]
+            del self._updates[MAX_BUFFERED_UPDATES:]
 
     def take(self, revision: Revision) -> Update | None:
         """The next one that follows on for a holder of `revision`; those that it has outrun are dropped."""
--- a/rackhub/fleet/distribution/catching_up.py
+++ b/rackhub/fleet/distribution/catch_up.py
@@ -7,7 +7,7 @@
 from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
 from rackhub.fleet.distribution.events import Applied, Apply, Effect, Persist, Persisted, StoredState
 from rackhub.fleet.distribution.history import History
-from rackhub.fleet.distribution.learning import Learner
+from rackhub.fleet.distribution.learner import Learner
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import Heartbeat, Revision, SnapshotPart, Unavailable, Update
 from rackhub.fleet.distribution.ports import Identity
@@ -15,7 +15,7 @@
 from rackhub.fleet.distribution.watcher import Watcher
 from rackhub.fleet.ports import Fleet
 
-FROM_VOTER = (Update, SnapshotPart, Heartbeat, Unavailable)
+VOTER_MESSAGE_TYPES = (Update, SnapshotPart, Heartbeat, Unavailable)
 
 
 class CatchUp:
@@ -31,7 +31,7 @@
         history: History,
         learner: Learner,
         limits: Limits,
-        taken: Callable[[Apply, Revision], None],
+        on_applied: Callable[[Apply, Revision], None],
     ):
         self._fleet = fleet
         self._identity = identity
@@ -40,30 +40,30 @@
         self._history = history
         self._learner = learner
         self._limits = limits
-        self._taken = taken
+        self._on_applied = on_applied
         self._runner: CoreRunner | None = None
-        self._wanted: Revision = 0
+        self._target_revision: Revision = 0
         self._generation = identity.generation
-        inbox.route(FROM_VOTER, self._too_late)
+        inbox.route(VOTER_MESSAGE_TYPES, self._on_late_message)
 
     @property
     def running(self) -> bool:
         """Whether changes are being fetched from another voter."""
         return self._runner is not None
 
-    def begin(self, wanted: Revision) -> None:
+    def begin(self, target_revision: Revision) -> None:
         """Go on until at least that revision is held."""
-        self._wanted = max(self._wanted, wanted)
+        self._target_revision = max(self._target_revision, target_revision)
         if self._runner is not None:
             return
         self._fleet.add_count("distribution_catch_ups", 1)
         self._generation += 1
         learner = self._learner
-        held = StoredState(learner.log, learner.revision, self._identity.scope, dict(learner.entries))
+        stored = StoredState(learner.log, learner.revision, self._identity.scope, dict(learner.entries))
         identity = msgspec.structs.replace(self._identity, generation=self._generation)
-        watcher = Watcher(identity, held, self._limits, self._fleet.clock.now())
+        watcher = Watcher(identity, stored, self._limits, self._fleet.clock.now())
         self._runner = CoreRunner(self._fleet, self._inbox, watcher, self._perform)
-        self._inbox.route(FROM_VOTER, self._runner.on_message)
+        self._inbox.route(VOTER_MESSAGE_TYPES, self._runner.on_message)
         self._runner.start()
 
     def stop(self) -> None:
@@ -71,23 +71,23 @@
         if self._runner is not None:
             self._runner.stop()
         self._runner = None
-        self._inbox.route(FROM_VOTER, self._too_late)
+        self._inbox.route(VOTER_MESSAGE_TYPES, self._on_late_message)
 
-    def _too_late(self, sender: str, message: object) -> None:
+    def _on_late_message(self, sender: str, message: object) -> None:
         """The other voter has not noticed yet that nobody watches any more."""
         self._fleet.add_count("distribution_late_catch_up", 1)
 
     def _perform(self, effect: Effect) -> None:
         match effect:
             case Persist():
-                also = self._history.begin_anew(effect.revision)
-                self._store.persist(effect, lambda: self._dispatch(Persisted(effect.revision)), also=also)
+                extra = self._history.reset(effect.revision)
+                self._store.persist(effect, lambda: self._dispatch(Persisted(effect.revision)), extra=extra)
             case Apply():
                 previous = self._learner.revision
-                self._learner.take_snapshot(effect)
-                self._taken(effect, previous)
+                self._learner.adopt_snapshot(effect)
+                self._on_applied(effect, previous)
                 self._dispatch(Applied(effect.revision))
-                if effect.revision >= self._wanted:
+                if effect.revision >= self._target_revision:
                     self.stop()
 
     def _dispatch(self, event: Persisted | Applied) -> None:
--- a/rackhub/fleet/distribution/coordinator.py
+++ b/rackhub/fleet/distribution/coordinator.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
-from rackhub.fleet.distribution.applying import RuleKeys
 from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
 from rackhub.fleet.distribution.events import Applied, Apply, Effect, Persist, Persisted, RunCheck, StoredState
-from rackhub.fleet.distribution.limits import FAULT_KEYS, Limits
+from rackhub.fleet.distribution.limits import MAX_FAULT_KEYS, Limits
 from rackhub.fleet.distribution.messages import Check, Checked, Heartbeat, Revision, SnapshotPart, Unavailable, Update
 from rackhub.fleet.distribution.ports import Identity
+from rackhub.fleet.distribution.rule_keys import RuleKeys
 from rackhub.fleet.distribution.state import in_scope
 from rackhub.fleet.distribution.store import StateStore
 from rackhub.fleet.distribution.watcher import Watcher
@@ -22,8 +22,8 @@
     def __init__(self, fleet: Fleet, identity: Identity, disk: KeyedDisk, limits: Limits):
         self._fleet, self._identity = fleet, identity
         self._store = StateStore(disk, identity.scope, fleet.add_count)
-        self._watcher = Watcher(identity, self._store.held, limits, fleet.clock.now())
-        entries = in_scope(self._store.held.entries.values(), identity.scope)
+        self._watcher = Watcher(identity, self._store.stored, limits, fleet.clock.now())
+        entries = in_scope(self._store.stored.entries.values(), identity.scope)
         wanted = {entry.key: entry.value for entry in entries if entry.value is not None}
         self._rule_keys = RuleKeys(wanted, self._store.fallback)
         self._unapplied: dict[str, Revision] = {}  # keys that are persisted, by the newest revision of each
@@ -37,9 +37,9 @@
         return self._watcher.revision
 
     @property
-    def held(self) -> StoredState:
+    def stored(self) -> StoredState:
         """The entries on the disk, with their revision."""
-        return self._watcher.held
+        return self._watcher.stored
 
     @property
     def upstream(self) -> str:
@@ -56,13 +56,13 @@
         """What of the disk could not be read; empty where all could."""
         return self._store.damage
 
-    def add_section(self, name: str, part: RuleSection) -> None:
+    def add_section(self, name: str, section: RuleSection) -> None:
         """Register the component that takes the rules of this name; before `start`."""
-        self._rule_keys.parts[name] = part
+        self._rule_keys.sections[name] = section
 
     def start(self) -> None:
         """What was held is in force before the first word from a relay."""
-        self._rule_keys.start(self._store.held.revision)
+        self._rule_keys.start(self._store.stored.revision)
         self.inbox.start()
         self._runner.start()
 
@@ -74,8 +74,8 @@
         """The metrics, by name."""
         return {
             "distribution_revision": float(self.version),
-            "distribution_held": float(self.held.revision),
-            "distribution_keys": float(len(self.held.entries)),
+            "distribution_held": float(self.stored.revision),
+            "distribution_keys": float(len(self.stored.entries)),
             "distribution_refused_keys": float(len(self.faults)),
             "distribution_upstream": float(bool(self.upstream)),
         }
@@ -109,8 +109,8 @@
         self._unapplied = {key: newest for key, newest in self._unapplied.items() if newest > effect.revision}
         if faults:
             self._fleet.add_count("distribution_not_taken", 1)
-        self._runner.dispatch(Applied(effect.revision, faults[:FAULT_KEYS]))
+        self._runner.dispatch(Applied(effect.revision, faults[:MAX_FAULT_KEYS]))
 
     def _check(self, wanted: RunCheck) -> None:
-        faults = self._rule_keys.check(in_scope(wanted.entries, self._identity.scope))[:FAULT_KEYS]
-        self.inbox.send(wanted.to, Checked(wanted.mark, self._identity.zone, faults))
+        faults = self._rule_keys.check(in_scope(wanted.entries, self._identity.scope))[:MAX_FAULT_KEYS]
+        self.inbox.send(wanted.to, Checked(wanted.check_id, self._identity.zone, faults))
--- a/rackhub/fleet/distribution/core_runner.py
+++ b/rackhub/fleet/distribution/core_runner.py
@@ -13,9 +13,9 @@
 
 log = logging.getLogger(__name__)
 
-LEAST_WAIT = 1_000  # microseconds to the next tick, however late a core's time is
-MOST_WAIT = 60_000_000
-MOST_SENDERS = 256  # counted by name; all others as one
+MIN_TICK_DELAY = 1_000  # microseconds to the next tick, however late a core's time is
+MAX_TICK_DELAY = 60_000_000
+MAX_SENDERS = 256  # counted by name; all others as one
 OTHER_SENDERS = "others"
 
 
@@ -26,7 +26,7 @@
         self._counts = Counter[tuple[str, Name]]()
 
     def add(self, name: str, sender: Name) -> None:
-        known = (name, sender) in self._counts or len(self._counts) < MOST_SENDERS
+        known = (name, sender) in self._counts or len(self._counts) < MAX_SENDERS
         self._counts[name, sender if known else OTHER_SENDERS] += 1
 
     def rows(self) -> list[dict[str, object]]:
@@ -41,14 +41,14 @@
 
     def __init__(self, fleet: Fleet):
         self._fleet = fleet
-        self._takers: dict[type, Callable[[Name, AnyMessage], None]] = {}
+        self._handlers: dict[type, Callable[[Name, AnyMessage], None]] = {}
         self.sender_counts = SenderCounts()
 
-    def route(self, types: tuple[type, ...], take: Callable[[Name, AnyMessage], None]) -> None:
-        self._takers |= dict.fromkeys(types, take)
+    def route(self, types: tuple[type, ...], handler: Callable[[Name, AnyMessage], None]) -> None:
+        self._handlers |= dict.fromkeys(types, handler)
 
     def start(self) -> None:
-        self._fleet.messenger.subscribe(KIND, self._mailed)
+        self._fleet.messenger.subscribe(KIND, self._on_payload)
 
     def send(self, to: Name, message: AnyMessage) -> None:
         self._fleet.messenger.send(to, KIND, encode(message))
@@ -58,15 +58,15 @@
         if sender:
             self.sender_counts.add(name, sender)
 
-    def _mailed(self, sender: Name, body: bytes) -> None:
+    def _on_payload(self, sender: Name, body: bytes) -> None:
         try:
             message = decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError):
             return self.count("distribution_unreadable", sender)
-        take = self._takers.get(type(message))
-        if take is None:
+        handler = self._handlers.get(type(message))
+        if handler is None:
             return self.count("distribution_misdirected", sender)
-        take(sender, message)
+        handler(sender, message)
 
 
 class CoreRunner:
@@ -76,15 +76,15 @@
     def __init__(self, fleet: Fleet, inbox: Inbox, core: Core, perform: Callable[[Effect], None]):
         self._fleet, self._inbox, self._core, self._perform = fleet, inbox, core, perform
         self._events: deque[Event] = deque()
-        self._running = self._ended = False
-        self._wakes_at = -1
+        self._running = self._stopped = False
+        self._timer_at = -1
         self._cancel: Callable[[], None] = lambda: None
 
     def start(self) -> None:
         self.dispatch(Tick())
 
     def stop(self) -> None:
-        self._ended = True
+        self._stopped = True
         self._cancel()
 
     def replace(self, core: Core) -> None:
@@ -98,16 +98,16 @@
     def dispatch(self, event: Event) -> None:
         """One event in, all its effects done on return, unless this is called while another event's are."""
         self._events.append(event)
-        if self._running or self._ended:
+        if self._running or self._stopped:
             return
         self._running = True
         try:
-            while self._events and not self._ended:
+            while self._events and not self._stopped:
                 self._step(self._events.popleft())
         finally:
             self._running = False
-        if not self._ended:
-            self._wake()
+        if not self._stopped:
+            self._schedule_tick()
 
     def _step(self, event: Event) -> None:
         for effect in self._core.step(self._fleet.clock.now(), event):
@@ -119,15 +119,15 @@
                 case _:
                     self._perform(effect)
 
-    def _wake(self) -> None:
+    def _schedule_tick(self) -> None:
         now = self._fleet.clock.now()
-        at = min(max(self._core.due(), now + LEAST_WAIT), now + MOST_WAIT)
-        if at == self._wakes_at:
+        at = min(max(self._core.due(), now + MIN_TICK_DELAY), now + MAX_TICK_DELAY)
+        if at == self._timer_at:
             return
         self._cancel()
-        self._wakes_at = at
+        self._timer_at = at
         self._cancel = self._fleet.call_later(at - now, self._tick)
 
     def _tick(self) -> None:
-        self._wakes_at = -1
+        self._timer_at = -1
         self.dispatch(Tick())
--- a/rackhub/fleet/distribution/decisions.py
+++ b/rackhub/fleet/distribution/decisions.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.limits import CHANGE_BYTES, CHANGE_ENTRIES, MAX_KEY_BYTES, VALUE_BYTES
+from rackhub.fleet.distribution.limits import MAX_CHANGE_BYTES, MAX_CHANGE_ENTRIES, MAX_ENTRY_VALUE_BYTES, MAX_KEY_BYTES
 from rackhub.fleet.distribution.messages import Change, Entry, LogId, Revision
 from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
-ID_LETTERS = 64  # most letters of an edit's id and author
-REASON_LETTERS = 200
-REMEMBERED_EDITS = 256  # ids that are known after their changes have left the tail
+MAX_ID_CHARS = 64  # most letters of an edit's id and author
+MAX_REASON_CHARS = 200
+MAX_APPLIED_EDITS = 256  # ids that are known after their changes have left the tail
 
 
 class AppliedEdit(msgspec.Struct, frozen=True, array_like=True):
@@ -30,14 +30,14 @@
     """The changes after revision `settled`, none left out. `applied`: the last edits before them."""
 
     log: LogId
-    settled: Revision = 0
+    compacted_revision: Revision = 0
     changes: tuple[Change, ...] = ()
     applied: tuple[AppliedEdit, ...] = ()
 
     @property
     def newest(self) -> Revision:
         """The revision of the last change."""
-        return self.settled + len(self.changes)
+        return self.compacted_revision + len(self.changes)
 
 
 class Edit(msgspec.Struct, frozen=True):
@@ -74,12 +74,12 @@
 class TailFull(EditRejected):
     """Too many changes wait for a majority of the voters to apply them."""
 
-    def __init__(self, size: int, waiting: int) -> None:
+    def __init__(self, size: int, pending: int) -> None:
         super().__init__(
-            f"{waiting} changes wait for a majority of the voters; with this one the register would hold {size} bytes, "
+            f"{pending} changes wait for a majority of the voters; with this one the register would hold {size} bytes, "
             f"more than {MAX_VALUE_BYTES}"
         )
-        self.size, self.waiting = size, waiting
+        self.size, self.pending = size, pending
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -95,8 +95,10 @@
     """Raises `msgspec.MsgspecError` for what is no tail."""
     tail = _decode(value)
     for offset, change in enumerate(tail.changes, 1):
-        if change.revision != tail.settled + offset:
-            raise msgspec.ValidationError(f"change {offset} after {tail.settled} has revision {change.revision}")
+        if change.revision != tail.compacted_revision + offset:
+            raise msgspec.ValidationError(
+                f"change {offset} after {tail.compacted_revision} has revision {change.revision}"
+            )
     return tail
 
 
@@ -118,32 +120,35 @@
     revision = tail.newest + 1
     entries = tuple(Entry(key, value, revision) for key, value in edit.values.items())
     change = Change(revision, entries, edit.id, edit.author, edit.reason)
-    shorter = trim(tail, replicated)
-    longer = msgspec.structs.replace(shorter, changes=(*shorter.changes, change))
-    size = len(_encode(longer))
+    trimmed = trim(tail, replicated)
+    extended = msgspec.structs.replace(trimmed, changes=(*trimmed.changes, change))
+    size = len(_encode(extended))
     if size > MAX_VALUE_BYTES:
-        raise TailFull(size, len(shorter.changes))
-    return longer
+        raise TailFull(size, len(trimmed.changes))
+    return extended
 
 
 def trim(tail: Tail, replicated: Revision) -> Tail:
     """The tail without the changes up to `replicated`."""
-    settled = min(max(replicated, tail.settled), tail.newest)
-    gone, left = tail.changes[: settled - tail.settled], tail.changes[settled - tail.settled :]
-    applied = (*tail.applied, *(AppliedEdit(change.id, change.revision) for change in gone))
-    return Tail(tail.log, settled, left, applied[-REMEMBERED_EDITS:])
+    compacted_revision = min(max(replicated, tail.compacted_revision), tail.newest)
+    dropped, remaining = (
+        tail.changes[: compacted_revision - tail.compacted_revision],
+        tail.changes[compacted_revision - tail.compacted_revision :],
+    )
+    applied = (*tail.applied, *(AppliedEdit(change.id, change.revision) for change in dropped))
+    return Tail(tail.log, compacted_revision, remaining, applied[-MAX_APPLIED_EDITS:])
 
 
 def check_edit(edit: Edit) -> None:
     """Raises `InvalidEdit` where something is over its bound."""
-    if not 0 < len(edit.id) <= ID_LETTERS or len(edit.author) > ID_LETTERS or len(edit.reason) > REASON_LETTERS:
-        _refuse(f"id and author have at most {ID_LETTERS} letters, a reason {REASON_LETTERS}; an id must be there")
-    if not 0 < len(edit.values) <= CHANGE_ENTRIES:
-        _refuse(f"an edit has 1 to {CHANGE_ENTRIES} keys, not {len(edit.values)}")
+    if not 0 < len(edit.id) <= MAX_ID_CHARS or len(edit.author) > MAX_ID_CHARS or len(edit.reason) > MAX_REASON_CHARS:
+        _reject(f"id and author have at most {MAX_ID_CHARS} letters, a reason {MAX_REASON_CHARS}; an id must be there")
+    if not 0 < len(edit.values) <= MAX_CHANGE_ENTRIES:
+        _reject(f"an edit has 1 to {MAX_CHANGE_ENTRIES} keys, not {len(edit.values)}")
     size = sum(_entry_bytes(key, value) for key, value in edit.values.items())
-    if size > CHANGE_BYTES:
+    if size > MAX_CHANGE_BYTES:
         largest = max(edit.values, key=lambda key: len(edit.values[key] or b""))
-        raise InvalidEdit(largest, f"it is the largest of an edit of {size} bytes, more than {CHANGE_BYTES}")
+        raise InvalidEdit(largest, f"it is the largest of an edit of {size} bytes, more than {MAX_CHANGE_BYTES}")
 
 
 def _entry_bytes(key: str, value: bytes | None) -> int:
@@ -151,8 +156,8 @@
     if not 0 < key_bytes <= MAX_KEY_BYTES:
         raise InvalidEdit(key, f"a key has 1 to {MAX_KEY_BYTES} bytes, not {key_bytes}")
     value_bytes = len(value) if value is not None else 0
-    if value_bytes > VALUE_BYTES:
-        raise InvalidEdit(key, f"its value has {value_bytes} bytes, more than {VALUE_BYTES}")
+    if value_bytes > MAX_ENTRY_VALUE_BYTES:
+        raise InvalidEdit(key, f"its value has {value_bytes} bytes, more than {MAX_ENTRY_VALUE_BYTES}")
     return key_bytes + value_bytes
 
 
@@ -163,7 +168,7 @@
         raise InvalidEdit(key, "it is not valid text") from None
 
 
-def _refuse(why: str) -> NoReturn:
+def _reject(why: str) -> NoReturn:
     raise InvalidEdit("", why)
 
 
--- a/rackhub/fleet/distribution/editor.py
+++ b/rackhub/fleet/distribution/editor.py
@@ -6,7 +6,6 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.applying import RuleKeys
 from rackhub.fleet.distribution.decisions import (
     Edit,
     EditRejected,
@@ -17,35 +16,36 @@
     encode_tail,
 )
 from rackhub.fleet.distribution.editing import EditRequest, check_conflicts, plan
-from rackhub.fleet.distribution.events import CheckAsked, CheckDone
+from rackhub.fleet.distribution.events import CheckDone, CheckRequested
 from rackhub.fleet.distribution.history import History
-from rackhub.fleet.distribution.learning import Learner
+from rackhub.fleet.distribution.learner import Learner
 from rackhub.fleet.distribution.messages import Change, Entry, KeyFault, Revision
-from rackhub.fleet.distribution.replication import LOG_BYTES, REGISTER_TIMEOUT, Replication
+from rackhub.fleet.distribution.replication import LOG_ID_BYTES, REGISTER_TIMEOUT, Replication
+from rackhub.fleet.distribution.rule_keys import RuleKeys
 from rackhub.fleet.register.proposer import Outcome, Proposer
 
-MOST_CHECKS = 16  # edits that are checked at a time
+MAX_CONCURRENT_CHECKS = 16  # edits that are checked at a time
 
 
 class EditDone(msgspec.Struct, frozen=True):
     """The change is decided, and on this voter's disk. `unasked`: zones that did not answer the check."""
 
     revision: Revision
-    unasked: tuple[str, ...] = ()
+    unanswered_zones: tuple[str, ...] = ()
 
 
 class EditFailed(msgspec.Struct, frozen=True):
     """`unknown`: it may have been decided; else nothing is changed. `faulty`: the content itself can't be taken."""
 
     reason: str
-    faulty: bool = False
+    invalid: bool = False
     unknown: bool = False
 
 
 Done = Callable[[EditDone | EditFailed], None]
 
 
-class _Planned(msgspec.Struct, frozen=True):
+class _PlannedEdit(msgspec.Struct, frozen=True):
     request: EditRequest
     changed: dict[str, bytes | None]
     base: Revision  # what it was planned on
@@ -62,48 +62,48 @@
         keys: RuleKeys,
         replication: Replication,
         proposer: Proposer,
-        ask_zones: Callable[[CheckAsked], None],
+        request_check: Callable[[CheckRequested], None],
     ):
         self._learner = learner
         self._history = history
         self._rule_keys = keys
         self._replication = replication
         self._proposer = proposer
-        self._ask_zones = ask_zones
-        self._checking: dict[int, _Planned] = {}
-        self._last_mark = 0
+        self._request_check = request_check
+        self._checking: dict[int, _PlannedEdit] = {}
+        self._last_check_id = 0
 
     def edit(self, request: EditRequest, done: Done) -> None:
         """`done` once. Raises `EditRejected`, `RuleKeyError` and `RevisionNotRetained` where it can't be done."""
         before = self._history.by_id(request.id)
         if before is not None:  # said again
-            return self._when_held(_same(request, before.change).revision, (), done)
+            return self._answer_when_synced(_check_same_edit(request, before.change).revision, (), done)
         changed = plan(request, self._learner.values(), self._history)
         base = self._learner.revision
         check_conflicts(
-            request, changed, [past.change for past in self._history.since(min(request.base_revision, base))]
+            request, changed, [record.change for record in self._history.since(min(request.base_revision, base))]
         )
         entries = tuple(Entry(key, value, base + 1) for key, value in changed.items())
         faults = self._rule_keys.check(entries)
         if faults:
-            return done(EditFailed(f"this voter can't take it: {_worded(faults)}", faulty=True))
-        if len(self._checking) >= MOST_CHECKS:
-            return done(EditFailed(f"{MOST_CHECKS} edits are being checked already"))
-        self._last_mark += 1
-        self._checking[self._last_mark] = _Planned(request, changed, base, done)
-        self._ask_zones(CheckAsked(self._last_mark, entries))
+            return done(EditFailed(f"this voter can't take it: {_describe(faults)}", invalid=True))
+        if len(self._checking) >= MAX_CONCURRENT_CHECKS:
+            return done(EditFailed(f"{MAX_CONCURRENT_CHECKS} edits are being checked already"))
+        self._last_check_id += 1
+        self._checking[self._last_check_id] = _PlannedEdit(request, changed, base, done)
+        self._request_check(CheckRequested(self._last_check_id, entries))
 
     def checked(self, answer: CheckDone) -> None:
         """The zones' coordinators have answered."""
-        planned = self._checking.pop(answer.mark, None)
+        planned = self._checking.pop(answer.check_id, None)
         if planned is None:
             return
         if answer.faults:
-            return planned.done(EditFailed(f"a coordinator can't take it: {_worded(answer.faults)}", faulty=True))
-        self._decide(planned, answer.silent)
+            return planned.done(EditFailed(f"a coordinator can't take it: {_describe(answer.faults)}", invalid=True))
+        self._decide(planned, answer.unanswered)
 
-    def _decide(self, planned: _Planned, unasked: tuple[str, ...]) -> None:
-        new_log = secrets.token_hex(LOG_BYTES)
+    def _decide(self, planned: _PlannedEdit, unanswered_zones: tuple[str, ...]) -> None:
+        new_log = secrets.token_hex(LOG_ID_BYTES)
 
         def propose(value: bytes | None) -> tuple[bytes | None, Any]:
             """The register's next value, and the tail or the refusal that it means."""
@@ -114,27 +114,29 @@
                 return value, refused
             return (value if after is tail else encode_tail(after)), after
 
-        self._proposer.change(propose, lambda outcome: self._decided(planned, unasked, outcome), REGISTER_TIMEOUT)
+        self._proposer.change(
+            propose, lambda outcome: self._decided(planned, unanswered_zones, outcome), REGISTER_TIMEOUT
+        )
 
     def _first_tail(self, new_log: str) -> Tail:
         """The register was never written, or lost with the voters' disks: what this voter holds goes on."""
         return Tail(self._learner.log or new_log, self._learner.revision)
 
-    def _appended(self, tail: Tail, planned: _Planned) -> Tail:
-        request, held = planned.request, self._learner
-        if held.log and tail.log != held.log or tail.newest < held.revision:
+    def _appended(self, tail: Tail, planned: _PlannedEdit) -> Tail:
+        request, stored = planned.request, self._learner
+        if stored.log and tail.log != stored.log or tail.newest < stored.revision:
             raise EditRejected(
-                f"the register has revision {tail.newest} of log {tail.log!r}, and this voter {held.revision} of "
-                f"{held.log!r}: the voters' disks were lost or put back"
+                f"the register has revision {tail.newest} of log {tail.log!r}, and this voter {stored.revision} of "
+                f"{stored.log!r}: the voters' disks were lost or put back"
             )
         if decided_revision(tail, request.id) is None:
-            if tail.settled > planned.base:
+            if tail.compacted_revision > planned.base:
                 raise EditRejected(f"this voter is behind: it holds revision {planned.base}; say it again")
             check_conflicts(request, planned.changed, [one for one in tail.changes if one.revision > planned.base])
         edit = Edit(request.id, planned.changed, request.author, request.reason)
         return append_edit(tail, edit, self._replication.replicated_revision())
 
-    def _decided(self, planned: _Planned, unasked: tuple[str, ...], outcome: Outcome) -> None:
+    def _decided(self, planned: _PlannedEdit, unanswered_zones: tuple[str, ...], outcome: Outcome) -> None:
         if outcome.kind != "done":
             return planned.done(EditFailed(outcome.reason, unknown=outcome.kind == "unknown"))
         if outcome.value is not None:
@@ -146,13 +148,13 @@
         if revision is None:
             return planned.done(EditFailed("the register does not remember it", unknown=True))
         self._replication.announce(tail)
-        self._when_held(revision, unasked, planned.done)
+        self._answer_when_synced(revision, unanswered_zones, planned.done)
 
-    def _when_held(self, revision: Revision, unasked: tuple[str, ...], done: Done) -> None:
-        self._learner.when_synced(revision, lambda: done(EditDone(revision, unasked)))
+    def _answer_when_synced(self, revision: Revision, unanswered_zones: tuple[str, ...], done: Done) -> None:
+        self._learner.when_synced(revision, lambda: done(EditDone(revision, unanswered_zones)))
 
 
-def _same(request: EditRequest, change: Change) -> Change:
+def _check_same_edit(request: EditRequest, change: Change) -> Change:
     if (change.author, change.reason) != (request.author, request.reason):
         raise EditRejected(
             f"id {request.id!r} was used by {change.author}: revision {change.revision}, {change.reason}"
@@ -160,5 +162,5 @@
     return change
 
 
-def _worded(faults: tuple[KeyFault, ...]) -> str:
+def _describe(faults: tuple[KeyFault, ...]) -> str:
     return "; ".join(f"{fault.key}: {fault.reason}" for fault in faults)
--- a/rackhub/fleet/distribution/events.py
+++ b/rackhub/fleet/distribution/events.py
@@ -91,17 +91,17 @@
 class MembersChanged(msgspec.Struct, frozen=True):
     """To a relay: so many coordinators live in its zone now."""
 
-    living: int
+    live: int
 
 
-class CheckAsked(msgspec.Struct, frozen=True):
+class CheckRequested(msgspec.Struct, frozen=True):
     """To a source: an editor wants these entries looked at, by one coordinator of each zone."""
 
-    mark: int
+    check_id: int
     entries: tuple[Entry, ...]
 
 
-Event = Tick | Received | Persisted | Applied | Decided | CaughtUp | Confirmed | MembersChanged | CheckAsked
+Event = Tick | Received | Persisted | Applied | Decided | CaughtUp | Confirmed | MembersChanged | CheckRequested
 
 
 # ---- effects
@@ -137,16 +137,16 @@
     """At a coordinator: look whether these entries could be taken, and send `Checked` to `to` with the same mark."""
 
     to: Name
-    mark: int
+    check_id: int
     entries: tuple[Entry, ...]
 
 
 class CheckDone(msgspec.Struct, frozen=True):
     """At a source: the answers of a check are in, or its time is over. `silent`: zones that did not answer."""
 
-    mark: int
+    check_id: int
     faults: tuple[KeyFault, ...]
-    silent: tuple[str, ...]
+    unanswered: tuple[str, ...]
 
 
 class IncrementCounter(msgspec.Struct, frozen=True):
--- a/rackhub/fleet/distribution/history.py
+++ b/rackhub/fleet/distribution/history.py
@@ -11,9 +11,9 @@
 from rackhub.fleet.distribution.messages import Change, Entry, Revision
 from rackhub.fleet.ports import KeyedDisk
 
-MOST_CHANGES = 256
-MOST_BYTES = 4 << 20
-LEAST_CHANGES = 2  # kept whatever their size
+MAX_CHANGES = 256
+MAX_BYTES = 4 << 20
+MIN_CHANGES = 2  # kept whatever their size
 REVISION_DIGITS = 16
 PREFIX = "distribution/history/"
 
@@ -22,7 +22,7 @@
     """One change and the values that its keys had before it; None: no such key."""
 
     change: Change
-    before: dict[str, bytes | None]
+    previous_values: dict[str, bytes | None]
 
 
 class RevisionNotRetained(Exception):
@@ -38,43 +38,45 @@
     def __init__(self, disk: KeyedDisk, newest: Revision):
         self.newest = newest
         self.damage = ""
-        self._past: dict[Revision, HistoryRecord] = {}
+        self._records: dict[Revision, HistoryRecord] = {}
         self._sizes: dict[Revision, int] = {}
-        self._doomed: list[str] = []  # keys on the disk that go with the next write
+        self._keys_to_delete: list[str] = []  # keys on the disk that go with the next write
         try:
             for key, body in disk.scan(PREFIX):
-                self._doomed.append(key)
-                past = msgspec.msgpack.decode(body, type=HistoryRecord)
-                self._past[past.change.revision] = past
-                self._sizes[past.change.revision] = len(body)
+                self._keys_to_delete.append(key)
+                record = msgspec.msgpack.decode(body, type=HistoryRecord)
+                self._records[record.change.revision] = record
+                self._sizes[record.change.revision] = len(body)
         except msgspec.MsgspecError as bad:
             self.damage = f"{PREFIX}: can't be read: {bad}"
-            self._past = {}
-        self._past = self._unbroken()
-        self._doomed = [key for key in self._doomed if key not in map(_key, self._past)]
+            self._records = {}
+        self._records = self._contiguous_records()
+        self._keys_to_delete = [key for key in self._keys_to_delete if key not in map(_key, self._records)]
 
     @property
     def oldest(self) -> Revision:
         """The earliest revision that changes since are known of."""
-        return self.newest - len(self._past)
+        return self.newest - len(self._records)
 
-    def add(self, change: Change, held: Mapping[str, Entry]) -> dict[str, bytes | None]:
+    def add(self, change: Change, current: Mapping[str, Entry]) -> dict[str, bytes | None]:
         """Take the next change, before it is applied to `held`. Returns what is to be written along with it."""
-        before = {entry.key: held[entry.key].value if entry.key in held else None for entry in change.entries}
-        past = HistoryRecord(change, before)
-        body = msgspec.msgpack.encode(past)
-        self._past[change.revision], self._sizes[change.revision] = past, len(body)
+        previous_values = {
+            entry.key: current[entry.key].value if entry.key in current else None for entry in change.entries
+        }
+        record = HistoryRecord(change, previous_values)
+        body = msgspec.msgpack.encode(record)
+        self._records[change.revision], self._sizes[change.revision] = record, len(body)
         self.newest = change.revision
-        dropped = [*self._doomed, *map(_key, self._trim())]
-        self._doomed = []
+        dropped = [*self._keys_to_delete, *map(_key, self._trim())]
+        self._keys_to_delete = []
         return dict.fromkeys(dropped) | {_key(change.revision): body}
 
-    def begin_anew(self, newest: Revision) -> dict[str, bytes | None]:
+    def reset(self, newest: Revision) -> dict[str, bytes | None]:
         """A snapshot came: nothing before it is known. Returns what is to be written along with it."""
-        dropped = [*self._doomed, *map(_key, self._past)]
-        self._past = {}
+        dropped = [*self._keys_to_delete, *map(_key, self._records)]
+        self._records = {}
         self._sizes = {}
-        self._doomed = []
+        self._keys_to_delete = []
         self.newest = newest
         return dict.fromkeys(dropped)
 
@@ -82,7 +84,7 @@
         """The changes after it, oldest first. Raises `RevisionNotRetained`."""
         if not self.oldest <= revision <= self.newest:
             raise RevisionNotRetained(revision, self.oldest, self.newest)
-        return [self._past[number] for number in range(revision + 1, self.newest + 1)]
+        return [self._records[number] for number in range(revision + 1, self.newest + 1)]
 
     def newest_first(self) -> Iterable[HistoryRecord]:
         """All changes that are kept, the last one first."""
@@ -90,45 +92,45 @@
 
     def by_id(self, id: str) -> HistoryRecord | None:
         """The change of the edit with that id, as far as it is kept."""
-        return next((past for past in self.newest_first() if past.change.id == id), None)
+        return next((record for record in self.newest_first() if record.change.id == id), None)
 
-    def _unbroken(self) -> dict[Revision, HistoryRecord]:
+    def _contiguous_records(self) -> dict[Revision, HistoryRecord]:
         """Those up to the newest without a gap, oldest first."""
         found: list[HistoryRecord] = []
         number = self.newest
-        while number in self._past:
-            found.append(self._past[number])
+        while number in self._records:
+            found.append(self._records[number])
             number -= 1
-        return {past.change.revision: past for past in reversed(found)}
+        return {record.change.revision: record for record in reversed(found)}
 
     def _trim(self) -> list[Revision]:
         dropped = []
-        size = sum(self._sizes[number] for number in self._past)
-        while len(self._past) > LEAST_CHANGES and (len(self._past) > MOST_CHANGES or size > MOST_BYTES):
-            number = next(iter(self._past))
+        size = sum(self._sizes[number] for number in self._records)
+        while len(self._records) > MIN_CHANGES and (len(self._records) > MAX_CHANGES or size > MAX_BYTES):
+            number = next(iter(self._records))
             size -= self._sizes.pop(number)
-            del self._past[number]
+            del self._records[number]
             dropped.append(number)
         return dropped
 
 
-def recover_misplaced(misplaced: Mapping[str, bytes | None], held: StoredState) -> dict[str, bytes]:
+def recover_misplaced(misplaced: Mapping[str, bytes | None], stored: StoredState) -> dict[str, bytes]:
     """The history records among `misplaced` that are sound: of the newest change in `held`, and equal to what it left.
 
     Raises `msgspec.MsgspecError` where the newest change's record can't be read.
     """
-    key = _key(held.revision)
+    key = _key(stored.revision)
     body = misplaced.get(key)
     if body is None:
         return {}
     change = msgspec.msgpack.decode(body, type=HistoryRecord).change
-    standing = [entry for entry in change.entries if held.entries.get(entry.key) == _standing(entry)]
-    if change.revision != held.revision or len(standing) < len(change.entries):
+    current = [entry for entry in change.entries if stored.entries.get(entry.key) == _entry_after(entry)]
+    if change.revision != stored.revision or len(current) < len(change.entries):
         return {}
     return {key: body}
 
 
-def _standing(entry: Entry) -> Entry | None:
+def _entry_after(entry: Entry) -> Entry | None:
     """What is held of a key after the entry; None where the entry deletes it."""
     return entry if entry.value is not None else None
 
--- a/rackhub/fleet/distribution/limits.py
+++ b/rackhub/fleet/distribution/limits.py
@@ -5,14 +5,14 @@
 MILLISECOND, SECOND = 1_000, 1_000_000
 
 MAX_KEY_BYTES = 256  # most bytes of a key, in UTF-8
-VALUE_BYTES = 16_384  # most bytes of one value
-CHANGE_BYTES = 65_536  # most bytes of all keys and values of one change
-CHANGE_ENTRIES = 256  # most keys that one change may set or delete
-UPDATE_BYTES = 131_072  # most bytes of keys and values in one message: with its head it fits in one piece of mail
+MAX_ENTRY_VALUE_BYTES = 16_384  # most bytes of one value
+MAX_CHANGE_BYTES = 65_536  # most bytes of all keys and values of one change
+MAX_CHANGE_ENTRIES = 256  # most keys that one change may set or delete
+MAX_UPDATE_BYTES = 131_072  # most bytes of keys and values in one message: with its head it fits in one piece of mail
 MAX_SCOPE_PREFIXES = 64  # most prefixes in one scope
-WORST = 5  # names of the members that lag most, in one report
-FAULT_KEYS = 8  # keys that could not be applied, named in one acknowledgement
-FAULT_LETTERS = 200  # letters kept of the reason for one of them
+MAX_LAGGING_NAMED = 5  # names of the members that lag most, in one report
+MAX_FAULT_KEYS = 8  # keys that could not be applied, named in one acknowledgement
+MAX_FAULT_REASON_CHARS = 200  # letters kept of the reason for one of them
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
@@ -31,7 +31,7 @@
     session_timeout: int = 8 * SECOND  # without a word from a watcher after which its session ends
     max_log_steps: int = 4_096  # changes kept for watchers that resume; older revisions need a snapshot
     max_log_bytes: int = 8 << 20
-    max_update_bytes: int = UPDATE_BYTES  # in one update or part of a snapshot; one change may be more
+    max_update_bytes: int = MAX_UPDATE_BYTES  # in one update or part of a snapshot; one change may be more
     max_watches_per_s: float = 50.0  # watches that a server answers a second, and their burst
     max_snapshots_per_s: float = 20.0  # snapshots among them a second, and their burst
     max_foreign_watchers: int = 200  # watchers of other zones that one relay takes at the same time
--- a/rackhub/fleet/distribution/messages.py
+++ b/rackhub/fleet/distribution/messages.py
@@ -12,12 +12,12 @@
 from msgspec import Meta
 
 from rackhub.fleet.distribution.limits import (
-    FAULT_KEYS,
-    FAULT_LETTERS,
+    MAX_ENTRY_VALUE_BYTES,
+    MAX_FAULT_KEYS,
+    MAX_FAULT_REASON_CHARS,
     MAX_KEY_BYTES,
+    MAX_LAGGING_NAMED,
     MAX_SCOPE_PREFIXES,
-    VALUE_BYTES,
-    WORST,
 )
 
 KIND = "distribution"  # of the mail that carries these messages
@@ -28,10 +28,10 @@
 Number = Annotated[int, Meta(ge=0, le=1 << 53)]
 Duration = Annotated[int, Meta(ge=0, le=1 << 40)]  # milliseconds
 Key = Annotated[str, Meta(min_length=1, max_length=MAX_KEY_BYTES)]
-Value = Annotated[bytes, Meta(max_length=VALUE_BYTES)]
+Value = Annotated[bytes, Meta(max_length=MAX_ENTRY_VALUE_BYTES)]
 Prefix = Annotated[str, Meta(max_length=MAX_KEY_BYTES)]
 Scope = Annotated[tuple[Prefix, ...], Meta(max_length=MAX_SCOPE_PREFIXES)]  # prefixes of keys; ("",) is all of them
-Reason = Annotated[str, Meta(max_length=FAULT_LETTERS)]
+Reason = Annotated[str, Meta(max_length=MAX_FAULT_REASON_CHARS)]
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
@@ -141,7 +141,7 @@
 
     session: Number
     revision: Revision
-    faults: Annotated[tuple[KeyFault, ...], Meta(max_length=FAULT_KEYS)] = ()
+    faults: Annotated[tuple[KeyFault, ...], Meta(max_length=MAX_FAULT_KEYS)] = ()
     snapshot: Revision = 0
     parts: Annotated[int, Meta(ge=0, le=4_096)] = 0
 
@@ -163,24 +163,24 @@
     watchers: Number
     members: Number
     in_force: Annotated[tuple[RevisionCount, ...], Meta(max_length=16)]
-    worst: Annotated[tuple[LaggingWatcher, ...], Meta(max_length=WORST)] = ()
-    faults: Annotated[tuple[KeyFault, ...], Meta(max_length=FAULT_KEYS)] = ()
+    most_lagging: Annotated[tuple[LaggingWatcher, ...], Meta(max_length=MAX_LAGGING_NAMED)] = ()
+    faults: Annotated[tuple[KeyFault, ...], Meta(max_length=MAX_FAULT_KEYS)] = ()
     fault_count: Number = 0
 
 
 class Check(Message, frozen=True, array_like=True, tag="check"):
     """Could the receiver take these entries? A relay asks one of its watchers. `mark` comes back with the answer."""
 
-    mark: Number
+    check_id: Number
     entries: tuple[Entry, ...]
 
 
 class Checked(Message, frozen=True, array_like=True, tag="checked"):
     """The answer; no faults: it could. `zone`: of the coordinator that answered."""
 
-    mark: Number
+    check_id: Number
     zone: Annotated[str, Meta(max_length=63)] = ""
-    faults: Annotated[tuple[KeyFault, ...], Meta(max_length=FAULT_KEYS)] = ()
+    faults: Annotated[tuple[KeyFault, ...], Meta(max_length=MAX_FAULT_KEYS)] = ()
 
 
 AnyMessage = Watch | Unwatch | Update | SnapshotPart | Heartbeat | Unavailable | Acknowledge | Report | Check | Checked
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -14,7 +14,7 @@
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.ports import Identity
 from rackhub.fleet.distribution.relay_shell import RelayShell
-from rackhub.fleet.distribution.service import offer
+from rackhub.fleet.distribution.service import register_calls
 from rackhub.fleet.distribution.voter import Voter
 from rackhub.fleet.link.mail_link import MailLink
 from rackhub.fleet.ports import Control, Fleet, KeyedDisk, RuleSection
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 
-ADDRESS_AGAIN = 250_000  # microseconds until an address that is taken is tried again
+BIND_RETRY_DELAY = 250_000  # microseconds until an address that is taken is tried again
 
 
 class Distribution:
@@ -34,33 +34,33 @@
     ):
         self._settings, self._control = settings, control
         self._generation = fleet.members.all()[fleet.members.local_name].generation
-        self._link = _mail_link(reactor, fleet, settings, self._generation)
+        self._link = _message_link(reactor, fleet, settings, self._generation)
         self._fleet = fleet._replace(messenger=self._link)
         self.shell = self._shell(disk)
         self._cancel: Callable[[], None] = lambda: None
-        self._waits_for_address = False
-        self._ended = False
+        self._address_in_use = False
+        self._stopped = False
 
     @property
     def version(self) -> int:
         """The revision that is in force, or held where nothing of it is put in force."""
         return self.shell.version
 
-    def add_section(self, name: str, part: RuleSection) -> None:
+    def add_section(self, name: str, section: RuleSection) -> None:
         if not isinstance(self.shell, RelayShell):
-            self.shell.add_section(name, part)
+            self.shell.add_section(name, section)
 
     def start(self) -> None:
         """Raises `OSError` where the address can't be had; one that is taken is tried again until it is free."""
         if self._control is not None:
-            offer(self._control, self.shell, self._settings, self._fleet)
+            register_calls(self._control, self.shell, self._settings, self._fleet)
         self._open_link()
         self.shell.start()
 
     def stop(self) -> None:
-        if self._ended:
+        if self._stopped:
             return
-        self._ended = True
+        self._stopped = True
         self._cancel()
         self.shell.stop()
         self._link.stop()
@@ -95,20 +95,20 @@
         )
 
     def _open_link(self) -> None:
-        if self._ended:
+        if self._stopped:
             return
         try:
             self._link.start()
         except OSError as bad:
             if bad.errno != errno.EADDRINUSE:
                 raise OSError(bad.errno, f"watch: {bad.strerror or bad}") from None
-            if not self._waits_for_address:
+            if not self._address_in_use:
                 log.warning("fleet: watch: %s: tried again until it is free", bad)
-            self._waits_for_address = True
-            self._cancel = self._fleet.call_later(ADDRESS_AGAIN, self._open_link)
+            self._address_in_use = True
+            self._cancel = self._fleet.call_later(BIND_RETRY_DELAY, self._open_link)
 
 
-def _mail_link(reactor: Any, fleet: Fleet, settings: FleetSettings, generation: int) -> MailLink:
+def _message_link(reactor: Any, fleet: Fleet, settings: FleetSettings, generation: int) -> MailLink:
     directory = {node.name: parse_ipv4_address(node.address, "node") for node in settings.node}
     return MailLink(
         reactor,
--- a/rackhub/fleet/distribution/ports.py
+++ b/rackhub/fleet/distribution/ports.py
@@ -36,8 +36,8 @@
     in_force: int
     expected: int
     lagging: int
-    oldest: int
-    worst: tuple[LaggingWatcher, ...]
+    oldest_lag_ms: int
+    most_lagging: tuple[LaggingWatcher, ...]
     fault_count: int
 
 
--- a/rackhub/fleet/distribution/queries.py
+++ b/rackhub/fleet/distribution/queries.py
@@ -23,8 +23,8 @@
     newest = voter.history.newest
     shown = newest if revision < 0 else revision
     content = _content_at(voter, shown)
-    past = [one.change for one in voter.history.newest_first() if one.change.revision == shown]
-    change = past[0] if past else Change(shown, (), "-", "-", "no longer kept" if shown else "the files hold")
+    changes = [one.change for one in voter.history.newest_first() if one.change.revision == shown]
+    change = changes[0] if changes else Change(shown, (), "-", "-", "no longer kept" if shown else "the files hold")
     return {"version": {**_change_row(change), "content": content}, "held": newest}
 
 
@@ -32,7 +32,7 @@
     """The newest changes, newest first, with the keys of each."""
     if limit < 1:
         raise ValueError(f"limit: {limit} is below 1")
-    changes = [past.change for past in voter.history.newest_first()][:limit]
+    changes = [record.change for record in voter.history.newest_first()][:limit]
     return {"versions": [_change_row(change) for change in changes]}
 
 
@@ -70,7 +70,7 @@
         case Coordinator():
             faults = [KeyFault(key, reason) for key, reason in sorted(shell.faults.items())]
             return common | {
-                "held": shell.held.revision,
+                "held": shell.stored.revision,
                 "upstream": shell.upstream,
                 "refused": fault_rows(faults),
                 "damage": shell.damage,
@@ -84,8 +84,8 @@
         "in_force": status.in_force,
         "expected": status.expected,
         "lagging": status.lagging,
-        "oldest_ms": status.oldest,
-        "worst": [_lagging_row(lagging) for lagging in status.worst],
+        "oldest_ms": status.oldest_lag_ms,
+        "worst": [_lagging_row(lagging) for lagging in status.most_lagging],
         "refusing": status.fault_count,
     }
 
@@ -97,16 +97,16 @@
 def _voter_status(voter: Voter, fleet: Fleet) -> dict[str, Any]:
     now = fleet.clock.now()
     return fleet_rows(voter.status()) | {
-        "refused": fault_rows(voter.refused_keys()),
+        "refused": fault_rows(voter.rejected_keys()),
         "votes": voter.acceptor.state.voting,
         "replicated": voter.replication.replicated_revision(),
         "voters": [
             {
                 "name": name,
-                "revision": heard.revision,
-                "age_ms": (now - heard.heard_at) // MICROSECONDS_A_MILLISECOND,
+                "revision": last_seen.revision,
+                "age_ms": (now - last_seen.received_at) // MICROSECONDS_A_MILLISECOND,
             }
-            for name, heard in sorted(voter.replication.heard.items())
+            for name, last_seen in sorted(voter.replication.last_seen.items())
         ],
         "damage": voter.damage,
     }
@@ -117,8 +117,8 @@
     values: dict[str, bytes | None] = {**voter.learner.values()}
     if revision > voter.history.newest:
         raise RevisionNotRetained(revision, voter.history.oldest, voter.history.newest)
-    for past in reversed(voter.history.since(revision)):
-        values |= past.before
+    for record in reversed(voter.history.since(revision)):
+        values |= record.previous_values
     return assemble({key: value for key, value in values.items() if value is not None and key.startswith(PREFIX)})
 
 
--- a/rackhub/fleet/distribution/relay.py
+++ b/rackhub/fleet/distribution/relay.py
@@ -30,12 +30,12 @@
     Watch,
 )
 from rackhub.fleet.distribution.ports import Identity
+from rackhub.fleet.distribution.relay_report import build_report
 from rackhub.fleet.distribution.server import WatchServer
 from rackhub.fleet.distribution.state import KeyValueState
-from rackhub.fleet.distribution.summary import summarize
 from rackhub.fleet.distribution.watcher import Watcher
 
-REPORTS_A_SECOND = 4  # at most, where something changes all the time
+MAX_REPORTS_PER_SECOND = 4  # at most, where something changes all the time
 TICK = Tick()
 
 
@@ -74,12 +74,12 @@
         self._identity, self._limits = identity, limits
         self._voters = frozenset(node.name for node in identity.upstreams)
         self._state = KeyValueState(limits)
-        held = StoredState(scope=identity.scope)
-        self._watcher = Watcher(identity, held, limits, now, MemoryDelivery(self._state))
-        chance = random.Random(f"{identity.seed} relay {identity.name}")
-        self._server = WatchServer(self._state, limits, identity.zone, chance, now, self._age)
-        self._checks = CheckForwarding(identity.zone, limits, chance)
-        self._members = 0
+        stored = StoredState(scope=identity.scope)
+        self._watcher = Watcher(identity, stored, limits, now, MemoryDelivery(self._state))
+        rng = random.Random(f"{identity.seed} relay {identity.name}")
+        self._server = WatchServer(self._state, limits, identity.zone, rng, now, self._age)
+        self._checks = CheckForwarding(identity.zone, limits, rng)
+        self._live_coordinators = 0
         self._report_at = now + limits.report_interval
         self._reported_at = now
         self._reported_progress = 0
@@ -103,14 +103,14 @@
     def step(self, now: int, event: Event) -> Sequence[Effect]:
         """Take an event, and do what is due by now."""
         effects: list[Effect] = []
-        held = (self._state.log, self._state.revision)
+        before = (self._state.log, self._state.revision)
         if now >= self._watcher.due():
             effects += self._watcher.step(now, TICK)
         if isinstance(event, Received):
             effects += self._received(now, event.sender, event.message)
         elif isinstance(event, MembersChanged):
-            self._members = event.living
-        if (self._state.log, self._state.revision) != held:
+            self._live_coordinators = event.live
+        if (self._state.log, self._state.revision) != before:
             effects += self._server.publish(now)
         effects += self._tick(now)
         return effects
@@ -135,8 +135,8 @@
         if now >= self._checks.due():
             effects += self._checks.tick(now, self._server.sessions.values())
         if self._server.progress != self._reported_progress:
-            soonest = self._reported_at + self._limits.report_interval // REPORTS_A_SECOND
-            self._report_at = min(self._report_at, max(soonest, now))
+            earliest = self._reported_at + self._limits.report_interval // MAX_REPORTS_PER_SECOND
+            self._report_at = min(self._report_at, max(earliest, now))
         if now >= self._report_at:
             effects += self._report(now)
         return effects
@@ -147,7 +147,9 @@
         self._reported_progress = self._server.progress
         state = self._state
         sessions = self._server.sessions.values()
-        report = summarize(sessions, self._identity.zone, state.log, state.revision, self._members, now, self._limits)
+        report = build_report(
+            sessions, self._identity.zone, state.log, state.revision, self._live_coordinators, now, self._limits
+        )
         return [Send(node.name, report) for node in self._identity.upstreams]
 
     def _age(self, now: int) -> int:
--- a/rackhub/fleet/distribution/summary.py
+++ b/rackhub/fleet/distribution/relay_report.py
@@ -3,15 +3,15 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from rackhub.fleet.distribution.agenda import NEVER
-from rackhub.fleet.distribution.limits import FAULT_KEYS, MILLISECOND, WORST, Limits
+from rackhub.fleet.distribution.limits import MAX_FAULT_KEYS, MAX_LAGGING_NAMED, MILLISECOND, Limits
 from rackhub.fleet.distribution.messages import KeyFault, LaggingWatcher, LogId, Report, Revision, RevisionCount
+from rackhub.fleet.distribution.schedule import NEVER
 from rackhub.fleet.distribution.session import Session
 
-COUNTS = 16  # revisions told apart in one report
+MAX_COUNTS = 16  # revisions told apart in one report
 
 
-def summarize(
+def build_report(
     sessions: Iterable[Session], zone: str, log: LogId, revision: Revision, members: int, now: int, limits: Limits
 ) -> Report:
     """The report of a relay at `revision` with these sessions."""
@@ -29,20 +29,30 @@
             fault_count += 1
             faults.update((fault.key, fault) for fault in session.faults)
     behind.sort(key=lambda lagging: (-lagging.behind, lagging.name))
-    named = tuple(faults.values())[:FAULT_KEYS]
-    in_force_counts = _lump(counts)
-    return Report(zone, log, revision, watchers, members, in_force_counts, tuple(behind[:WORST]), named, fault_count)
+    named_faults = tuple(faults.values())[:MAX_FAULT_KEYS]
+    in_force_counts = _merge_oldest(counts)
+    return Report(
+        zone,
+        log,
+        revision,
+        watchers,
+        members,
+        in_force_counts,
+        tuple(behind[:MAX_LAGGING_NAMED]),
+        named_faults,
+        fault_count,
+    )
 
 
 def _behind(session: Session, now: int) -> int:
-    since = session.behind_since if session.behind_since != NEVER else session.heard_at
+    since = session.behind_since if session.behind_since != NEVER else session.last_received_at
     return max(0, now - since) // MILLISECOND
 
 
-def _lump(counts: Counter[Revision]) -> tuple[RevisionCount, ...]:
+def _merge_oldest(counts: Counter[Revision]) -> tuple[RevisionCount, ...]:
     """Newest first; what is beyond the bound counts as at the lowest revision of all."""
     newest_first = sorted(counts.items(), reverse=True)
-    named, rest = newest_first[: COUNTS - 1], newest_first[COUNTS - 1 :]
+    named_faults, rest = newest_first[: MAX_COUNTS - 1], newest_first[MAX_COUNTS - 1 :]
     if rest:
-        named.append((rest[-1][0], sum(count for _, count in rest)))
-    return tuple(RevisionCount(revision, count) for revision, count in named)
+        named_faults.append((rest[-1][0], sum(count for _, count in rest)))
+    return tuple(RevisionCount(revision, count) for revision, count in named_faults)
--- a/rackhub/fleet/distribution/relay_shell.py
+++ b/rackhub/fleet/distribution/relay_shell.py
@@ -18,7 +18,7 @@
 from rackhub.fleet.distribution.relay import Relay
 from rackhub.fleet.ports import Fleet, Member, Name
 
-TAKEN = (Watch, Unwatch, Update, SnapshotPart, Heartbeat, Unavailable, Acknowledge, Check, Checked)
+RELAY_MESSAGE_TYPES = (Watch, Unwatch, Update, SnapshotPart, Heartbeat, Unavailable, Acknowledge, Check, Checked)
 
 
 class RelayShell:
@@ -29,9 +29,9 @@
         self._relay = Relay(identity, limits, fleet.clock.now())
         self.inbox = Inbox(fleet)
         self._runner = CoreRunner(fleet, self.inbox, self._relay, self._perform)
-        self.inbox.route(TAKEN, self._runner.on_message)
-        self._living = -1
-        self._ended = False
+        self.inbox.route(RELAY_MESSAGE_TYPES, self._runner.on_message)
+        self._live_coordinators = -1
+        self._stopped = False
 
     @property
     def version(self) -> int:
@@ -49,7 +49,7 @@
         self._count_members()
 
     def stop(self) -> None:
-        self._ended = True
+        self._stopped = True
         self._runner.stop()
 
     def figures(self) -> dict[str, float]:
@@ -57,7 +57,7 @@
             "distribution_revision": float(self.version),
             "distribution_watchers": float(self._relay.watchers),
             "distribution_upstream": float(bool(self.upstream)),
-            "distribution_members": float(max(self._living, 0)),
+            "distribution_members": float(max(self._live_coordinators, 0)),
         }
 
     def _perform(self, effect: Effect) -> None:
@@ -68,7 +68,7 @@
 
     def _count_members(self) -> None:
         """Tell the core where the number of coordinators has changed. The relay itself is among its nodes."""
-        living = len(self._fleet.members.live() - self._nodes)
-        if living != self._living and not self._ended:
-            self._living = living
-            self._runner.dispatch(MembersChanged(living))
+        live_coordinators = len(self._fleet.members.live() - self._nodes)
+        if live_coordinators != self._live_coordinators and not self._stopped:
+            self._live_coordinators = live_coordinators
+            self._runner.dispatch(MembersChanged(live_coordinators))
--- a/rackhub/fleet/distribution/replication.py
+++ b/rackhub/fleet/distribution/replication.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from rackhub.fleet.distribution.decisions import Tail, decode_tail, encode_tail, majority_revision
-from rackhub.fleet.distribution.learning import Learner
+from rackhub.fleet.distribution.learner import Learner
 from rackhub.fleet.distribution.limits import MILLISECOND, SECOND
 from rackhub.fleet.distribution.messages import Change, Revision
-from rackhub.fleet.distribution.voting import ChosenChanges, NewestRevision, VoterMail, VoterMessage
+from rackhub.fleet.distribution.voting import ChosenChanges, NewestRevision, VoterMessage, VoterMessenger
 from rackhub.fleet.ports import Fleet, Name
 from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.messages import quorum_size
@@ -23,10 +23,12 @@
 log = logging.getLogger(__name__)
 
 TICK = 500 * MILLISECOND
-TICKS_A_WORD = 2  # between two words to the other voters of the newest revision held
-UNFINISHED = 1 * SECOND  # how long the register voter holds a value that nobody told was chosen, before it is read
-READ_AGAIN = 1 * SECOND  # between two readings of the register
-LOG_BYTES = 8  # of a new log's identity
+TICKS_PER_MESSAGE = 2  # between two words to the other voters of the newest revision held
+UNFINISHED_TIMEOUT = (
+    1 * SECOND
+)  # how long the register voter holds a value that nobody told was chosen, before it is read
+READ_INTERVAL = 1 * SECOND  # between two readings of the register
+LOG_ID_BYTES = 8  # of a new log's identity
 REGISTER_TIMEOUT = 5 * SECOND  # for one change or reading of the register
 
 
@@ -34,7 +36,7 @@
     """What a voter last said that it holds, and when it came."""
 
     revision: Revision
-    heard_at: int
+    received_at: int
 
 
 class Replication:
@@ -48,42 +50,44 @@
         acceptor: AcceptorShell,
         proposer: Proposer,
         learner: Learner,
-        busy: Callable[[], bool],
-        confirmed: Callable[[int], None],
+        is_catching_up: Callable[[], bool],
+        on_confirmed: Callable[[int], None],
     ):
         self._fleet, self._voters, self._proposer = fleet, voters, proposer
-        self._acceptor, self._learner, self._busy = acceptor, learner, busy
-        self._confirmed = confirmed
-        self._mail = VoterMail(fleet, voters, self._mailed)
-        self.heard: dict[Name, VoterRevision] = {}
+        self._acceptor, self._learner, self._is_catching_up = acceptor, learner, is_catching_up
+        self._on_confirmed = on_confirmed
+        self._messenger = VoterMessenger(fleet, voters, self._on_message)
+        self.last_seen: dict[Name, VoterRevision] = {}
         self._reading = False
         self._read_at = fleet.clock.now()
-        self._seen: bytes | None = None  # the own register voter's value, as last looked at
-        self._accepted: Revision = 0  # its newest revision
+        self._last_value: bytes | None = None  # the own register voter's value, as last looked at
+        self._accepted_revision: Revision = 0  # its newest revision
         self._unfinished_since: int | None = None
         self._ticks = 0
         self._cancel: Callable[[], None] = lambda: None
-        self._ended = False
+        self._stopped = False
 
     def start(self) -> None:
-        self._mail.start()
+        self._messenger.start()
         self._tick()
 
     def stop(self) -> None:
-        self._ended = True
+        self._stopped = True
         self._cancel()
 
     def replicated_revision(self) -> Revision:
         """The newest revision that a majority of the voters is known to have on its disks."""
-        others = [heard.revision for heard in self.heard.values()]
+        others = [last_seen.revision for last_seen in self.last_seen.values()]
         return majority_revision([self._learner.synced, *others], len(self._voters))
 
     def confirmed_age(self) -> int | None:
         """Microseconds since a majority of the voters, this one too, had nothing newer than what is on the disk here;
         None where not so many have said so. A word that is under way, or a change that its voter has not announced yet,
         is not in it: the age is a lower bound."""
-        now, own = self._fleet.clock.now(), self._learner.synced
-        ages = sorted(now - heard.heard_at for heard in self.heard.values() if heard.revision <= own)
+        now, local_revision = self._fleet.clock.now(), self._learner.synced
+        ages = sorted(
+            now - last_seen.received_at for last_seen in self.last_seen.values() if last_seen.revision <= local_revision
+        )
         needed = quorum_size(self._voters) - 1
         if len(ages) < needed:
             return None
@@ -91,7 +95,7 @@
 
     def learn(self, tail: Tail) -> None:
         """A majority has chosen this."""
-        if not self._busy() and not self._ended:
+        if not self._is_catching_up() and not self._stopped:
             self._learner.learn_tail(tail)
 
     def announce(self, tail: Tail) -> None:
@@ -99,31 +103,31 @@
         known = self.replicated_revision()
         for change in tail.changes:
             if change.revision > known:
-                self._mail.send_all(ChosenChanges(tail.log, (change,)))
+                self._messenger.send_all(ChosenChanges(tail.log, (change,)))
 
-    def say_synced(self) -> None:
+    def send_synced_revision(self) -> None:
         """Tell the other voters what the disk has here."""
-        self._mail.send_all(NewestRevision(self._learner.synced))
+        self._messenger.send_all(NewestRevision(self._learner.synced))
 
     # ---- what comes
 
-    def _mailed(self, sender: Name, message: VoterMessage) -> None:
+    def _on_message(self, sender: Name, message: VoterMessage) -> None:
         match message:
             case ChosenChanges(log_id, changes):
-                self._chosen(log_id, changes)
+                self._on_chosen(log_id, changes)
             case NewestRevision(revision):
-                self.heard[sender] = VoterRevision(revision, self._fleet.clock.now())
+                self.last_seen[sender] = VoterRevision(revision, self._fleet.clock.now())
                 if revision > self._learner.revision:
                     self._read()
-                self._tell_confirmed()
+                self._report_confirmed()
 
-    def _tell_confirmed(self) -> None:
+    def _report_confirmed(self) -> None:
         age = self.confirmed_age()
         if age is not None:
-            self._confirmed(age)
+            self._on_confirmed(age)
 
-    def _chosen(self, log_id: str, changes: tuple[Change, ...]) -> None:
-        if self._busy():
+    def _on_chosen(self, log_id: str, changes: tuple[Change, ...]) -> None:
+        if self._is_catching_up():
             return
         if changes and changes[0].revision > self._learner.revision + 1:
             return self._read()  # the ones before are under way, or in the register
@@ -133,23 +137,23 @@
 
     def _read(self) -> None:
         now = self._fleet.clock.now()
-        if self._reading or self._busy() or self._ended or now < self._read_at:
+        if self._reading or self._is_catching_up() or self._stopped or now < self._read_at:
             return
-        self._reading, self._read_at = True, now + READ_AGAIN
-        self._proposer.read(self._was_read, REGISTER_TIMEOUT)
+        self._reading, self._read_at = True, now + READ_INTERVAL
+        self._proposer.read(self._on_read, REGISTER_TIMEOUT)
 
     def _begin_log(self) -> None:
         """Nothing is held: have the register begin a log where it has none, so that watchers know its identity."""
         now = self._fleet.clock.now()
-        if self._reading or self._busy() or now < self._read_at:
+        if self._reading or self._is_catching_up() or now < self._read_at:
             return
-        self._reading, self._read_at = True, now + READ_AGAIN
-        first = encode_tail(Tail(secrets.token_hex(LOG_BYTES)))
+        self._reading, self._read_at = True, now + READ_INTERVAL
+        first = encode_tail(Tail(secrets.token_hex(LOG_ID_BYTES)))
         self._proposer.change(
-            lambda value: (value if value is not None else first, None), self._was_read, REGISTER_TIMEOUT
+            lambda value: (value if value is not None else first, None), self._on_read, REGISTER_TIMEOUT
         )
 
-    def _was_read(self, outcome: Outcome) -> None:
+    def _on_read(self, outcome: Outcome) -> None:
         self._reading = False
         if outcome.kind != "done" or outcome.value is None:
             return
@@ -160,39 +164,39 @@
         self.learn(tail)
 
     def _tick(self) -> None:
-        if self._ended:
+        if self._stopped:
             return
-        if self._ticks % TICKS_A_WORD == 0:
-            self.say_synced()
+        if self._ticks % TICKS_PER_MESSAGE == 0:
+            self.send_synced_revision()
         self._ticks += 1
-        self._tell_confirmed()
-        self._look_for_unfinished()
+        self._report_confirmed()
+        self._check_unfinished()
         if not self._learner.log:
             self._begin_log()
         self._cancel = self._fleet.call_later(TICK, self._tick)
 
-    def _look_for_unfinished(self) -> None:
+    def _check_unfinished(self) -> None:
         """An editor's voter may have ended between accept and answer: what the own register voter then holds may be
         chosen without that anybody knows. A read settles it."""
         now = self._fleet.clock.now()
-        self._note_accepted()
-        if self._accepted <= self._learner.revision:
+        self._update_accepted_revision()
+        if self._accepted_revision <= self._learner.revision:
             self._unfinished_since = None
         elif self._unfinished_since is None:
             self._unfinished_since = now
-        elif now - self._unfinished_since > UNFINISHED:
+        elif now - self._unfinished_since > UNFINISHED_TIMEOUT:
             self._unfinished_since = now
             self._read()
 
-    def _note_accepted(self) -> None:
+    def _update_accepted_revision(self) -> None:
         state = self._acceptor.state
         value = state.value if state.voting else None
-        if value is self._seen:
+        if value is self._last_value:
             return
-        self._seen, self._accepted = value, 0
+        self._last_value, self._accepted_revision = value, 0
         if value is None:
             return
         try:
-            self._accepted = decode_tail(value).newest
+            self._accepted_revision = decode_tail(value).newest
         except msgspec.MsgspecError as bad:  # a later program's: it is left to that one
             log.error("fleet: the register of distribution can't be read: %s", bad)
--- a/rackhub/fleet/distribution/waiting.py
+++ b/rackhub/fleet/distribution/rollout.py
@@ -10,50 +10,50 @@
 from rackhub.fleet.distribution.voter import Voter
 from rackhub.fleet.ports import Answer, Fleet
 
-POLL = 50_000  # microseconds
+POLL_INTERVAL = 50_000  # microseconds
 MILLISECOND = 1_000
-NOT_IN_FORCE = 1  # exit status of the command line
+NOT_APPLIED = 1  # exit status of the command line
 
 
-def wait_in_force(
+def wait_until_applied(
     voter: Voter, fleet: Fleet, request: EditRequest, edit: EditDone, began: int, wait_ms: int, answer: Answer
 ) -> None:
     """Answer when all have it, when some can't take one of its keys, or when the time is over."""
-    until = fleet.clock.now() + wait_ms * MILLISECOND
+    deadline = fleet.clock.now() + wait_ms * MILLISECOND
 
-    def look() -> None:
+    def poll() -> None:
         now = fleet.clock.now()
-        status, refused = voter.status(edit.revision), _refused_of(voter, edit.revision)
-        if not _everywhere(status) and now < until:
-            fleet.call_later(POLL, look)
+        status, rejected = voter.status(edit.revision), _rejected_keys_of(voter, edit.revision)
+        if not _is_applied_everywhere(status) and now < deadline:
+            fleet.call_later(POLL_INTERVAL, poll)
             return
-        told = fleet_rows(status) | {
+        result = fleet_rows(status) | {
             "id": request.id,
             "kind": request.kind,
-            "refused": fault_rows(refused),
-            "unasked": list(edit.unasked),
+            "refused": fault_rows(rejected),
+            "unasked": list(edit.unanswered_zones),
             "took_ms": (now - began) // MILLISECOND,
         }
-        answer(told | _shortfall(status, refused, wait_ms))
+        answer(result | _rollout_error(status, rejected, wait_ms))
 
-    look()
+    poll()
 
 
-def _everywhere(status: FleetStatus) -> bool:
+def _is_applied_everywhere(status: FleetStatus) -> bool:
     return status.expected > 0 and not status.lagging
 
 
-def _refused_of(voter: Voter, revision: Revision) -> list[KeyFault]:
+def _rejected_keys_of(voter: Voter, revision: Revision) -> list[KeyFault]:
     """Keys of that change which some coordinators can't take."""
-    past = [one.change for one in voter.history.newest_first() if one.change.revision == revision]
-    keys = {entry.key for change in past for entry in change.entries}
-    return [fault for fault in voter.refused_keys() if fault.key in keys]
+    changes = [one.change for one in voter.history.newest_first() if one.change.revision == revision]
+    keys = {entry.key for change in changes for entry in change.entries}
+    return [fault for fault in voter.rejected_keys() if fault.key in keys]
 
 
-def _shortfall(status: FleetStatus, refused: list[KeyFault], wait_ms: int) -> dict[str, Any]:
+def _rollout_error(status: FleetStatus, rejected: list[KeyFault], wait_ms: int) -> dict[str, Any]:
     """The error of an edit that is decided, and not in force everywhere after the wait."""
-    if refused:
-        keys = ", ".join(fault.key for fault in refused)
+    if rejected:
+        keys = ", ".join(fault.key for fault in rejected)
         reason = f"some coordinators can't take {keys}, and go on with the value before"
     elif wait_ms and not status.expected:
         reason = "no coordinator is known: no relay has reported yet"
@@ -61,4 +61,4 @@
         reason = f"it is not in force at {status.lagging} of {status.expected} after {wait_ms} ms"
     else:
         return {}
-    return {"error": f"revision {status.revision} is decided; {reason}", "exit": NOT_IN_FORCE}
+    return {"error": f"revision {status.revision} is decided; {reason}", "exit": NOT_APPLIED}
--- a/rackhub/fleet/distribution/applying.py
+++ b/rackhub/fleet/distribution/rule_keys.py
@@ -7,20 +7,20 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.limits import FAULT_LETTERS
+from rackhub.fleet.distribution.limits import MAX_FAULT_REASON_CHARS
 from rackhub.fleet.distribution.messages import Entry, KeyFault
-from rackhub.fleet.distribution.rules import RuleKeyError, assemble, part_of
+from rackhub.fleet.distribution.rules import RuleKeyError, assemble, section_of
 from rackhub.fleet.ports import RuleSection
 
 log = logging.getLogger(__name__)
-KNOWN_KEYS = 16_384  # whose parts are remembered
-MOST_PASSES = 3  # over the keys of a part that can't be taken as a whole; each finds what rests on the one before
+SECTION_NAME_CACHE_SIZE = 16_384  # whose parts are remembered
+MAX_PASSES = 3  # over the keys of a part that can't be taken as a whole; each finds what rests on the one before
 
 Values = dict[str, bytes]
 Check = Callable[[str, Values], None]  # raises `ValueError` where the part of that name can't take the values
 
 
-class Settled(msgspec.Struct, frozen=True):
+class AcceptedValues(msgspec.Struct, frozen=True):
     """`values` can be taken as they are; `faults` are the keys that could not be, by key with the reason."""
 
     values: Values
@@ -33,33 +33,35 @@
     `fallback`: what an earlier process had in force where it may not have taken the wanted value; None: no such key.
     """
 
-    def __init__(self, wanted: Mapping[str, bytes], fallback: Mapping[str, bytes | None]):
-        self.parts: dict[str, RuleSection] = {}
-        self.wanted: Values = dict(wanted)
-        self.applied: Values = _changed(self.wanted, fallback)
+    def __init__(self, desired: Mapping[str, bytes], fallback: Mapping[str, bytes | None]):
+        self.sections: dict[str, RuleSection] = {}
+        self.desired: Values = dict(desired)
+        self.applied: Values = _with_changes(self.desired, fallback)
         self.faults: dict[str, str] = {}
 
     def start(self, revision: int) -> None:
         """Put in force what was held when the process before this one ended."""
-        self._settle(self._part_names(), revision)
+        self._apply_sections(self._section_names(), revision)
 
     def apply(self, entries: Iterable[Entry], snapshot: bool, revision: int) -> tuple[KeyFault, ...]:
         """Want these entries, put in force what can be, and return what can't."""
-        changes: dict[str, bytes | None] = dict.fromkeys(self.wanted) if snapshot else {}
+        changes: dict[str, bytes | None] = dict.fromkeys(self.desired) if snapshot else {}
         changes |= {entry.key: entry.value for entry in entries}
-        self.wanted = _changed(self.wanted, changes)
-        names = {_part_name(key) for key in changes}
-        self._settle(names, revision)
+        self.desired = _with_changes(self.desired, changes)
+        names = {_section_name(key) for key in changes}
+        self._apply_sections(names, revision)
         return self.key_faults()
 
     def check(self, entries: Iterable[Entry]) -> tuple[KeyFault, ...]:
         """Which of these entries could not be taken. Changes nothing."""
         changes = {entry.key: entry.value for entry in entries}
-        after = _changed(self.wanted, changes)
+        after = _with_changes(self.desired, changes)
         faults: dict[str, str] = {}
-        for name in sorted({_part_name(key) for key in changes}):
-            settled = settle(self._check, name, _of_part(self.applied, name), _of_part(after, name))
-            faults |= {key: reason for key, reason in settled.faults.items() if key in changes}
+        for name in sorted({_section_name(key) for key in changes}):
+            accepted = accept_values(
+                self._check, name, _values_of_section(self.applied, name), _values_of_section(after, name)
+            )
+            faults |= {key: reason for key, reason in accepted.faults.items() if key in changes}
         return _key_faults(faults)
 
     def key_faults(self) -> tuple[KeyFault, ...]:
@@ -68,61 +70,61 @@
 
     # ---- one part after the other
 
-    def _part_names(self) -> set[str]:
-        return {_part_name(key) for key in self.wanted.keys() | self.applied.keys()}
+    def _section_names(self) -> set[str]:
+        return {_section_name(key) for key in self.desired.keys() | self.applied.keys()}
 
-    def _settle(self, names: set[str], revision: int) -> None:
+    def _apply_sections(self, names: set[str], revision: int) -> None:
         for name in sorted(names):
-            before = _of_part(self.applied, name)
-            settled = settle(self._check, name, before, _of_part(self.wanted, name))
-            self.faults = {key: reason for key, reason in self.faults.items() if _part_name(key) != name}
-            self.faults |= settled.faults
+            before = _values_of_section(self.applied, name)
+            accepted = accept_values(self._check, name, before, _values_of_section(self.desired, name))
+            self.faults = {key: reason for key, reason in self.faults.items() if _section_name(key) != name}
+            self.faults |= accepted.faults
             try:
-                self._hold(name, settled.values, revision)
+                self._apply_section(name, accepted.values, revision)
             except Exception as bad:  # a part's own fault must not keep the other parts from their change
                 log.exception("fleet: %s can't hold revision %d", name, revision)
-                self.faults |= {key: f"{name} can't hold it: {bad}" for key in _differing(before, settled.values)}
+                self.faults |= {key: f"{name} can't hold it: {bad}" for key in _changed_keys(before, accepted.values)}
                 continue
-            kept = {key: value for key, value in self.applied.items() if _part_name(key) != name}
-            self.applied = kept | settled.values
+            kept = {key: value for key, value in self.applied.items() if _section_name(key) != name}
+            self.applied = kept | accepted.values
         for key, reason in sorted(self.faults.items()):
-            if _part_name(key) in names:
+            if _section_name(key) in names:
                 log.error("fleet: revision %d: %s can't be taken, the value before goes on: %s", revision, key, reason)
 
-    def _hold(self, name: str, values: Values, revision: int) -> None:
-        if name in self.parts:
-            self.parts[name].apply(assemble(values).get(name), revision)
+    def _apply_section(self, name: str, values: Values, revision: int) -> None:
+        if name in self.sections:
+            self.sections[name].apply(assemble(values).get(name), revision)
 
     def _check(self, name: str, values: Values) -> None:
         """Raises `ValueError` where the part can't take these."""
         if not values:
             return
         content: Mapping[str, Any] | None = assemble(values).get(name)
-        if name not in self.parts:
-            known = ", ".join(sorted(self.parts)) or "none"
+        if name not in self.sections:
+            known = ", ".join(sorted(self.sections)) or "none"
             raise ValueError(f"{name or 'the key'}: is not known here; there is {known}")
-        self.parts[name].check(content)
+        self.sections[name].check(content)
 
 
-def settle(check: Check, name: str, standing: Values, wanted: Values) -> Settled:
+def accept_values(check: Check, name: str, current: Values, desired: Values) -> AcceptedValues:
     """As much of `wanted` as the part takes: all of it, or `standing` with each change that it takes by itself."""
-    reason = _fault(check, name, wanted)
+    reason = _fault(check, name, desired)
     if not reason:
-        return Settled(wanted, {})
-    values = dict(standing)
-    left = _differing(standing, wanted)
-    reasons = dict.fromkeys(left, reason)
-    for _ in range(MOST_PASSES):
-        before = len(left)
-        for key in list(left):
-            tried = _changed(values, {key: wanted.get(key)})
-            reasons[key] = _fault(check, name, tried)
+        return AcceptedValues(desired, {})
+    values = dict(current)
+    remaining = _changed_keys(current, desired)
+    reasons = dict.fromkeys(remaining, reason)
+    for _ in range(MAX_PASSES):
+        before = len(remaining)
+        for key in list(remaining):
+            candidate = _with_changes(values, {key: desired.get(key)})
+            reasons[key] = _fault(check, name, candidate)
             if not reasons[key]:
-                values = tried
-                left.remove(key)
-        if not left or len(left) == before:
+                values = candidate
+                remaining.remove(key)
+        if not remaining or len(remaining) == before:
             break
-    return Settled(values, {key: reasons[key] for key in left})
+    return AcceptedValues(values, {key: reasons[key] for key in remaining})
 
 
 def _fault(check: Check, name: str, values: Values) -> str:
@@ -136,27 +138,27 @@
     return ""
 
 
-def _changed(values: Mapping[str, bytes], changes: Mapping[str, bytes | None]) -> Values:
+def _with_changes(values: Mapping[str, bytes], changes: Mapping[str, bytes | None]) -> Values:
     after = {key: value for key, value in values.items() if key not in changes}
     return after | {key: value for key, value in changes.items() if value is not None}
 
 
-def _differing(old: Values, new: Values) -> list[str]:
+def _changed_keys(old: Values, new: Values) -> list[str]:
     return sorted(key for key in old.keys() | new.keys() if old.get(key) != new.get(key))
 
 
-@lru_cache(KNOWN_KEYS)
-def _part_name(key: str) -> str:
+@lru_cache(SECTION_NAME_CACHE_SIZE)
+def _section_name(key: str) -> str:
     """Empty for a key that is none of the rule book's."""
     try:
-        return part_of(key)
+        return section_of(key)
     except RuleKeyError:
         return ""
 
 
-def _of_part(values: Values, name: str) -> Values:
-    return {key: value for key, value in values.items() if _part_name(key) == name}
+def _values_of_section(values: Values, name: str) -> Values:
+    return {key: value for key, value in values.items() if _section_name(key) == name}
 
 
 def _key_faults(faults: Mapping[str, str]) -> tuple[KeyFault, ...]:
-    return tuple(KeyFault(key, reason[:FAULT_LETTERS]) for key, reason in sorted(faults.items()))
+    return tuple(KeyFault(key, reason[:MAX_FAULT_REASON_CHARS]) for key, reason in sorted(faults.items()))
--- a/rackhub/fleet/distribution/rules.py
+++ b/rackhub/fleet/distribution/rules.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.limits import MAX_KEY_BYTES, VALUE_BYTES
+from rackhub.fleet.distribution.limits import MAX_ENTRY_VALUE_BYTES, MAX_KEY_BYTES
 
 PREFIX = "rules/"
 RANK_DIGITS = 12  # hexadecimal
 RANK_STEP = 1 << 24  # between two items of an array that is new
-SHOWN = 60  # letters of a key in a refusal
+MAX_SHOWN_CHARS = 60  # letters of a key in a refusal
 
 Content = Mapping[str, Any]
 Values = Mapping[str, bytes]
@@ -29,28 +29,28 @@
     """A key that can't be used; `key` is its name, the text says why."""
 
     def __init__(self, key: str, reason: str):
-        super().__init__(f"{key[:SHOWN]}: {reason}")
+        super().__init__(f"{key[:MAX_SHOWN_CHARS]}: {reason}")
         self.key, self.reason = key, reason
 
 
 # ---- from content to keys
 
 
-def flatten(content: Content, standing: Values) -> dict[str, bytes]:
+def flatten(content: Content, current: Values) -> dict[str, bytes]:
     """The content's keys and values. Items of arrays keep the ranks that they have in `standing`."""
     values: dict[str, bytes] = {}
-    for part_name, part in content.items():
-        part_key = PREFIX + quote(part_name, safe="")
-        if not isinstance(part, Mapping):
-            raise RuleKeyError(part_key, f"{part!r:.{SHOWN}} is not a table")
-        if not part:
-            values[part_key] = _checked(part_key, {})
-        for name, setting in part.items():
-            key = f"{part_key}/{quote(name, safe='')}"
+    for section_name, section in content.items():
+        section_key = PREFIX + quote(section_name, safe="")
+        if not isinstance(section, Mapping):
+            raise RuleKeyError(section_key, f"{section!r:.{MAX_SHOWN_CHARS}} is not a table")
+        if not section:
+            values[section_key] = _encode_checked(section_key, {})
+        for name, setting in section.items():
+            key = f"{section_key}/{quote(name, safe='')}"
             if _is_array_of_tables(setting):
-                values |= _flatten_items(key, setting, standing)
+                values |= _flatten_items(key, setting, current)
             else:
-                values[key] = _checked(key, setting)
+                values[key] = _encode_checked(key, setting)
     return values
 
 
@@ -58,11 +58,11 @@
     return isinstance(setting, list | tuple) and bool(setting) and all(isinstance(item, Mapping) for item in setting)
 
 
-def _flatten_items(key: str, items: Sequence[Any], standing: Values) -> dict[str, bytes]:
+def _flatten_items(key: str, items: Sequence[Any], current: Values) -> dict[str, bytes]:
     """One key for each item, in order of rank."""
-    found = _items_at(f"{key}/", standing)
-    encoded = [_checked(f"{key}[{number}]", item) for number, item in enumerate(items)]
-    ranks = _ranks([rank for rank, _ in found], [value for _, value in found], encoded)
+    current_items = _items_at(f"{key}/", current)
+    encoded = [_encode_checked(f"{key}[{number}]", item) for number, item in enumerate(items)]
+    ranks = _ranks([rank for rank, _ in current_items], [value for _, value in current_items], encoded)
     return {f"{key}/{rank:0{RANK_DIGITS}x}": value for rank, value in zip(ranks, encoded, strict=True)}
 
 
@@ -75,7 +75,7 @@
     try:
         return int(digits, 16)
     except ValueError:
-        raise RuleKeyError(key, f"{digits!r:.{SHOWN}} is no rank of an item") from None
+        raise RuleKeyError(key, f"{digits!r:.{MAX_SHOWN_CHARS}} is no rank of an item") from None
 
 
 def _ranks(old_ranks: list[int], old: list[bytes], new: list[bytes]) -> list[int]:
@@ -86,11 +86,11 @@
         if kind in ("equal", "replace"):
             for offset in range(min(old_to - old_from, new_to - new_from)):
                 kept[new_from + offset] = old_ranks[old_from + offset]
-    ranks = _fill(kept)
+    ranks = _fill_ranks(kept)
     return ranks if ranks is not None else [(number + 1) * RANK_STEP for number in range(len(new))]
 
 
-def _fill(kept: list[int | None]) -> list[int] | None:
+def _fill_ranks(kept: list[int | None]) -> list[int] | None:
     """Ranks for those without one, evenly between their neighbours; None where there is no room for them."""
     ranks: list[int] = []
     position = 0
@@ -101,19 +101,19 @@
             position += 1
             continue
         end = next((later for later in range(position, len(kept)) if kept[later] is not None), len(kept))
-        wanted = end - position
+        count = end - position
         low = ranks[-1] if ranks else 0
-        high = kept[end] if end < len(kept) else low + (wanted + 1) * RANK_STEP
+        high = kept[end] if end < len(kept) else low + (count + 1) * RANK_STEP
         assert high is not None
-        step = (high - low) // (wanted + 1)
+        step = (high - low) // (count + 1)
         if step < 1:
             return None
-        ranks.extend(low + step * (number + 1) for number in range(wanted))
+        ranks.extend(low + step * (number + 1) for number in range(count))
         position = end
     return ranks if not ranks or ranks[-1] < 1 << (4 * RANK_DIGITS) else None
 
 
-def _checked(key: str, setting: Any) -> bytes:
+def _encode_checked(key: str, setting: Any) -> bytes:
     try:
         value = encode_value(setting)
     except (TypeError, ValueError, OverflowError) as bad:
@@ -121,8 +121,8 @@
     key_bytes = len(key.encode())
     if key_bytes > MAX_KEY_BYTES:
         raise RuleKeyError(key, f"the key has {key_bytes} bytes, more than {MAX_KEY_BYTES}")
-    if len(value) > VALUE_BYTES:
-        raise RuleKeyError(key, f"its value has {len(value)} bytes, more than {VALUE_BYTES}")
+    if len(value) > MAX_ENTRY_VALUE_BYTES:
+        raise RuleKeyError(key, f"its value has {len(value)} bytes, more than {MAX_ENTRY_VALUE_BYTES}")
     return value
 
 
@@ -136,12 +136,12 @@
         names = [unquote(name) for name in key.removeprefix(PREFIX).split("/")]
         if not key.startswith(PREFIX) or not 1 <= len(names) <= 3:
             raise RuleKeyError(key, f"is no key of the rule book: {PREFIX}<part>/<setting>[/<rank>]")
-        part = content.setdefault(names[0], {})
+        section = content.setdefault(names[0], {})
         if len(names) == 2:
-            part[names[1]] = _read(key, values[key])
+            section[names[1]] = _read(key, values[key])
         elif len(names) == 3:
             _rank_of(key)
-            items = part.setdefault(names[1], [])
+            items = section.setdefault(names[1], [])
             if not isinstance(items, list):
                 raise RuleKeyError(key, f"{names[1]} is not an array of tables")
             items.append(_read(key, values[key]))
@@ -155,7 +155,7 @@
         raise RuleKeyError(key, f"its value can't be read: {bad}") from None
 
 
-def part_of(key: str) -> str:
+def section_of(key: str) -> str:
     """The part of the rule book that a key belongs to. Raises `RuleKeyError` where it belongs to none."""
     if not key.startswith(PREFIX):
         raise RuleKeyError(key, f"is no key of the rule book: {PREFIX}<part>/<setting>[/<rank>]")
--- a/rackhub/fleet/distribution/agenda.py
+++ b/rackhub/fleet/distribution/schedule.py
@@ -5,7 +5,7 @@
 NEVER = 1 << 62  # microseconds
 
 
-class Agenda:
+class Schedule:
     """One time for each name. A later time than the one that is set costs nothing until the earlier one has come."""
 
     def __init__(self) -> None:
--- a/rackhub/fleet/distribution/server.py
+++ b/rackhub/fleet/distribution/server.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable
 
 from rackhub.fleet.distribution.admission import Admission
-from rackhub.fleet.distribution.agenda import Agenda
 from rackhub.fleet.distribution.events import Effect, IncrementCounter, Send
 from rackhub.fleet.distribution.limits import MILLISECOND, Limits
 from rackhub.fleet.distribution.messages import (
@@ -22,13 +21,14 @@
     Update,
     Watch,
 )
+from rackhub.fleet.distribution.schedule import Schedule
 from rackhub.fleet.distribution.session import Session, SnapshotTransfer
 from rackhub.fleet.distribution.state import Compacted, KeyValueState
 
 BEHIND = "behind the watcher"
-FULL = "too many watchers"
-NEWCOMERS = "too many newcomers"
-SNAPSHOTS = "too many snapshots"
+TOO_MANY_WATCHERS = "too many watchers"
+TOO_MANY_WATCHES = "too many newcomers"
+TOO_MANY_SNAPSHOTS = "too many snapshots"
 NO_LOG = "holds no log yet"
 OTHER_LOG = "another log"
 NO_SESSION = "no such session"
@@ -43,7 +43,7 @@
         state: KeyValueState,
         limits: Limits,
         zone: str,
-        chance: random.Random,
+        rng: random.Random,
         now: int,
         age: Callable[[int], int],
     ) -> None:
@@ -51,9 +51,9 @@
         self.sessions: dict[Name, Session] = {}
         self.progress = 0  # grows with each session that begins, ends or gets on
         self._state, self._limits, self._age = state, limits, age
-        self._admission = Admission(limits, zone, chance, now)
-        self._guests = 0
-        self._agenda = Agenda()
+        self._admission = Admission(limits, zone, rng, now)
+        self._foreign_watchers = 0
+        self._due_times = Schedule()
         self._effects: list[Effect] = []
 
     # ---- what the owner calls: each returns what is to be done
@@ -63,27 +63,27 @@
         if isinstance(message, Watch):
             self._watch(now, sender, message)
         elif isinstance(message, Acknowledge):
-            self._acknowledged(now, sender, message)
+            self._on_acknowledge(now, sender, message)
         elif isinstance(message, Unwatch):
             self._unwatch(sender, message)
-        return self._taken()
+        return self._take_effects()
 
     def publish(self, now: int) -> list[Effect]:
         """The state has changed: send it to those who have credit."""
         for session in list(self.sessions.values()):
-            self._pump(now, session)
-        return self._taken()
+            self._send_pending(now, session)
+        return self._take_effects()
 
     def tick(self, now: int) -> list[Effect]:
         """Heartbeats, messages to send again, sessions to end."""
-        for name in self._agenda.take(now):
+        for name in self._due_times.take(now):
             session = self.sessions.get(name)
             if session is not None:
-                self._look_after(now, session)
-        return self._taken()
+                self._service_session(now, session)
+        return self._take_effects()
 
     def due(self) -> int:
-        return self._agenda.due()
+        return self._due_times.due()
 
     # ---- sessions
 
@@ -92,57 +92,57 @@
         if known is not None and watch.session <= known.number:
             return self._count("distribution_late_watches", sender)
         if known is not None:
-            self._end(known)
-        if self._refused(now, sender, watch):
+            self._end_session(known)
+        if self._rejects(now, sender, watch):
             return
         session = Session(sender, watch, self._limits.max_credit, now)
         self.sessions[sender] = session
         self.progress += 1
-        self._guests += self._admission.is_guest(session.zone)
-        self._pump(now, session)
-        if sender in self.sessions and not session.waits:
+        self._foreign_watchers += self._admission.is_foreign(session.zone)
+        self._send_pending(now, session)
+        if sender in self.sessions and not session.awaits_acknowledge:
             self._heartbeat(now, session)
 
-    def _refused(self, now: int, sender: Name, watch: Watch) -> bool:
+    def _rejects(self, now: int, sender: Name, watch: Watch) -> bool:
         """Whether this watch can't be served; the watcher is told why."""
         state = self._state
         if not state.log:
-            return self._refuse(sender, watch.session, NO_LOG, self._limits.min_retry_delay // MILLISECOND)
+            return self._reject(sender, watch.session, NO_LOG, self._limits.min_retry_delay // MILLISECOND)
         if watch.log not in ("", state.log):
             self._count("distribution_other_logs", sender)
-            return self._refuse(sender, watch.session, OTHER_LOG, self._limits.upstream_timeout // MILLISECOND)
+            return self._reject(sender, watch.session, OTHER_LOG, self._limits.upstream_timeout // MILLISECOND)
         if watch.log and watch.revision > state.revision:
-            return self._refuse(sender, watch.session, BEHIND, self._limits.min_retry_delay // MILLISECOND)
-        wait = self._admission.room(len(self.sessions), self._guests, watch.zone)
+            return self._reject(sender, watch.session, BEHIND, self._limits.min_retry_delay // MILLISECOND)
+        wait = self._admission.capacity_delay(len(self.sessions), self._foreign_watchers, watch.zone)
         if wait:
-            return self._refuse(sender, watch.session, FULL, wait)
-        wait = self._admission.newcomer(now)
-        return bool(wait) and self._refuse(sender, watch.session, NEWCOMERS, wait)
+            return self._reject(sender, watch.session, TOO_MANY_WATCHERS, wait)
+        wait = self._admission.watch_delay(now)
+        return bool(wait) and self._reject(sender, watch.session, TOO_MANY_WATCHES, wait)
 
-    def _refuse(self, name: Name, session: int, reason: str, retry_after: int) -> bool:
+    def _reject(self, name: Name, session: int, reason: str, retry_after: int) -> bool:
         self._send(name, Unavailable(session, self._state.revision, retry_after, reason, self._state.log))
         return True
 
     def _unwatch(self, sender: Name, message: Unwatch) -> None:
         session = self.sessions.get(sender)
         if session is not None and message.session >= session.number:
-            self._end(session)
+            self._end_session(session)
 
-    def _end(self, session: Session) -> None:
+    def _end_session(self, session: Session) -> None:
         del self.sessions[session.name]
         self.progress += 1
-        self._guests -= self._admission.is_guest(session.zone)
-        self._agenda.remove(session.name)
+        self._foreign_watchers -= self._admission.is_foreign(session.zone)
+        self._due_times.remove(session.name)
 
-    def _acknowledged(self, now: int, sender: Name, message: Acknowledge) -> None:
+    def _on_acknowledge(self, now: int, sender: Name, message: Acknowledge) -> None:
         session = self.sessions.get(sender)
         if session is None:
             self._count("distribution_unknown_sessions", sender)
-            self._refuse(sender, message.session, NO_SESSION, 0)
+            self._reject(sender, message.session, NO_SESSION, 0)
             return
         if message.session != session.number:
             return self._count("distribution_late_acknowledgements", sender)
-        session.heard_at = now
+        session.last_received_at = now
         acknowledged = min(message.revision, self._state.revision)
         if acknowledged > session.acknowledged or message.faults != session.faults:
             self.progress += 1
@@ -150,19 +150,19 @@
         if message.parts:
             session.confirm_parts(message.snapshot, message.parts, now)
         session.acknowledge(acknowledged, now)
-        self._pump(now, session)
+        self._send_pending(now, session)
 
     # ---- sending
 
-    def _look_after(self, now: int, session: Session) -> None:
-        if now >= session.heard_at + self._limits.session_timeout:
+    def _service_session(self, now: int, session: Session) -> None:
+        if now >= session.last_received_at + self._limits.session_timeout:
             self._count("distribution_sessions_expired", session.name)
-            return self._end(session)
-        if session.waits and now >= session.asked_at + self._limits.acknowledge_timeout:
+            return self._end_session(session)
+        if session.awaits_acknowledge and now >= session.awaiting_since + self._limits.acknowledge_timeout:
             self._count("distribution_resent")
             heartbeat_at = session.heartbeat_at
             session.rewind(now)
-            self._pump(now, session)
+            self._send_pending(now, session)
             session.heartbeat_at = heartbeat_at  # what is sent again does not stand for a heartbeat
         if now >= session.heartbeat_at and session.name in self.sessions:
             self._heartbeat(now, session)
@@ -170,12 +170,12 @@
 
     def _schedule(self, session: Session) -> None:
         if session.name in self.sessions:
-            self._agenda.set(session.name, session.due(self._limits))
+            self._due_times.set(session.name, session.due(self._limits))
 
     def _heartbeat(self, now: int, session: Session) -> None:
         """While a snapshot is under way, one that moves nothing on: what it ends at is not known to have come."""
         whole = session.transfer is None
-        previous = session.chain if whole else session.acknowledged
+        previous = session.last_update_revision if whole else session.acknowledged
         revision = session.position if whole else session.acknowledged
         age = self._age(now)
         if revision < self._state.revision:  # the watcher lags: it is not to pass for fresh while it does not get on
@@ -184,43 +184,45 @@
         session.heartbeat_at = now + self._limits.heartbeat_interval
         self._schedule(session)
 
-    def _pump(self, now: int, session: Session) -> None:
+    def _send_pending(self, now: int, session: Session) -> None:
         """Send what there is, as far as the credit goes."""
-        waited = session.waits
+        awaited_before = session.awaits_acknowledge
         if session.transfer is None:
             self._send_updates(now, session)
         if session.transfer is not None:
             self._send_parts(now, session, session.transfer)
-        if session.waits and not waited:
+        if session.awaits_acknowledge and not awaited_before:
             self._schedule(session)
 
     def _send_updates(self, now: int, session: Session) -> None:
-        if session.holds_nothing:
+        if session.needs_snapshot:
             return self._begin_transfer(now, session)
         newest = self._state.revision
-        while session.position < newest and session.is_open:
-            batch = self._state.since(session.position, session.scope)
+        while session.position < newest and session.has_credit:
+            batch = self._state.changes_after(session.position, session.scope)
             if isinstance(batch, Compacted):
                 return self._begin_transfer(now, session)
             if not batch.entries:
                 session.position = batch.revision
                 continue
-            update = Update(session.number, self._state.log, session.chain, batch.revision, batch.entries)
+            update = Update(
+                session.number, self._state.log, session.last_update_revision, batch.revision, batch.entries
+            )
             self._send(session.name, update)
             session.sent_update(batch.revision, now)
             session.heartbeat_at = now + self._limits.heartbeat_interval
 
     def _begin_transfer(self, now: int, session: Session) -> None:
-        wait = self._admission.snapshot(now)
+        wait = self._admission.snapshot_delay(now)
         if wait:
-            self._end(session)
-            self._refuse(session.name, session.number, SNAPSHOTS, wait)
+            self._end_session(session)
+            self._reject(session.name, session.number, TOO_MANY_SNAPSHOTS, wait)
             return
         session.begin_transfer(self._state.snapshot(session.scope), now)
 
     def _send_parts(self, now: int, session: Session, transfer: SnapshotTransfer) -> None:
         parts = transfer.snapshot.parts
-        while not transfer.sent and session.is_open:
+        while not transfer.all_sent and session.has_credit:
             part = transfer.next_part
             message = SnapshotPart(
                 session.number, self._state.log, transfer.snapshot.revision, part, len(parts), parts[part]
@@ -237,6 +239,6 @@
     def _count(self, name: str, sender: Name = "") -> None:
         self._effects.append(IncrementCounter(name, sender))
 
-    def _taken(self) -> list[Effect]:
+    def _take_effects(self) -> list[Effect]:
         effects, self._effects = self._effects, []
         return effects
--- a/rackhub/fleet/distribution/service.py
+++ b/rackhub/fleet/distribution/service.py
@@ -12,14 +12,14 @@
 from rackhub.fleet.distribution.history import RevisionNotRetained
 from rackhub.fleet.distribution.queries import difference_answer, history_answer, show_answer, status_answer
 from rackhub.fleet.distribution.relay_shell import RelayShell
+from rackhub.fleet.distribution.rollout import wait_until_applied
 from rackhub.fleet.distribution.voter import Voter
-from rackhub.fleet.distribution.waiting import wait_in_force
 from rackhub.fleet.ports import Answer, Control, Fleet
 from rackhub.fleet.roles import VOTER
 from rackhub.fleet.rules.requests import Request, read
 from rackhub.fleet.settings import FleetSettings
 
-REFUSED, BAD_USAGE = 1, 2  # exit statuses of the command line
+REJECTED, BAD_USAGE = 1, 2  # exit statuses of the command line
 VOTER_CALLS = ("show", "history", "diff", "edit", "undo", "confirm")
 
 Shell = Coordinator | RelayShell | Voter
@@ -32,35 +32,35 @@
 Handler = Callable[[Request, Answer], None]
 
 
-def offer(control: Control, shell: Shell, settings: FleetSettings, fleet: Fleet) -> None:
+def register_calls(control: Control, shell: Shell, settings: FleetSettings, fleet: Fleet) -> None:
     """Take the calls that this role answers, and refuse the others naming who does."""
     voters = ", ".join(sorted(node.name for node in settings.node if node.role == VOTER)) or "the voters"
 
-    def elsewhere(call: Request, answer: Answer) -> None:
+    def reject_call(call: Request, answer: Answer) -> None:
         raise UnsupportedCall(f"{settings.name} is a {settings.role}: ask a voter: {voters}")
 
     def status(call: Request, answer: Answer) -> None:
         answer(status_answer(shell, settings, fleet))
 
-    handlers: dict[str, Handler] = dict.fromkeys(VOTER_CALLS, elsewhere)
+    handlers: dict[str, Handler] = dict.fromkeys(VOTER_CALLS, reject_call)
     if isinstance(shell, Voter):
         handlers = VoterService(shell, fleet).handlers()
     for name, handler in (handlers | {"status": status}).items():
-        control.on(f"rules.{name}", _answering(handler))
+        control.on(f"rules.{name}", _with_error_answers(handler))
 
 
-def _answering(handler: Handler) -> Callable[[Mapping[str, Any], Answer], None]:
-    def called(words: Mapping[str, Any], answer: Answer) -> None:
+def _with_error_answers(handler: Handler) -> Callable[[Mapping[str, Any], Answer], None]:
+    def handle(arguments: Mapping[str, Any], answer: Answer) -> None:
         try:
-            handler(read(words), answer)
+            handler(read(arguments), answer)
         except InvalidEdit as bad:
             answer({"error": str(bad), "exit": BAD_USAGE})
-        except (EditRejected, RevisionNotRetained) as refused:
-            answer({"error": str(refused), "exit": REFUSED})
+        except (EditRejected, RevisionNotRetained) as rejected:
+            answer({"error": str(rejected), "exit": REJECTED})
         except (ValueError, msgspec.ValidationError) as bad:
             answer({"error": str(bad), "exit": BAD_USAGE})
 
-    return called
+    return handle
 
 
 class VoterService:
@@ -107,7 +107,7 @@
         def done(result: EditDone | EditFailed) -> None:
             if isinstance(result, EditFailed):
                 return answer(_failure(result, call.id))
-            wait_in_force(self._voter, self._fleet, request, result, began, call.wait_ms, answer)
+            wait_until_applied(self._voter, self._fleet, request, result, began, call.wait_ms, answer)
 
         self._voter.edit(request, done)
 
@@ -117,10 +117,10 @@
         return {
             "error": f"it may have been taken or not: {failed.reason}; say it again with id {edit_id}, which does "
             "nothing twice",
-            "exit": REFUSED,
+            "exit": REJECTED,
             "id": edit_id,
             "unknown": True,
         }
-    if failed.faulty:
+    if failed.invalid:
         return {"error": failed.reason, "exit": BAD_USAGE}
-    return {"error": f"nothing was changed: {failed.reason}", "exit": REFUSED}
+    return {"error": f"nothing was changed: {failed.reason}", "exit": REJECTED}
--- a/rackhub/fleet/distribution/source.py
+++ b/rackhub/fleet/distribution/source.py
@@ -6,7 +6,7 @@
 from rackhub.fleet.distribution.checks import CheckRounds
 from rackhub.fleet.distribution.events import (
     CaughtUp,
-    CheckAsked,
+    CheckRequested,
     Confirmed,
     Decided,
     Effect,
@@ -29,7 +29,7 @@
     Watch,
 )
 from rackhub.fleet.distribution.ports import FleetStatus, Identity
-from rackhub.fleet.distribution.reports import Reports
+from rackhub.fleet.distribution.reports import ReportStore
 from rackhub.fleet.distribution.server import WatchServer
 from rackhub.fleet.distribution.state import ForeignLog, KeyValueState, RevisionGap
 
@@ -37,14 +37,14 @@
 class Source:
     """Serves what the register has decided. It has no upstream; its shell persists a change before it hands it in."""
 
-    def __init__(self, identity: Identity, held: StoredState, limits: Limits, now: int) -> None:
+    def __init__(self, identity: Identity, stored: StoredState, limits: Limits, now: int) -> None:
         self._limits = limits
         self._state = KeyValueState(limits)
-        self._state.restore(held.log, held.revision, held.entries.values())
-        chance = random.Random(f"{identity.seed} source {identity.name}")
-        self._server = WatchServer(self._state, limits, "", chance, now, self._age)
+        self._state.restore(stored.log, stored.revision, stored.entries.values())
+        rng = random.Random(f"{identity.seed} source {identity.name}")
+        self._server = WatchServer(self._state, limits, "", rng, now, self._age)
         self._checks = CheckRounds(limits)
-        self._reports = Reports(limits)
+        self._reports = ReportStore(limits)
         self._started_at = now
         self._confirmed_at: int | None = None
         self._decided_at: dict[Revision, int] = {}  # of recent revisions, oldest first
@@ -63,9 +63,9 @@
 
     def status(self, now: int, revision: Revision | None = None) -> FleetStatus:
         """What the relays report of a revision, the newest where none is given."""
-        asked = self._state.revision if revision is None else revision
-        decided_at = self._decided_at.get(asked, self._started_at)
-        return self._reports.status(now, self._state.log, asked, decided_at)
+        requested = self._state.revision if revision is None else revision
+        decided_at = self._decided_at.get(requested, self._started_at)
+        return self._reports.status(now, self._state.log, requested, decided_at)
 
     def due(self) -> int:
         return min(self._server.due(), self._checks.due())
@@ -76,12 +76,12 @@
         if isinstance(event, Received):
             effects += self._received(now, event.sender, event.message)
         elif isinstance(event, Decided):
-            effects += self._decided(now, event.log, event.changes)
+            effects += self._on_decided(now, event.log, event.changes)
         elif isinstance(event, CaughtUp):
-            effects += self._caught_up(now, event)
+            effects += self._on_caught_up(now, event)
         elif isinstance(event, Confirmed):
             self._confirmed_at = max(now - event.age, self._confirmed_at or 0)
-        elif isinstance(event, CheckAsked):
+        elif isinstance(event, CheckRequested):
             effects += self._checks.begin(now, event, self._reports.relays(now))
         if now >= self._server.due():
             effects += self._server.tick(now)
@@ -94,11 +94,11 @@
             return self._server.receive(now, sender, message)
         if isinstance(message, Checked):
             return self._checks.answered(sender, message)
-        if isinstance(message, Report) and self._reports.keep(now, sender, message):
+        if isinstance(message, Report) and self._reports.store(now, sender, message):
             return []
         return [IncrementCounter("distribution_unexpected", sender)]
 
-    def _decided(self, now: int, log: LogId, changes: tuple[Change, ...]) -> list[Effect]:
+    def _on_decided(self, now: int, log: LogId, changes: tuple[Change, ...]) -> list[Effect]:
         """Changes that are held are passed over; those after a gap wait until the shell has caught up."""
         if self._state.log and log != self._state.log:
             return [IncrementCounter("distribution_other_logs")]
@@ -107,13 +107,13 @@
         for change in changes:
             try:
                 if self._state.apply_change(log, change):
-                    self._note_decided(now, change.revision)
+                    self._record_decided(now, change.revision)
             except RevisionGap:
                 effects.append(IncrementCounter("distribution_gaps"))
                 break
         return [*self._server.publish(now), *effects]
 
-    def _caught_up(self, now: int, event: CaughtUp) -> list[Effect]:
+    def _on_caught_up(self, now: int, event: CaughtUp) -> list[Effect]:
         if event.snapshot:
             if self._state.log not in ("", event.log):
                 return [IncrementCounter("distribution_other_logs")]
@@ -125,10 +125,10 @@
                 self._state.apply(event.log, event.previous, event.revision, event.entries)
             except (RevisionGap, ForeignLog):
                 return [IncrementCounter("distribution_gaps")]
-        self._note_decided(now, event.revision)
+        self._record_decided(now, event.revision)
         return self._server.publish(now)
 
-    def _note_decided(self, now: int, revision: Revision) -> None:
+    def _record_decided(self, now: int, revision: Revision) -> None:
         self._decided_at[revision] = now
         if len(self._decided_at) > self._limits.max_log_steps:
             del self._decided_at[next(iter(self._decided_at))]
--- a/rackhub/fleet/distribution/state.py
+++ b/rackhub/fleet/distribution/state.py
@@ -13,25 +13,25 @@
 from rackhub.fleet.distribution.messages import Change, Entry, LogId, Revision
 
 ENTRY_OVERHEAD = 16  # bytes that an entry takes in a message beside its key and value, at most
-EVERYTHING = ("",)  # the scope that holds every key
-REMEMBERED_ANSWERS, REMEMBERED_SNAPSHOTS = 4_096, 64  # for others that ask the same before the next change
-FORGOTTEN_STEPS = 1_024  # steps before the oldest kept that are let stand until the lists are cut
+ALL_KEYS = ("",)  # the scope that holds every key
+MAX_CACHED_BATCHES, MAX_CACHED_SNAPSHOTS = 4_096, 64  # for others that ask the same before the next change
+MAX_DROPPED_STEPS = 1_024  # steps before the oldest kept that are let stand until the lists are cut
 
 
 class RevisionGap(Exception):
     """What should be applied starts after the revision that is held."""
 
-    def __init__(self, held: Revision, previous: Revision) -> None:
-        super().__init__(f"a change that follows revision {previous} was offered to a state at revision {held}")
-        self.held, self.previous = held, previous
+    def __init__(self, current: Revision, previous: Revision) -> None:
+        super().__init__(f"a change that follows revision {previous} was offered to a state at revision {current}")
+        self.current, self.previous = current, previous
 
 
 class ForeignLog(Exception):
     """What should be applied is of another log than the one that is held."""
 
-    def __init__(self, held: LogId, offered: LogId) -> None:
-        super().__init__(f"a change of log {offered!r} was offered to a state of log {held!r}")
-        self.held, self.offered = held, offered
+    def __init__(self, current: LogId, offered: LogId) -> None:
+        super().__init__(f"a change of log {offered!r} was offered to a state of log {current!r}")
+        self.current, self.offered = current, offered
 
 
 class Batch(msgspec.Struct, frozen=True):
@@ -45,7 +45,7 @@
 class Compacted(msgspec.Struct, frozen=True):
     """The changes after the asked revision are no longer all there; those after `oldest` are."""
 
-    oldest: Revision
+    compact_revision: Revision
 
 
 class Snapshot(msgspec.Struct, frozen=True):
@@ -75,14 +75,14 @@
     return [entry for entry in entries if entry.key.startswith(scope)]
 
 
-def split(entries: Iterable[Entry], most_bytes: int) -> tuple[tuple[Entry, ...], ...]:
+def split_entries(entries: Iterable[Entry], max_bytes: int) -> tuple[tuple[Entry, ...], ...]:
     """The entries in parts of at most so many bytes each; one empty part where there are none."""
     parts: list[tuple[Entry, ...]] = []
     part: list[Entry] = []
     part_size = 0
     for entry in entries:
         size = entry_size(entry)
-        if part and part_size + size > most_bytes:
+        if part and part_size + size > max_bytes:
             parts.append(tuple(part))
             part, part_size = [], 0
         part.append(entry)
@@ -97,11 +97,11 @@
         self._limits = limits
         self.log: LogId = ""
         self.revision: Revision = 0
-        self.oldest: Revision = 0
+        self.compact_revision: Revision = 0
         self.entries: dict[str, Entry] = {}
         self._steps: list[_Step] = []
         self._revisions: list[Revision] = []  # of the steps, for the search
-        self._first = 0  # index of the oldest step that still counts
+        self._first_kept = 0  # index of the oldest step that still counts
         self._log_bytes = 0
         self._batches: dict[tuple[Revision, tuple[str, ...]], Batch] = {}  # answers at this revision
         self._snapshots: dict[tuple[str, ...], Snapshot] = {}
@@ -110,10 +110,10 @@
 
     def restore(self, log: LogId, revision: Revision, entries: Iterable[Entry]) -> None:
         """Hold just this, with no changes before it."""
-        self.log, self.revision, self.oldest = log, revision, revision
+        self.log, self.revision, self.compact_revision = log, revision, revision
         self.entries = {entry.key: entry for entry in entries if entry.value is not None}
-        self._steps, self._revisions, self._first, self._log_bytes = [], [], 0, 0
-        self._forget_answers()
+        self._steps, self._revisions, self._first_kept, self._log_bytes = [], [], 0, 0
+        self._clear_caches()
 
     def apply_change(self, log: LogId, change: Change) -> bool:
         """Take one decided change. False: it was held already. Raises `RevisionGap`, `ForeignLog`."""
@@ -136,7 +136,7 @@
                 self.entries[entry.key] = entry
         self.log, self.revision = log, revision
         self._append(_Step(revision, new, sum(map(entry_size, new))))
-        self._forget_answers()
+        self._clear_caches()
         return True
 
     def _append(self, step: _Step) -> None:
@@ -144,18 +144,19 @@
         self._revisions.append(step.revision)
         self._log_bytes += step.size
         while (
-            len(self._steps) - self._first > self._limits.max_log_steps or self._log_bytes > self._limits.max_log_bytes
+            len(self._steps) - self._first_kept > self._limits.max_log_steps
+            or self._log_bytes > self._limits.max_log_bytes
         ):
-            dropped = self._steps[self._first]
+            dropped = self._steps[self._first_kept]
             self._log_bytes -= dropped.size
-            self.oldest = dropped.revision
-            self._first += 1
-        if self._first > FORGOTTEN_STEPS:
-            del self._steps[: self._first]
-            del self._revisions[: self._first]
-            self._first = 0
-
-    def _forget_answers(self) -> None:
+            self.compact_revision = dropped.revision
+            self._first_kept += 1
+        if self._first_kept > MAX_DROPPED_STEPS:
+            del self._steps[: self._first_kept]
+            del self._revisions[: self._first_kept]
+            self._first_kept = 0
+
+    def _clear_caches(self) -> None:
         if self._batches:
             self._batches.clear()
         if self._snapshots:
@@ -163,22 +164,22 @@
 
     # ---- reading
 
-    def since(self, revision: Revision, scope: tuple[str, ...] = EVERYTHING) -> Batch | Compacted:
+    def changes_after(self, revision: Revision, scope: tuple[str, ...] = ALL_KEYS) -> Batch | Compacted:
         """What changed in scope after `revision`, as far as it fits in one message: whole steps, one at the least.
         With nothing left in scope it reaches to the newest revision. Watchers that ask the same share the answer."""
-        if revision < self.oldest:
-            return Compacted(self.oldest)
+        if revision < self.compact_revision:
+            return Compacted(self.compact_revision)
         batch = self._batches.get((revision, scope))
         if batch is None:
-            if len(self._batches) >= REMEMBERED_ANSWERS:
+            if len(self._batches) >= MAX_CACHED_BATCHES:
                 self._batches.clear()
-            batch = self._batches[revision, scope] = self._collect(revision, scope)
+            batch = self._batches[revision, scope] = self._collect_batch(revision, scope)
         return batch
 
-    def _collect(self, revision: Revision, scope: tuple[str, ...]) -> Batch:
+    def _collect_batch(self, revision: Revision, scope: tuple[str, ...]) -> Batch:
         newest: dict[str, Entry] = {}
-        size, reached = 0, revision
-        for index in range(bisect_right(self._revisions, revision, lo=self._first), len(self._steps)):
+        size, end_revision = 0, revision
+        for index in range(bisect_right(self._revisions, revision, lo=self._first_kept), len(self._steps)):
             step = self._steps[index]
             found = [entry for entry in in_scope(step.entries, scope) if entry.revision > revision]
             added = sum(map(entry_size, found))
@@ -189,15 +190,15 @@
                 size -= entry_size(replaced) if replaced is not None else 0
                 newest[entry.key] = entry
             size += added
-            reached = step.revision
-        return Batch(revision, reached, tuple(newest.values()))
+            end_revision = step.revision
+        return Batch(revision, end_revision, tuple(newest.values()))
 
-    def snapshot(self, scope: tuple[str, ...] = EVERYTHING) -> Snapshot:
+    def snapshot(self, scope: tuple[str, ...] = ALL_KEYS) -> Snapshot:
         """All that holds now in scope: references to entries that never change, so later changes don't touch it."""
         snapshot = self._snapshots.get(scope)
         if snapshot is None:
-            if len(self._snapshots) >= REMEMBERED_SNAPSHOTS:
+            if len(self._snapshots) >= MAX_CACHED_SNAPSHOTS:
                 self._snapshots.clear()
-            parts = split(in_scope(self.entries.values(), scope), self._limits.max_update_bytes)
+            parts = split_entries(in_scope(self.entries.values(), scope), self._limits.max_update_bytes)
             snapshot = self._snapshots[scope] = Snapshot(self.revision, parts)
         return snapshot
--- a/rackhub/fleet/distribution/store.py
+++ b/rackhub/fleet/distribution/store.py
@@ -36,22 +36,22 @@
         self,
         disk: KeyedDisk,
         scope: tuple[str, ...],
-        tally: Callable[[str, int], None],
+        count: Callable[[str, int], None],
         prefix: str = "distribution",
     ):
         self._disk, self._scope = disk, scope
         self._head_key, self._fallback_key = f"{prefix}/head", f"{prefix}/fallback"
         self._entry_prefix = f"{prefix}/entry/"
         self._keys: set[str] = set()  # of the entries on the disk
-        self.held = StoredState()
+        self.stored = StoredState()
         self.fallback: Mapping[str, bytes | None] = {}
         self.misplaced_history: Mapping[str, bytes | None] = {}
         self.damage = ""
         try:
             self._load()
         except (msgspec.MsgspecError, UnicodeDecodeError) as bad:
-            self._begin_anew(str(bad))
-            tally(DAMAGED, 1)
+            self._discard(str(bad))
+            count(DAMAGED, 1)
 
     def persist(
         self,
@@ -59,7 +59,7 @@
         done: Callable[[], None],
         *,
         fallback: Mapping[str, bytes | None] | None = None,
-        also: Mapping[str, bytes | None] | None = None,
+        extra: Mapping[str, bytes | None] | None = None,
     ) -> None:
         """Write it all at once; `done` when it is synced. `also`: further keys of the disk, in the same write."""
         changes: dict[str, bytes | None] = {}
@@ -78,7 +78,7 @@
         if fallback is not None:
             changes[self._fallback_key] = msgspec.msgpack.encode(dict(fallback))
             self.misplaced_history = {}
-        self._disk.write(changes | dict(also or {}), done)
+        self._disk.write(changes | dict(extra or {}), done)
 
     def _load(self) -> None:
         head_body = self._disk.get(self._head_key)
@@ -88,11 +88,13 @@
         entries = dict(self._entries())
         fallback_body = self._disk.get(self._fallback_key)
         if fallback_body is not None:
-            stored = msgspec.msgpack.decode(fallback_body, type=dict[str, bytes | None])
-            self.misplaced_history = {key: body for key, body in stored.items() if key.startswith(HISTORY_PREFIX)}
-            self.fallback = {key: value for key, value in stored.items() if key not in self.misplaced_history}
+            stored_fallback = msgspec.msgpack.decode(fallback_body, type=dict[str, bytes | None])
+            self.misplaced_history = {
+                key: body for key, body in stored_fallback.items() if key.startswith(HISTORY_PREFIX)
+            }
+            self.fallback = {key: value for key, value in stored_fallback.items() if key not in self.misplaced_history}
         self._keys = set(entries)
-        self.held = StoredState(head.log, head.revision, head.scope, entries)
+        self.stored = StoredState(head.log, head.revision, head.scope, entries)
 
     def _entries(self) -> Iterable[tuple[str, Entry]]:
         for key, body in self._disk.scan(self._entry_prefix):
@@ -101,15 +103,15 @@
                 raise msgspec.ValidationError(f"{key} holds the entry of {entry.key}")
             yield entry.key, entry
 
-    def _begin_anew(self, reason: str) -> None:
+    def _discard(self, reason: str) -> None:
         self.damage = f"{self._entry_prefix}: can't be read: {reason}"
         log.error("fleet: %s; all of it is dropped and fetched anew", self.damage)
-        doomed = [self._head_key, self._fallback_key, *(key for key, _ in self._disk.scan(self._entry_prefix))]
-        self._disk.write(dict.fromkeys(doomed), lambda: None)
+        discarded = [self._head_key, self._fallback_key, *(key for key, _ in self._disk.scan(self._entry_prefix))]
+        self._disk.write(dict.fromkeys(discarded), lambda: None)
         self._keys = set()
         self.fallback = {}
         self.misplaced_history = {}
-        self.held = StoredState()
+        self.stored = StoredState()
 
 
 def _encoded(entry: Entry) -> bytes | None:
--- a/rackhub/fleet/distribution/upstream.py
+++ b/rackhub/fleet/distribution/upstream.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.agenda import NEVER
 from rackhub.fleet.distribution.limits import MILLISECOND, SECOND, Limits
 from rackhub.fleet.distribution.messages import Name, Number
 from rackhub.fleet.distribution.ports import Identity
+from rackhub.fleet.distribution.schedule import NEVER
 from rackhub.fleet.distribution.selection import Candidates
 
-RETURN_HOME = (10 * SECOND, 30 * SECOND)  # until a guest asks at home again, drawn anew each time
-RETURN_FIRST = (60 * SECOND, 180 * SECOND)  # until one at home asks its first choice again
+LOCAL_RETURN_DELAY = (10 * SECOND, 30 * SECOND)  # until a guest asks at home again, drawn anew each time
+PREFERRED_RETURN_DELAY = (60 * SECOND, 180 * SECOND)  # until one at home asks its first choice again
 
 
 class Stream(msgspec.Struct):
@@ -19,7 +19,7 @@
 
     name: Name
     session: Number
-    heard_at: int
+    last_received_at: int
     confirmed_at: int
 
 
@@ -28,48 +28,48 @@
 
     name: Name
     session: Number
-    until: int
+    deadline: int
 
 
-class Search:
+class UpstreamSearch:
     """Without a stream it asks until one answers, the waits growing. With one it asks others where that one is stale,
     and now and then a better one. A watcher that is served elsewhere comes home at a time of its own drawing."""
 
-    def __init__(self, identity: Identity, limits: Limits, chance: random.Random, now: int) -> None:
-        self._candidates = Candidates(identity.name, identity.zone, identity.upstreams, limits, chance)
-        self._limits, self._chance = limits, chance
+    def __init__(self, identity: Identity, limits: Limits, rng: random.Random, now: int) -> None:
+        self._candidates = Candidates(identity.name, identity.zone, identity.upstreams, limits, rng)
+        self._limits, self._rng = limits, rng
         self._retry_at = now
         self._retries = 0
         self._return_at = NEVER
 
     def failed(self, now: int, name: Name, stream: Stream | None) -> None:
         """It did not answer, or not what can be used."""
-        self._candidates.silent(name, now)
-        self._wait(now, stream)
+        self._candidates.mark_unresponsive(name, now)
+        self._back_off(now, stream)
 
-    def refused(self, now: int, name: Name, retry_after: int, stream: Stream | None) -> None:
+    def rejected(self, now: int, name: Name, retry_after: int, stream: Stream | None) -> None:
         """It can't serve for so many microseconds."""
-        self._candidates.refused(name, now, retry_after)
-        self._wait(now, stream)
+        self._candidates.mark_rejected(name, now, retry_after)
+        self._back_off(now, stream)
 
-    def left(self, now: int, name: Name) -> None:
+    def stream_ended(self, now: int, name: Name) -> None:
         """It served and does no more: another one is asked at once."""
-        self._candidates.silent(name, now)
+        self._candidates.mark_unresponsive(name, now)
         self._retry_at = now
 
-    def at_once(self, now: int) -> None:
+    def retry_now(self, now: int) -> None:
         self._retry_at = now
 
     def served(self, now: int, name: Name) -> None:
         """It answers, and is the stream's from now on."""
-        self._candidates.served(name)
-        self._plan_return(now, name)
+        self._candidates.mark_served(name)
+        self._schedule_return(now, name)
 
-    def fresh(self) -> None:
+    def reset_backoff(self) -> None:
         """The stream is not stale: the next search starts with the shortest wait."""
         self._retries = 0
 
-    def next(self, now: int, stream: Stream | None) -> Name | None:
+    def next_upstream(self, now: int, stream: Stream | None) -> Name | None:
         """Whom to ask now, if anyone."""
         if stream is None:
             return self._next_without_stream(now)
@@ -77,7 +77,7 @@
             return self._candidates.choose_other(now, stream.name) if self._may_retry(now, stream) else None
         if now < self._return_at:
             return None
-        self._plan_return(now, stream.name)
+        self._schedule_return(now, stream.name)
         return self._candidates.choose_better(now, stream.name)
 
     def due(self, now: int, stream: Stream | None) -> int:
@@ -91,24 +91,24 @@
             return None
         name = self._candidates.choose(now)
         if name is None:
-            self._retry_at = max(now + MILLISECOND, self._candidates.waits(now))
+            self._retry_at = max(now + MILLISECOND, self._candidates.retry_at(now))
         return name
 
     def _may_retry(self, now: int, stream: Stream) -> bool:
         if now < self._retry_at:
             return False
-        self._wait(now, stream)
+        self._back_off(now, stream)
         return True
 
-    def _wait(self, now: int, stream: Stream | None) -> None:
-        most = self._limits.max_retry_delay if stream is None else self._limits.upstream_timeout
-        wait = min(self._limits.min_retry_delay << min(self._retries, 16), most)
-        self._retry_at = now + int(wait * self._chance.uniform(0.5, 1.0))
+    def _back_off(self, now: int, stream: Stream | None) -> None:
+        max_delay = self._limits.max_retry_delay if stream is None else self._limits.upstream_timeout
+        delay = min(self._limits.min_retry_delay << min(self._retries, 16), max_delay)
+        self._retry_at = now + int(delay * self._rng.uniform(0.5, 1.0))
         self._retries += 1
 
-    def _plan_return(self, now: int, name: Name) -> None:
+    def _schedule_return(self, now: int, name: Name) -> None:
         if self._candidates.rank(name) == 0:
             self._return_at = NEVER
             return
-        span = RETURN_FIRST if self._candidates.is_home(name) else RETURN_HOME
-        self._return_at = now + self._chance.randint(*span)
+        span = PREFERRED_RETURN_DELAY if self._candidates.is_local(name) else LOCAL_RETURN_DELAY
+        self._return_at = now + self._rng.randint(*span)
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -4,8 +4,7 @@
 
 import msgspec
 
-from rackhub.fleet.distribution.applying import RuleKeys
-from rackhub.fleet.distribution.catching_up import CatchUp
+from rackhub.fleet.distribution.catch_up import CatchUp
 from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
 from rackhub.fleet.distribution.decisions import EditRejected
 from rackhub.fleet.distribution.editing import EditRequest
@@ -22,7 +21,7 @@
     Role,
 )
 from rackhub.fleet.distribution.history import History, recover_misplaced
-from rackhub.fleet.distribution.learning import Learner
+from rackhub.fleet.distribution.learner import Learner
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import (
     Acknowledge,
@@ -36,6 +35,7 @@
 )
 from rackhub.fleet.distribution.ports import FleetStatus, Identity
 from rackhub.fleet.distribution.replication import Replication
+from rackhub.fleet.distribution.rule_keys import RuleKeys
 from rackhub.fleet.distribution.source import Source
 from rackhub.fleet.distribution.store import DAMAGED, StateStore
 from rackhub.fleet.distribution.voting import REGISTER
@@ -45,8 +45,8 @@
 
 log = logging.getLogger(__name__)
 
-FROM_WATCHERS = (Watch, Unwatch, Acknowledge, Checked)
-EVERYTHING = ("",)
+WATCHER_MESSAGE_TYPES = (Watch, Unwatch, Acknowledge, Checked)
+ALL_KEYS = ("",)
 
 
 class Voter:
@@ -55,20 +55,20 @@
 
     def __init__(self, fleet: Fleet, identity: Identity, voters: tuple[Name, ...], disk: KeyedDisk, limits: Limits):
         self._fleet = fleet
-        self._store = StateStore(disk, EVERYTHING, fleet.add_count)
-        held = self._store.held
+        self._store = StateStore(disk, ALL_KEYS, fleet.add_count)
+        stored = self._store.stored
         self._move_misplaced_history()
-        self._source = Source(identity, held, limits, fleet.clock.now())
+        self._source = Source(identity, stored, limits, fleet.clock.now())
         self.inbox = Inbox(fleet)
         self._runner = CoreRunner(fleet, self.inbox, self._source, self._perform)
-        self.inbox.route(FROM_WATCHERS, self._runner.on_message)
-        self.inbox.route((Report,), self._reported)
-        self.history = History(disk, held.revision)
+        self.inbox.route(WATCHER_MESSAGE_TYPES, self._runner.on_message)
+        self.inbox.route((Report,), self._on_report)
+        self.history = History(disk, stored.revision)
         self.learner = Learner(
-            self._store, self.history, self._runner.dispatch, self._learned, self._catch_up, fleet.add_count
+            self._store, self.history, self._runner.dispatch, self._on_decided, self._begin_catch_up, fleet.add_count
         )
         self._rule_keys = RuleKeys(self.learner.values(), self._store.fallback)
-        self._catching_up = self._new_catch_up(identity, voters, limits)
+        self._catching_up = self._create_catch_up(identity, voters, limits)
         self.acceptor = AcceptorShell(fleet, voters, disk, identity.generation, REGISTER)
         self._proposer = Proposer(fleet, voters, identity.generation, self.acceptor, REGISTER)
         self.replication = Replication(
@@ -83,20 +83,20 @@
         self._editor = Editor(
             self.learner, self.history, self._rule_keys, self.replication, self._proposer, self._runner.dispatch
         )
-        self._ended = False
-        self._refused: dict[Name, tuple[KeyFault, ...]] = {}  # by the relay that last reported them
+        self._stopped = False
+        self._rejected_keys: dict[Name, tuple[KeyFault, ...]] = {}  # by the relay that last reported them
 
-    def _new_catch_up(self, identity: Identity, voters: tuple[Name, ...], limits: Limits) -> CatchUp:
+    def _create_catch_up(self, identity: Identity, voters: tuple[Name, ...], limits: Limits) -> CatchUp:
         others = tuple(Node(name, Role.VOTER) for name in voters if name != identity.name)
         return CatchUp(
             self._fleet,
-            _as_watcher(identity, others),
+            _watcher_identity(identity, others),
             self.inbox,
             self._store,
             self.history,
             self.learner,
             limits,
-            self._caught_up,
+            self._on_caught_up,
         )
 
     @property
@@ -109,9 +109,9 @@
         """What of the disk could not be read, and is fetched anew from the other voters."""
         return "; ".join(filter(None, (self._store.damage, self.history.damage, self.acceptor.damage)))
 
-    def add_section(self, name: str, part: RuleSection) -> None:
+    def add_section(self, name: str, section: RuleSection) -> None:
         """Register the component that takes the rules of this name; before `start`."""
-        self._rule_keys.parts[name] = part
+        self._rule_keys.sections[name] = section
 
     def start(self) -> None:
         """Put in force what the disk has, then vote, learn and serve."""
@@ -125,7 +125,7 @@
 
     def stop(self) -> None:
         """Vote, learn and serve no longer; further edits are rejected."""
-        self._ended = True
+        self._stopped = True
         self.replication.stop()
         self._catching_up.stop()
         self._proposer.stop()
@@ -139,7 +139,7 @@
 
     def edit(self, request: EditRequest, done: Done) -> None:
         """`done` once. Raises `EditRejected`, `RuleKeyError` and `RevisionNotRetained` where it can't be done."""
-        if self._ended:
+        if self._stopped:
             raise EditRejected("this process ends: ask another voter")
         self._editor.edit(request, done)
 
@@ -147,9 +147,11 @@
         """How far the fleet has that revision in force; None: the newest."""
         return self._source.status(self._fleet.clock.now(), revision)
 
-    def refused_keys(self) -> list[KeyFault]:
+    def rejected_keys(self) -> list[KeyFault]:
         """Keys that some coordinators can't take, as the relays name them; not all where there are many."""
-        return sorted({fault for faults in self._refused.values() for fault in faults}, key=lambda fault: fault.key)
+        return sorted(
+            {fault for faults in self._rejected_keys.values() for fault in faults}, key=lambda fault: fault.key
+        )
 
     def figures(self) -> dict[str, float]:
         """The metrics, by name."""
@@ -160,7 +162,7 @@
             "distribution_in_force": float(status.in_force),
             "distribution_expected": float(status.expected),
             "distribution_lagging": float(status.lagging),
-            "distribution_oldest_ms": float(status.oldest),
+            "distribution_oldest_ms": float(status.oldest_lag_ms),
             "distribution_refusing": float(status.fault_count),
             "distribution_watchers": float(self._source.watchers),
             "distribution_votes": float(self.acceptor.state.voting),
@@ -172,34 +174,34 @@
 
     def _move_misplaced_history(self) -> None:
         """Earlier versions stored the history in the fallback record: take the newest change's record back."""
-        misplaced, held = self._store.misplaced_history, self._store.held
+        misplaced, stored = self._store.misplaced_history, self._store.stored
         if not misplaced:
             return
         try:
-            recovered = recover_misplaced(misplaced, held)
+            recovered = recover_misplaced(misplaced, stored)
         except msgspec.MsgspecError as bad:
-            log.error("fleet: the history of revision %d can't be read, and is dropped: %s", held.revision, bad)
+            log.error("fleet: the history of revision %d can't be read, and is dropped: %s", stored.revision, bad)
             self._fleet.add_count(DAMAGED, 1)
             recovered = {}
         log.warning("fleet: %d misplaced history records are removed, %d recovered", len(misplaced), len(recovered))
-        self._store.persist(Persist(held.log, held.revision, (), False), lambda: None, also=recovered)
+        self._store.persist(Persist(stored.log, stored.revision, (), False), lambda: None, extra=recovered)
 
     # ---- what is decided
 
-    def _learned(self, decided: Decided) -> None:
+    def _on_decided(self, decided: Decided) -> None:
         """The change is on the disk."""
         for change in decided.changes:
             self._rule_keys.apply(change.entries, False, change.revision)
         self._runner.dispatch(decided)
-        self.replication.say_synced()
+        self.replication.send_synced_revision()
 
-    def _catch_up(self, wanted: Revision) -> None:
+    def _begin_catch_up(self, wanted: Revision) -> None:
         self._catching_up.begin(wanted)
 
-    def _caught_up(self, taken: Apply, previous: Revision) -> None:
-        self._rule_keys.apply(taken.entries, taken.snapshot, taken.revision)
-        self._runner.dispatch(CaughtUp(taken.log, previous, taken.revision, taken.entries, taken.snapshot))
-        self.replication.say_synced()
+    def _on_caught_up(self, applied: Apply, previous: Revision) -> None:
+        self._rule_keys.apply(applied.entries, applied.snapshot, applied.revision)
+        self._runner.dispatch(CaughtUp(applied.log, previous, applied.revision, applied.entries, applied.snapshot))
+        self.replication.send_synced_revision()
 
     # ---- the source
 
@@ -207,15 +209,15 @@
         if isinstance(effect, CheckDone):
             self._editor.checked(effect)
 
-    def _reported(self, sender: Name, message: AnyMessage) -> None:
+    def _on_report(self, sender: Name, message: AnyMessage) -> None:
         if isinstance(message, Report):
-            self._refused[sender] = message.faults
+            self._rejected_keys[sender] = message.faults
             if not message.faults:
-                del self._refused[sender]
+                del self._rejected_keys[sender]
         self._runner.on_message(sender, message)
 
 
-def _as_watcher(identity: Identity, upstreams: tuple[Node, ...]) -> Identity:
+def _watcher_identity(identity: Identity, upstreams: tuple[Node, ...]) -> Identity:
     """Who a voter is where it watches the others."""
     return Identity(
         name=identity.name, zone=identity.zone, upstreams=upstreams, seed=identity.seed, generation=identity.generation
--- a/rackhub/fleet/distribution/voting.py
+++ b/rackhub/fleet/distribution/voting.py
@@ -33,15 +33,15 @@
 _decode: Callable[[bytes], VoterMessage] = msgspec.msgpack.Decoder(VoterMessage).decode  # type: ignore[arg-type]
 
 
-class VoterMail:
+class VoterMessenger:
     """Takes messages of the other voters, and drops those of anybody else."""
 
-    def __init__(self, fleet: Fleet, voters: tuple[Name, ...], take: Callable[[Name, VoterMessage], None]):
-        self._fleet, self._take = fleet, take
+    def __init__(self, fleet: Fleet, voters: tuple[Name, ...], on_message: Callable[[Name, VoterMessage], None]):
+        self._fleet, self._on_voter_message = fleet, on_message
         self._others = tuple(name for name in voters if name != fleet.members.local_name)
 
     def start(self) -> None:
-        self._fleet.messenger.subscribe(KIND, self._mailed)
+        self._fleet.messenger.subscribe(KIND, self._on_message)
 
     def send(self, to: Name, message: VoterMessage) -> None:
         self._fleet.messenger.send(to, KIND, _encode(message))
@@ -50,7 +50,7 @@
         for name in self._others:
             self.send(name, message)
 
-    def _mailed(self, sender: Name, body: bytes) -> None:
+    def _on_message(self, sender: Name, body: bytes) -> None:
         if sender not in self._others:
             return self._fleet.add_count("distribution_foreign_voters", 1)
         try:
@@ -58,4 +58,4 @@
         except (msgspec.MsgspecError, UnicodeDecodeError):
             log.warning("fleet: mail of voter %s can't be read", sender)
             return self._fleet.add_count("distribution_unreadable", 1)
-        self._take(sender, message)
+        self._on_voter_message(sender, message)
--- a/rackhub/fleet/distribution/watcher.py
+++ b/rackhub/fleet/distribution/watcher.py
@@ -34,38 +34,38 @@
 )
 from rackhub.fleet.distribution.ports import Identity
 from rackhub.fleet.distribution.receiver import Content, Receiver, UnusableUpstream
-from rackhub.fleet.distribution.upstream import Attempt, Search, Stream
+from rackhub.fleet.distribution.upstream import Attempt, Stream, UpstreamSearch
 
 
 class Watcher:
     """Watches one of its upstreams. What `held` has is to be in force at the start, put there by the shell."""
 
     def __init__(
-        self, identity: Identity, held: StoredState, limits: Limits, now: int, delivery: Delivery | None = None
+        self, identity: Identity, stored: StoredState, limits: Limits, now: int, delivery: Delivery | None = None
     ) -> None:
         """`delivery`: where what is received goes instead of disk and shell."""
         self._identity, self._limits = identity, limits
-        same_scope = held.scope == identity.scope
-        disk = DiskDelivery(held if same_scope else StoredState(scope=identity.scope), identity.scope)
+        same_scope = stored.scope == identity.scope
+        disk = DiskDelivery(stored if same_scope else StoredState(scope=identity.scope), identity.scope)
         self._disk = disk
         self._delivery: Delivery = delivery if delivery is not None else disk
-        self._receiver = Receiver(self._delivery, identity.scope, 0 if same_scope else held.revision)
-        self._known_log = held.log  # also where the scope has changed
-        chance = random.Random(f"{identity.seed} watcher {identity.name}")
-        self._search = Search(identity, limits, chance, now)
+        self._receiver = Receiver(self._delivery, identity.scope, 0 if same_scope else stored.revision)
+        self._known_log = stored.log  # also where the scope has changed
+        rng = random.Random(f"{identity.seed} watcher {identity.name}")
+        self._search = UpstreamSearch(identity, limits, rng, now)
         self._session: Number = identity.generation
         self._stream: Stream | None = None
         self._attempt: Attempt | None = None
         self._effects: list[Effect] = []
-        self._expected_at = now  # when the next step is due at the latest
+        self._due_at = now  # when the next step is due at the latest
         self.confirmed_at = now  # as of when what is held was known to be the newest
 
     # ---- what others see
 
     @property
-    def held(self) -> StoredState:
+    def stored(self) -> StoredState:
         """What is on the disk. The entries are not a copy."""
-        return self._disk.held
+        return self._disk.stored
 
     @property
     def revision(self) -> Revision:
@@ -77,12 +77,12 @@
         return self._stream.name if self._stream is not None else None
 
     def due(self) -> int:
-        return self._expected_at
+        return self._due_at
 
     def step(self, now: int, event: Event) -> Sequence[Effect]:
         """Take an event, and do what is due by now."""
-        if now - self._expected_at > self._limits.heartbeat_interval:
-            self.stood_still(now)
+        if now - self._due_at > self._limits.heartbeat_interval:
+            self.on_process_stall(now)
         if isinstance(event, Received):
             self._received(now, event.sender, event.message)
         elif isinstance(event, Persisted):
@@ -90,15 +90,15 @@
         elif isinstance(event, Applied):
             self._applied(event)
         self._advance(now)
-        self._expected_at = self._next_due(now)
+        self._due_at = self._next_due(now)
         effects, self._effects = self._effects, []
         return effects
 
-    def stood_still(self, now: int) -> None:
+    def on_process_stall(self, now: int) -> None:
         """The process did not run for a while: what is queued from before says nothing of now. Watch anew."""
         self._count("distribution_stood_still")
         self._stream = self._attempt = None
-        self._search.at_once(now)
+        self._search.retry_now(now)
 
     # ---- messages
 
@@ -117,14 +117,14 @@
 
     def _check(self, sender: Name, check: Check) -> None:
         if sender == self.upstream:
-            self._effects.append(RunCheck(sender, check.mark, check.entries))
+            self._effects.append(RunCheck(sender, check.check_id, check.entries))
         else:
             self._count("distribution_unexpected", sender)
 
     def _from_attempt(self, now: int, attempt: Attempt, message: Content | Unavailable) -> None:
         self._attempt = None
         if isinstance(message, Unavailable):
-            return self._refused(now, attempt.name, message)
+            return self._on_unavailable(now, attempt.name, message)
         if self._is_stale(message) and self._stream is not None:
             self._send(attempt.name, Unwatch(attempt.session))
             return self._search.failed(now, attempt.name, self._stream)
@@ -138,17 +138,17 @@
     def _from_stream(self, now: int, stream: Stream, message: Content | Unavailable) -> None:
         if isinstance(message, Unavailable):
             self._stream = None
-            return self._refused(now, stream.name, message)
-        stream.heard_at = now
+            return self._on_unavailable(now, stream.name, message)
+        stream.last_received_at = now
         before = self._delivery.revision
         try:
             self._check_known_log(message)
             self._effects += self._receiver.take(now, message)
         except UnusableUpstream as unusable:
             self._count(unusable.counter, stream.name)
-            return self._leave(now)
+            return self._leave_upstream(now)
         self._confirm(now, stream, message)
-        if self._receiver.acknowledge or self._delivery.revision > before:
+        if self._receiver.acknowledge_due or self._delivery.revision > before:
             self._acknowledge(stream)
 
     def _check_known_log(self, message: Content) -> None:
@@ -163,7 +163,7 @@
         stream.confirmed_at = now - age
         self.confirmed_at = max(self.confirmed_at, stream.confirmed_at)
         if not self._is_stale(message):
-            self._search.fresh()
+            self._search.reset_backoff()
 
     def _is_stale(self, message: Content) -> bool:
         return isinstance(message, Heartbeat) and message.age * MILLISECOND > self._limits.max_staleness
@@ -193,38 +193,38 @@
         credit, zone = self._limits.max_credit, self._identity.zone
         self._send(name, Watch(self._session, log, revision, self._identity.scope, credit, zone))
 
-    def _refused(self, now: int, name: Name, message: Unavailable) -> None:
+    def _on_unavailable(self, now: int, name: Name, message: Unavailable) -> None:
         if message.log and self._known_log and message.log != self._known_log:
             self._count("distribution_other_logs", name)
             return self._search.failed(now, name, self._stream)
-        self._search.refused(now, name, message.retry_after * MILLISECOND, self._stream)
+        self._search.rejected(now, name, message.retry_after * MILLISECOND, self._stream)
 
-    def _leave(self, now: int) -> None:
+    def _leave_upstream(self, now: int) -> None:
         """End the stream and look for another one at once."""
         stream, self._stream = self._stream, None
         if stream is not None:
             self._send(stream.name, Unwatch(stream.session))
-            self._search.left(now, stream.name)
+            self._search.stream_ended(now, stream.name)
 
     # ---- time
 
     def _advance(self, now: int) -> None:
         stream, attempt = self._stream, self._attempt
-        if attempt is not None and now >= attempt.until:
+        if attempt is not None and now >= attempt.deadline:
             self._attempt = None
             self._count("distribution_unanswered", attempt.name)
             self._send(attempt.name, Unwatch(attempt.session))
             self._search.failed(now, attempt.name, stream)
-        if stream is not None and now >= stream.heard_at + self._limits.upstream_timeout:
+        if stream is not None and now >= stream.last_received_at + self._limits.upstream_timeout:
             self._count("distribution_silences", stream.name)
-            self._leave(now)
-        elif stream is not None and now >= self._receiver.gap_until:
+            self._leave_upstream(now)
+        elif stream is not None and now >= self._receiver.gap_deadline:
             self._count("distribution_gaps", stream.name)
             self._receiver.begin_session()
             self._stream = None
             self._watch(now, stream.name)
         if self._attempt is None:
-            name = self._search.next(now, self._stream)
+            name = self._search.next_upstream(now, self._stream)
             if name is not None:
                 self._watch(now, name)
 
@@ -232,9 +232,9 @@
         """At least once each heartbeat, so that a process that stood still notices."""
         due = now + self._limits.heartbeat_interval
         if self._stream is not None:
-            due = min(due, self._stream.heard_at + self._limits.upstream_timeout, self._receiver.gap_until)
+            due = min(due, self._stream.last_received_at + self._limits.upstream_timeout, self._receiver.gap_deadline)
         if self._attempt is not None:
-            return min(due, self._attempt.until)
+            return min(due, self._attempt.deadline)
         return min(due, max(self._search.due(now, self._stream), now + MILLISECOND))
 
     # ---- effects
--- a/tests/distribution_cores.py
+++ b/tests/distribution_cores.py
@@ -72,11 +72,11 @@
 class Driven:
     """A watcher and its shell, one step at a time. `sent`: messages since the last look, by receiver."""
 
-    def __init__(self, held=None, scope=("",), upstreams=RELAYS):
-        held = held if held is not None else StoredState(LOG, 5, scope, {"a": Entry("a", b"5", 5)})
+    def __init__(self, stored=None, scope=("",), upstreams=RELAYS):
+        stored = stored if stored is not None else StoredState(LOG, 5, scope, {"a": Entry("a", b"5", 5)})
         self.now, self.limits = 100 * SECOND, Limits()
         identity = Identity(name="me", zone="z", upstreams=upstreams, scope=scope, generation=1_000)
-        self.watcher = Watcher(identity, held, self.limits, self.now)
+        self.watcher = Watcher(identity, stored, self.limits, self.now)
         self.effects, self.counted = [], []
 
     def step(self, event):
--- a/tests/distribution_fleet.py
+++ b/tests/distribution_fleet.py
@@ -53,8 +53,8 @@
 
     def start_source(self, name, boots, now):
         revision = self.processes[name].known if name in self.processes else 0
-        held = StoredState(LOG, revision, ("",), self.history.at(revision, ("",)))
-        return Source(Identity(name=name, seed=self.seed, generation=boots << 20), held, self.limits, now)
+        stored = StoredState(LOG, revision, ("",), self.history.at(revision, ("",)))
+        return Source(Identity(name=name, seed=self.seed, generation=boots << 20), stored, self.limits, now)
 
     def start_relay(self, node, boots, now):
         identity = Identity(
@@ -62,15 +62,15 @@
         )
         return Relay(identity, self.limits, now)
 
-    def coordinator(self, name, zone="a", scope=("",), kind=Watcher, held=None):
+    def coordinator(self, name, zone="a", scope=("",), kind=Watcher, stored=None):
         self.zones[name] = zone
 
         def start(boots, now):
             identity = Identity(
                 name=name, zone=zone, upstreams=self.relays, scope=scope, seed=self.seed, generation=boots << 20
             )
-            held = self.processes[name].disk.held if name in self.processes else StoredState()
-            return kind(identity, held, self.limits, now)
+            stored = self.processes[name].disk.stored if name in self.processes else StoredState()
+            return kind(identity, stored, self.limits, now)
 
         self.processes[name] = Coordinator(self, name, start, scope)
         return self.processes[name]
@@ -167,7 +167,7 @@
         self.require(coordinator.in_force.entries == expected, f"{coordinator.name} at {effect.revision}")
 
     def on_acknowledge(self, coordinator, message):
-        on_disk, in_force = coordinator.disk.held.revision, coordinator.in_force.revision
+        on_disk, in_force = coordinator.disk.stored.revision, coordinator.in_force.revision
         self.require(message.revision <= on_disk, f"{coordinator.name} acknowledges {message.revision}, has {on_disk}")
         self.require(
             message.revision <= in_force, f"{coordinator.name} acknowledges {message.revision}, runs {in_force}"
--- a/tests/distribution_processes.py
+++ b/tests/distribution_processes.py
@@ -40,17 +40,17 @@
 class Disk:
     """What a coordinator's disk has. `write` is how long it takes."""
 
-    held: StoredState = field(default_factory=StoredState)
+    stored: StoredState = field(default_factory=StoredState)
     write: int = 3 * MILLISECOND
 
     def keep(self, scope, effect):
-        entries = {} if effect.snapshot else dict(self.held.entries)
+        entries = {} if effect.snapshot else dict(self.stored.entries)
         for entry in effect.entries:
             if entry.value is None:
                 entries.pop(entry.key, None)
             else:
                 entries[entry.key] = entry
-        self.held = StoredState(effect.log, effect.revision, scope, entries)
+        self.stored = StoredState(effect.log, effect.revision, scope, entries)
 
 
 class Process:
@@ -138,8 +138,8 @@
         super().__init__(fleet, name, start)
 
     def restart(self):
-        held = self.disk.held
-        self.in_force = held if held.scope == self.scope else StoredState()
+        stored = self.disk.stored
+        self.in_force = stored if stored.scope == self.scope else StoredState()
         super().restart()
 
     def do(self, effect):
@@ -151,7 +151,7 @@
         elif isinstance(effect, events.RunCheck):
             faults = tuple(messages.KeyFault(e.key, "no") for e in effect.entries if e.key in self.refuses)
             zone = self.fleet.zones[self.name]
-            self.fleet.send(self.name, effect.to, messages.Checked(effect.mark, zone, faults))
+            self.fleet.send(self.name, effect.to, messages.Checked(effect.check_id, zone, faults))
         else:
             if isinstance(effect, events.Send) and isinstance(effect.message, messages.Acknowledge):
                 self.fleet.on_acknowledge(self, effect.message)
@@ -165,7 +165,7 @@
     def put_in_force(self, effect):
         disk = Disk(self.in_force)
         disk.keep(self.scope, effect)
-        self.in_force = disk.held
+        self.in_force = disk.stored
         self.fleet.on_apply(self, effect)
         faults = tuple(messages.KeyFault(e.key, "no") for e in effect.entries if e.key in self.refuses)
         self.later(0, events.Applied(effect.revision, faults))
--- a/tests/test_distribution_decisions.py
+++ b/tests/test_distribution_decisions.py
@@ -4,7 +4,7 @@
 import pytest
 
 from rackhub.fleet.distribution.decisions import (
-    REMEMBERED_EDITS,
+    MAX_APPLIED_EDITS,
     Edit,
     InvalidEdit,
     RevisionMismatch,
@@ -17,7 +17,7 @@
     majority_revision,
     trim,
 )
-from rackhub.fleet.distribution.limits import CHANGE_BYTES, CHANGE_ENTRIES, MAX_KEY_BYTES, VALUE_BYTES
+from rackhub.fleet.distribution.limits import MAX_CHANGE_BYTES, MAX_CHANGE_ENTRIES, MAX_ENTRY_VALUE_BYTES, MAX_KEY_BYTES
 from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
 
@@ -38,7 +38,7 @@
     tail = edited(Tail("log"), 1, 2)
     assert append_edit(tail, Edit("edit-1", {"other": b""}), 0) is tail
     trimmed = trim(tail, 2)
-    assert trimmed.changes == () and trimmed.settled == 2
+    assert trimmed.changes == () and trimmed.compacted_revision == 2
     assert append_edit(trimmed, Edit("edit-1", {"other": b""}), 2) is trimmed
     assert decided_revision(trimmed, "edit-2") == 2
     assert decided_revision(trimmed, "edit-3") is None
@@ -46,17 +46,17 @@
 
 def test_what_a_majority_has_leaves_the_tail():
     tail = edited(edited(Tail("log"), 1, 2, 3), 4, replicated=2)
-    assert tail.settled == 2 and [change.revision for change in tail.changes] == [3, 4]
+    assert tail.compacted_revision == 2 and [change.revision for change in tail.changes] == [3, 4]
     assert trim(tail, 1) == tail, "settled never goes back"
-    assert trim(tail, 99).settled == 4, "nor beyond what was decided"
+    assert trim(tail, 99).compacted_revision == 4, "nor beyond what was decided"
 
 
 def test_ids_are_remembered_within_a_bound():
     tail = Tail("log")
-    for number in range(REMEMBERED_EDITS + 10):
+    for number in range(MAX_APPLIED_EDITS + 10):
         tail = edited(tail, number, replicated=tail.newest)
-    assert len(tail.applied) == REMEMBERED_EDITS
-    assert decided_revision(tail, f"edit-{REMEMBERED_EDITS}") == REMEMBERED_EDITS + 1
+    assert len(tail.applied) == MAX_APPLIED_EDITS
+    assert decided_revision(tail, f"edit-{MAX_APPLIED_EDITS}") == MAX_APPLIED_EDITS + 1
 
 
 def test_a_compare_that_fails_names_both_revisions():
@@ -76,9 +76,9 @@
         ({"ä" * MAX_KEY_BYTES: b""}, "ä" * MAX_KEY_BYTES),  # its bytes count, not its letters
         ({"": b""}, ""),
         ({"\ud800": b""}, "\ud800"),
-        ({"good": b"", "big": bytes(VALUE_BYTES + 1)}, "big"),
-        ({f"k{i}": bytes(VALUE_BYTES - (i == 0)) for i in range(5)}, "k1"),
-        ({f"k{i}": b"" for i in range(CHANGE_ENTRIES + 1)}, ""),
+        ({"good": b"", "big": bytes(MAX_ENTRY_VALUE_BYTES + 1)}, "big"),
+        ({f"k{i}": bytes(MAX_ENTRY_VALUE_BYTES - (i == 0)) for i in range(5)}, "k1"),
+        ({f"k{i}": b"" for i in range(MAX_CHANGE_ENTRIES + 1)}, ""),
         ({}, ""),
     ],
 )
@@ -94,23 +94,26 @@
 
 
 def test_a_change_at_its_bounds_is_taken():
-    values = {f"{i:<{MAX_KEY_BYTES}}": bytes(VALUE_BYTES - MAX_KEY_BYTES) for i in range(CHANGE_BYTES // VALUE_BYTES)}
+    values = {
+        f"{i:<{MAX_KEY_BYTES}}": bytes(MAX_ENTRY_VALUE_BYTES - MAX_KEY_BYTES)
+        for i in range(MAX_CHANGE_BYTES // MAX_ENTRY_VALUE_BYTES)
+    }
     assert append_edit(Tail("log"), Edit("a", values), 0).newest == 1
 
 
 def test_a_tail_that_no_majority_applies_is_refused_before_the_registers_bound():
-    tail, value = Tail("log"), bytes(VALUE_BYTES)
+    tail, value = Tail("log"), bytes(MAX_ENTRY_VALUE_BYTES)
     with pytest.raises(TailFull) as refused:
         for number in range(100):
             tail = append_edit(tail, Edit(f"{number}", {"k": value}), 0)
-    assert refused.value.waiting == len(tail.changes) == MAX_VALUE_BYTES // VALUE_BYTES
+    assert refused.value.pending == len(tail.changes) == MAX_VALUE_BYTES // MAX_ENTRY_VALUE_BYTES
     assert len(encode_tail(tail)) <= MAX_VALUE_BYTES
     assert append_edit(tail, Edit("next", {"k": value}), tail.newest).newest == tail.newest + 1
 
 
 def test_a_damaged_tail_is_refused():
     tail = edited(Tail("log"), 1, 2)
-    broken = msgspec.structs.replace(tail, settled=5)
+    broken = msgspec.structs.replace(tail, compacted_revision=5)
     with pytest.raises(msgspec.MsgspecError):
         decode_tail(encode_tail(broken))
     with pytest.raises(msgspec.MsgspecError):
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -145,10 +145,10 @@
     fleet = started(limits=Limits(max_log_steps=history))
     coordinator = fleet.processes["coordinator-0"]
     changes(fleet, 5, SECOND)
-    older = coordinator.disk.held
+    older = coordinator.disk.stored
     changes(fleet, 40, 500 * MILLISECOND)
     coordinator.stop()
-    coordinator.disk.held = older
+    coordinator.disk.stored = older
     coordinator.highest = older.revision  # its operator took it back, nobody else does
     fleet.record, fleet.sent = True, []
     coordinator.restart()
@@ -156,7 +156,7 @@
     fleet.run_until(fleet.converged, IN_FORCE)
     took_snapshot = bool(to(fleet, "coordinator-0", SnapshotPart))
     assert took_snapshot == (history == 10)
-    assert coordinator.disk.held.entries == fleet.history.at(fleet.history.revision, ("",))
+    assert coordinator.disk.stored.entries == fleet.history.at(fleet.history.revision, ("",))
 
 
 def test_a_slow_receiver_gets_merged_keys():
@@ -196,15 +196,15 @@
 def test_another_log_is_never_merged():
     fleet = started(coordinators=1, zones=("a",))
     coordinator = fleet.processes["coordinator-0"]
-    held = coordinator.disk.held
+    held = coordinator.disk.stored
     coordinator.stop()
-    coordinator.disk.held = messages.msgspec.structs.replace(held, log="another")
+    coordinator.disk.stored = messages.msgspec.structs.replace(held, log="another")
     coordinator.restart()
     fleet.decide({"k": b"1"})
     fleet.run(20 * SECOND)
     assert coordinator.core.revision == held.revision and coordinator.core.upstream is None
     assert coordinator.counted["distribution_other_logs"] > 3
-    assert LOG != coordinator.disk.held.log
+    assert LOG != coordinator.disk.stored.log
 
 
 def test_a_voter_that_starts_anew_serves_what_it_has_on_its_disk():
--- a/tests/test_distribution_messages.py
+++ b/tests/test_distribution_messages.py
@@ -8,7 +8,7 @@
 
 from rackhub.fleet.distribution import events
 from rackhub.fleet.distribution.events import Node, Role, StoredState
-from rackhub.fleet.distribution.limits import FAULT_KEYS, MAX_KEY_BYTES, SECOND, VALUE_BYTES, Limits
+from rackhub.fleet.distribution.limits import MAX_ENTRY_VALUE_BYTES, MAX_FAULT_KEYS, MAX_KEY_BYTES, SECOND, Limits
 from rackhub.fleet.distribution.messages import (
     Acknowledge,
     Check,
@@ -72,12 +72,12 @@
     [
         Update(1, LOG, 2, 3, (Entry("", b"", 3),)),
         Update(1, LOG, 2, 3, (Entry("k" * (MAX_KEY_BYTES + 1), b"", 3),)),
-        Update(1, LOG, 2, 3, (Entry("k", bytes(VALUE_BYTES + 1), 3),)),
+        Update(1, LOG, 2, 3, (Entry("k", bytes(MAX_ENTRY_VALUE_BYTES + 1), 3),)),
         Update(1, LOG, -1, 3, ()),
         Update(1, "x" * 33, 2, 3, ()),
         Watch(1, LOG, 2, ("",) * 65, 4),
         Watch(1, LOG, 2, ("",), 0),
-        Acknowledge(1, 3, (KeyFault("k", ""),) * (FAULT_KEYS + 1)),
+        Acknowledge(1, 3, (KeyFault("k", ""),) * (MAX_FAULT_KEYS + 1)),
     ],
 )
 def test_what_is_over_a_bound_is_refused(message):
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -97,15 +97,15 @@
     @rule(which=st.integers(0, 63))
     def copy_disk(self, which):
         coordinator = self.coordinator(which)
-        self.copies[coordinator.name] = coordinator.disk.held
+        self.copies[coordinator.name] = coordinator.disk.stored
 
     @rule(which=st.integers(0, 63))
     def put_disk_back(self, which):
         """An operator's doing, the one way back that is allowed."""
         coordinator = self.coordinator(which)
         coordinator.stop()
-        coordinator.disk.held = self.copies.get(coordinator.name, coordinator.disk.held)
-        coordinator.highest = coordinator.disk.held.revision
+        coordinator.disk.stored = self.copies.get(coordinator.name, coordinator.disk.stored)
+        coordinator.highest = coordinator.disk.stored.revision
         coordinator.restart()
 
     @rule()
@@ -119,7 +119,7 @@
     @invariant()
     def disks_hold_the_history(self):
         for coordinator in self.fleet.coordinators() if hasattr(self, "fleet") else ():
-            held, core = coordinator.disk.held, coordinator.core
+            held, core = coordinator.disk.stored, coordinator.core
             expected = self.fleet.history.at(held.revision, coordinator.scope)
             self.fleet.require(held.entries == expected, f"the disk of {coordinator.name}")
             self.fleet.require(core is None or core.revision <= held.revision, f"{coordinator.name} runs ahead")
@@ -187,12 +187,12 @@
 
 
 def test_finds_a_compacted_gap_passed_over(monkeypatch):
-    since = KeyValueState.since
+    since = KeyValueState.changes_after
 
     def passes_over(self, revision, scope=("",)):
         return since(self, max(revision, self.oldest), scope)
 
-    monkeypatch.setattr(KeyValueState, "since", passes_over)
+    monkeypatch.setattr(KeyValueState, "changes_after", passes_over)
     must_be_found("coordinator-.* at |the disk of|not within")
 
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -18,7 +18,7 @@
 
 ROLES = ("voter", "relay", "relay", "coordinator", "coordinator")
 VOTER, RELAYS, COORDINATORS = "g0", ("g1", "g2"), ("g3", "g4")
-PATIENCE = 16.0  # seconds in which a change has to be in force
+MAX_LOCAL_REJECTIONS = 16.0  # seconds in which a change has to be in force
 
 
 class Fleet:
@@ -30,8 +30,8 @@
     def call(self, name, call, **words):
         answers = []
         control = self.rig.gateways[name].control
-        say(reactor, control, {"call": call, **words}, answers.append, PATIENCE)
-        until(reactor, lambda: answers, PATIENCE + 1, f"an answer of {name} to {call}")
+        say(reactor, control, {"call": call, **words}, answers.append, MAX_LOCAL_REJECTIONS)
+        until(reactor, lambda: answers, MAX_LOCAL_REJECTIONS + 1, f"an answer of {name} to {call}")
         return answers[0]
 
     def edit(self, on, attempts, wait_ms=15_000):
@@ -44,7 +44,7 @@
 
     def comes_about(self, condition, what):
         """Asked again as soon as it was answered: each call turns the reactor."""
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + MAX_LOCAL_REJECTIONS
         while not condition():
             assert time.monotonic() < end, what
 
@@ -141,7 +141,7 @@
     try:
         rig.up(wait=False)
         process = rig.processes.by_name["g0"]
-        until(reactor, lambda: not process.running(), PATIENCE, "its end")
+        until(reactor, lambda: not process.running(), MAX_LOCAL_REJECTIONS, "its end")
         assert "fleet: zone: 'z1' has no relay among node" in process.said()
         operator = tmp_path / "g0.toml"
         operator.write_text(operator.read_text().replace('role = "coordinator"', 'role = "boss"'))
--- a/tests/test_distribution_relay.py
+++ b/tests/test_distribution_relay.py
@@ -52,8 +52,8 @@
     fleet.run(9 * SECOND)
     found = status(fleet)
     assert (found.in_force, found.expected, found.lagging) == (3, 4, 1)
-    assert [(one.name, one.revision) for one in found.worst] == [("coordinator-1", 1)]
-    assert 8_000 <= found.oldest <= 10_500
+    assert [(one.name, one.revision) for one in found.most_lagging] == [("coordinator-1", 1)]
+    assert 8_000 <= found.oldest_lag_ms <= 10_500
 
 
 def test_one_for_whom_nothing_is_pending_counts_as_at_the_newest():
@@ -111,7 +111,7 @@
     fleet.run(3 * SECOND)
     found = status(fleet)
     assert (found.in_force, found.expected, found.lagging) == (2, 4, 2)
-    assert 2_500 <= found.oldest <= 13_500
+    assert 2_500 <= found.oldest_lag_ms <= 13_500
 
 
 def test_reports_count_by_age_log_and_zone():
@@ -145,7 +145,7 @@
     counts = report.in_force
     assert report.watchers == 30 == sum(count.watchers for count in counts)
     assert len(counts) == 16 and counts[-1] == RevisionCount(0, 15)
-    assert len(report.worst) == 5 and messages.decode(messages.encode(report)) == report
+    assert len(report.most_lagging) == 5 and messages.decode(messages.encode(report)) == report
 
 
 # ---- checks
@@ -153,10 +153,10 @@
 
 def checked(fleet, *values, after=4 * SECOND):
     entries = tuple(Entry(key, b"", 0) for key in values)
-    fleet.processes["voter-0"].handle(events.CheckAsked(77, entries))
+    fleet.processes["voter-0"].handle(events.CheckRequested(77, entries))
     fleet.run(after)
     (done,) = fleet.checks
-    assert done.mark == 77
+    assert done.check_id == 77
     return done
 
 
@@ -166,7 +166,7 @@
         coordinator.refuses = {f"bad-{coordinator.name[-1]}"}
     fleet.record, fleet.sent = True, []
     done = checked(fleet, "bad-0", "bad-1", "bad-2", "bad-3", after=100 * MILLISECOND)
-    assert len(done.faults) == 2 and done.silent == ()
+    assert len(done.faults) == 2 and done.unanswered == ()
     asked = [to for _, to, _ in sent(fleet, messages.Check) if to.startswith("coordinator")]
     assert sorted(fleet.zones[name] for name in asked) == ["a", "b"]
 
@@ -178,19 +178,19 @@
             coordinator.stand_still(60 * SECOND)
     began = fleet.now
     fleet.run(100 * MILLISECOND)
-    assert checked(fleet, "k").silent == ("b",)
+    assert checked(fleet, "k").unanswered == ("b",)
     assert fleet.now - began <= fleet.limits.check_timeout + 200 * MILLISECOND
 
 
 def test_a_second_coordinator_and_a_second_relay_are_asked():
     fleet = started(coordinators=12, zones=("a",), relays=2)
     fleet.faults.loss = 0.2
-    assert checked(fleet, "k").silent == ()
+    assert checked(fleet, "k").unanswered == ()
 
 
 def test_a_check_where_nobody_reports_is_done_at_once():
     core = source()
-    assert core.step(0, events.CheckAsked(1, ())) == [events.CheckDone(1, (), ())]
+    assert core.step(0, events.CheckRequested(1, ())) == [events.CheckDone(1, (), ())]
 
 
 def test_checks_of_strangers_and_late_answers_are_counted():
--- a/tests/test_distribution_rules.py
+++ b/tests/test_distribution_rules.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies as st
 
 from rackhub.fleet.distribution import rules
-from rackhub.fleet.distribution.applying import RuleKeys, settle
 from rackhub.fleet.distribution.decisions import InvalidEdit
 from rackhub.fleet.distribution.editing import EditRequest, plan
 from rackhub.fleet.distribution.history import History
-from rackhub.fleet.distribution.limits import FAULT_LETTERS, MAX_KEY_BYTES, VALUE_BYTES
+from rackhub.fleet.distribution.limits import MAX_ENTRY_VALUE_BYTES, MAX_FAULT_REASON_CHARS, MAX_KEY_BYTES
 from rackhub.fleet.distribution.messages import Entry
+from rackhub.fleet.distribution.rule_keys import RuleKeys, accept_values
 from rackhub.fleet.distribution.rules import RuleKeyError, assemble, difference, flatten
 from rackhub.fleet.register.disk import MemoryDisk
 
@@ -67,15 +67,18 @@
 def test_names_with_slashes_and_blanks_are_quoted_in_keys():
     content = {"a/b": {"c d/e": [{"x": 1}], "é": 2}, "empty": {}}
     values = flatten(content, {})
-    assert assemble(values) == content and rules.part_of(min(values)) == "a/b"
+    assert assemble(values) == content and rules.section_of(min(values)) == "a/b"
     assert all(key.count("/") <= 3 and key.isascii() for key in values)
 
 
 @pytest.mark.parametrize(
     "content, fault",
     [
-        ({"timings": {"route": [{"x": "y" * VALUE_BYTES}]}}, r"rules/timings/route\[0\]: its value has .* more than"),
-        ({"timings": {"note": "y" * VALUE_BYTES}}, "rules/timings/note: its value has .* bytes, more than"),
+        (
+            {"timings": {"route": [{"x": "y" * MAX_ENTRY_VALUE_BYTES}]}},
+            r"rules/timings/route\[0\]: its value has .* more than",
+        ),
+        ({"timings": {"note": "y" * MAX_ENTRY_VALUE_BYTES}}, "rules/timings/note: its value has .* bytes, more than"),
         ({"timings": 3}, "rules/timings: 3 is not a table"),
         ({"timings": {"number": 1 << 70}}, "rules/timings/number: can't be written"),
     ],
@@ -103,7 +106,7 @@
     [
         ({"a": {"k" * MAX_KEY_BYTES: 1}}, {}, "rules/a/kkk.*the key has 264 bytes, more than 256"),
         ({"k" * MAX_KEY_BYTES: {}}, {}, "rules/kkk.*the key has 262 bytes, more than 256"),
-        ({"a": {"b": "x" * VALUE_BYTES}}, {}, "rules/a/b: its value has 16387 bytes, more than 16384"),
+        ({"a": {"b": "x" * MAX_ENTRY_VALUE_BYTES}}, {}, "rules/a/b: its value has 16387 bytes, more than 16384"),
         ({"a": {f"{n}": "x" * 16_000 for n in range(5)}}, {}, "key 'rules/a/0': it is the largest of an edit of"),
         ({"a": {f"{n:03}": n for n in range(257)}}, {}, "an edit has 1 to 256 keys, not 257"),
         ({"a": {"b": 1}}, {"id": "i" * 65}, "id and author have at most 64 letters"),
@@ -115,7 +118,7 @@
 def test_an_edit_over_a_bound_is_refused_naming_the_key(parts, words, fault):
     with pytest.raises((RuleKeyError, InvalidEdit), match=fault):
         planned(parts, **words)
-    assert planned({"a": {"b": "x" * (VALUE_BYTES - 3)}})
+    assert planned({"a": {"b": "x" * (MAX_ENTRY_VALUE_BYTES - 3)}})
 
 
 @pytest.mark.parametrize(
@@ -140,7 +143,7 @@
     """Takes numbers below 10, and `second` only where `first` is there."""
 
     def __init__(self):
-        self.held = []
+        self.apply_calls = []
 
     def check(self, part):
         for name, value in (part or {}).items():
@@ -150,25 +153,25 @@
             raise ValueError("part.second: there is no first")
 
     def apply(self, part, version):
-        self.held.append((version, part))
+        self.apply_calls.append((version, part))
 
 
 def entry(name, number, revision=1):
     return Entry(f"rules/{name}", None if number is None else rules.encode_value(number), revision)
 
 
-def keys_with_part(wanted=(), fallback=()):
-    keys, part = RuleKeys(dict(wanted), dict(fallback)), Part()
-    keys.parts["p"] = part
+def keys_with_part(desired=(), fallback=()):
+    keys, part = RuleKeys(dict(desired), dict(fallback)), Part()
+    keys.sections["p"] = part
     return keys, part
 
 
 def test_all_of_a_change_is_held_together_and_a_deleted_key_goes():
     keys, part = keys_with_part()
     assert keys.apply([entry("p/second", 2), entry("p/first", 1)], False, 1) == ()
-    assert part.held == [(1, {"first": 1, "second": 2})]
+    assert part.apply_calls == [(1, {"first": 1, "second": 2})]
     assert keys.apply([entry("p/second", None), entry("p/first", None)], False, 2) == ()
-    assert part.held[-1] == (2, None)
+    assert part.apply_calls[-1] == (2, None)
 
 
 def test_a_key_that_can_t_be_taken_keeps_its_value_and_the_others_change():
@@ -176,16 +179,16 @@
     keys.apply([entry("p/first", 1), entry("p/third", 3)], False, 1)
     [fault] = keys.apply([entry("p/first", 99), entry("p/third", 4), entry("p/second", 5)], False, 2)
     assert fault.key == "rules/p/first" and "first = 99: is not below 10" in fault.reason
-    assert part.held[-1] == (2, {"first": 1, "second": 5, "third": 4})
+    assert part.apply_calls[-1] == (2, {"first": 1, "second": 5, "third": 4})
     assert keys.applied["rules/p/first"] == rules.encode_value(1)
-    assert keys.apply([entry("p/first", 7)], False, 3) == () and part.held[-1][1]["first"] == 7
+    assert keys.apply([entry("p/first", 7)], False, 3) == () and part.apply_calls[-1][1]["first"] == 7
 
 
 def test_what_rests_on_another_key_of_the_change_is_found_in_a_second_pass():
     keys, part = keys_with_part()
     faults = keys.apply([entry("p/a", 50), entry("p/second", 2), entry("p/tofirst", 1), entry("p/first", 1)], False, 1)
     assert [fault.key for fault in faults] == ["rules/p/a"]
-    assert part.held[-1][1] == {"second": 2, "tofirst": 1, "first": 1}
+    assert part.apply_calls[-1][1] == {"second": 2, "tofirst": 1, "first": 1}
 
 
 def test_a_snapshot_drops_what_it_does_not_name_and_parts_that_are_not_here_are_faults():
@@ -193,7 +196,7 @@
     keys.apply([entry("p/first", 1)], False, 1)
     faults = keys.apply([entry("q/x", 1), Entry("other", b"\xc0", 2)], True, 2)
     assert [fault.key for fault in faults] == ["other", "rules/q/x"] and "q: is not known here" in faults[1].reason
-    assert part.held[-1] == (2, None)
+    assert part.apply_calls[-1] == (2, None)
 
 
 def test_over_a_restart_a_refused_key_s_value_before_holds_again():
@@ -201,9 +204,9 @@
     keys.apply([entry("p/first", 1), entry("p/third", 3)], False, 1)
     keys.apply([entry("p/first", 99), entry("p/new", 99)], False, 2)
     fallback = {key: keys.applied.get(key) for key in keys.faults}
-    again, part = keys_with_part(keys.wanted, fallback | {"rules/p/third": None})
+    again, part = keys_with_part(keys.desired, fallback | {"rules/p/third": None})
     again.start(2)
-    assert part.held == [(2, {"first": 1, "third": 3})] and set(again.faults) == {"rules/p/first", "rules/p/new"}
+    assert part.apply_calls == [(2, {"first": 1, "third": 3})] and set(again.faults) == {"rules/p/first", "rules/p/new"}
 
 
 def test_a_part_that_fails_while_it_holds_is_a_fault_and_the_others_go_on():
@@ -212,19 +215,19 @@
             raise RuntimeError("no")
 
     keys, part = keys_with_part()
-    keys.parts["a"] = Broken()
+    keys.sections["a"] = Broken()
     [fault] = keys.apply([entry("a/x", 1), entry("p/first", 1)], False, 1)
-    assert fault.key == "rules/a/x" and part.held == [(1, {"first": 1})]
+    assert fault.key == "rules/a/x" and part.apply_calls == [(1, {"first": 1})]
 
 
 def test_a_check_changes_nothing_and_names_only_keys_that_were_asked():
     keys, part = keys_with_part()
     keys.apply([entry("p/first", 99)], False, 1)
-    before = (dict(keys.wanted), dict(keys.applied), list(part.held))
+    before = (dict(keys.desired), dict(keys.applied), list(part.apply_calls))
     assert keys.check([entry("p/third", 3)]) == ()
     [fault] = keys.check([entry("p/third", 30)])
-    assert fault.key == "rules/p/third" and len(fault.reason) <= FAULT_LETTERS
-    assert (keys.wanted, keys.applied, part.held) == before
+    assert fault.key == "rules/p/third" and len(fault.reason) <= MAX_FAULT_REASON_CHARS
+    assert (keys.desired, keys.applied, part.apply_calls) == before
 
 
 def test_the_work_for_a_part_that_takes_nothing_is_bounded():
@@ -234,5 +237,5 @@
         calls.append(values)
         raise ValueError("no")
 
-    settled = settle(check, "p", {}, {f"rules/p/{number}": b"" for number in range(100)})
-    assert len(settled.faults) == 100 and len(calls) <= 101
+    accepted = accept_values(check, "p", {}, {f"rules/p/{number}": b"" for number in range(100)})
+    assert len(accepted.faults) == 100 and len(calls) <= 101
--- a/tests/test_distribution_sessions.py
+++ b/tests/test_distribution_sessions.py
@@ -39,7 +39,7 @@
     one = served(max_snapshots_per_s=2.0)
     answers = [one.watch(f"w{number}", log="")[0] for number in range(5)]
     assert sum(isinstance(answer, SnapshotPart) for answer in answers) == 2
-    assert {answer.reason for answer in answers if isinstance(answer, Unavailable)} == {server.SNAPSHOTS}
+    assert {answer.reason for answer in answers if isinstance(answer, Unavailable)} == {server.TOO_MANY_SNAPSHOTS}
     assert len(one.server.sessions) == 2
 
 
@@ -106,8 +106,8 @@
         one.now += 400
         one.watch(f"w{number}", revision=1)
     looked_after = []
-    look_after = one.server._look_after
-    one.server._look_after = lambda now, session: (looked_after.append(session.name), look_after(now, session))
+    look_after = one.server._service_session
+    one.server._service_session = lambda now, session: (looked_after.append(session.name), look_after(now, session))
     one.acknowledge(1, "w7")
     assert looked_after == []
     one.now = max(one.now, one.server.due())
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -3,10 +3,10 @@
 import pytest
 
 from rackhub.fleet.distribution.coordinator import Coordinator
-from rackhub.fleet.distribution.core_runner import MOST_SENDERS, CoreRunner, Inbox, SenderCounts
+from rackhub.fleet.distribution.core_runner import MAX_SENDERS, CoreRunner, Inbox, SenderCounts
 from rackhub.fleet.distribution.events import (
-    CheckAsked,
     CheckDone,
+    CheckRequested,
     Decided,
     IncrementCounter,
     Node,
@@ -96,8 +96,8 @@
 
 def test_mail_that_can_t_be_read_is_dropped_and_counted_under_its_sender():
     net, core, inbox, endpoint = endpoint_with({Received: (Send("b", Unwatch(9)),)})
-    heard = []
-    net.nodes["b"].subscribe(KIND, lambda sender, body: heard.append((sender, body)))
+    last_seen = []
+    net.nodes["b"].subscribe(KIND, lambda sender, body: last_seen.append((sender, body)))
     endpoint.start()
     for body in (
         b"",
@@ -111,7 +111,7 @@
     net.nodes["b"].send("a", KIND, encode(Unwatch(3)))
     net.time.run(20 * MS)
     assert core.events == [Tick(), Received("b", Unwatch(3))]
-    assert heard == [("a", encode(Unwatch(9)))]
+    assert last_seen == [("a", encode(Unwatch(9)))]
     assert {row["counter"]: row["count"] for row in inbox.sender_counts.rows()} == {
         "distribution_unreadable": 5,
         "distribution_misdirected": 1,
@@ -121,10 +121,10 @@
 
 def test_senders_are_counted_by_name_up_to_a_bound():
     counts = SenderCounts()
-    for number in range(MOST_SENDERS + 10):
+    for number in range(MAX_SENDERS + 10):
         counts.add("unreadable", f"n{number}")
-    assert len(counts.rows()) == MOST_SENDERS + 1
-    assert sum(row["count"] for row in counts.rows()) == MOST_SENDERS + 10
+    assert len(counts.rows()) == MAX_SENDERS + 1
+    assert sum(row["count"] for row in counts.rows()) == MAX_SENDERS + 10
 
 
 # ---- the disk
@@ -146,22 +146,22 @@
 def test_what_was_persisted_is_held_by_the_next_process_and_nothing_before_its_sync():
     net, disk = memory()
     store, done = loaded(disk), []
-    assert store.held == StoredState()
+    assert store.stored == StoredState()
     store.persist(Persist("log", 2, (entry("a", b"1", 1), entry("b", b"2", 2)), True), lambda: done.append(2))
     assert not done
     net.time.run(MS)
     assert done == [2]
     store.persist(Persist("log", 3, (entry("a", None, 3), entry("c", b"3", 3)), False), lambda: done.append(3))
     disk.crash()
-    assert loaded(disk).held.revision == 2
+    assert loaded(disk).stored.revision == 2
     again = loaded(disk)
     again.persist(Persist("log", 3, (entry("a", None, 3), entry("c", b"3", 3)), False), lambda: done.append(3))
     net.time.run(MS)
     disk.crash()
-    held = loaded(disk).held
+    held = loaded(disk).stored
     assert (held.log, held.revision, held.scope, sorted(held.entries)) == ("log", 3, ("",), ["b", "c"])
     again.persist(Persist("other", 1, (entry("z", b"", 1),), True), lambda: None)
-    assert list(loaded(disk).held.entries) == ["z"] and loaded(disk).held.log == "other"
+    assert list(loaded(disk).stored.entries) == ["z"] and loaded(disk).stored.log == "other"
 
 
 def test_values_that_were_in_force_before_are_kept_with_the_change_that_replaces_them():
@@ -190,7 +190,7 @@
     disk.put(key, body, lambda: None)
     assert list(disk.scan("distribution/entry/"))
     damaged = loaded(disk, counts)
-    assert damaged.held == StoredState() and "can't be read" in damaged.damage and counts == ["distribution_damaged"]
+    assert damaged.stored == StoredState() and "can't be read" in damaged.damage and counts == ["distribution_damaged"]
     assert not loaded(disk).damage and not list(disk.scan("distribution/entry/"))
 
 
@@ -205,14 +205,14 @@
     identity = disk.identity
     disk.end()
     disk = StoreDisk(reactor, path)
-    assert disk.identity == identity and sorted(loaded(disk).held.entries) == ["b"]
-    assert loaded(disk).held.revision == 3
+    assert disk.identity == identity and sorted(loaded(disk).stored.entries) == ["b"]
+    assert loaded(disk).stored.revision == 3
     disk.end()
     for file in path.iterdir():
         if file.stat().st_size:
             file.write_bytes(b"\xff" * file.stat().st_size)
     disk = StoreDisk(reactor, path)
-    assert disk.damage and disk.identity != identity and loaded(disk).held == StoredState()
+    assert disk.damage and disk.identity != identity and loaded(disk).stored == StoredState()
     disk.end()
     assert any(aside.name.startswith("distribution.damaged-") for aside in tmp_path.iterdir())
 
@@ -224,7 +224,7 @@
     """Refuses the values that it is told to."""
 
     def __init__(self, refused=()):
-        self.refused, self.held = refused, []
+        self.refused, self.apply_calls = refused, []
 
     def check(self, part):
         bad = [f"{name} = {value!r}: no" for name, value in (part or {}).items() if value in self.refused]
@@ -232,7 +232,7 @@
             raise ValueError("; ".join(bad))
 
     def apply(self, part, version):
-        self.held.append((version, part))
+        self.apply_calls.append((version, part))
 
 
 def nodes(voters=1, relays=2):
@@ -301,11 +301,11 @@
     stands = [coordinator_on(net, name, disks[name], refused=(9,)) for name in ("c0", "c1")]
     voter.change(first=1)
     assert net.time.run(16 * SECOND, lambda: voter.status().in_force == 2)
-    assert all(part.held[-1] == (1, {"first": 1}) for _, part in stands)
+    assert all(part.apply_calls[-1] == (1, {"first": 1}) for _, part in stands)
     voter.change(first=9, second=2)
     assert net.time.run(16 * SECOND, lambda: voter.status().in_force == 2)
     for coordinator, part in stands:
-        assert part.held[-1] == (2, {"first": 1, "second": 2})
+        assert part.apply_calls[-1] == (2, {"first": 1, "second": 2})
         assert list(coordinator.faults) == ["rules/p/first"] and coordinator.version == 2
         assert coordinator.figures()["distribution_refused_keys"] == 1
     assert net.time.run(16 * SECOND, lambda: voter.status().fault_count == 2)
@@ -319,10 +319,10 @@
         coordinator_on(net, name, disks[name], refused=(9,))
     voter.change(first=1)
     assert net.time.run(16 * SECOND, lambda: voter.status().in_force == 2)
-    voter.endpoint.dispatch(CheckAsked(7, (Entry("rules/p/first", encode_value(9), 0),)))
+    voter.endpoint.dispatch(CheckRequested(7, (Entry("rules/p/first", encode_value(9), 0),)))
     assert net.time.run(16 * SECOND, lambda: bool(voter.checks))
     [done] = voter.checks
-    assert isinstance(done, CheckDone) and done.mark == 7 and not done.silent
+    assert isinstance(done, CheckDone) and done.check_id == 7 and not done.unanswered
     assert [fault.key for fault in done.faults] == ["rules/p/first"]
 
 
@@ -336,13 +336,13 @@
     gone = coordinator.upstream
     net.nodes[gone].kill()
     voter.change(first=2)
-    assert net.time.run(16 * SECOND, lambda: part.held[-1] == (2, {"first": 2}))
+    assert net.time.run(16 * SECOND, lambda: part.apply_calls[-1] == (2, {"first": 2}))
     assert coordinator.upstream not in ("", gone)
 
 
 @pytest.mark.parametrize(
     "at",
-    [lambda coordinator: coordinator.version == 2, lambda coordinator: coordinator.held.revision == 2],
+    [lambda coordinator: coordinator.version == 2, lambda coordinator: coordinator.stored.revision == 2],
     ids=["in force", "on the disk"],
 )
 def test_a_coordinator_resumes_from_its_disk_with_what_was_in_force(at):
@@ -360,11 +360,11 @@
     net.nodes["c0"].restart()
     net.cut({"c0"}, set(net.nodes))
     again, part = coordinator_on(net, "c0", disks["c0"], generation=2, refused=(9,))
-    assert part.held == [(2, {"first": 1, "second": 2})] and again.version == 2
+    assert part.apply_calls == [(2, {"first": 1, "second": 2})] and again.version == 2
     net.heal()
     voter.change(first=3)
     assert net.time.run(16 * SECOND, lambda: again.version == 3)
-    assert part.held[-1] == (3, {"first": 3, "second": 2}) and not again.faults
+    assert part.apply_calls[-1] == (3, {"first": 3, "second": 2}) and not again.faults
 
 
 def test_a_scope_keeps_other_keys_away():
@@ -373,7 +373,7 @@
     coordinator, part = coordinator_on(net, "c0", disks["c0"], scope=("rules/p/a",))
     voter.change(a=1, b=2)
     assert net.time.run(16 * SECOND, lambda: coordinator.version == 1)
-    assert part.held == [(1, {"a": 1})] and list(coordinator.held.entries) == ["rules/p/a"]
+    assert part.apply_calls == [(1, {"a": 1})] and list(coordinator.stored.entries) == ["rules/p/a"]
 
 
 def test_a_relay_counts_the_coordinators_of_its_zone_by_the_members_word():
--- a/tests/test_distribution_upstream.py
+++ b/tests/test_distribution_upstream.py
@@ -55,7 +55,7 @@
     effects = driven.passes(driven.limits.upstream_timeout)
     assert Send(driven.upstream, Unwatch(driven.session)) in effects
     assert watched(effects)[0] not in (driven.upstream, "abroad")
-    assert driven.watcher.held.revision == 5, "what it holds stays"
+    assert driven.watcher.stored.revision == 5, "what it holds stays"
 
 
 def test_an_upstream_behind_what_is_held_is_left_for_another():
