--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -7,7 +7,7 @@
 from rackhub.fleet.distribution.editing import EditRequest
 from rackhub.fleet.distribution.editor import EditDone, EditFailed
 from rackhub.fleet.distribution.events import Node, Role
-from rackhub.fleet.distribution.history import MOST_CHANGES, History, RevisionNotRetained
+from rackhub.fleet.distribution.history import MAX_CHANGES, History, RevisionNotRetained
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import Change, Entry
 from rackhub.fleet.distribution.ports import Identity
@@ -29,7 +29,7 @@
     """Takes no 9, and no 8 where it is told so."""
 
     def __init__(self, refused=(9,)):
-        self.refused, self.held = refused, []
+        self.refused, self.apply_calls = refused, []
 
     def check(self, part):
         bad = [f"{name} = {value!r}: no" for name, value in (part or {}).items() if value in self.refused]
@@ -37,7 +37,7 @@
             raise ValueError("; ".join(bad))
 
     def apply(self, part, version):
-        self.held.append((version, part))
+        self.apply_calls.append((version, part))
 
 
 class VoterFleet:
@@ -115,7 +115,7 @@
     stand.wait(lambda: stand.all_at(1))
     assert stand.edit("e2", 1, "v1", a=1, b=3) == 2
     stand.wait(lambda: stand.all_at(2))
-    assert all(part.held[-1] == (2, {"a": 1, "b": 3}) for part in stand.parts.values())
+    assert all(part.apply_calls[-1] == (2, {"a": 1, "b": 3}) for part in stand.parts.values())
     stand.wait(lambda: stand.processes["v2"].replication.replicated_revision() == 2)
     assert stand.processes["v2"].figures()["distribution_replicated"] == 2
 
@@ -192,11 +192,11 @@
     stand.edit("e1", 0, a=1)
     stand.wait(lambda: stand.all_at(1))
     here = stand.request_edit(id="e2", base_revision=1, sections={"p": {"a": 9}})
-    assert here == EditFailed("this voter can't take it: rules/p/a: a = 9: no", faulty=True)
+    assert here == EditFailed("this voter can't take it: rules/p/a: a = 9: no", invalid=True)
     for name in COORDINATORS:
         stand.parts[name].refused = (8,)
     there = stand.request_edit(id="e3", base_revision=1, sections={"p": {"a": 8}})
-    assert there == EditFailed("a coordinator can't take it: rules/p/a: a = 8: no", faulty=True)
+    assert there == EditFailed("a coordinator can't take it: rules/p/a: a = 8: no", invalid=True)
     assert stand.processes["v0"].version == 1
 
 
@@ -224,8 +224,10 @@
     stand.net.heal()
     stand.wait(lambda: stand.processes["c1"].version == 2)
     stand.wait(lambda: stand.processes["v0"].status().fault_count == 1)
-    assert [(fault.key, fault.reason) for fault in stand.processes["v0"].refused_keys()] == [("rules/p/a", "a = 8: no")]
-    assert stand.parts["c1"].held[-1] == (2, {"a": 1})
+    assert [(fault.key, fault.reason) for fault in stand.processes["v0"].rejected_keys()] == [
+        ("rules/p/a", "a = 8: no")
+    ]
+    assert stand.parts["c1"].apply_calls[-1] == (2, {"a": 1})
 
 
 def test_undo_brings_back_what_was_and_an_undo_of_an_undo_is_a_redo():
@@ -279,7 +281,7 @@
 def test_a_voter_that_missed_what_the_register_no_longer_has_takes_it_from_another_one():
     stand = VoterFleet()
     catch_up_to_revision_7(stand)
-    assert stand.content("v2") == {"p": {"a": 7}} and stand.parts["v2"].held[-1] == (7, {"a": 7})
+    assert stand.content("v2") == {"p": {"a": 7}} and stand.parts["v2"].apply_calls[-1] == (7, {"a": 7})
     with pytest.raises(RevisionNotRetained, match="revision 3 is not kept here: there are 7 to 7"):
         stand.request_edit("v2", "e9", 3, sections={"p": {"a": 9}})
     stand.net.time.run(2 * SECOND)
@@ -310,7 +312,7 @@
     stand.edit("e2", 0, a=2)
     stand.edit("e3", 1, a=3)
     stand.net.time.run(30 * SECOND)
-    assert all(stand.parts[name].held[-1] == (1, {"a": 1}) for name in COORDINATORS)
+    assert all(stand.parts[name].apply_calls[-1] == (1, {"a": 1}) for name in COORDINATORS)
     assert stand.processes["v0"].status().in_force == 0
     assert any(stand.net.nodes[name].counts["distribution_other_logs"] for name in (*RELAYS, *COORDINATORS))
     for name in (*RELAYS, *COORDINATORS):
@@ -319,7 +321,7 @@
             stand.disks[name].wipe(f"new {name}")
         stand.restart(name)
     stand.wait(lambda: stand.all_at(2))
-    assert stand.parts["c1"].held[-1] == (2, {"a": 3})
+    assert stand.parts["c1"].apply_calls[-1] == (2, {"a": 3})
 
 
 def test_a_change_whose_editor_s_voter_ended_before_it_told_anybody_is_finished_by_the_others():
@@ -344,7 +346,7 @@
     stand.kill("v1")
     stand.kill("v2")
     failed = stand.request_edit(id="e1", base_revision=1, sections={"p": {"a": 1}})
-    assert isinstance(failed, EditFailed) and not failed.faulty and "no answer from v1, v2" in failed.reason
+    assert isinstance(failed, EditFailed) and not failed.invalid and "no answer from v1, v2" in failed.reason
     assert stand.processes["v0"].version == 1
 
 
@@ -385,8 +387,8 @@
         stand.wait(lambda wanted=wanted, number=number: stand.processes[wanted].version == number, 30)
     stand.wait(lambda: stand.all_at(12), 30)
     for name in COORDINATORS:
-        versions = [version for version, _ in stand.parts[name].held]
-        assert versions == sorted(versions) and stand.parts[name].held[-1] == (12, {"a": 22})
+        versions = [version for version, _ in stand.parts[name].apply_calls]
+        assert versions == sorted(versions) and stand.parts[name].apply_calls[-1] == (12, {"a": 22})
 
 
 def test_the_disk_of_a_voter_of_another_set_is_refused():
@@ -426,16 +428,16 @@
     net = Net(["a"])
     disk = MemoryDisk(net.nodes["a"].later, "d")
     history, held = History(disk, 0), {}
-    for revision in range(1, MOST_CHANGES + 11):
+    for revision in range(1, MAX_CHANGES + 11):
         one = change(revision, k=encode_value(revision))
         disk.write(history.add(one, held), lambda: None)
         held = {entry.key: entry for entry in one.entries}
-    newest = MOST_CHANGES + 10
+    newest = MAX_CHANGES + 10
     assert (history.oldest, history.newest) == (10, newest)
     again = History(disk, newest)
     assert (again.oldest, again.by_id("e266").change.revision) == (10, 266)
-    assert again.since(newest - 1)[0].before == {"k": encode_value(newest - 1)}
-    assert len(list(disk.scan("distribution/history/"))) == MOST_CHANGES
+    assert again.since(newest - 1)[0].previous_values == {"k": encode_value(newest - 1)}
+    assert len(list(disk.scan("distribution/history/"))) == MAX_CHANGES
     disk.write({"distribution/history/0000000000000200": None}, lambda: None)
     broken = History(disk, newest)
     assert broken.oldest == 200
@@ -447,7 +449,7 @@
     damaged = History(disk, newest + 1)
     assert damaged.damage and damaged.oldest == damaged.newest == newest + 1
     assert len(list(disk.scan("distribution/history/"))) > 1  # so that their absence below says something
-    disk.write(damaged.begin_anew(400), lambda: None)
+    disk.write(damaged.reset(400), lambda: None)
     net.time.run(MS)
     assert not list(disk.scan("distribution/history/")) and damaged.oldest == 400
 
--- a/tests/test_distribution_watcher.py
+++ b/tests/test_distribution_watcher.py
@@ -13,18 +13,18 @@
     Update,
     Watch,
 )
-from rackhub.fleet.distribution.receiver import GAP_WAIT
+from rackhub.fleet.distribution.receiver import GAP_TIMEOUT
 
 
 def test_disk_then_force_then_acknowledgement():
     driven = Driven().connect()
     entry = Entry("b", b"6", 6)
     assert driven.update(5, 6, b=b"6") == [Persist(LOG, 6, (entry,), False)]
-    assert driven.watcher.held.revision == driven.watcher.revision == 5
+    assert driven.watcher.stored.revision == driven.watcher.revision == 5
     assert driven.step(events.Persisted(6)) == [Apply(LOG, 6, (entry,), False)]
-    assert (driven.watcher.held.revision, driven.watcher.revision) == (6, 5)
+    assert (driven.watcher.stored.revision, driven.watcher.revision) == (6, 5)
     assert acknowledged(driven.step(events.Applied(6))) == [6]
-    assert driven.watcher.held == StoredState(LOG, 6, ("",), {"a": Entry("a", b"5", 5), "b": entry})
+    assert driven.watcher.stored == StoredState(LOG, 6, ("",), {"a": Entry("a", b"5", 5), "b": entry})
 
 
 def test_one_write_at_a_time_and_later_ones_merge():
@@ -63,13 +63,13 @@
     effects = driven.update(5, 6, b=b"6")
     assert persisted(effects) == [6]
     assert driven.watcher._delivery.newest == 7
-    assert not watched(driven.passes(2 * GAP_WAIT))
+    assert not watched(driven.passes(2 * GAP_TIMEOUT))
 
 
 def test_a_gap_that_stays_makes_it_watch_anew_from_what_it_holds():
     driven = Driven().connect()
     driven.update(6, 7, b=b"7")
-    effects = driven.passes(GAP_WAIT)
+    effects = driven.passes(GAP_TIMEOUT)
     (again,) = [one for one in effects if isinstance(one, Send)]
     assert again == Send(driven.upstream, Watch(driven.session + 1, LOG, 5, ("",), 4, "z"))
     assert ("distribution_gaps", driven.upstream) in driven.counted
@@ -82,7 +82,7 @@
     assert persisted(driven.received(Heartbeat(driven.session, LOG, 5, 9))) == [9]
     driven = Driven().connect()
     assert not persisted(driven.received(Heartbeat(driven.session, LOG, 6, 9)))
-    assert watched(driven.passes(GAP_WAIT)) == [driven.upstream]
+    assert watched(driven.passes(GAP_TIMEOUT)) == [driven.upstream]
 
 
 def test_a_heartbeat_is_answered_and_never_leads_back():
@@ -107,7 +107,7 @@
     effects = driven.received(SnapshotPart(driven.session, LOG, 9, 0, 2, (first,)))
     assert [one for one in effects if isinstance(one, Persist)] == [Persist(LOG, 9, (first, second), True)]
     driven.step(events.Persisted(9))
-    assert driven.watcher.held.entries == {"b": first, "c": second}
+    assert driven.watcher.stored.entries == {"b": first, "c": second}
     driven.step(events.Applied(9))
     again = driven.received(SnapshotPart(driven.session, LOG, 9, 1, 2, (second,)))
     assert [(one.message.revision, one.message.parts) for one in again] == [(9, 2)]
--- a/tests/test_voter_disk.py
+++ b/tests/test_voter_disk.py
@@ -7,11 +7,11 @@
 from twisted.internet.task import Clock
 
 from rackhub.fleet.distribution import history as history_module
-from rackhub.fleet.distribution.catching_up import CatchUp
+from rackhub.fleet.distribution.catch_up import CatchUp
 from rackhub.fleet.distribution.editing import EditRequest, plan
 from rackhub.fleet.distribution.events import Apply, Persist, Persisted
 from rackhub.fleet.distribution.history import History, RevisionNotRetained
-from rackhub.fleet.distribution.learning import Learner
+from rackhub.fleet.distribution.learner import Learner
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import Change, Entry
 from rackhub.fleet.distribution.ports import Identity
@@ -21,7 +21,7 @@
 from rackhub.store.faulty import MemoryFiles, PowerCut
 
 LOG = "log"
-MOST_CHANGES = 3  # kept in these tests, so that a few changes trim the history
+MAX_CHANGES = 3  # kept in these tests, so that a few changes trim the history
 SNAPSHOT_REVISION = 8
 LAST_REVISION = 12
 CUTS_PER_STEP = 4  # of what a power cut may leave, each drawn anew
@@ -36,7 +36,7 @@
         self.reactor, self.files, self.counts = Clock(), files, []
         self.disk = StoreDisk(self.reactor, "memory", files=files)
         self.store = StateStore(self.disk, ("",), lambda name, by: self.counts.append(name))
-        self.history = History(self.disk, self.store.held.revision)
+        self.history = History(self.disk, self.store.stored.revision)
         self.decided, self.gaps = [], []
         self.learner = Learner(
             self.store, self.history, lambda begun: None, self.decided.append, self.gaps.append, lambda name, by: None
@@ -92,14 +92,14 @@
 def oldest(revision):
     """The earliest revision that the history reaches back to when that one is the newest."""
     begun = SNAPSHOT_REVISION if revision >= SNAPSHOT_REVISION else 0
-    return max(begun, revision - MOST_CHANGES)
+    return max(begun, revision - MAX_CHANGES)
 
 
 def check(here, least):
     """All that a restart must find: a revision not before `least`, its values, and an undo to each kept revision."""
-    newest = here.store.held.revision
+    newest = here.store.stored.revision
     assert newest >= least, "a revision that was acknowledged is gone"
-    assert {key: entry.value for key, entry in here.store.held.entries.items()} == content(newest)
+    assert {key: entry.value for key, entry in here.store.stored.entries.items()} == content(newest)
     assert (here.history.oldest, here.history.newest) == (oldest(newest), newest)
     for to in range(oldest(newest), newest):
         request = EditRequest(kind="undo", author="ann", reason="r", id="u", base_revision=newest, target_revision=to)
@@ -110,14 +110,14 @@
     if oldest(newest):
         with pytest.raises(RevisionNotRetained):
             here.history.since(oldest(newest) - 1)
-    stored = {key for key, _ in here.disk.scan("distribution/history/")}
-    assert len(stored) == newest - oldest(newest), "records of the history stay that nothing leads to"
+    stored_keys = {key for key, _ in here.disk.scan("distribution/history/")}
+    assert len(stored_keys) == newest - oldest(newest), "records of the history stay that nothing leads to"
     assert not here.counts and not here.history.damage
 
 
 @pytest.fixture(autouse=True)
 def short_history(monkeypatch):
-    monkeypatch.setattr(history_module, "MOST_CHANGES", MOST_CHANGES)
+    monkeypatch.setattr(history_module, "MAX_CHANGES", MAX_CHANGES)
 
 
 def fault_free_steps():
@@ -145,8 +145,8 @@
         for draw in range(CUTS_PER_STEP):
             again = VoterDisk(here.files.after_power_cut(f"{seed} {step} {draw}"))
             check(again, here.learner.synced)
-            seen.add(again.store.held.revision)
-            for revision in range(again.store.held.revision + 1, LAST_REVISION + 1):
+            seen.add(again.store.stored.revision)
+            for revision in range(again.store.stored.revision + 1, LAST_REVISION + 1):
                 again.take(revision)
             check(VoterDisk(again.files.copy()), LAST_REVISION)
     assert seen >= set(range(LAST_REVISION)), "each revision is the newest after some cut"
@@ -164,7 +164,7 @@
         here.take(revision)
         assert here.learner.synced == first - 1, "nothing is acknowledged that is not on the disk"
     here.run_iterations(1.5)  # a retry fails too
-    assert VoterDisk(here.files.copy()).store.held.revision in range(first - 1, first + changes)
+    assert VoterDisk(here.files.copy()).store.stored.revision in range(first - 1, first + changes)
     here.files.fail_at = 0
     for _ in range(4):
         here.run_iterations(4)
