--- a/rackhub/fleet/distribution/assembly.py
+++ b/rackhub/fleet/distribution/assembly.py
@@ -1,40 +1,43 @@
-"""Puts together at the receiver what the way there took apart: parts of a snapshot, and updates in their order."""
+"""Reassembles messages at the receiver: the parts of a snapshot, and updates that arrive out of order."""
 
 from rackhub.fleet.distribution.messages import Entry, LogId, Revision, SnapshotPart, Update
 
-MAX_BUFFERED_UPDATES = 8  # that wait for the one before them
+MAX_BUFFERED_UPDATES = 8  # that wait for an earlier one; those with the highest revisions are dropped
 
 
 class SnapshotAssembly:
-    """The parts of one snapshot that have come."""
+    """The received parts of one snapshot."""
 
     def __init__(self, first: SnapshotPart) -> None:
         self.log: LogId = first.log
         self.revision: Revision = first.revision
         self.parts = first.parts
         self._received: dict[int, tuple[Entry, ...]] = {}
-        self.contiguous = 0  # parts from the first on, none missing
+        self.contiguous = 0  # number of parts without a gap from the first one on
 
     def matches(self, part: SnapshotPart) -> bool:
-        """Whether it is of this snapshot."""
+        """Return whether a part belongs to this snapshot."""
         same = part.log == self.log and part.revision == self.revision and part.parts == self.parts
         return same and part.part < self.parts
 
     def add(self, part: SnapshotPart) -> None:
+        """Add a part; a repeated one is ignored."""
         self._received.setdefault(part.part, part.entries)
         while self.contiguous in self._received:
             self.contiguous += 1
 
     @property
     def is_complete(self) -> bool:
+        """True once all parts have been received."""
         return self.contiguous == self.parts
 
     def entries(self) -> tuple[Entry, ...]:
+        """Return the entries of all parts. Call it only when the snapshot is complete."""
         return tuple(entry for part in range(self.parts) for entry in self._received[part])
 
 
 class ReorderBuffer:
-    """Updates that came before the one that they follow on, a few."""
+    """A few updates that arrived before the update they follow on."""
 
     def __init__(self) -> None:
         self._updates: list[Update] = []
@@ -43,13 +46,17 @@
         return bool(self._updates)
 
     def add(self, update: Update) -> None:
+        """Add an update. If the buffer is full, the update with the highest start is dropped."""
         if update not in self._updates:
             self._updates.append(update)
             self._updates.sort(key=lambda one: one.previous)
             del self._updates[MAX_BUFFERED_UPDATES:]
 
     def take(self, revision: Revision) -> Update | None:
-        """The next one that follows on for a holder of `revision`; those that it has outrun are dropped."""
+        """Return the next update that a watcher at `revision` can apply, or None.
+
+        Updates that it no longer needs are dropped.
+        """
         while self._updates and self._updates[0].previous <= revision:
             update = self._updates.pop(0)
             if update.revision > revision:
@@ -57,4 +64,5 @@
         return None
 
     def clear(self) -> None:
+        """Drop all updates."""
         self._updates.clear()
--- a/rackhub/fleet/distribution/catch_up.py
+++ b/rackhub/fleet/distribution/catch_up.py
@@ -1,4 +1,4 @@
-"""A voter that lacks changes which the register no longer has gets them from another voter, as a watcher of it."""
+"""Catch-up of a voter: it watches another voter to get changes that the register no longer has."""
 
 from collections.abc import Callable
 
@@ -19,8 +19,11 @@
 
 
 class CatchUp:
-    """`identity`: the voter's, with the other voters as upstreams. `taken` gets what came, once it is on the disk,
-    and the revision that was held before; what the voter learns otherwise must wait while `running`."""
+    """Fetches missing changes from another voter through a temporary watch.
+
+    `identity` is that of the voter, with the other voters as upstreams. `on_applied` gets what was received, once it is
+    on the disk, and the revision before it. While `running`, the voter must not learn changes in another way.
+    """
 
     def __init__(
         self,
@@ -48,11 +51,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether changes are being fetched from another voter."""
+        """True while changes are being fetched from another voter."""
         return self._runner is not None
 
     def begin(self, target_revision: Revision) -> None:
-        """Go on until at least that revision is held."""
+        """Start a catch-up that ends once at least `target_revision` is stored, or extend the running one to it."""
         self._target_revision = max(self._target_revision, target_revision)
         if self._runner is not None:
             return
@@ -67,14 +70,14 @@
         self._runner.start()
 
     def stop(self) -> None:
-        """End the catch-up; what was stored of it stays."""
+        """End the catch-up. What it has stored so far is kept."""
         if self._runner is not None:
             self._runner.stop()
         self._runner = None
         self._inbox.route(VOTER_MESSAGE_TYPES, self._on_late_message)
 
     def _on_late_message(self, sender: str, message: object) -> None:
-        """The other voter has not noticed yet that nobody watches any more."""
+        """Count a message of a voter that does not know yet that the watch has ended."""
         self._fleet.add_count("distribution_late_catch_up", 1)
 
     def _perform(self, effect: Effect) -> None:
--- a/rackhub/fleet/distribution/decisions.py
+++ b/rackhub/fleet/distribution/decisions.py
@@ -1,8 +1,8 @@
-"""The value of the register that decides changes: the newest ones, until a majority of the voters has them.
+"""The register value that decides changes, as pure functions.
 
-A change is decided when the register takes a `Tail` with it. The register's value has a bound, so changes leave the
-tail once a majority of voters has applied them; a voter that lacks them gets them from another one. All here is pure:
-the register's proposer may call it several times.
+A change is decided when the register accepts a `Tail` that contains it. The size of the register value is limited, so a
+change is removed from the tail once a majority of the voters has applied it; a voter that missed it fetches it from
+another voter. The register's proposer may call these functions several times for one proposal.
 """
 
 from collections.abc import Iterable
@@ -14,20 +14,20 @@
 from rackhub.fleet.distribution.messages import Change, Entry, LogId, Revision
 from rackhub.fleet.register.messages import MAX_VALUE_BYTES
 
-MAX_ID_CHARS = 64  # most letters of an edit's id and author
+MAX_ID_CHARS = 64  # longest id and author of an edit
 MAX_REASON_CHARS = 200
-MAX_APPLIED_EDITS = 256  # ids that are known after their changes have left the tail
+MAX_APPLIED_EDITS = 256  # ids of edits that are kept after their changes have left the tail
 
 
 class AppliedEdit(msgspec.Struct, frozen=True, array_like=True):
-    """An edit whose change has left the tail, so that it is known when it comes again."""
+    """An edit whose change has left the tail. It is kept so that a repeated request for it is recognized."""
 
     id: str
     revision: Revision
 
 
 class Tail(msgspec.Struct, frozen=True, array_like=True):
-    """The changes after revision `settled`, none left out. `applied`: the last edits before them."""
+    """All changes after `compacted_revision`, without gaps, and the latest edits up to it (`applied`)."""
 
     log: LogId
     compacted_revision: Revision = 0
@@ -41,8 +41,11 @@
 
 
 class Edit(msgspec.Struct, frozen=True):
-    """What an editor asks for: keys to set, or to delete where the value is None. `id` is drawn once and kept when the
-    edit is tried again. `expected_revision`: refuse it where another change came before."""
+    """The keys to set, or to delete where the value is None.
+
+    `id` is generated once and reused when the edit is retried. The edit is rejected if `expected_revision` is given and
+    is not the newest revision.
+    """
 
     id: str
     values: dict[str, bytes | None]
@@ -52,11 +55,11 @@
 
 
 class EditRejected(Exception):
-    """The edit is not taken, and certainly not done."""
+    """The edit was rejected and has changed nothing."""
 
 
 class InvalidEdit(EditRejected):
-    """The edit itself can't be taken. `key`: the one at fault, empty where it is the whole."""
+    """The edit itself is invalid. `key` is the key at fault, or empty if the fault is in the edit as a whole."""
 
     def __init__(self, key: str, why: str) -> None:
         super().__init__(f"key {key!r}: {why}" if key else why)
@@ -64,7 +67,7 @@
 
 
 class RevisionMismatch(EditRejected):
-    """Another change has come before."""
+    """The edit expects a revision that is not the newest one."""
 
     def __init__(self, expected: Revision, newest: Revision) -> None:
         super().__init__(f"the newest revision is {newest}, the edit expects {expected}")
@@ -72,7 +75,7 @@
 
 
 class TailFull(EditRejected):
-    """Too many changes wait for a majority of the voters to apply them."""
+    """Too many changes are waiting until a majority of the voters has applied them."""
 
     def __init__(self, size: int, pending: int) -> None:
         super().__init__(
@@ -87,12 +90,12 @@
 
 
 def encode_tail(tail: Tail) -> bytes:
-    """The register's value that holds the tail."""
+    """Return the register value for the tail."""
     return _encode(tail)
 
 
 def decode_tail(value: bytes) -> Tail:
-    """Raises `msgspec.MsgspecError` for what is no tail."""
+    """Decode a register value. Raises `msgspec.MsgspecError` if it is not a valid tail."""
     tail = _decode(value)
     for offset, change in enumerate(tail.changes, 1):
         if change.revision != tail.compacted_revision + offset:
@@ -103,15 +106,18 @@
 
 
 def decided_revision(tail: Tail, edit_id: str) -> Revision | None:
-    """The revision under which that edit was decided, as far as it is remembered."""
+    """Return the revision that decided this edit, or None if it is not known (any more)."""
     decided = {change.id: change.revision for change in tail.changes}
     applied = {edit.id: edit.revision for edit in tail.applied}
     return decided.get(edit_id, applied.get(edit_id))
 
 
 def append_edit(tail: Tail, edit: Edit, replicated: Revision) -> Tail:
-    """The tail with the edit as its newest change; the same tail where it was decided before. `replicated`: a majority
-    of the voters has applied the changes up to it. Raises `EditRejected`."""
+    """Return the tail with the edit as its newest change, or the same tail if the edit is already decided.
+
+    A majority of the voters has applied the changes up to `replicated`; they are removed from the tail. Raises
+    `EditRejected`.
+    """
     if decided_revision(tail, edit.id) is not None:
         return tail
     check_edit(edit)
@@ -129,7 +135,7 @@
 
 
 def trim(tail: Tail, replicated: Revision) -> Tail:
-    """The tail without the changes up to `replicated`."""
+    """Return the tail without the changes up to `replicated`."""
     compacted_revision = min(max(replicated, tail.compacted_revision), tail.newest)
     dropped, remaining = (
         tail.changes[: compacted_revision - tail.compacted_revision],
@@ -140,7 +146,7 @@
 
 
 def check_edit(edit: Edit) -> None:
-    """Raises `InvalidEdit` where something is over its bound."""
+    """Check the limits of an edit. Raises `InvalidEdit`."""
     if not 0 < len(edit.id) <= MAX_ID_CHARS or len(edit.author) > MAX_ID_CHARS or len(edit.reason) > MAX_REASON_CHARS:
         _reject(f"id and author have at most {MAX_ID_CHARS} letters, a reason {MAX_REASON_CHARS}; an id must be there")
     if not 0 < len(edit.values) <= MAX_CHANGE_ENTRIES:
@@ -173,7 +179,10 @@
 
 
 def majority_revision(applied: Iterable[Revision], voters: int) -> Revision:
-    """The newest revision that a majority of so many voters has applied; `applied` of those that are known."""
+    """Return the newest revision that a majority of `voters` voters has applied.
+
+    `applied` contains the revisions of those voters whose revision is known.
+    """
     newest_first = sorted(applied, reverse=True)
     needed = voters // 2 + 1
     return newest_first[needed - 1] if len(newest_first) >= needed else 0
--- a/rackhub/fleet/distribution/delivery.py
+++ b/rackhub/fleet/distribution/delivery.py
@@ -1,4 +1,4 @@
-"""The way of a received change at a watcher: onto the disk, then in force, and only then acknowledged."""
+"""Delivery of received changes at a watcher: written to disk, then applied, and acknowledged only after that."""
 
 from typing import Protocol
 
@@ -9,11 +9,12 @@
 from rackhub.fleet.distribution.messages import Entry, KeyFault, LogId, Revision
 from rackhub.fleet.distribution.state import entry_size
 
-MAX_QUEUED_BYTES = 4 * MAX_UPDATE_BYTES  # of updates that wait for the disk; what comes beyond is left to be sent again
+# Updates that wait for the disk. Those beyond this limit are dropped, and the upstream sends them again.
+MAX_QUEUED_BYTES = 4 * MAX_UPDATE_BYTES
 
 
 class Incoming(msgspec.Struct, frozen=True):
-    """Entries on their way in: a snapshot, or what changed up to `revision`."""
+    """A received snapshot, or the entries that changed up to `revision`."""
 
     log: LogId
     revision: Revision
@@ -22,30 +23,30 @@
 
 
 class Delivery(Protocol):
-    """What a watcher does with what it receives."""
+    """Handles the changes that a watcher receives."""
 
     @property
     def log(self) -> LogId:
-        """Of what is held or under way; empty where there is nothing."""
+        """The log of what is stored or being written; empty if there is nothing."""
 
     @property
     def revision(self) -> Revision:
-        """In force, and on the disk where there is one: it may be acknowledged."""
+        """The revision that is applied, and on disk if there is one, so that it may be acknowledged."""
 
     @property
     def newest(self) -> Revision:
-        """The revision that the last one taken ends at."""
+        """The newest revision that was accepted, applied or not."""
 
     @property
     def faults(self) -> tuple[KeyFault, ...]:
-        """Keys whose newest value could not be put in force."""
+        """Keys whose newest value could not be applied."""
 
     def take(self, received: Incoming) -> list[Effect] | None:
-        """It follows on `newest`. None: there is no room for it now."""
+        """Accept entries that follow on `newest`. Return None if the queue is full."""
 
 
 class DiskDelivery:
-    """One batch at a time is persisted, then applied; what comes meanwhile is merged into one that waits."""
+    """Persists and then applies one batch at a time. Batches that arrive meanwhile are merged into one queued batch."""
 
     def __init__(self, stored: StoredState, scope: tuple[str, ...]) -> None:
         self.log = stored.log
@@ -54,21 +55,23 @@
         self._on_disk = stored.revision
         self._entries = dict(stored.entries)
         self._current: Incoming | None = None
-        self._persisted = False  # the current one is on the disk
+        self._persisted = False  # True once the current batch is on the disk
         self._queued: Incoming | None = None
         self._queued_bytes = 0
         self._faults: dict[str, KeyFault] = {}
 
     @property
     def stored(self) -> StoredState:
-        """What is on the disk. The entries are the delivery's own: they change with it."""
+        """The state on the disk. The entries are not copied and change with later batches."""
         return StoredState(self.log, self._on_disk, self.scope, self._entries)
 
     @property
     def faults(self) -> tuple[KeyFault, ...]:
+        """Keys whose newest value could not be applied; at most `MAX_FAULT_KEYS`."""
         return tuple(self._faults.values())[:MAX_FAULT_KEYS]
 
     def take(self, received: Incoming) -> list[Effect] | None:
+        """Persist a batch, or queue it behind the current one. Return None if the queue is full."""
         if self._current is None:
             self.log, self.newest = received.log, received.revision
             return self._begin(received)
@@ -78,7 +81,7 @@
         return []
 
     def persisted(self, revision: Revision) -> list[Effect]:
-        """The disk has it. An answer for something else changes nothing."""
+        """Apply the current batch, which is now on the disk. Confirmations of other revisions are ignored."""
         current = self._current
         if current is None or self._persisted or revision != current.revision:
             return []
@@ -87,7 +90,10 @@
         return [Apply(current.log, current.revision, current.entries, current.snapshot)]
 
     def applied(self, revision: Revision, faults: tuple[KeyFault, ...]) -> list[Effect] | None:
-        """It is in force and may be acknowledged. None: that is not what was under way."""
+        """Mark the current batch as applied and start the queued one.
+
+        Return None if the current batch is another one or is not on the disk yet.
+        """
         current = self._current
         if current is None or not self._persisted or revision != current.revision:
             return None
@@ -101,7 +107,7 @@
         return [Persist(received.log, received.revision, received.entries, received.snapshot)]
 
     def _queue(self, received: Incoming) -> bool:
-        """Merge it into what waits, if there is room. A snapshot takes the place of all before it."""
+        """Merge a batch into the queued one; a snapshot replaces it. Return False if the queue is full."""
         queued = self._queued
         if received.snapshot or queued is None:
             self._queued, self._queued_bytes = received, 0
--- a/rackhub/fleet/distribution/events.py
+++ b/rackhub/fleet/distribution/events.py
@@ -1,6 +1,7 @@
-"""What goes into the pure cores and what comes out: `step(now, event) -> effects`. Times are microseconds.
+"""Events and effects of the pure cores: `step(now, event) -> effects`.
 
-`now` is of the process's own monotonic clock. Every core has `due()`: when a `Tick` is next of use.
+Times are microseconds of the process's own monotonic clock. The method `due()` of a core returns when a `Tick` is next
+needed.
 """
 
 from enum import Enum
@@ -11,7 +12,7 @@
 
 
 class Role(Enum):
-    """What a process is in a fleet with relays."""
+    """The role of a process in a fleet with relays."""
 
     VOTER = "voter"
     RELAY = "relay"
@@ -19,7 +20,7 @@
 
 
 class Node(msgspec.Struct, frozen=True):
-    """A voter or relay that others may watch."""
+    """A voter or relay that other processes may watch."""
 
     name: Name
     role: Role
@@ -27,8 +28,10 @@
 
 
 class StoredState(msgspec.Struct, frozen=True):
-    """What a watcher holds, and keeps on its disk: all entries in scope at `revision`, deleted ones left out. It is
-    dropped where `scope` is another than the one that is configured."""
+    """The state that a watcher has on disk: all existing entries in scope at `revision`.
+
+    It is dropped if `scope` differs from the configured scope.
+    """
 
     log: LogId = ""
     revision: Revision = 0
@@ -40,39 +43,41 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """The time that `due` named has come."""
+    """The time returned by `due` has come."""
 
 
 class Received(msgspec.Struct, frozen=True):
-    """A message from another process, by the name that the link knows it under."""
+    """A message from another process. `sender` is its name on the link."""
 
     sender: Name
     message: AnyMessage
 
 
 class Persisted(msgspec.Struct, frozen=True):
-    """To a watcher: the `Persist` of that revision is synced on the disk."""
+    """To a watcher: the `Persist` effect of that revision is synced to disk."""
 
     revision: Revision
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """To a watcher: the `Apply` of that revision is in force; `faults` names keys that go on with the value before."""
+    """To a watcher: the `Apply` effect of that revision is done. Keys in `faults` keep their previous values."""
 
     revision: Revision
     faults: tuple[KeyFault, ...] = ()
 
 
 class Decided(msgspec.Struct, frozen=True):
-    """To a source: the register has chosen these changes, in order. Those that it holds already are passed over."""
+    """To a source: the register has chosen these changes, in order. Changes that it already has are skipped."""
 
     log: LogId
     changes: tuple[Change, ...]
 
 
 class CaughtUp(msgspec.Struct, frozen=True):
-    """To a source whose register no longer holds all changes that it lacks: what it got instead from another voter, and
-    has on its disk. `snapshot`: that is all there is at `revision`; else all that changed after `previous`."""
+    """To a source: what a catch-up from another voter has brought, which is now on the disk.
+
+    With `snapshot`, the entries are all that exist at `revision`; else they are all that changed after `previous`.
+    """
 
     log: LogId
     previous: Revision
@@ -82,20 +87,23 @@
 
 
 class Confirmed(msgspec.Struct, frozen=True):
-    """To a source: `age` microseconds ago a majority of the voters had nothing newer than what it holds. A source that
-    was told so once says in its heartbeats how long ago it was; relays leave a voter that is cut off or stood still."""
+    """To a source: `age` microseconds ago a majority of the voters had nothing newer than the source has.
+
+    Once a source has received this event, its heartbeats contain the age, so that relays leave a voter that is cut off
+    or was stalled.
+    """
 
     age: int = 0
 
 
 class MembersChanged(msgspec.Struct, frozen=True):
-    """To a relay: so many coordinators live in its zone now."""
+    """To a relay: the number of live coordinators in its zone has changed."""
 
     live: int
 
 
 class CheckRequested(msgspec.Struct, frozen=True):
-    """To a source: an editor wants these entries looked at, by one coordinator of each zone."""
+    """To a source: have one coordinator of each zone check these entries for an editor."""
 
     check_id: int
     entries: tuple[Entry, ...]
@@ -108,15 +116,18 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Hand this message to the link. It may be lost."""
+    """Send a message over the link. It may be lost."""
 
     to: Name
     message: AnyMessage
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """Write this to the disk, sync it, and answer with `Persisted`. `snapshot`: everything else that is kept there in
-    scope goes; else entries are put in place of those of the same key, or deleted where their value is None."""
+    """Write this to disk, sync it, and answer with `Persisted`.
+
+    With `snapshot`, the entries replace everything in scope on the disk. Else each entry replaces that of the same key,
+    or deletes it if its value is None.
+    """
 
     log: LogId
     revision: Revision
@@ -125,7 +136,7 @@
 
 
 class Apply(msgspec.Struct, frozen=True):
-    """Put this in force, and answer with `Applied`. Fields as those of `Persist`."""
+    """Apply this and answer with `Applied`. The fields are those of `Persist`."""
 
     log: LogId
     revision: Revision
@@ -134,7 +145,7 @@
 
 
 class RunCheck(msgspec.Struct, frozen=True):
-    """At a coordinator: look whether these entries could be taken, and send `Checked` to `to` with the same mark."""
+    """At a coordinator: check whether these entries could be applied, and send `Checked` with the same id to `to`."""
 
     to: Name
     check_id: int
@@ -142,7 +153,7 @@
 
 
 class CheckDone(msgspec.Struct, frozen=True):
-    """At a source: the answers of a check are in, or its time is over. `silent`: zones that did not answer."""
+    """At a source: a check has ended, with all answers or by its timeout. Zones in `unanswered` did not answer."""
 
     check_id: int
     faults: tuple[KeyFault, ...]
@@ -150,7 +161,7 @@
 
 
 class IncrementCounter(msgspec.Struct, frozen=True):
-    """Add to the counter of that name; `sender` where it was somebody's fault."""
+    """Increment a counter. `sender` is the process that caused the fault, if any."""
 
     name: str
     sender: str = ""
--- a/rackhub/fleet/distribution/history.py
+++ b/rackhub/fleet/distribution/history.py
@@ -1,6 +1,6 @@
-"""The newest changes at a voter, each with the entries that it replaced: for conflicts, undo and the reader.
+"""The newest changes at a voter, each with the values it replaced: for conflict checks, undo and `rackhub rules`.
 
-Every voter keeps its own, as it learns of changes; after a snapshot it begins anew.
+Each voter stores its own history as it learns changes. After a snapshot the history starts empty.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,34 +13,37 @@
 
 MAX_CHANGES = 256
 MAX_BYTES = 4 << 20
-MIN_CHANGES = 2  # kept whatever their size
+MIN_CHANGES = 2  # always kept, whatever their size
 REVISION_DIGITS = 16
 PREFIX = "distribution/history/"
 
 
 class HistoryRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One change and the values that its keys had before it; None: no such key."""
+    """One change and the values of its keys before it; None means that the key did not exist."""
 
     change: Change
     previous_values: dict[str, bytes | None]
 
 
 class RevisionNotRetained(Exception):
-    """The changes since a revision are no longer all known here."""
+    """The changes since a revision are not (or no longer) all stored on this voter."""
 
     def __init__(self, revision: Revision, oldest: Revision, newest: Revision):
         super().__init__(f"revision {revision} is not kept here: there are {oldest} to {newest}")
 
 
 class History:
-    """`newest`: the revision that is held. `damage`: why what was on the disk could not be read; it is dropped then."""
+    """The stored changes up to revision `newest`, without gaps.
+
+    `damage` says why the stored records could not be read; they are dropped then.
+    """
 
     def __init__(self, disk: KeyedDisk, newest: Revision):
         self.newest = newest
         self.damage = ""
         self._records: dict[Revision, HistoryRecord] = {}
         self._sizes: dict[Revision, int] = {}
-        self._keys_to_delete: list[str] = []  # keys on the disk that go with the next write
+        self._keys_to_delete: list[str] = []  # deleted with the next write
         try:
             for key, body in disk.scan(PREFIX):
                 self._keys_to_delete.append(key)
@@ -55,11 +58,11 @@
 
     @property
     def oldest(self) -> Revision:
-        """The earliest revision that changes since are known of."""
+        """The earliest revision after which all changes are stored."""
         return self.newest - len(self._records)
 
     def add(self, change: Change, current: Mapping[str, Entry]) -> dict[str, bytes | None]:
-        """Take the next change, before it is applied to `held`. Returns what is to be written along with it."""
+        """Add the next change, before it is applied to `current`. Return the records to write together with it."""
         previous_values = {
             entry.key: current[entry.key].value if entry.key in current else None for entry in change.entries
         }
@@ -72,7 +75,10 @@
         return dict.fromkeys(dropped) | {_key(change.revision): body}
 
     def reset(self, newest: Revision) -> dict[str, bytes | None]:
-        """A snapshot came: nothing before it is known. Returns what is to be written along with it."""
+        """Drop all changes, because a snapshot replaced the state.
+
+        Return the records to delete together with its write.
+        """
         dropped = [*self._keys_to_delete, *map(_key, self._records)]
         self._records = {}
         self._sizes = {}
@@ -81,21 +87,21 @@
         return dict.fromkeys(dropped)
 
     def since(self, revision: Revision) -> list[HistoryRecord]:
-        """The changes after it, oldest first. Raises `RevisionNotRetained`."""
+        """Return the changes after a revision, oldest first. Raises `RevisionNotRetained`."""
         if not self.oldest <= revision <= self.newest:
             raise RevisionNotRetained(revision, self.oldest, self.newest)
         return [self._records[number] for number in range(revision + 1, self.newest + 1)]
 
     def newest_first(self) -> Iterable[HistoryRecord]:
-        """All changes that are kept, the last one first."""
+        """Return all stored changes, newest first."""
         return reversed(self.since(self.oldest))
 
     def by_id(self, id: str) -> HistoryRecord | None:
-        """The change of the edit with that id, as far as it is kept."""
+        """Return the change of the edit with that id; None if it is not stored."""
         return next((record for record in self.newest_first() if record.change.id == id), None)
 
     def _contiguous_records(self) -> dict[Revision, HistoryRecord]:
-        """Those up to the newest without a gap, oldest first."""
+        """Return the records up to the newest revision that have no gap between them, oldest first."""
         found: list[HistoryRecord] = []
         number = self.newest
         while number in self._records:
@@ -115,9 +121,10 @@
 
 
 def recover_misplaced(misplaced: Mapping[str, bytes | None], stored: StoredState) -> dict[str, bytes]:
-    """The history records among `misplaced` that are sound: of the newest change in `held`, and equal to what it left.
+    """Return the valid history records among `misplaced`.
 
-    Raises `msgspec.MsgspecError` where the newest change's record can't be read.
+    A record is valid if it is that of the newest change in `stored` and the entries in `stored` are those that the
+    change left. Raises `msgspec.MsgspecError` if the newest change's record can't be read.
     """
     key = _key(stored.revision)
     body = misplaced.get(key)
@@ -131,7 +138,7 @@
 
 
 def _entry_after(entry: Entry) -> Entry | None:
-    """What is held of a key after the entry; None where the entry deletes it."""
+    """Return what is stored for a key after the entry; None if the entry deletes it."""
     return entry if entry.value is not None else None
 
 
--- a/rackhub/fleet/distribution/learner.py
+++ b/rackhub/fleet/distribution/learner.py
@@ -1,4 +1,4 @@
-"""How a voter takes changes that a majority has chosen: on its disk first, then to its source, in order of revision."""
+"""Applies the changes that a majority of the voters has chosen: first to the disk, then to the source, by revision."""
 
 import logging
 from collections.abc import Callable
@@ -13,10 +13,12 @@
 
 
 class Learner:
-    """`begun` gets the empty state once its log is on the disk, `decided` each change once it is; `gap` the revision
-    before changes that can't be taken yet.
+    """Writes chosen changes in order of their revision.
 
-    `entries`, `revision` and `log` are as written, `synced` is the revision that the disk has.
+    `on_log_begun` gets the empty state once the log's id is on the disk, `on_decided` each change once it is on the
+    disk, and `on_gap` the last missing revision if a change can't be applied yet because earlier ones are missing.
+    `entries`, `revision` and `log` include changes whose write is not yet synced; `synced` is the revision that the
+    disk has.
     """
 
     def __init__(
@@ -41,11 +43,11 @@
         self._sync_waiters: list[tuple[Revision, Callable[[], None]]] = []
 
     def values(self) -> dict[str, bytes]:
-        """The value of each key as last learned, durable or not."""
+        """Return the value of each key, including changes whose write is not yet synced."""
         return {key: entry.value for key, entry in self.entries.items() if entry.value is not None}
 
     def learn_tail(self, tail: Tail) -> None:
-        """The register's value, as a majority has chosen it."""
+        """Learn the changes of a tail that a majority has chosen."""
         if self._is_other_log(tail.log):
             return
         if tail.compacted_revision > self.revision:
@@ -55,7 +57,7 @@
         self.learn(tail.log, tail.changes)
 
     def learn(self, log_id: LogId, changes: tuple[Change, ...]) -> None:
-        """Chosen changes of the log, in order; those that are held are passed over."""
+        """Learn chosen changes of a log, in order. Changes that are already stored are skipped."""
         if self._is_other_log(log_id):
             return
         for change in changes:
@@ -72,21 +74,21 @@
         return True
 
     def adopt_snapshot(self, snapshot: Apply) -> None:
-        """What another voter has, which is written already: it takes the place of all that is held here."""
+        """Replace the state with that of another voter, which is already on the disk."""
         self.entries = {} if snapshot.snapshot else self.entries
         self._update_entries(snapshot.entries)
         self.log, self.revision = snapshot.log, snapshot.revision
         self._mark_synced(snapshot.revision)
 
     def when_synced(self, revision: Revision, call: Callable[[], None]) -> None:
-        """Call back when the disk has that revision, at once where it has."""
+        """Call back once the disk has the revision; immediately if it already has it."""
         if revision <= self.synced:
             call()
         else:
             self._sync_waiters.append((revision, call))
 
     def _begin_log(self, log_id: LogId) -> None:
-        """The log's identity is known, and nothing of it is held: who watches can be told that this is all there is."""
+        """Store the id of an empty log, so that watchers learn that nothing is missing."""
         self.log = log_id
         empty = CaughtUp(log_id, 0, 0, (), True)
         self._store.persist(Persist(log_id, 0, (), False), lambda: self._on_log_begun(empty))
--- a/rackhub/fleet/distribution/ports.py
+++ b/rackhub/fleet/distribution/ports.py
@@ -1,4 +1,4 @@
-"""How shells, the scale run and the tests see the cores: the signatures that `watcher`, `relay` and `source` keep."""
+"""The interfaces of the cores (`watcher`, `relay`, `source`) for shells, the scale run and tests."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -10,27 +10,27 @@
 
 
 class Core(Protocol):
-    """A watcher, relay or source. It does no I/O and has no clock; the random stream is seeded by its maker."""
+    """A watcher, relay or source. It does no I/O, reads no clock and seeds its own random generator."""
 
     def step(self, now: int, event: Event) -> Sequence[Effect]: ...
 
     def due(self) -> int:
-        """When a `Tick` is next of use, in microseconds; never in the past of the last step by more than one grain."""
+        """Return when a `Tick` is next needed, in microseconds. It may lie slightly in the past."""
 
 
 class Identity(msgspec.Struct, frozen=True, kw_only=True):
-    """Who a core is. `upstreams` of a coordinator: all relays, its zone's and others; of a relay: all voters."""
+    """The identity of a core. A coordinator's `upstreams` are the relays of all zones, a relay's are all voters."""
 
     name: Name
     zone: str = ""
     upstreams: tuple[Node, ...] = ()
     scope: tuple[str, ...] = ("",)
     seed: int = 0
-    generation: int = 0  # greater at each start of the process: session numbers begin above it
+    generation: int = 0  # grows with each start of the process; session numbers begin above it
 
 
 class FleetStatus(msgspec.Struct, frozen=True):
-    """What a source knows of a revision. `lagging` = `expected` - `in_force`; `oldest`: milliseconds."""
+    """How far a revision has been applied, as a source knows it. `lagging` is `expected` - `in_force`."""
 
     revision: Revision
     in_force: int
@@ -42,16 +42,18 @@
 
 
 class Status(Protocol):
-    """What a source tells of a revision, the newest where none is given."""
+    """The status query of a source; None means the newest revision."""
 
     def status(self, now: int, revision: Revision | None = None) -> FleetStatus: ...
 
 
-# The constructors that the cores have:
-#   watcher.Watcher(identity: Identity, held: StoredState, limits: Limits, now: int)
-#       .held: StoredState, .revision: Revision (in force), .upstream: Name | None; its shell puts `held` in force
-#   relay.Relay(identity: Identity, limits: Limits, now: int)
-#       .revision: Revision (held), .watchers: int
-#   source.Source(identity: Identity, held: StoredState, limits: Limits, now: int)
-#       .revision: Revision, .status as in `Status`; it has no upstreams, and its shell persists a change before it
-#       hands in `Decided`.
+# The constructors and attributes of the cores:
+#
+# watcher.Watcher(identity: Identity, stored: StoredState, limits: Limits, now: int)
+#     .stored: StoredState, .revision: Revision (applied), .upstream: Name | None
+#     The shell applies `stored` before the first step.
+# relay.Relay(identity: Identity, limits: Limits, now: int)
+#     .revision: Revision (served), .watchers: int
+# source.Source(identity: Identity, stored: StoredState, limits: Limits, now: int)
+#     .revision: Revision, .status as in `Status`
+#     It has no upstreams. The shell persists a change before it passes `Decided`.
--- a/rackhub/fleet/distribution/receiver.py
+++ b/rackhub/fleet/distribution/receiver.py
@@ -1,7 +1,7 @@
-"""The messages of one session at the watcher: checked, put in order, and handed to the delivery.
+"""Checks the messages of one session at the watcher, puts them in order and hands them to the delivery.
 
-An update is taken only where all that it follows on is held. A gap is given a moment, since messages may overtake one
-another; then the watcher watches anew from what it holds.
+An update is accepted only if everything before it has been received. Messages may overtake one another, so a gap may
+last for `GAP_TIMEOUT`; after that the watcher starts a new watch from the revision that it has.
 """
 
 from rackhub.fleet.distribution.assembly import ReorderBuffer, SnapshotAssembly
@@ -12,13 +12,13 @@
 from rackhub.fleet.distribution.schedule import NEVER
 from rackhub.fleet.distribution.state import in_scope
 
-GAP_TIMEOUT = 300 * MILLISECOND  # for an update that was overtaken
+GAP_TIMEOUT = 300 * MILLISECOND  # for an update that was overtaken by a later message
 
 Content = Update | SnapshotPart | Heartbeat
 
 
 class UnusableUpstream(Exception):
-    """What the upstream sends can't be taken: it is to be left. `counter` says why."""
+    """The upstream sends unusable data and must be left. `counter` is the counter of the reason."""
 
     def __init__(self, counter: str) -> None:
         super().__init__(counter)
@@ -26,21 +26,25 @@
 
 
 class Receiver:
-    """Takes what an upstream sends. `acknowledge`: the last message is to be answered, with `parts` of `snapshot`."""
+    """Accepts the messages of an upstream.
+
+    `acknowledge_due` says whether the last message has to be acknowledged, with `parts` parts of the snapshot at
+    revision `snapshot`.
+    """
 
     def __init__(self, delivery: Delivery, scope: tuple[str, ...], min_snapshot_revision: Revision) -> None:
-        """`floor`: a snapshot below it is refused, also where nothing is held any more."""
+        """Snapshots before `min_snapshot_revision` are rejected, even if nothing is stored any more."""
         self._delivery, self._scope, self._min_snapshot_revision = delivery, scope, min_snapshot_revision
         self._assembly: SnapshotAssembly | None = None
         self._reorder_buffer = ReorderBuffer()
-        self._announced_revision: Revision = 0  # what a heartbeat said that was sent
+        self._announced_revision: Revision = 0  # newest revision that a heartbeat says was sent
         self.gap_deadline = NEVER
         self.acknowledge_due = False
         self.snapshot: Revision = 0
         self.parts = 0
 
     def begin_session(self) -> None:
-        """Nothing that was sent before counts."""
+        """Forget what was received in earlier sessions."""
         self._assembly = None
         self._reorder_buffer.clear()
         self._announced_revision = 0
@@ -48,7 +52,7 @@
         self.snapshot, self.parts = 0, 0
 
     def take(self, now: int, message: Content) -> list[Effect]:
-        """Raises `UnusableUpstream`."""
+        """Check a message and deliver its entries. Raises `UnusableUpstream`."""
         self.acknowledge_due, self.snapshot, self.parts = False, 0, 0
         self.check_log(message.log)
         if isinstance(message, Update):
@@ -61,7 +65,7 @@
         return effects
 
     def check_log(self, log: LogId) -> None:
-        """Raises `UnusableUpstream` for another log than that of what is held."""
+        """Check that a message belongs to the stored log. Raises `UnusableUpstream` if it does not."""
         if not log or self._delivery.log and log != self._delivery.log:
             raise UnusableUpstream("distribution_other_logs")
 
@@ -69,9 +73,9 @@
         if update.previous >= update.revision or any(entry.revision > update.revision for entry in update.entries):
             return [IncrementCounter("distribution_damaged")]
         if not self._delivery.log:
-            raise UnusableUpstream("distribution_damaged")  # who holds nothing is owed a snapshot
+            raise UnusableUpstream("distribution_damaged")  # a watcher without state must get a snapshot first
         if update.revision <= self._delivery.newest:
-            self.acknowledge_due = True  # it was sent again: the last acknowledgement may be lost
+            self.acknowledge_due = True  # sent again, since the last acknowledgement may be lost
             return []
         if update.previous > self._delivery.newest:
             self._reorder_buffer.add(update)
@@ -104,7 +108,7 @@
         self.acknowledge_due, self.snapshot, self.parts = True, snapshot, parts
 
     def _is_behind(self, part: SnapshotPart) -> bool:
-        """Whether a snapshot is no news for what is held or under way."""
+        """Return whether a snapshot is older than the limit, or not newer than what is stored or being written."""
         return (
             part.revision < self._min_snapshot_revision
             or bool(self._delivery.log)
@@ -114,7 +118,7 @@
     def _reject_snapshot(self, part: SnapshotPart) -> list[Effect]:
         if part.revision < self._min_snapshot_revision:
             raise UnusableUpstream("distribution_snapshots_refused")
-        self._confirm_parts(part.revision, part.parts)  # no more of it is needed
+        self._confirm_parts(part.revision, part.parts)  # acknowledge all parts, so that no more are sent
         return [IncrementCounter("distribution_snapshots_refused")] if part.revision < self._delivery.newest else []
 
     def _take_heartbeat(self, heartbeat: Heartbeat) -> list[Effect]:
--- a/rackhub/fleet/distribution/relay.py
+++ b/rackhub/fleet/distribution/relay.py
@@ -1,4 +1,4 @@
-"""A relay: a watcher of the voters that serves what it holds to the coordinators of its zone, from memory."""
+"""A relay: watches a voter and serves the coordinators of its zone from memory."""
 
 import random
 from collections.abc import Sequence
@@ -35,12 +35,12 @@
 from rackhub.fleet.distribution.state import KeyValueState
 from rackhub.fleet.distribution.watcher import Watcher
 
-MAX_REPORTS_PER_SECOND = 4  # at most, where something changes all the time
+MAX_REPORTS_PER_SECOND = 4  # upper limit while progress is reported continuously
 TICK = Tick()
 
 
 class MemoryDelivery:
-    """What is received is in force at once: it is in the state that the relay serves."""
+    """Delivers received changes to the state that the relay serves, where they are active at once."""
 
     faults: tuple[KeyFault, ...] = ()
 
@@ -49,17 +49,21 @@
 
     @property
     def log(self) -> LogId:
+        """Return the log of the served state; empty if there is none yet."""
         return self._state.log
 
     @property
     def revision(self) -> Revision:
+        """Return the revision of the served state."""
         return self._state.revision
 
     @property
     def newest(self) -> Revision:
+        """Return the revision of the served state; nothing is ever pending."""
         return self._state.revision
 
     def take(self, incoming: Incoming) -> list[Effect]:
+        """Apply the entries to the served state."""
         if incoming.snapshot:
             self._state.restore(incoming.log, incoming.revision, incoming.entries)
         else:
@@ -68,7 +72,7 @@
 
 
 class Relay:
-    """Takes everything from one voter, serves its zone's coordinators, and reports what they have to all voters."""
+    """Watches one voter for all keys, serves the coordinators of its zone and reports their progress to all voters."""
 
     def __init__(self, identity: Identity, limits: Limits, now: int) -> None:
         self._identity, self._limits = identity, limits
@@ -86,22 +90,25 @@
 
     @property
     def revision(self) -> Revision:
-        """Held."""
+        """The revision that the relay has and serves."""
         return self._state.revision
 
     @property
     def watchers(self) -> int:
+        """The number of watchers with a session."""
         return len(self._server.sessions)
 
     @property
     def upstream(self) -> Name | None:
+        """The voter that is being watched; None while there is none."""
         return self._watcher.upstream
 
     def due(self) -> int:
+        """Return when a `Tick` is next needed, in microseconds."""
         return min(self._watcher.due(), self._server.due(), self._checks.due(), self._report_at)
 
     def step(self, now: int, event: Event) -> Sequence[Effect]:
-        """Take an event, and do what is due by now."""
+        """Handle an event and do what is due at `now`."""
         effects: list[Effect] = []
         before = (self._state.log, self._state.revision)
         if now >= self._watcher.due():
@@ -153,5 +160,8 @@
         return [Send(node.name, report) for node in self._identity.upstreams]
 
     def _age(self, now: int) -> int:
-        """Since a voter was known to be at the revision that is held. It grows while the process stands still, too."""
+        """Return for how long the state has not been confirmed as the newest, in microseconds.
+
+        The age also grows while the process is stalled.
+        """
         return max(0, now - self._watcher.confirmed_at)
--- a/rackhub/fleet/distribution/schedule.py
+++ b/rackhub/fleet/distribution/schedule.py
@@ -1,29 +1,34 @@
-"""When each of many things is next due, without looking at all of them at each step."""
+"""Due times of many names, without a scan of all of them."""
 
 import heapq
 
-NEVER = 1 << 62  # microseconds
+NEVER = 1 << 62  # microseconds, later than any due time
 
 
 class Schedule:
-    """One time for each name. A later time than the one that is set costs nothing until the earlier one has come."""
+    """One due time for each name. Postponing a name costs nothing until its earlier time has come."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, str]] = []
-        self._times: dict[str, int] = {}  # the earliest entry of each name in the heap: others are void
+        # The earliest heap entry of each name. Other heap entries are void.
+        self._times: dict[str, int] = {}
 
     def set(self, name: str, time: int) -> None:
-        """Look at `name` at `time`, or sooner: a later time than the one before is found when that one has come."""
+        """Make `name` due at `time`, unless it is due earlier already.
+
+        The caller sets a later time once that has passed.
+        """
         known = self._times.get(name)
         if known is None or time < known:
             self._times[name] = time
             heapq.heappush(self._heap, (time, name))
 
     def remove(self, name: str) -> None:
+        """Drop the due time of a name."""
         self._times.pop(name, None)
 
     def take(self, now: int) -> list[str]:
-        """The names that are due. Each has no time until it is set again."""
+        """Return the names that are due and drop their due times."""
         names = []
         while self._heap and self._heap[0][0] <= now:
             time, name = heapq.heappop(self._heap)
@@ -33,7 +38,7 @@
         return names
 
     def due(self) -> int:
-        """When the next one is due."""
+        """Return the earliest due time; NEVER if there is none."""
         while self._heap and self._times.get(self._heap[0][1]) != self._heap[0][0]:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else NEVER
--- a/rackhub/fleet/distribution/server.py
+++ b/rackhub/fleet/distribution/server.py
@@ -1,7 +1,7 @@
-"""The serving side of a watch, at relays and voters: sessions of watchers over one state.
+"""The serving side of a watch, at relays and voters: the sessions of watchers over one state.
 
-A session is a position in the state's log. What is sent is made from the log at the time of sending, so changes of one
-key merge for a watcher that is slow, and a slow watcher costs no memory.
+A session is a position in the state's log. Messages are built from the log when they are sent. Changes to one key are
+therefore merged for a slow watcher, and a slow watcher uses no additional memory.
 """
 
 import random
@@ -35,8 +35,11 @@
 
 
 class WatchServer:
-    """Serves a state that its owner changes, and tells so by `publish`. `age`: microseconds at a given time since it
-    was last known that the state is the newest."""
+    """Serves a state to watchers.
+
+    Its owner changes the state and then calls `publish`. `age` returns for how many microseconds, at a given time, the
+    state has not been confirmed as the newest.
+    """
 
     def __init__(
         self,
@@ -47,19 +50,19 @@
         now: int,
         age: Callable[[int], int],
     ) -> None:
-        """`zone`: watchers of other zones are guests; empty: none are."""
+        """`zone` is that of the server; watchers of other zones are foreign. If it is empty, no watcher is foreign."""
         self.sessions: dict[Name, Session] = {}
-        self.progress = 0  # grows with each session that begins, ends or gets on
+        self.progress = 0  # increases whenever a session begins, ends or makes progress
         self._state, self._limits, self._age = state, limits, age
         self._admission = Admission(limits, zone, rng, now)
         self._foreign_watchers = 0
         self._due_times = Schedule()
         self._effects: list[Effect] = []
 
-    # ---- what the owner calls: each returns what is to be done
+    # ---- calls of the owner; each returns the effects to perform
 
     def receive(self, now: int, sender: Name, message: AnyMessage) -> list[Effect]:
-        """Take a message of a watcher."""
+        """Handle a watcher's message."""
         if isinstance(message, Watch):
             self._watch(now, sender, message)
         elif isinstance(message, Acknowledge):
@@ -69,13 +72,13 @@
         return self._take_effects()
 
     def publish(self, now: int) -> list[Effect]:
-        """The state has changed: send it to those who have credit."""
+        """Send the changed state to the watchers that have credit."""
         for session in list(self.sessions.values()):
             self._send_pending(now, session)
         return self._take_effects()
 
     def tick(self, now: int) -> list[Effect]:
-        """Heartbeats, messages to send again, sessions to end."""
+        """Send heartbeats and unacknowledged messages, and end expired sessions, where due."""
         for name in self._due_times.take(now):
             session = self.sessions.get(name)
             if session is not None:
@@ -83,6 +86,7 @@
         return self._take_effects()
 
     def due(self) -> int:
+        """Return when `tick` is next needed, in microseconds."""
         return self._due_times.due()
 
     # ---- sessions
@@ -104,7 +108,7 @@
             self._heartbeat(now, session)
 
     def _rejects(self, now: int, sender: Name, watch: Watch) -> bool:
-        """Whether this watch can't be served; the watcher is told why."""
+        """Return whether this watch can't be served. If so, the watcher gets the reason."""
         state = self._state
         if not state.log:
             return self._reject(sender, watch.session, NO_LOG, self._limits.min_retry_delay // MILLISECOND)
@@ -163,7 +167,7 @@
             heartbeat_at = session.heartbeat_at
             session.rewind(now)
             self._send_pending(now, session)
-            session.heartbeat_at = heartbeat_at  # what is sent again does not stand for a heartbeat
+            session.heartbeat_at = heartbeat_at  # a repeated message does not replace a heartbeat
         if now >= session.heartbeat_at and session.name in self.sessions:
             self._heartbeat(now, session)
         self._schedule(session)
@@ -173,19 +177,24 @@
             self._due_times.set(session.name, session.due(self._limits))
 
     def _heartbeat(self, now: int, session: Session) -> None:
-        """While a snapshot is under way, one that moves nothing on: what it ends at is not known to have come."""
+        """Send a heartbeat.
+
+        During a snapshot transfer it names only acknowledged revisions, because the watcher may not have the snapshot
+        yet.
+        """
         whole = session.transfer is None
         previous = session.last_update_revision if whole else session.acknowledged
         revision = session.position if whole else session.acknowledged
         age = self._age(now)
-        if revision < self._state.revision:  # the watcher lags: it is not to pass for fresh while it does not get on
+        # report the age of a watcher without progress, so that it does not pass for fresh
+        if revision < self._state.revision:
             age = max(age, now - session.progress_at)
         self._send(session.name, Heartbeat(session.number, self._state.log, previous, revision, age // MILLISECOND))
         session.heartbeat_at = now + self._limits.heartbeat_interval
         self._schedule(session)
 
     def _send_pending(self, now: int, session: Session) -> None:
-        """Send what there is, as far as the credit goes."""
+        """Send what is pending, as far as the credit allows."""
         awaited_before = session.awaits_acknowledge
         if session.transfer is None:
             self._send_updates(now, session)
--- a/rackhub/fleet/distribution/session.py
+++ b/rackhub/fleet/distribution/session.py
@@ -1,4 +1,4 @@
-"""What a server knows of one watcher. Nothing is queued for it: a position in the log says what it still has to get."""
+"""A server's state for one watcher. Nothing is queued: the position in the log determines what has to be sent."""
 
 from collections import deque
 
@@ -11,41 +11,47 @@
 
 
 class SnapshotTransfer:
-    """A snapshot on its way to one watcher, some parts at a time."""
+    """A snapshot that is being sent to one watcher, a few parts at a time."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
         self.next_part = 0
-        self.confirmed = 0  # parts from the first on that the watcher has in memory
+        self.confirmed = 0  # number of parts from the first one on that the watcher has in memory
 
     @property
     def in_flight(self) -> int:
+        """The number of parts sent and not confirmed."""
         return self.next_part - self.confirmed
 
     @property
     def all_sent(self) -> bool:
+        """True if each part was sent at least once since the last rewind."""
         return self.next_part == len(self.snapshot.parts)
 
     def confirm(self, parts: int) -> None:
+        """Record that the watcher has this many parts from the first one on."""
         self.confirmed = max(self.confirmed, min(parts, len(self.snapshot.parts)))
         self.next_part = max(self.next_part, self.confirmed)
 
     def rewind(self) -> None:
-        """Send again from the first part that is missing; the last one where none is, to have the watcher answer."""
+        """Send again from the first missing part, or the last part if none is missing, so that the watcher answers."""
         self.next_part = min(self.confirmed, len(self.snapshot.parts) - 1)
         self.confirmed = min(self.confirmed, self.next_part)
 
 
 class SentUpdate(msgspec.Struct, frozen=True):
-    """Where an update ended, and when it was sent."""
+    """The revision at which an update ended, and when it was sent."""
 
     revision: Revision
     sent_at: int
 
 
 class Session:
-    """One watch. `position`: all in scope up to it was sent. `chain`: where the last update sent ended, or what the
-    watcher has acknowledged since; the next one is marked as following on it."""
+    """One watch.
+
+    Everything in scope up to `position` was sent. `last_update_revision` is where the last sent update ended, or a
+    later revision that the watcher has acknowledged since; the next update names it as the one before.
+    """
 
     def __init__(self, name: Name, watch: Watch, max_credit: int, now: int) -> None:
         self.name = name
@@ -55,33 +61,35 @@
         self.credit = self.window = min(watch.credit, max_credit)
         initial = watch.revision if watch.log else 0
         self.acknowledged = self.position = self.last_update_revision = initial
-        self.in_flight: deque[SentUpdate] = deque()  # not acknowledged
+        self.in_flight: deque[SentUpdate] = deque()  # sent and not acknowledged
         self.needs_snapshot = not watch.log
         self.transfer: SnapshotTransfer | None = None
         self.faults: tuple[KeyFault, ...] = ()
         self.last_received_at = now
-        self.progress_at = now  # when the watcher last got on, or fell behind
-        self.awaiting_since = now  # since when an acknowledgement is awaited
-        self.heartbeat_at = now  # when the next heartbeat is to go out
-        self.behind_since = now if not watch.log else NEVER  # since when something in scope lacks an acknowledgement
+        self.progress_at = now  # when the watcher last made progress, or fell behind
+        self.awaiting_since = now  # start of the wait for the next acknowledgement
+        self.heartbeat_at = now  # time of the next heartbeat
+        # Since when a change in scope is not acknowledged; NEVER if there is none.
+        self.behind_since = now if not watch.log else NEVER
 
     @property
     def awaits_acknowledge(self) -> bool:
-        """Whether an acknowledgement is awaited."""
+        """True if an update or snapshot is not acknowledged."""
         return bool(self.in_flight) or self.transfer is not None
 
     @property
     def has_credit(self) -> bool:
-        """Whether there is credit for one more message."""
+        """True if there is credit for one more message."""
         in_flight = len(self.in_flight) if self.transfer is None else self.transfer.in_flight
         return in_flight < self.window
 
     def due(self, limits: Limits) -> int:
-        """When this session is to be looked at next."""
+        """Return when this session next needs attention."""
         due = min(self.heartbeat_at, self.last_received_at + limits.session_timeout)
         return min(due, self.awaiting_since + limits.acknowledge_timeout) if self.awaits_acknowledge else due
 
     def sent_update(self, revision: Revision, now: int) -> None:
+        """Record a sent update that ends at `revision`."""
         if not self.awaits_acknowledge:
             self.awaiting_since = now
         self._mark_behind(now)
@@ -89,13 +97,14 @@
         self.position = self.last_update_revision = revision
 
     def begin_transfer(self, snapshot: Snapshot, now: int) -> None:
+        """Start to send a snapshot instead of updates."""
         self.transfer = SnapshotTransfer(snapshot)
         self.in_flight.clear()
         self.awaiting_since = now
         self._mark_behind(now)
 
     def acknowledge(self, revision: Revision, now: int) -> None:
-        """The watcher has `revision` on its disk and in force."""
+        """Record that the watcher has stored and applied `revision`."""
         if self.transfer is not None and revision >= self.transfer.snapshot.revision:
             self.transfer, self.needs_snapshot, self.behind_since = None, False, NEVER
         if revision <= self.acknowledged:
@@ -112,7 +121,10 @@
         self._mark_progress(now)
 
     def confirm_parts(self, revision: Revision, parts: int, now: int) -> None:
-        """The watcher has so many parts of the snapshot at `revision` in memory. It may be late, of an earlier one."""
+        """Record that the watcher has this many parts of the snapshot at `revision` in memory.
+
+        A late message about an earlier snapshot is ignored.
+        """
         if self.transfer is not None and revision == self.transfer.snapshot.revision:
             before = self.transfer.confirmed
             self.transfer.confirm(parts)
@@ -128,7 +140,10 @@
         self.window = min(self.window + 1, self.credit)
 
     def rewind(self, now: int) -> None:
-        """No acknowledgement came: go back to the last one, with one message at a time until the next one comes."""
+        """Go back to the last acknowledged revision after an acknowledge timeout.
+
+        One message at a time is sent until the next acknowledgement arrives.
+        """
         self.window, self.awaiting_since = 1, now
         if self.transfer is not None:
             self.transfer.rewind()
@@ -137,7 +152,11 @@
             self.position = self.last_update_revision = self.acknowledged
 
     def effective_revision(self, newest: Revision, now: int, limits: Limits) -> Revision:
-        """What counts as in force: the newest where nothing in scope is pending and the watcher was heard lately."""
+        """Return the revision that counts as applied.
+
+        That is the newest one if nothing in scope is pending and the watcher was heard from within the upstream
+        timeout; else the acknowledged one.
+        """
         complete = not self.awaits_acknowledge and self.position >= newest
         if complete and now - self.last_received_at <= limits.upstream_timeout:
             return newest
--- a/rackhub/fleet/distribution/state.py
+++ b/rackhub/fleet/distribution/state.py
@@ -1,7 +1,8 @@
-"""Keys with values under one revision, and the log of recent changes that a watch is served from.
+"""Keys and values at one revision, and the log of recent changes from which watches are served.
 
-The log keeps steps: one decided change each at a voter, one update each at a relay (which may hold several changes,
-merged). A step is taken whole or not at all, so every revision that is handed out is one that the log passed through.
+The log consists of steps: at a voter one decided change each, at a relay one received update each, which may contain
+several merged changes. A step is always applied and served as a whole, so a watcher only sees revisions that the log
+has passed through.
 """
 
 from bisect import bisect_right
@@ -12,14 +13,15 @@
 from rackhub.fleet.distribution.limits import Limits
 from rackhub.fleet.distribution.messages import Change, Entry, LogId, Revision
 
-ENTRY_OVERHEAD = 16  # bytes that an entry takes in a message beside its key and value, at most
-ALL_KEYS = ("",)  # the scope that holds every key
-MAX_CACHED_BATCHES, MAX_CACHED_SNAPSHOTS = 4_096, 64  # for others that ask the same before the next change
-MAX_DROPPED_STEPS = 1_024  # steps before the oldest kept that are let stand until the lists are cut
+ENTRY_OVERHEAD = 16  # largest number of bytes that an entry takes in a message besides its key and value
+ALL_KEYS = ("",)  # scope that includes every key
+# Answers kept for watchers that request the same revision and scope before the next change.
+MAX_CACHED_BATCHES, MAX_CACHED_SNAPSHOTS = 4_096, 64
+MAX_DROPPED_STEPS = 1_024  # dropped steps that are kept in the lists before these are shortened
 
 
 class RevisionGap(Exception):
-    """What should be applied starts after the revision that is held."""
+    """A change is missing between the current revision and the one that should be applied."""
 
     def __init__(self, current: Revision, previous: Revision) -> None:
         super().__init__(f"a change that follows revision {previous} was offered to a state at revision {current}")
@@ -27,7 +29,7 @@
 
 
 class ForeignLog(Exception):
-    """What should be applied is of another log than the one that is held."""
+    """The change that should be applied belongs to another log."""
 
     def __init__(self, current: LogId, offered: LogId) -> None:
         super().__init__(f"a change of log {offered!r} was offered to a state of log {current!r}")
@@ -35,7 +37,7 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """The newest entry of each key in scope that changed after `previous` up to `revision`."""
+    """The newest entry of each key in scope that changed after `previous`, up to `revision`."""
 
     previous: Revision
     revision: Revision
@@ -43,13 +45,13 @@
 
 
 class Compacted(msgspec.Struct, frozen=True):
-    """The changes after the asked revision are no longer all there; those after `oldest` are."""
+    """The changes after the requested revision are no longer all in the log; those after `compact_revision` are."""
 
     compact_revision: Revision
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """All entries in scope at `revision`, in parts that each fit in one message."""
+    """All entries in scope at `revision`, split into parts that each fit into one message."""
 
     revision: Revision
     parts: tuple[tuple[Entry, ...], ...]
@@ -62,21 +64,24 @@
 
 
 def entry_size(entry: Entry) -> int:
-    """Bytes that an entry takes in a message, or a little less than counted here."""
+    """Return an upper bound for the number of bytes that an entry takes in a message."""
     value_size = len(entry.value) if entry.value is not None else 0
     key_size = len(entry.key) if entry.key.isascii() else len(entry.key.encode())
     return key_size + value_size + ENTRY_OVERHEAD
 
 
 def in_scope(entries: Iterable[Entry], scope: tuple[str, ...]) -> Iterable[Entry]:
-    """Those whose key starts with one of the scope's prefixes."""
+    """Return the entries whose key starts with one of the scope's prefixes."""
     if "" in scope:
         return entries
     return [entry for entry in entries if entry.key.startswith(scope)]
 
 
 def split_entries(entries: Iterable[Entry], max_bytes: int) -> tuple[tuple[Entry, ...], ...]:
-    """The entries in parts of at most so many bytes each; one empty part where there are none."""
+    """Split entries into parts of at most `max_bytes` each; a larger entry gets its own part.
+
+    Without entries there is one empty part.
+    """
     parts: list[tuple[Entry, ...]] = []
     part: list[Entry] = []
     part_size = 0
@@ -91,7 +96,7 @@
 
 
 class KeyValueState:
-    """What holds at `revision` of `log`, and the steps that led there from `oldest` on."""
+    """The entries at `revision` of `log`, and the steps after `compact_revision` that led to them."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
@@ -100,28 +105,30 @@
         self.compact_revision: Revision = 0
         self.entries: dict[str, Entry] = {}
         self._steps: list[_Step] = []
-        self._revisions: list[Revision] = []  # of the steps, for the search
-        self._first_kept = 0  # index of the oldest step that still counts
+        self._revisions: list[Revision] = []  # revision of each step, for binary search
+        self._first_kept = 0  # index of the oldest step that is still served
         self._log_bytes = 0
-        self._batches: dict[tuple[Revision, tuple[str, ...]], Batch] = {}  # answers at this revision
+        self._batches: dict[tuple[Revision, tuple[str, ...]], Batch] = {}  # answers at the current revision
         self._snapshots: dict[tuple[str, ...], Snapshot] = {}
 
     # ---- writing
 
     def restore(self, log: LogId, revision: Revision, entries: Iterable[Entry]) -> None:
-        """Hold just this, with no changes before it."""
+        """Replace everything by these entries, without a log of earlier changes."""
         self.log, self.revision, self.compact_revision = log, revision, revision
         self.entries = {entry.key: entry for entry in entries if entry.value is not None}
         self._steps, self._revisions, self._first_kept, self._log_bytes = [], [], 0, 0
         self._clear_caches()
 
     def apply_change(self, log: LogId, change: Change) -> bool:
-        """Take one decided change. False: it was held already. Raises `RevisionGap`, `ForeignLog`."""
+        """Apply one decided change. Return False if it was already applied. Raises `RevisionGap` or `ForeignLog`."""
         return self.apply(log, change.revision - 1, change.revision, change.entries)
 
     def apply(self, log: LogId, previous: Revision, revision: Revision, entries: Iterable[Entry]) -> bool:
-        """Take all that changed after `previous` up to `revision`. False: it was held already. Raises `RevisionGap`,
-        `ForeignLog`."""
+        """Apply all that changed after `previous` up to `revision`.
+
+        Return False if it was already applied. Raises `RevisionGap` or `ForeignLog`.
+        """
         if self.log and log != self.log:
             raise ForeignLog(self.log, log)
         if revision <= self.revision:
@@ -165,8 +172,11 @@
     # ---- reading
 
     def changes_after(self, revision: Revision, scope: tuple[str, ...] = ALL_KEYS) -> Batch | Compacted:
-        """What changed in scope after `revision`, as far as it fits in one message: whole steps, one at the least.
-        With nothing left in scope it reaches to the newest revision. Watchers that ask the same share the answer."""
+        """Return what changed in scope after `revision`: whole steps, at least one, as many as fit into one message.
+
+        If no change in scope is left, the batch ends at the newest revision. Watchers that request the same get the
+        same object.
+        """
         if revision < self.compact_revision:
             return Compacted(self.compact_revision)
         batch = self._batches.get((revision, scope))
@@ -194,7 +204,10 @@
         return Batch(revision, end_revision, tuple(newest.values()))
 
     def snapshot(self, scope: tuple[str, ...] = ALL_KEYS) -> Snapshot:
-        """All that holds now in scope: references to entries that never change, so later changes don't touch it."""
+        """Return all entries in scope at the current revision.
+
+        Later changes don't affect it, since entries are immutable.
+        """
         snapshot = self._snapshots.get(scope)
         if snapshot is None:
             if len(self._snapshots) >= MAX_CACHED_SNAPSHOTS:
--- a/rackhub/fleet/distribution/upstream.py
+++ b/rackhub/fleet/distribution/upstream.py
@@ -1,4 +1,4 @@
-"""The upstream that a watcher has, the one that it asks, and the search: when to ask which one next."""
+"""A watcher's current stream, its pending attempt, and the search that decides when to try which upstream."""
 
 import random
 
@@ -10,12 +10,17 @@
 from rackhub.fleet.distribution.schedule import NEVER
 from rackhub.fleet.distribution.selection import Candidates
 
-LOCAL_RETURN_DELAY = (10 * SECOND, 30 * SECOND)  # until a guest asks at home again, drawn anew each time
-PREFERRED_RETURN_DELAY = (60 * SECOND, 180 * SECOND)  # until one at home asks its first choice again
+# Range of the random delay after which a watcher served by another zone tries its own zone again.
+LOCAL_RETURN_DELAY = (10 * SECOND, 30 * SECOND)
+# Range of the random delay after which a watcher served in its own zone tries its first choice again.
+PREFERRED_RETURN_DELAY = (60 * SECOND, 180 * SECOND)
 
 
 class Stream(msgspec.Struct):
-    """The upstream that changes are taken from. `confirmed_at`: as of when it knew that it had the newest."""
+    """The upstream from which changes are accepted.
+
+    Times are microseconds. The stream's data was known to be the newest at `confirmed_at`.
+    """
 
     name: Name
     session: Number
@@ -32,8 +37,12 @@
 
 
 class UpstreamSearch:
-    """Without a stream it asks until one answers, the waits growing. With one it asks others where that one is stale,
-    and now and then a better one. A watcher that is served elsewhere comes home at a time of its own drawing."""
+    """Decides which upstream to try and when.
+
+    Without a stream it tries upstreams with growing delays until one answers. With a stream it tries others if the
+    stream is stale, and from time to time a preferred one. The random return delays keep the watchers that another zone
+    serves from coming back all at once.
+    """
 
     def __init__(self, identity: Identity, limits: Limits, rng: random.Random, now: int) -> None:
         self._candidates = Candidates(identity.name, identity.zone, identity.upstreams, limits, rng)
@@ -43,34 +52,35 @@
         self._return_at = NEVER
 
     def failed(self, now: int, name: Name, stream: Stream | None) -> None:
-        """It did not answer, or not what can be used."""
+        """Record that the upstream did not answer, or sent unusable data."""
         self._candidates.mark_unresponsive(name, now)
         self._back_off(now, stream)
 
     def rejected(self, now: int, name: Name, retry_after: int, stream: Stream | None) -> None:
-        """It can't serve for so many microseconds."""
+        """Record that the upstream can't serve for `retry_after` microseconds."""
         self._candidates.mark_rejected(name, now, retry_after)
         self._back_off(now, stream)
 
     def stream_ended(self, now: int, name: Name) -> None:
-        """It served and does no more: another one is asked at once."""
+        """Record that the current upstream no longer serves. Another one is tried without delay."""
         self._candidates.mark_unresponsive(name, now)
         self._retry_at = now
 
     def retry_now(self, now: int) -> None:
+        """Allow the next attempt without delay."""
         self._retry_at = now
 
     def served(self, now: int, name: Name) -> None:
-        """It answers, and is the stream's from now on."""
+        """Record that the upstream has answered and is now that of the stream."""
         self._candidates.mark_served(name)
         self._schedule_return(now, name)
 
     def reset_backoff(self) -> None:
-        """The stream is not stale: the next search starts with the shortest wait."""
+        """Record that the stream is not stale, so that the next search starts with the shortest delay."""
         self._retries = 0
 
     def next_upstream(self, now: int, stream: Stream | None) -> Name | None:
-        """Whom to ask now, if anyone."""
+        """Return the upstream to try now; None if there is none or it is not time yet."""
         if stream is None:
             return self._next_without_stream(now)
         if now >= stream.confirmed_at + self._limits.max_staleness:
@@ -81,7 +91,7 @@
         return self._candidates.choose_better(now, stream.name)
 
     def due(self, now: int, stream: Stream | None) -> int:
-        """When `next` is of use."""
+        """Return when to call `next_upstream` next."""
         if stream is None:
             return self._retry_at
         return min(max(stream.confirmed_at + self._limits.max_staleness, self._retry_at), self._return_at)
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -1,4 +1,4 @@
-"""A voter: decides changes by a register of its own, keeps them on its disk, and serves them to relays and voters."""
+"""A voter: decides changes through a register, stores them on its disk and serves them to relays and other voters."""
 
 import logging
 
@@ -50,8 +50,11 @@
 
 
 class Voter:
-    """`voters`: the names of all, this one too. `part` is called before `start`. Raises `ValueError` where the disk is
-    that of another voter or set of voters."""
+    """The voter's components and their connections.
+
+    `voters` are the names of all voters, including this one. Call `add_section` before `start`. Raises `ValueError` if
+    the disk belongs to another voter or another set of voters.
+    """
 
     def __init__(self, fleet: Fleet, identity: Identity, voters: tuple[Name, ...], disk: KeyedDisk, limits: Limits):
         self._fleet = fleet
@@ -84,7 +87,7 @@
             self.learner, self.history, self._rule_keys, self.replication, self._proposer, self._runner.dispatch
         )
         self._stopped = False
-        self._rejected_keys: dict[Name, tuple[KeyFault, ...]] = {}  # by the relay that last reported them
+        self._rejected_keys: dict[Name, tuple[KeyFault, ...]] = {}  # by the relay that reported them last
 
     def _create_catch_up(self, identity: Identity, voters: tuple[Name, ...], limits: Limits) -> CatchUp:
         others = tuple(Node(name, Role.VOTER) for name in voters if name != identity.name)
@@ -101,30 +104,31 @@
 
     @property
     def version(self) -> Revision:
-        """The newest revision on the disk here."""
+        """The newest revision that is synced to the local disk."""
         return self.learner.synced
 
     @property
     def damage(self) -> str:
-        """What of the disk could not be read, and is fetched anew from the other voters."""
+        """What could not be read from the disk and is fetched again from other voters; empty if all was readable."""
         return "; ".join(filter(None, (self._store.damage, self.history.damage, self.acceptor.damage)))
 
     def add_section(self, name: str, section: RuleSection) -> None:
-        """Register the component that takes the rules of this name; before `start`."""
+        """Register the component that applies this section of the rule set. Call it before `start`."""
         self._rule_keys.sections[name] = section
 
     def start(self) -> None:
-        """Put in force what the disk has, then vote, learn and serve."""
+        """Apply what is stored on the disk, then start to vote, learn and serve."""
         self._rule_keys.start(self.version)
         self.inbox.start()
         self._runner.start()
-        self._runner.dispatch(Confirmed(self._fleet.clock.now()))  # not yet: as old as the clock can tell
+        # Nothing is confirmed yet: start with the largest possible age.
+        self._runner.dispatch(Confirmed(self._fleet.clock.now()))
         self._proposer.start()
         self.acceptor.start()
         self.replication.start()
 
     def stop(self) -> None:
-        """Vote, learn and serve no longer; further edits are rejected."""
+        """Stop voting, learning and serving. Later edits are rejected."""
         self._stopped = True
         self.replication.stop()
         self._catching_up.stop()
@@ -134,27 +138,34 @@
 
     @property
     def proposer(self) -> Proposer:
-        """Of the register that decides changes."""
+        """The proposer of the register that decides changes."""
         return self._proposer
 
     def edit(self, request: EditRequest, done: Done) -> None:
-        """`done` once. Raises `EditRejected`, `RuleKeyError` and `RevisionNotRetained` where it can't be done."""
+        """Start an edit; `done` is called exactly once with its result.
+
+        Raises `EditRejected`, `RuleKeyError` or `RevisionNotRetained` if the edit can't succeed; `done` is not called
+        then.
+        """
         if self._stopped:
             raise EditRejected("this process ends: ask another voter")
         self._editor.edit(request, done)
 
     def status(self, revision: Revision | None = None) -> FleetStatus:
-        """How far the fleet has that revision in force; None: the newest."""
+        """Return how many coordinators have applied a revision; None means the newest."""
         return self._source.status(self._fleet.clock.now(), revision)
 
     def rejected_keys(self) -> list[KeyFault]:
-        """Keys that some coordinators can't take, as the relays name them; not all where there are many."""
+        """Return the keys that coordinators rejected, as the relays report them.
+
+        A relay names only some if there are many.
+        """
         return sorted(
             {fault for faults in self._rejected_keys.values() for fault in faults}, key=lambda fault: fault.key
         )
 
     def figures(self) -> dict[str, float]:
-        """The metrics, by name."""
+        """Return the metrics by name."""
         status = self.status()
         return {
             "distribution_revision": float(self.version),
@@ -170,10 +181,13 @@
             "distribution_catching_up": float(self._catching_up.running),
         }
 
-    # ---- what earlier versions stored
+    # ---- records of earlier versions
 
     def _move_misplaced_history(self) -> None:
-        """Earlier versions stored the history in the fallback record: take the newest change's record back."""
+        """Move history records out of the fallback record, where earlier versions stored them.
+
+        Only the record of the newest change can be recovered.
+        """
         misplaced, stored = self._store.misplaced_history, self._store.stored
         if not misplaced:
             return
@@ -186,10 +200,10 @@
         log.warning("fleet: %d misplaced history records are removed, %d recovered", len(misplaced), len(recovered))
         self._store.persist(Persist(stored.log, stored.revision, (), False), lambda: None, extra=recovered)
 
-    # ---- what is decided
+    # ---- decided changes
 
     def _on_decided(self, decided: Decided) -> None:
-        """The change is on the disk."""
+        """Apply changes that are now on the disk and serve them."""
         for change in decided.changes:
             self._rule_keys.apply(change.entries, False, change.revision)
         self._runner.dispatch(decided)
@@ -203,7 +217,7 @@
         self._runner.dispatch(CaughtUp(applied.log, previous, applied.revision, applied.entries, applied.snapshot))
         self.replication.send_synced_revision()
 
-    # ---- the source
+    # ---- effects and messages of the source
 
     def _perform(self, effect: Effect) -> None:
         if isinstance(effect, CheckDone):
@@ -218,7 +232,7 @@
 
 
 def _watcher_identity(identity: Identity, upstreams: tuple[Node, ...]) -> Identity:
-    """Who a voter is where it watches the others."""
+    """Return the identity under which a voter watches the other voters."""
     return Identity(
         name=identity.name, zone=identity.zone, upstreams=upstreams, seed=identity.seed, generation=identity.generation
     )
--- a/rackhub/fleet/distribution/voting.py
+++ b/rackhub/fleet/distribution/voting.py
@@ -1,4 +1,4 @@
-"""What voters say to one another beside the register's own mail, so that each learns what a majority has chosen."""
+"""Messages between voters, in addition to those of the register, by which each learns what a majority has chosen."""
 
 import logging
 from collections.abc import Callable
@@ -10,19 +10,19 @@
 
 log = logging.getLogger(__name__)
 
-KIND = "distribution.voters"  # of mail
-REGISTER = "distribution.register"  # its name beside the rule book's
+KIND = "distribution.voters"  # of the link messages that carry these
+REGISTER = "distribution.register"  # name of this register; the rule set of a fleet without relays has its own
 
 
 class ChosenChanges(msgspec.Struct, frozen=True, array_like=True, tag="chosen"):
-    """A majority has chosen these changes, in order."""
+    """Changes that a majority of the voters has chosen, in order of revision."""
 
     log: LogId
     changes: tuple[Change, ...]
 
 
 class NewestRevision(msgspec.Struct, frozen=True, array_like=True, tag="newest"):
-    """The newest revision that the sender holds."""
+    """The newest revision that is synced to the sender's disk."""
 
     revision: Revision
 
@@ -34,19 +34,22 @@
 
 
 class VoterMessenger:
-    """Takes messages of the other voters, and drops those of anybody else."""
+    """Sends messages to the other voters and receives theirs. Messages of other senders are dropped and counted."""
 
     def __init__(self, fleet: Fleet, voters: tuple[Name, ...], on_message: Callable[[Name, VoterMessage], None]):
         self._fleet, self._on_voter_message = fleet, on_message
         self._others = tuple(name for name in voters if name != fleet.members.local_name)
 
     def start(self) -> None:
+        """Subscribe to the messages of the other voters."""
         self._fleet.messenger.subscribe(KIND, self._on_message)
 
     def send(self, to: Name, message: VoterMessage) -> None:
+        """Send a message to one voter."""
         self._fleet.messenger.send(to, KIND, _encode(message))
 
     def send_all(self, message: VoterMessage) -> None:
+        """Send a message to each of the other voters."""
         for name in self._others:
             self.send(name, message)
 
--- a/rackhub/fleet/distribution/watcher.py
+++ b/rackhub/fleet/distribution/watcher.py
@@ -1,7 +1,8 @@
-"""The receiving side of a watch: holds on to one upstream, and never goes back from what it holds.
+"""The receiving side of a watch.
 
-At any time there is at most one stream, from which changes are taken, and one attempt at another upstream. An attempt
-that is answered takes the stream's place, so what the watcher has goes on until something better is found.
+It follows one upstream and never goes back to an older revision. At any time there is at most one stream, from which
+changes are accepted, and one attempt to watch another upstream. Once the attempt is answered with usable data it
+replaces the stream; until then the stream continues.
 """
 
 import random
@@ -38,49 +39,54 @@
 
 
 class Watcher:
-    """Watches one of its upstreams. What `held` has is to be in force at the start, put there by the shell."""
+    """Watches one of its upstreams.
+
+    The caller applies the entries of `stored` before the first step.
+    """
 
     def __init__(
         self, identity: Identity, stored: StoredState, limits: Limits, now: int, delivery: Delivery | None = None
     ) -> None:
-        """`delivery`: where what is received goes instead of disk and shell."""
+        """`delivery` receives the changes; by default they are written to disk and applied by the caller."""
         self._identity, self._limits = identity, limits
         same_scope = stored.scope == identity.scope
         disk = DiskDelivery(stored if same_scope else StoredState(scope=identity.scope), identity.scope)
         self._disk = disk
         self._delivery: Delivery = delivery if delivery is not None else disk
         self._receiver = Receiver(self._delivery, identity.scope, 0 if same_scope else stored.revision)
-        self._known_log = stored.log  # also where the scope has changed
+        self._known_log = stored.log  # kept even if the scope has changed and the entries are dropped
         rng = random.Random(f"{identity.seed} watcher {identity.name}")
         self._search = UpstreamSearch(identity, limits, rng, now)
         self._session: Number = identity.generation
         self._stream: Stream | None = None
         self._attempt: Attempt | None = None
         self._effects: list[Effect] = []
-        self._due_at = now  # when the next step is due at the latest
-        self.confirmed_at = now  # as of when what is held was known to be the newest
+        self._due_at = now  # latest time for the next step
+        self.confirmed_at = now  # time at which the stored revision was last known to be the newest
 
-    # ---- what others see
+    # ---- state for callers
 
     @property
     def stored(self) -> StoredState:
-        """What is on the disk. The entries are not a copy."""
+        """The state on the disk. The entries are shared, not copied."""
         return self._disk.stored
 
     @property
     def revision(self) -> Revision:
-        """In force."""
+        """The revision that is applied."""
         return self._delivery.revision
 
     @property
     def upstream(self) -> Name | None:
+        """The upstream of the current stream; None while there is none."""
         return self._stream.name if self._stream is not None else None
 
     def due(self) -> int:
+        """Return when a `Tick` is next needed, in microseconds."""
         return self._due_at
 
     def step(self, now: int, event: Event) -> Sequence[Effect]:
-        """Take an event, and do what is due by now."""
+        """Handle an event and do what is due at `now`."""
         if now - self._due_at > self._limits.heartbeat_interval:
             self.on_process_stall(now)
         if isinstance(event, Received):
@@ -95,7 +101,7 @@
         return effects
 
     def on_process_stall(self, now: int) -> None:
-        """The process did not run for a while: what is queued from before says nothing of now. Watch anew."""
+        """Start a new watch after the process was stalled: messages queued before the stall may be out of date."""
         self._count("distribution_stood_still")
         self._stream = self._attempt = None
         self._search.retry_now(now)
@@ -159,7 +165,7 @@
     def _confirm(self, now: int, stream: Stream, message: Content) -> None:
         age = message.age * MILLISECOND if isinstance(message, Heartbeat) else 0
         if self._delivery.newest > self._delivery.revision:
-            age = 0  # the upstream waits for the disk here: another one would do so, too
+            age = 0  # The upstream waits for this watcher's disk. Another upstream would have to wait, too.
         stream.confirmed_at = now - age
         self.confirmed_at = max(self.confirmed_at, stream.confirmed_at)
         if not self._is_stale(message):
@@ -200,7 +206,7 @@
         self._search.rejected(now, name, message.retry_after * MILLISECOND, self._stream)
 
     def _leave_upstream(self, now: int) -> None:
-        """End the stream and look for another one at once."""
+        """End the stream and search for another upstream without delay."""
         stream, self._stream = self._stream, None
         if stream is not None:
             self._send(stream.name, Unwatch(stream.session))
@@ -229,7 +235,7 @@
                 self._watch(now, name)
 
     def _next_due(self, now: int) -> int:
-        """At least once each heartbeat, so that a process that stood still notices."""
+        """Return the next due time, at most one heartbeat interval away so that a stalled process is noticed."""
         due = now + self._limits.heartbeat_interval
         if self._stream is not None:
             due = min(due, self._stream.last_received_at + self._limits.upstream_timeout, self._receiver.gap_deadline)
