--- a/rackhub/fleet/distribution/__init__.py
+++ b/rackhub/fleet/distribution/__init__.py
@@ -1,14 +1,13 @@
-"""Configuration distributed from the register's voters through relays to coordinators, as a watch of keys by revision.
+"""Distributes configuration from the register's voters through relays to coordinators, as a watch of keys by revision.
 
-`messages` has what goes over the link, `events` what goes in and out of the pure cores, `state` keys, revisions and the
-log of changes, `server` the serving side of a watch (`session`, `admission`), `watcher` the receiving side (`receiver`,
-`assembly`, `delivery`, `upstream`, `selection`), `relay` both of them, `source` a voter's side, `summary` and `reports`
-what is acknowledged upward, `checks` the check before an edit, `decisions` the register's value.
-
-Shells put these cores on the link, a disk and timers: `core_runner` runs any of them, `coordinator`, `relay_shell` and
-`voter` are the roles, `store` is what is held on disk, `rules` and `applying` are the rule book as keys and its parts.
-A voter has `editor`, `editing` and `history` for edits, `learning`, `replication`, `voting` and `catching_up` for what
-the voters have chosen. `part` is built by the daemon; `service`, `queries` and `waiting` answer `rackhub rules`.
-
-Nothing here is imported unless `[fleet] role` is set. Design: docs/design/distribution.md.
+Pure cores: `messages` defines what goes over the link, and `events` the input and output of the cores. `state` keeps
+keys, revisions and the log of changes. `server` (with `session`, `admission`, `schedule`) is the serving side of a
+watch; `watcher` (with `receiver`, `assembly`, `delivery`, `upstream`, `selection`) is the receiving side. `relay`
+combines both, and `source` is a voter's serving side. `relay_report` and `reports` summarize the watchers' progress,
+`checks` runs the check before an edit, and `decisions` defines the register's value. Shells connect the cores to the
+link, a disk and timers: `core_runner` runs any core; `coordinator`, `relay_shell` and `voter` are the roles. `store`
+keeps a watcher's state on disk, and `rules` and `rule_keys` convert the rule set to keys and apply them. For edits a
+voter uses `editor`, `editing` and `history`; to learn what the voters have chosen it uses `learner`, `replication`,
+`voting` and `catch_up`. The daemon creates `part`; `service`, `queries` and `rollout` answer `rackhub rules`. Nothing
+of this package is imported unless `[fleet] role` is set. Design: docs/design/distribution.md.
 """
--- a/rackhub/fleet/distribution/assembly.py
+++ b/rackhub/fleet/distribution/assembly.py
@@ -2,7 +2,7 @@
 
 from rackhub.fleet.distribution.messages import Entry, LogId, Revision, SnapshotPart, Update
 
-MAX_BUFFERED_UPDATES = 8  # that wait for an earlier one; those with the highest revisions are dropped
+MAX_BUFFERED_UPDATES = 8  # out-of-order updates kept; beyond that the latest are dropped
 
 
 class SnapshotAssembly:
--- a/rackhub/fleet/distribution/checks.py
+++ b/rackhub/fleet/distribution/checks.py
@@ -1,4 +1,6 @@
-"""The check before an edit: could the coordinators take these entries? One of each zone is asked, through a relay."""
+"""The check before an edit: one coordinator of each zone, asked through a relay, says whether it would accept the
+entries.
+"""
 
 import random
 from collections.abc import Iterable
@@ -11,44 +13,48 @@
 from rackhub.fleet.distribution.schedule import NEVER
 from rackhub.fleet.distribution.session import Session
 
-MAX_FORWARD_ATTEMPTS = 2  # watchers that a relay asks, one after the other
-MAX_PENDING_CHECKS = 64  # at a time; further ones are dropped
+MAX_FORWARD_ATTEMPTS = 2  # number of watchers that a relay asks, one after the other
+# Checks that a relay forwards at the same time. Further ones are dropped.
+MAX_PENDING_CHECKS = 64
 
 RelaysByZone = dict[str, tuple[Name, ...]]
 
 
 class _ForwardedCheck(msgspec.Struct):
     voter: Name
-    check_id: int  # the voter's
+    check_id: int  # the voter's number of the check
     entries: tuple[Entry, ...]
     polled: list[Name]
     deadline: int
 
 
 class CheckForwarding:
-    """At a relay: hands a voter's check to one watcher of the zone, then to another one, and the answer back."""
+    """At a relay: forwards a voter's check to one watcher of its zone, after a timeout to another one, and returns the
+    answer.
+    """
 
     def __init__(self, zone: str, limits: Limits, rng: random.Random) -> None:
         self._zone, self._rng = zone, rng
         self._timeout = limits.check_timeout // (2 * MAX_FORWARD_ATTEMPTS)
-        self._pending: dict[int, _ForwardedCheck] = {}  # by the relay's own mark
+        self._pending: dict[int, _ForwardedCheck] = {}  # key: the relay's number of the check
         self._last_check_id = 0
 
     def due(self) -> int:
+        """Return when `tick` is next needed, in microseconds."""
         return min((forwarded.deadline for forwarded in self._pending.values()), default=NEVER)
 
     def forward(self, now: int, voter: Name, check: Check, sessions: Iterable[Session]) -> list[Effect]:
-        """A voter asks."""
+        """Forward a voter's check to a watcher."""
         if len(self._pending) >= MAX_PENDING_CHECKS:
             return [IncrementCounter("distribution_checks_dropped", voter)]
         if any(one.voter == voter and one.check_id == check.check_id for one in self._pending.values()):
-            return []  # doubled on the way
+            return []  # a duplicate of a forwarded check
         self._last_check_id += 1
         self._pending[self._last_check_id] = _ForwardedCheck(voter, check.check_id, check.entries, [], now)
         return self._poll(now, self._last_check_id, sessions)
 
     def answered(self, sender: Name, checked: Checked) -> list[Effect]:
-        """A watcher answers."""
+        """Return a watcher's answer to the voter."""
         forwarded = self._pending.get(checked.check_id)
         if forwarded is None or sender not in forwarded.polled:
             return [IncrementCounter("distribution_unexpected", sender)]
@@ -56,7 +62,7 @@
         return [Send(forwarded.voter, Checked(forwarded.check_id, self._zone, checked.faults))]
 
     def tick(self, now: int, sessions: Iterable[Session]) -> list[Effect]:
-        """Ask another watcher where one did not answer."""
+        """Ask another watcher, or give up, for each check whose watcher did not answer in time."""
         overdue = [check_id for check_id, forwarded in self._pending.items() if now >= forwarded.deadline]
         return [effect for check_id in overdue for effect in self._poll(now, check_id, sessions)]
 
@@ -73,9 +79,12 @@
 
 
 class _CheckRound(msgspec.Struct):
-    """One check of an editor. `waiting`: the relays of each zone without an answer, the next to ask first."""
+    """One check of an editor.
 
-    check_id: int  # the editor's
+    `pending_relays` has the relays of each zone without an answer, in the order in which to ask them.
+    """
+
+    check_id: int  # the editor's number of the check
     entries: tuple[Entry, ...]
     pending_relays: dict[str, list[Name]]
     unanswered: list[str]
@@ -85,18 +94,19 @@
 
 
 class CheckRounds:
-    """At a source: asks a relay of each zone, another one of it at half the time, and gathers the answers."""
+    """At a source: asks one relay of each zone, after half the timeout the next one, and collects the answers."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
-        self._rounds: dict[int, _CheckRound] = {}  # by the source's own mark
+        self._rounds: dict[int, _CheckRound] = {}  # key: the source's number of the check
         self._last_check_id = 0
 
     def due(self) -> int:
+        """Return when `tick` is next needed, in microseconds."""
         return min((min(one.retry_at, one.deadline) for one in self._rounds.values()), default=NEVER)
 
     def begin(self, now: int, requested: CheckRequested, relays: RelaysByZone) -> list[Effect]:
-        """`relays`: of each zone; a zone with none is silent."""
+        """Start a check. `relays` are those of each zone; a zone without relays counts as unanswered."""
         self._last_check_id += 1
         pending_relays = {zone: list(names) for zone, names in relays.items() if names}
         unanswered = [zone for zone, names in relays.items() if not names]
@@ -107,7 +117,7 @@
         return [*self._poll(self._last_check_id), *self._done(self._last_check_id)]
 
     def answered(self, sender: Name, checked: Checked) -> list[Effect]:
-        """A relay hands back its zone's answer."""
+        """Record the answer that a relay returns for its zone."""
         current = self._rounds.get(checked.check_id)
         if current is None or checked.zone not in current.pending_relays:
             return [IncrementCounter("distribution_late_checks", sender)]
@@ -116,7 +126,7 @@
         return self._done(checked.check_id)
 
     def tick(self, now: int) -> list[Effect]:
-        """Ask the second relays, and end what is over."""
+        """Ask the second relays and end the checks whose time is over."""
         effects: list[Effect] = []
         for check_id, current in list(self._rounds.items()):
             if now >= current.deadline:
@@ -134,7 +144,7 @@
         effects: list[Effect] = []
         for names in current.pending_relays.values():
             effects.append(Send(names[0], check))
-            names.append(names.pop(0))  # the next one is asked if this one does not answer
+            names.append(names.pop(0))  # asked next if this one does not answer
         return effects
 
     def _done(self, check_id: int) -> list[Effect]:
--- a/rackhub/fleet/distribution/coordinator.py
+++ b/rackhub/fleet/distribution/coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator's side: the watcher on mail and disk, and the rule book's parts that its keys are put in force at."""
+"""The shell of a coordinator: a watcher on the link and a disk, and the rule sections that its keys are applied to."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class Coordinator:
-    """`part` is called before `start` for each part of the rule book that runs here."""
+    """Call `add_section` before `start` for each section of the rule set that this process has."""
 
     def __init__(self, fleet: Fleet, identity: Identity, disk: KeyedDisk, limits: Limits):
         self._fleet, self._identity = fleet, identity
@@ -26,52 +26,52 @@
         entries = in_scope(self._store.stored.entries.values(), identity.scope)
         wanted = {entry.key: entry.value for entry in entries if entry.value is not None}
         self._rule_keys = RuleKeys(wanted, self._store.fallback)
-        self._unapplied: dict[str, Revision] = {}  # keys that are persisted, by the newest revision of each
+        self._unapplied: dict[str, Revision] = {}  # keys on disk and not applied yet, with their newest revision
         self.inbox = Inbox(fleet)
         self._runner = CoreRunner(fleet, self.inbox, self._watcher, self._perform)
         self.inbox.route(UPSTREAM_MESSAGE_TYPES, self._runner.on_message)
 
     @property
     def version(self) -> int:
-        """The revision in force."""
+        """The applied revision."""
         return self._watcher.revision
 
     @property
     def stored(self) -> StoredState:
-        """The entries on the disk, with their revision."""
+        """The state on disk."""
         return self._watcher.stored
 
     @property
     def upstream(self) -> str:
-        """The relay that is watched; empty while there is none."""
+        """The relay that is being watched; empty while there is none."""
         return self._watcher.upstream or ""
 
     @property
     def faults(self) -> dict[str, str]:
-        """Keys whose newest value can't be taken here, with the reason."""
+        """The rejected keys, with the reasons."""
         return self._rule_keys.faults
 
     @property
     def damage(self) -> str:
-        """What of the disk could not be read; empty where all could."""
+        """What could not be read from the disk; empty if all was readable."""
         return self._store.damage
 
     def add_section(self, name: str, section: RuleSection) -> None:
-        """Register the component that takes the rules of this name; before `start`."""
+        """Register the component that applies this section of the rule set. Call it before `start`."""
         self._rule_keys.sections[name] = section
 
     def start(self) -> None:
-        """What was held is in force before the first word from a relay."""
+        """Apply the stored rules before the first message of a relay, then start to watch."""
         self._rule_keys.start(self._store.stored.revision)
         self.inbox.start()
         self._runner.start()
 
     def stop(self) -> None:
-        """Watch no longer; the rules in force stay."""
+        """Stop watching. The rules stay applied."""
         self._runner.stop()
 
     def figures(self) -> dict[str, float]:
-        """The metrics, by name."""
+        """Return the metrics by name."""
         return {
             "distribution_revision": float(self.version),
             "distribution_held": float(self.stored.revision),
@@ -95,7 +95,7 @@
         return lambda: self._runner.dispatch(Persisted(revision))
 
     def _fallback(self, change: Persist) -> dict[str, bytes | None]:
-        """What is in force of all keys that the next process may find a value of that can't be taken."""
+        """Return the applied value of each key for which the next process may find a value on disk that it rejects."""
         in_force = self._rule_keys.applied
         values = {entry.key: entry.value for entry in change.entries}
         if change.snapshot:
--- a/rackhub/fleet/distribution/core_runner.py
+++ b/rackhub/fleet/distribution/core_runner.py
@@ -1,4 +1,4 @@
-"""A pure core on mail, clock and timer: messages and ticks go in, its effects are done in order."""
+"""Runs a pure core on messages, a clock and a timer: passes events to it and performs its effects in order."""
 
 import logging
 from collections import Counter, deque
@@ -13,23 +13,25 @@
 
 log = logging.getLogger(__name__)
 
-MIN_TICK_DELAY = 1_000  # microseconds to the next tick, however late a core's time is
+MIN_TICK_DELAY = 1_000  # shortest delay until the next tick in microseconds, however late the core's due time is
 MAX_TICK_DELAY = 60_000_000
-MAX_SENDERS = 256  # counted by name; all others as one
+MAX_SENDERS = 256  # number of counters that are kept by sender; others are counted under one name
 OTHER_SENDERS = "others"
 
 
 class SenderCounts:
-    """How often something was somebody's fault, by counter and sender, for a bounded number of senders."""
+    """Counts faults by counter and sender, for a limited number of senders."""
 
     def __init__(self) -> None:
         self._counts = Counter[tuple[str, Name]]()
 
     def add(self, name: str, sender: Name) -> None:
+        """Count a fault of a sender."""
         known = (name, sender) in self._counts or len(self._counts) < MAX_SENDERS
         self._counts[name, sender if known else OTHER_SENDERS] += 1
 
     def rows(self) -> list[dict[str, object]]:
+        """Return the counts as rows for `rackhub rules status`."""
         return [
             {"counter": name, "sender": sender, "count": count}
             for (name, sender), count in sorted(self._counts.items())
@@ -37,7 +39,7 @@
 
 
 class Inbox:
-    """Mail of distribution, decoded and given to who takes messages of that type."""
+    """Decodes distribution messages and passes each to the handler for its type. Also sends messages."""
 
     def __init__(self, fleet: Fleet):
         self._fleet = fleet
@@ -45,15 +47,19 @@
         self.sender_counts = SenderCounts()
 
     def route(self, types: tuple[type, ...], handler: Callable[[Name, AnyMessage], None]) -> None:
+        """Set the handler for messages of these types."""
         self._handlers |= dict.fromkeys(types, handler)
 
     def start(self) -> None:
+        """Subscribe to distribution messages."""
         self._fleet.messenger.subscribe(KIND, self._on_payload)
 
     def send(self, to: Name, message: AnyMessage) -> None:
+        """Encode a message and send it over the link."""
         self._fleet.messenger.send(to, KIND, encode(message))
 
     def count(self, name: str, sender: Name = "") -> None:
+        """Increment a counter, and that of the sender if one is given."""
         self._fleet.add_count(name, 1)
         if sender:
             self.sender_counts.add(name, sender)
@@ -70,8 +76,11 @@
 
 
 class CoreRunner:
-    """Runs one core. `perform` does its effects other than `Send` and `IncrementCounter`; it may hand in events,
-    which are taken after the effects at hand."""
+    """Runs one core.
+
+    `perform` is called for effects other than `Send` and `IncrementCounter`. It may dispatch events, which are handled
+    after the current effects.
+    """
 
     def __init__(self, fleet: Fleet, inbox: Inbox, core: Core, perform: Callable[[Effect], None]):
         self._fleet, self._inbox, self._core, self._perform = fleet, inbox, core, perform
@@ -81,22 +90,28 @@
         self._cancel: Callable[[], None] = lambda: None
 
     def start(self) -> None:
+        """Give the core its first tick."""
         self.dispatch(Tick())
 
     def stop(self) -> None:
+        """Handle no more events and cancel the timer."""
         self._stopped = True
         self._cancel()
 
     def replace(self, core: Core) -> None:
-        """Go on with another core; events that wait are its."""
+        """Continue with another core, which also gets the queued events."""
         self._core = core
         self.dispatch(Tick())
 
     def on_message(self, sender: Name, message: AnyMessage) -> None:
+        """Pass a message to the core."""
         self.dispatch(Received(sender, message))
 
     def dispatch(self, event: Event) -> None:
-        """One event in, all its effects done on return, unless this is called while another event's are."""
+        """Pass an event to the core and perform all its effects before returning.
+
+        If called while another event is handled, the event is queued behind it.
+        """
         self._events.append(event)
         if self._running or self._stopped:
             return
--- a/rackhub/fleet/distribution/editing.py
+++ b/rackhub/fleet/distribution/editing.py
@@ -1,4 +1,4 @@
-"""What an edit or undo of the rule book comes to in keys, and whether others changed the same since. Pure."""
+"""Converts an edit or undo of the rule set into changed keys and checks it for conflicts. Pure."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -12,13 +12,16 @@
 
 KeyChanges = Mapping[str, bytes | None]
 
-SHOWN_CHANGES = 3  # named in a refusal
-NEWEST = -1  # as a revision that a call names
+SHOWN_CHANGES = 3  # number of conflicting changes named in a rejection
+NEWEST = -1  # stands for the newest revision in a call
 
 
 class EditRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """`on`: the revision that the editor saw. Parts of an edit take the place of those that stand, None takes one out;
-    an undo brings back what the keys that changed after `to` were then, up to `on`."""
+    """An edit or undo of the rule set, based on the revision that the editor saw (`base_revision`).
+
+    The sections of an edit replace the current ones; None removes a section. An undo restores the keys changed after
+    `target_revision`, up to `base_revision`, to their values at `target_revision`.
+    """
 
     kind: str  # "edit" or "undo"
     author: str
@@ -30,7 +33,7 @@
 
 
 def plan(request: EditRequest, current: Values, history: History) -> dict[str, bytes | None]:
-    """The keys that change, within bounds. Raises `EditRejected`, `RuleKeyError`, `RevisionNotRetained`."""
+    """Return the changed keys. Raises `EditRejected`, `RuleKeyError` or `RevisionNotRetained`."""
     _check_texts(request)
     if request.base_revision > history.newest:
         raise EditRejected(f"there is no revision {request.base_revision} yet: the newest is {history.newest}")
@@ -44,8 +47,11 @@
 
 
 def check_conflicts(request: EditRequest, changed: KeyChanges, since: Iterable[Change]) -> None:
-    """Raises `EditRejected` where one of the changes since the revision that the editor saw is of the same: of the same
-    parts for an edit, which replaces them whole, of the same keys for an undo."""
+    """Raise `EditRejected` if a change after `base_revision` overlaps with the request.
+
+    An edit, which replaces whole sections, overlaps with changes of the same sections; an undo with changes of the same
+    keys.
+    """
     conflicting = [
         change for change in since if change.revision > request.base_revision and _overlaps(request, changed, change)
     ]
--- a/rackhub/fleet/distribution/editor.py
+++ b/rackhub/fleet/distribution/editor.py
@@ -1,4 +1,4 @@
-"""An edit at a voter: planned in keys, checked here and by one coordinator of each zone, then decided."""
+"""Edits at a voter: converted to changed keys, checked locally and by one coordinator of each zone, then decided."""
 
 import secrets
 from collections.abc import Callable
@@ -24,18 +24,22 @@
 from rackhub.fleet.distribution.rule_keys import RuleKeys
 from rackhub.fleet.register.proposer import Outcome, Proposer
 
-MAX_CONCURRENT_CHECKS = 16  # edits that are checked at a time
+MAX_CONCURRENT_CHECKS = 16  # edits that may be in the check at the same time
 
 
 class EditDone(msgspec.Struct, frozen=True):
-    """The change is decided, and on this voter's disk. `unasked`: zones that did not answer the check."""
+    """The change is decided and on this voter's disk. `unanswered_zones` did not answer the check."""
 
     revision: Revision
     unanswered_zones: tuple[str, ...] = ()
 
 
 class EditFailed(msgspec.Struct, frozen=True):
-    """`unknown`: it may have been decided; else nothing is changed. `faulty`: the content itself can't be taken."""
+    """The edit failed.
+
+    It has changed nothing, unless `unknown` is set: then it may have been decided. `invalid` says that its content is
+    rejected.
+    """
 
     reason: str
     invalid: bool = False
@@ -48,12 +52,15 @@
 class _PlannedEdit(msgspec.Struct, frozen=True):
     request: EditRequest
     changed: dict[str, bytes | None]
-    base: Revision  # what it was planned on
+    base: Revision  # the revision for which `changed` was computed
     done: Done
 
 
 class Editor:
-    """`ask_zones` hands a `CheckAsked` to the source, whose `CheckDone` comes to `checked`."""
+    """Runs edits.
+
+    `request_check` passes a `CheckRequested` to the source, whose `CheckDone` must be passed to `checked`.
+    """
 
     def __init__(
         self,
@@ -74,9 +81,13 @@
         self._last_check_id = 0
 
     def edit(self, request: EditRequest, done: Done) -> None:
-        """`done` once. Raises `EditRejected`, `RuleKeyError` and `RevisionNotRetained` where it can't be done."""
+        """Start an edit; `done` is called exactly once with its result.
+
+        Raises `EditRejected`, `RuleKeyError` or `RevisionNotRetained` if the edit can't succeed; `done` is not called
+        then.
+        """
         before = self._history.by_id(request.id)
-        if before is not None:  # said again
+        if before is not None:  # a repeated request
             return self._answer_when_synced(_check_same_edit(request, before.change).revision, (), done)
         changed = plan(request, self._learner.values(), self._history)
         base = self._learner.revision
@@ -94,7 +105,7 @@
         self._request_check(CheckRequested(self._last_check_id, entries))
 
     def checked(self, answer: CheckDone) -> None:
-        """The zones' coordinators have answered."""
+        """Continue an edit whose check has ended."""
         planned = self._checking.pop(answer.check_id, None)
         if planned is None:
             return
@@ -106,7 +117,7 @@
         new_log = secrets.token_hex(LOG_ID_BYTES)
 
         def propose(value: bytes | None) -> tuple[bytes | None, Any]:
-            """The register's next value, and the tail or the refusal that it means."""
+            """Return the register's next value, and the tail that it contains or the reason for a rejection."""
             tail = decode_tail(value) if value is not None else self._first_tail(new_log)
             try:
                 after = self._appended(tail, planned)
@@ -119,7 +130,10 @@
         )
 
     def _first_tail(self, new_log: str) -> Tail:
-        """The register was never written, or lost with the voters' disks: what this voter holds goes on."""
+        """Return the tail for a register that was never written, or was lost with the voters' disks.
+
+        It continues from what this voter has stored.
+        """
         return Tail(self._learner.log or new_log, self._learner.revision)
 
     def _appended(self, tail: Tail, planned: _PlannedEdit) -> Tail:
--- a/rackhub/fleet/distribution/messages.py
+++ b/rackhub/fleet/distribution/messages.py
@@ -20,7 +20,7 @@
     MAX_SCOPE_PREFIXES,
 )
 
-KIND = "distribution"  # of the link messages that carry these
+KIND = "distribution"  # the kind of link message that carries these messages
 
 Name = Annotated[str, Meta(min_length=1, max_length=63)]
 LogId = Annotated[str, Meta(max_length=32)]
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -1,6 +1,6 @@
-"""Distribution in a process of the fleet: the role's shell on a mail link and a disk, its calls on the control port.
+"""Distribution as a component of the fleet: the shell of the configured role, its link and its control commands.
 
-Loaded only where `[fleet] role` is set.
+Loaded only if `[fleet] role` is set.
 """
 
 import errno
@@ -22,12 +22,15 @@
 
 log = logging.getLogger(__name__)
 
-BIND_RETRY_DELAY = 250_000  # microseconds until an address that is taken is tried again
+BIND_RETRY_DELAY = 250_000  # microseconds until the next attempt to bind an address that is in use
 
 
 class Distribution:
-    """`disk`: None at a relay. `part` is called before `start` for each part of the rule book that runs here. Raises
-    `ValueError` where the disk is that of another process. `stop` may be called twice."""
+    """`disk` is None at a relay.
+
+    Call `add_section` before `start` for each section of the rule set that this process has. Raises `ValueError` if the
+    disk belongs to another process. `stop` may be called twice.
+    """
 
     def __init__(
         self, reactor: Any, fleet: Fleet, settings: FleetSettings, control: Control | None, disk: KeyedDisk | None
@@ -43,21 +46,27 @@
 
     @property
     def version(self) -> int:
-        """The revision that is in force, or held where nothing of it is put in force."""
+        """The applied revision; at a voter or relay, which serve it, the stored one."""
         return self.shell.version
 
     def add_section(self, name: str, section: RuleSection) -> None:
+        """Register the component that applies this section of the rule set. A relay applies no rules."""
         if not isinstance(self.shell, RelayShell):
             self.shell.add_section(name, section)
 
     def start(self) -> None:
-        """Raises `OSError` where the address can't be had; one that is taken is tried again until it is free."""
+        """Register the control commands, open the link and start the role.
+
+        An address that is in use is retried until it is free. Raises `OSError` if the address can't be bound for
+        another reason.
+        """
         if self._control is not None:
             register_calls(self._control, self.shell, self._settings, self._fleet)
         self._open_link()
         self.shell.start()
 
     def stop(self) -> None:
+        """Stop the role and close the link."""
         if self._stopped:
             return
         self._stopped = True
@@ -66,6 +75,7 @@
         self._link.stop()
 
     def figures(self) -> dict[str, float]:
+        """Return the metrics of the link and the role by name."""
         link = {f"distribution_{name}": figure for name, figure in self._link.figures().items()}
         return link | self.shell.figures()
 
--- a/rackhub/fleet/distribution/ports.py
+++ b/rackhub/fleet/distribution/ports.py
@@ -12,7 +12,9 @@
 class Core(Protocol):
     """A watcher, relay or source. It does no I/O, reads no clock and seeds its own random generator."""
 
-    def step(self, now: int, event: Event) -> Sequence[Effect]: ...
+    def step(self, now: int, event: Event) -> Sequence[Effect]:
+        """Handle an event and do what is due at `now`. Return the effects in order."""
+        ...
 
     def due(self) -> int:
         """Return when a `Tick` is next needed, in microseconds. It may lie slightly in the past."""
@@ -44,7 +46,9 @@
 class Status(Protocol):
     """The status query of a source; None means the newest revision."""
 
-    def status(self, now: int, revision: Revision | None = None) -> FleetStatus: ...
+    def status(self, now: int, revision: Revision | None = None) -> FleetStatus:
+        """Return how far a revision has been applied."""
+        ...
 
 
 # The constructors and attributes of the cores:
--- a/rackhub/fleet/distribution/queries.py
+++ b/rackhub/fleet/distribution/queries.py
@@ -19,7 +19,7 @@
 
 
 def show_answer(voter: Voter, revision: Revision) -> dict[str, Any]:
-    """The whole content at a revision, the newest where it is below 0."""
+    """Return the whole rule set at a revision; a negative revision means the newest."""
     newest = voter.history.newest
     shown = newest if revision < 0 else revision
     content = _content_at(voter, shown)
@@ -29,7 +29,7 @@
 
 
 def history_answer(voter: Voter, limit: int) -> dict[str, Any]:
-    """The newest changes, newest first, with the keys of each."""
+    """Return up to `limit` changes, newest first, with the keys of each."""
     if limit < 1:
         raise ValueError(f"limit: {limit} is below 1")
     changes = [record.change for record in voter.history.newest_first()][:limit]
@@ -37,7 +37,10 @@
 
 
 def difference_answer(voter: Voter, old: Revision, new: Revision) -> dict[str, Any]:
-    """What differs in each part between two revisions; without numbers what the newest changed."""
+    """Return the sections that differ between two revisions.
+
+    Without revisions (negative numbers), show what the newest change did.
+    """
     to = voter.history.newest if new < 0 else new
     since = old if old >= 0 else max(to - 1, 0)
     before, after = _content_at(voter, since), _content_at(voter, to)
@@ -50,7 +53,7 @@
 
 
 def status_answer(shell: Coordinator | RelayShell | Voter, settings: FleetSettings, fleet: Fleet) -> dict[str, Any]:
-    """Where a process of any role stands."""
+    """Return the status of a process of any role."""
     common = {
         "name": settings.name,
         "role": settings.role,
@@ -78,7 +81,7 @@
 
 
 def fleet_rows(status: FleetStatus) -> dict[str, Any]:
-    """What the relays' reports say of a revision. Times are milliseconds."""
+    """Return what the relays report about a revision. Times are milliseconds."""
     return {
         "revision": status.revision,
         "in_force": status.in_force,
@@ -91,6 +94,7 @@
 
 
 def fault_rows(faults: list[KeyFault]) -> list[dict[str, str]]:
+    """Return the rejected keys as rows."""
     return [{"key": fault.key, "reason": fault.reason} for fault in faults]
 
 
@@ -113,7 +117,7 @@
 
 
 def _content_at(voter: Voter, revision: Revision) -> Mapping[str, Any]:
-    """Raises `RevisionNotRetained`."""
+    """Return the rule set at a revision. Raises `RevisionNotRetained`."""
     values: dict[str, bytes | None] = {**voter.learner.values()}
     if revision > voter.history.newest:
         raise RevisionNotRetained(revision, voter.history.oldest, voter.history.newest)
@@ -123,7 +127,7 @@
 
 
 def _change_row(change: Change) -> dict[str, Any]:
-    """As a version of a rule book without relays is told, where the two have the same."""
+    """Return a change in the form of a version of a rule set without relays, where the two have the same fields."""
     return {
         "number": change.revision,
         "kind": "change",
--- a/rackhub/fleet/distribution/receiver.py
+++ b/rackhub/fleet/distribution/receiver.py
@@ -12,7 +12,7 @@
 from rackhub.fleet.distribution.schedule import NEVER
 from rackhub.fleet.distribution.state import in_scope
 
-GAP_TIMEOUT = 300 * MILLISECOND  # for an update that was overtaken by a later message
+GAP_TIMEOUT = 300 * MILLISECOND  # longest wait for an update that a later message has overtaken
 
 Content = Update | SnapshotPart | Heartbeat
 
--- a/rackhub/fleet/distribution/relay_report.py
+++ b/rackhub/fleet/distribution/relay_report.py
@@ -1,4 +1,4 @@
-"""What a relay reports upward of its watchers: counts by revision in force, who lags, what could not be applied."""
+"""Builds a relay's report about its watchers: counts by applied revision, lagging watchers and rejected keys."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,13 +8,13 @@
 from rackhub.fleet.distribution.schedule import NEVER
 from rackhub.fleet.distribution.session import Session
 
-MAX_COUNTS = 16  # revisions told apart in one report
+MAX_COUNTS = 16  # number of different revisions in one report
 
 
 def build_report(
     sessions: Iterable[Session], zone: str, log: LogId, revision: Revision, members: int, now: int, limits: Limits
 ) -> Report:
-    """The report of a relay at `revision` with these sessions."""
+    """Return the report of a relay at `revision` with these sessions."""
     counts: Counter[Revision] = Counter()
     behind: list[LaggingWatcher] = []
     faults: dict[str, KeyFault] = {}
@@ -50,7 +50,10 @@
 
 
 def _merge_oldest(counts: Counter[Revision]) -> tuple[RevisionCount, ...]:
-    """Newest first; what is beyond the bound counts as at the lowest revision of all."""
+    """Return the counts, newest revision first.
+
+    Those beyond the limit are added to the count of the oldest revision.
+    """
     newest_first = sorted(counts.items(), reverse=True)
     named_faults, rest = newest_first[: MAX_COUNTS - 1], newest_first[MAX_COUNTS - 1 :]
     if rest:
--- a/rackhub/fleet/distribution/relay_shell.py
+++ b/rackhub/fleet/distribution/relay_shell.py
@@ -1,4 +1,4 @@
-"""A relay's side: its core on mail, and how many coordinators live in its zone by the members' word."""
+"""The shell of a relay: its core on the link, and the number of live coordinators in its zone."""
 
 from rackhub.fleet.distribution.core_runner import CoreRunner, Inbox
 from rackhub.fleet.distribution.events import Effect, MembersChanged
@@ -22,7 +22,10 @@
 
 
 class RelayShell:
-    """`nodes`: names of all voters and relays, which are no coordinators where they are members of the zone."""
+    """Runs a relay.
+
+    `nodes` are the names of all voters and relays; as members of the zone they don't count as coordinators.
+    """
 
     def __init__(self, fleet: Fleet, identity: Identity, nodes: frozenset[Name], limits: Limits):
         self._fleet, self._nodes = fleet, nodes
@@ -35,24 +38,28 @@
 
     @property
     def version(self) -> int:
-        """The revision that it holds."""
+        """The revision that the relay has and serves."""
         return self._relay.revision
 
     @property
     def upstream(self) -> str:
+        """The voter that is being watched; empty while there is none."""
         return self._relay.upstream or ""
 
     def start(self) -> None:
+        """Start to watch, to serve and to follow the zone's members."""
         self._fleet.members.follow(self._member_changed)
         self.inbox.start()
         self._runner.start()
         self._count_members()
 
     def stop(self) -> None:
+        """Stop watching and serving."""
         self._stopped = True
         self._runner.stop()
 
     def figures(self) -> dict[str, float]:
+        """Return the metrics by name."""
         return {
             "distribution_revision": float(self.version),
             "distribution_watchers": float(self._relay.watchers),
@@ -67,7 +74,7 @@
         self._count_members()
 
     def _count_members(self) -> None:
-        """Tell the core where the number of coordinators has changed. The relay itself is among its nodes."""
+        """Pass the number of live coordinators to the core if it has changed. `nodes` contains the relay itself."""
         live_coordinators = len(self._fleet.members.live() - self._nodes)
         if live_coordinators != self._live_coordinators and not self._stopped:
             self._live_coordinators = live_coordinators
--- a/rackhub/fleet/distribution/replication.py
+++ b/rackhub/fleet/distribution/replication.py
@@ -1,7 +1,8 @@
-"""A voter among the voters: what a majority has chosen reaches each of them, and which of them have it on their disks.
+"""Replication between voters: each learns what a majority has chosen, and which voters have it on disk.
 
-A voter learns of a change by the mail of the one that had it decided, by reading the register where another one is
-ahead or the own register voter has accepted what nobody told of, and by a snapshot where the register no longer has it.
+A voter learns of a change by a message of the voter that had it decided. It reads the register if another voter is
+ahead, or if its own acceptor has accepted a value that was never announced. If the register no longer contains the
+change, it fetches a snapshot.
 """
 
 import logging
@@ -23,25 +24,27 @@
 log = logging.getLogger(__name__)
 
 TICK = 500 * MILLISECOND
-TICKS_PER_MESSAGE = 2  # between two words to the other voters of the newest revision held
-UNFINISHED_TIMEOUT = (
-    1 * SECOND
-)  # how long the register voter holds a value that nobody told was chosen, before it is read
-READ_INTERVAL = 1 * SECOND  # between two readings of the register
-LOG_ID_BYTES = 8  # of a new log's identity
-REGISTER_TIMEOUT = 5 * SECOND  # for one change or reading of the register
+# Every how many ticks the synced revision is sent to the other voters.
+TICKS_PER_MESSAGE = 2
+UNFINISHED_TIMEOUT = 1 * SECOND  # time that an accepted value may stay unannounced before the register is read
+READ_INTERVAL = 1 * SECOND  # shortest time between two reads of the register
+LOG_ID_BYTES = 8  # size of a new log's random id
+REGISTER_TIMEOUT = 5 * SECOND  # time for one change or read of the register
 
 
 class VoterRevision(msgspec.Struct, frozen=True):
-    """What a voter last said that it holds, and when it came."""
+    """The last revision that a voter has reported, and when the report arrived."""
 
     revision: Revision
     received_at: int
 
 
 class Replication:
-    """`busy`: whether the voter is catching up, when nothing may be learned otherwise. `confirmed` is called with the
-    microseconds since a majority of the voters had nothing newer than this one, as far as they have said."""
+    """Keeps a voter up to date with the others.
+
+    `is_catching_up` returns whether a catch-up is running, during which nothing else may be learned. `on_confirmed`
+    gets the microseconds since a majority of the voters had nothing newer than this one, as far as they have reported.
+    """
 
     def __init__(
         self,
@@ -60,30 +63,33 @@
         self.last_seen: dict[Name, VoterRevision] = {}
         self._reading = False
         self._read_at = fleet.clock.now()
-        self._last_value: bytes | None = None  # the own register voter's value, as last looked at
-        self._accepted_revision: Revision = 0  # its newest revision
+        self._last_value: bytes | None = None  # the value of the local acceptor when it was last checked
+        self._accepted_revision: Revision = 0  # the newest revision in that value
         self._unfinished_since: int | None = None
         self._ticks = 0
         self._cancel: Callable[[], None] = lambda: None
         self._stopped = False
 
     def start(self) -> None:
+        """Subscribe to the other voters' messages and start the timer."""
         self._messenger.start()
         self._tick()
 
     def stop(self) -> None:
+        """Stop the timer and learn nothing more."""
         self._stopped = True
         self._cancel()
 
     def replicated_revision(self) -> Revision:
-        """The newest revision that a majority of the voters is known to have on its disks."""
+        """Return the newest revision that a majority of the voters is known to have on disk."""
         others = [last_seen.revision for last_seen in self.last_seen.values()]
         return majority_revision([self._learner.synced, *others], len(self._voters))
 
     def confirmed_age(self) -> int | None:
-        """Microseconds since a majority of the voters, this one too, had nothing newer than what is on the disk here;
-        None where not so many have said so. A word that is under way, or a change that its voter has not announced yet,
-        is not in it: the age is a lower bound."""
+        """Return the microseconds since a majority of the voters, including this one, had nothing newer than the local
+        disk. None if too few voters have reported. The age is a lower bound: reports on their way and changes not
+        announced yet are not included.
+        """
         now, local_revision = self._fleet.clock.now(), self._learner.synced
         ages = sorted(
             now - last_seen.received_at for last_seen in self.last_seen.values() if last_seen.revision <= local_revision
@@ -94,22 +100,24 @@
         return ages[needed - 1] if needed else 0
 
     def learn(self, tail: Tail) -> None:
-        """A majority has chosen this."""
+        """Learn a tail that a majority has chosen."""
         if not self._is_catching_up() and not self._stopped:
             self._learner.learn_tail(tail)
 
     def announce(self, tail: Tail) -> None:
-        """Tell the other voters of changes that this one had decided, one at a time to fit in a piece of mail."""
+        """Send changes that this voter had decided to the other voters, each in its own message to keep within the
+        message size.
+        """
         known = self.replicated_revision()
         for change in tail.changes:
             if change.revision > known:
                 self._messenger.send_all(ChosenChanges(tail.log, (change,)))
 
     def send_synced_revision(self) -> None:
-        """Tell the other voters what the disk has here."""
+        """Send the revision that is synced to the local disk to the other voters."""
         self._messenger.send_all(NewestRevision(self._learner.synced))
 
-    # ---- what comes
+    # ---- messages of other voters
 
     def _on_message(self, sender: Name, message: VoterMessage) -> None:
         match message:
@@ -130,7 +138,7 @@
         if self._is_catching_up():
             return
         if changes and changes[0].revision > self._learner.revision + 1:
-            return self._read()  # the ones before are under way, or in the register
+            return self._read()  # the earlier changes are on their way, or in the register
         self._learner.learn(log_id, changes)
 
     # ---- the register
@@ -143,7 +151,7 @@
         self._proposer.read(self._on_read, REGISTER_TIMEOUT)
 
     def _begin_log(self) -> None:
-        """Nothing is held: have the register begin a log where it has none, so that watchers know its identity."""
+        """Have the register start a log if it has none, so that watchers of an empty fleet learn the log's id."""
         now = self._fleet.clock.now()
         if self._reading or self._is_catching_up() or now < self._read_at:
             return
@@ -176,8 +184,11 @@
         self._cancel = self._fleet.call_later(TICK, self._tick)
 
     def _check_unfinished(self) -> None:
-        """An editor's voter may have ended between accept and answer: what the own register voter then holds may be
-        chosen without that anybody knows. A read settles it."""
+        """Read the register if the local acceptor has held an unannounced value for too long.
+
+        A voter may end between the acceptance of its edit and the announcement. The accepted value may then be chosen
+        without any voter knowing; a read settles this.
+        """
         now = self._fleet.clock.now()
         self._update_accepted_revision()
         if self._accepted_revision <= self._learner.revision:
@@ -198,5 +209,5 @@
             return
         try:
             self._accepted_revision = decode_tail(value).newest
-        except msgspec.MsgspecError as bad:  # a later program's: it is left to that one
+        except msgspec.MsgspecError as bad:  # written by a later version; left to that one
             log.error("fleet: the register of distribution can't be read: %s", bad)
--- a/rackhub/fleet/distribution/reports.py
+++ b/rackhub/fleet/distribution/reports.py
@@ -1,4 +1,4 @@
-"""The relays' reports at a voter, and what they say of the whole fleet."""
+"""The relays' reports at a voter, and the status of the whole fleet that follows from them."""
 
 import msgspec
 
@@ -7,8 +7,9 @@
 from rackhub.fleet.distribution.messages import LaggingWatcher, LogId, Name, Report, Revision
 from rackhub.fleet.distribution.ports import FleetStatus
 
-REPORT_RETENTION = 3_600 * SECOND  # without a report a relay no longer counts, neither do its zone's coordinators
-MAX_RELAYS = 512  # whose reports are kept
+# A relay without a report for this long is forgotten, and the coordinators of its zone with it.
+REPORT_RETENTION = 3_600 * SECOND
+MAX_RELAYS = 512  # number of relays whose reports are kept
 
 
 class _ReceivedReport(msgspec.Struct, frozen=True):
@@ -17,14 +18,14 @@
 
 
 class ReportStore:
-    """The newest report of each relay."""
+    """Keeps the newest report of each relay."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._reports: dict[Name, _ReceivedReport] = {}
 
     def store(self, now: int, relay: Name, report: Report) -> bool:
-        """False: there are too many relays already."""
+        """Store a report. Return False if there are too many relays."""
         if relay not in self._reports and len(self._reports) >= MAX_RELAYS:
             self._drop_expired(now)
             if len(self._reports) >= MAX_RELAYS:
@@ -33,7 +34,10 @@
         return True
 
     def relays(self, now: int) -> RelaysByZone:
-        """Those that report, by zone, those with watchers first. A zone whose relays have fallen silent has none."""
+        """Return the relays with a recent report by zone, those with watchers first.
+
+        A zone whose relays no longer report has an empty tuple.
+        """
         self._drop_expired(now)
         zones: dict[str, list[tuple[bool, Name]]] = {}
         for name, received in self._reports.items():
@@ -43,7 +47,10 @@
         return {zone: tuple(name for _, name in sorted(found)) for zone, found in sorted(zones.items())}
 
     def status(self, now: int, log: LogId, revision: Revision, decided_at: int) -> FleetStatus:
-        """What holds of `revision`. Who is not known to have it lags. `decided_at`: when it was first known here."""
+        """Return the status of a revision, which was first known here at `decided_at`.
+
+        Coordinators that are not known to have applied it count as lagging.
+        """
         self._drop_expired(now)
         fresh = [received for received in self._reports.values() if self._is_fresh(now, received)]
         in_force = sum(_count_applied(received.report, log, revision) for received in fresh)
@@ -52,7 +59,7 @@
         behind.sort(key=lambda lagging: (-lagging.behind, lagging.name))
         lagging = expected - in_force
         oldest_lag_ms = behind[0].behind if behind else 0
-        if lagging > len(behind):  # some that nobody names: since the change was decided, for all that is known
+        if lagging > len(behind):  # Some are in no report; they may lag since the decision.
             oldest_lag_ms = max(oldest_lag_ms, (now - decided_at) // MILLISECOND)
         faults = sum(received.report.fault_count for received in fresh)
         return FleetStatus(
@@ -60,7 +67,7 @@
         )
 
     def _members(self, now: int) -> int:
-        """Coordinators of all zones; of a zone that is silent as many as it last had."""
+        """Return the number of coordinators of all zones. A zone without recent reports counts with its last number."""
         fresh: dict[str, int] = {}
         last: dict[str, tuple[int, int]] = {}
         for received in self._reports.values():
--- a/rackhub/fleet/distribution/rollout.py
+++ b/rackhub/fleet/distribution/rollout.py
@@ -1,4 +1,4 @@
-"""The end of an edit: until its revision is in force everywhere by the relays' sums, as long as the editor waits."""
+"""Answers an edit once its revision is applied everywhere, or once the editor's waiting time is over."""
 
 from typing import Any
 
@@ -18,7 +18,10 @@
 def wait_until_applied(
     voter: Voter, fleet: Fleet, request: EditRequest, edit: EditDone, began: int, wait_ms: int, answer: Answer
 ) -> None:
-    """Answer when all have it, when some can't take one of its keys, or when the time is over."""
+    """Answer when all coordinators have applied the edit, some have rejected one of its keys, or `wait_ms` is over.
+
+    `began` is the start of the edit in microseconds.
+    """
     deadline = fleet.clock.now() + wait_ms * MILLISECOND
 
     def poll() -> None:
@@ -44,14 +47,14 @@
 
 
 def _rejected_keys_of(voter: Voter, revision: Revision) -> list[KeyFault]:
-    """Keys of that change which some coordinators can't take."""
+    """Return the keys of that change which some coordinators have rejected."""
     changes = [one.change for one in voter.history.newest_first() if one.change.revision == revision]
     keys = {entry.key for change in changes for entry in change.entries}
     return [fault for fault in voter.rejected_keys() if fault.key in keys]
 
 
 def _rollout_error(status: FleetStatus, rejected: list[KeyFault], wait_ms: int) -> dict[str, Any]:
-    """The error of an edit that is decided, and not in force everywhere after the wait."""
+    """Return the error of an edit that is decided and not applied everywhere; empty if there is nothing to report."""
     if rejected:
         keys = ", ".join(fault.key for fault in rejected)
         reason = f"some coordinators can't take {keys}, and go on with the value before"
--- a/rackhub/fleet/distribution/rule_keys.py
+++ b/rackhub/fleet/distribution/rule_keys.py
@@ -1,4 +1,4 @@
-"""Put the rule book's keys in force at the parts of a process, each key that can't be taken left as it was before."""
+"""Applies the keys of the rule set to the sections of a process. A rejected key keeps its previous value."""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping
@@ -13,24 +13,27 @@
 from rackhub.fleet.ports import RuleSection
 
 log = logging.getLogger(__name__)
-SECTION_NAME_CACHE_SIZE = 16_384  # whose parts are remembered
-MAX_PASSES = 3  # over the keys of a part that can't be taken as a whole; each finds what rests on the one before
+SECTION_NAME_CACHE_SIZE = 16_384  # number of keys whose section name is cached
+# Passes over the keys of a section that is not accepted as a whole. Each pass finds keys that depend on keys accepted
+# in the previous one.
+MAX_PASSES = 3
 
 Values = dict[str, bytes]
-Check = Callable[[str, Values], None]  # raises `ValueError` where the part of that name can't take the values
+Check = Callable[[str, Values], None]  # raises `ValueError` if the named section rejects the values
 
 
 class AcceptedValues(msgspec.Struct, frozen=True):
-    """`values` can be taken as they are; `faults` are the keys that could not be, by key with the reason."""
+    """The accepted `values` of a section, and the rejected keys with their reasons (`faults`)."""
 
     values: Values
     faults: dict[str, str]
 
 
 class RuleKeys:
-    """What is wanted, what is in force, and the parts that it is for. `parts` may grow until the first `apply`.
+    """The desired and the applied values of the rule set, and the sections that they belong to.
 
-    `fallback`: what an earlier process had in force where it may not have taken the wanted value; None: no such key.
+    Sections may be added until the first `apply`. `fallback` contains the values that the previous process had applied
+    for keys whose desired value it may have rejected; None means that it had no value.
     """
 
     def __init__(self, desired: Mapping[str, bytes], fallback: Mapping[str, bytes | None]):
@@ -40,11 +43,11 @@
         self.faults: dict[str, str] = {}
 
     def start(self, revision: int) -> None:
-        """Put in force what was held when the process before this one ended."""
+        """Apply the values that were stored when the previous process ended."""
         self._apply_sections(self._section_names(), revision)
 
     def apply(self, entries: Iterable[Entry], snapshot: bool, revision: int) -> tuple[KeyFault, ...]:
-        """Want these entries, put in force what can be, and return what can't."""
+        """Make these entries the desired ones, apply what is accepted, and return the rejected keys."""
         changes: dict[str, bytes | None] = dict.fromkeys(self.desired) if snapshot else {}
         changes |= {entry.key: entry.value for entry in entries}
         self.desired = _with_changes(self.desired, changes)
@@ -53,7 +56,7 @@
         return self.key_faults()
 
     def check(self, entries: Iterable[Entry]) -> tuple[KeyFault, ...]:
-        """Which of these entries could not be taken. Changes nothing."""
+        """Return which of these entries would be rejected. Nothing is changed."""
         changes = {entry.key: entry.value for entry in entries}
         after = _with_changes(self.desired, changes)
         faults: dict[str, str] = {}
@@ -65,10 +68,10 @@
         return _key_faults(faults)
 
     def key_faults(self) -> tuple[KeyFault, ...]:
-        """The keys whose wanted value is not in force, with the reason, in order of key."""
+        """Return the keys whose desired value is rejected, with the reasons, in order of key."""
         return _key_faults(self.faults)
 
-    # ---- one part after the other
+    # ---- one section after the other
 
     def _section_names(self) -> set[str]:
         return {_section_name(key) for key in self.desired.keys() | self.applied.keys()}
@@ -81,7 +84,7 @@
             self.faults |= accepted.faults
             try:
                 self._apply_section(name, accepted.values, revision)
-            except Exception as bad:  # a part's own fault must not keep the other parts from their change
+            except Exception as bad:  # a fault of one section must not stop the others
                 log.exception("fleet: %s can't hold revision %d", name, revision)
                 self.faults |= {key: f"{name} can't hold it: {bad}" for key in _changed_keys(before, accepted.values)}
                 continue
@@ -96,7 +99,7 @@
             self.sections[name].apply(assemble(values).get(name), revision)
 
     def _check(self, name: str, values: Values) -> None:
-        """Raises `ValueError` where the part can't take these."""
+        """Check values of one section. Raises `ValueError` if the section rejects them."""
         if not values:
             return
         content: Mapping[str, Any] | None = assemble(values).get(name)
@@ -107,7 +110,11 @@
 
 
 def accept_values(check: Check, name: str, current: Values, desired: Values) -> AcceptedValues:
-    """As much of `wanted` as the part takes: all of it, or `standing` with each change that it takes by itself."""
+    """Return the accepted part of `desired`.
+
+    That is all of it if the section accepts it, else `current` with each change that the section accepts on top of the
+    ones before.
+    """
     reason = _fault(check, name, desired)
     if not reason:
         return AcceptedValues(desired, {})
@@ -149,7 +156,7 @@
 
 @lru_cache(SECTION_NAME_CACHE_SIZE)
 def _section_name(key: str) -> str:
-    """Empty for a key that is none of the rule book's."""
+    """Return the name of the section that a key belongs to; empty if it is not a key of the rule set."""
     try:
         return section_of(key)
     except RuleKeyError:
--- a/rackhub/fleet/distribution/rules.py
+++ b/rackhub/fleet/distribution/rules.py
@@ -1,8 +1,8 @@
-"""The rule book's content as keys and values of distribution, and back. Pure.
+"""Converts the content of the rule set to keys and values of distribution, and back.
 
-A part is a table of settings, and most settings are arrays of tables. Each setting has a key of its own, and each item
-of an array of tables has one: `rules/<part>/<setting>` and `rules/<part>/<setting>/<rank>`. Ranks leave room between
-one another, and items that stay keep theirs, so that an item put in or taken out in the middle is one key's change.
+Pure. A section is a table of settings, and most settings are arrays of tables. Each setting has its own key, and so has
+each item of an array of tables: `rules/<part>/<setting>` and `rules/<part>/<setting>/<rank>`. Ranks leave gaps, and
+unchanged items keep theirs, so that adding or removing an item in the middle changes only one key.
 """
 
 from collections.abc import Mapping, Sequence
@@ -15,9 +15,9 @@
 from rackhub.fleet.distribution.limits import MAX_ENTRY_VALUE_BYTES, MAX_KEY_BYTES
 
 PREFIX = "rules/"
-RANK_DIGITS = 12  # hexadecimal
-RANK_STEP = 1 << 24  # between two items of an array that is new
-MAX_SHOWN_CHARS = 60  # letters of a key in a refusal
+RANK_DIGITS = 12  # number of hexadecimal digits of a rank in a key
+RANK_STEP = 1 << 24  # distance between two items of a new array
+MAX_SHOWN_CHARS = 60  # characters of a key that are shown in an error
 
 Content = Mapping[str, Any]
 Values = Mapping[str, bytes]
@@ -26,7 +26,7 @@
 
 
 class RuleKeyError(ValueError):
-    """A key that can't be used; `key` is its name, the text says why."""
+    """An unusable key. `key` is its name; the message gives the reason."""
 
     def __init__(self, key: str, reason: str):
         super().__init__(f"{key[:MAX_SHOWN_CHARS]}: {reason}")
@@ -37,7 +37,7 @@
 
 
 def flatten(content: Content, current: Values) -> dict[str, bytes]:
-    """The content's keys and values. Items of arrays keep the ranks that they have in `standing`."""
+    """Return the content's keys and values. Array items keep the ranks that they have in `current`."""
     values: dict[str, bytes] = {}
     for section_name, section in content.items():
         section_key = PREFIX + quote(section_name, safe="")
@@ -59,7 +59,7 @@
 
 
 def _flatten_items(key: str, items: Sequence[Any], current: Values) -> dict[str, bytes]:
-    """One key for each item, in order of rank."""
+    """Return one key for each item, in order of rank."""
     current_items = _items_at(f"{key}/", current)
     encoded = [_encode_checked(f"{key}[{number}]", item) for number, item in enumerate(items)]
     ranks = _ranks([rank for rank, _ in current_items], [value for _, value in current_items], encoded)
@@ -79,8 +79,10 @@
 
 
 def _ranks(old_ranks: list[int], old: list[bytes], new: list[bytes]) -> list[int]:
-    """A rank for each new item, growing. Items that stay or are replaced in place keep theirs, as far as there is
-    room."""
+    """Return increasing ranks for the new items.
+
+    Items that stay, or are replaced in place, keep their ranks as long as there are free ranks between them.
+    """
     kept: list[int | None] = [None] * len(new)
     for kind, old_from, old_to, new_from, new_to in SequenceMatcher(None, old, new, autojunk=False).get_opcodes():
         if kind in ("equal", "replace"):
@@ -91,7 +93,7 @@
 
 
 def _fill_ranks(kept: list[int | None]) -> list[int] | None:
-    """Ranks for those without one, evenly between their neighbours; None where there is no room for them."""
+    """Give items without a rank one, evenly spaced between their neighbours. Return None if the gaps are too small."""
     ranks: list[int] = []
     position = 0
     while position < len(kept):
@@ -130,7 +132,7 @@
 
 
 def assemble(values: Values) -> dict[str, dict[str, Any]]:
-    """The content that the keys stand for. Raises `RuleKeyError` for a key or value that `flatten` never makes."""
+    """Return the content for these keys. Raises `RuleKeyError` for a key or value that `flatten` never produces."""
     content: dict[str, dict[str, Any]] = {}
     for key in sorted(values):
         names = [unquote(name) for name in key.removeprefix(PREFIX).split("/")]
@@ -156,7 +158,7 @@
 
 
 def section_of(key: str) -> str:
-    """The part of the rule book that a key belongs to. Raises `RuleKeyError` where it belongs to none."""
+    """Return the section that a key belongs to. Raises `RuleKeyError` if it is not a key of the rule set."""
     if not key.startswith(PREFIX):
         raise RuleKeyError(key, f"is no key of the rule book: {PREFIX}<part>/<setting>[/<rank>]")
     return unquote(key.removeprefix(PREFIX).split("/")[0])
@@ -166,7 +168,7 @@
 
 
 def difference(old: Values, new: Values) -> dict[str, bytes | None]:
-    """What makes `new` out of `old`: new values, and None for keys that go."""
+    """Return the changes from `old` to `new`; None means that a key is deleted."""
     changed: dict[str, bytes | None] = {key: None for key in old if key not in new}
     changed |= {key: value for key, value in new.items() if old.get(key) != value}
     return dict(sorted(changed.items()))
--- a/rackhub/fleet/distribution/selection.py
+++ b/rackhub/fleet/distribution/selection.py
@@ -38,8 +38,8 @@
 
     def __init__(self, node: Node, rank: int, local: bool) -> None:
         self.node, self.rank, self.local = node, rank, local
-        self.available_at = 0  # not rejected or unresponsive yet
-        self.rejections = 0  # in a row, without a success between them
+        self.available_at = 0  # time from which the upstream may be tried
+        self.rejections = 0  # number of rejections since the last success
 
 
 class Candidates:
--- a/rackhub/fleet/distribution/service.py
+++ b/rackhub/fleet/distribution/service.py
@@ -1,4 +1,4 @@
-"""The calls of `rackhub rules` on the control port of a process with a role. Docs: docs/operators/distribution.md."""
+"""The `rackhub rules` commands on the control port of a process with a role. Docs: docs/operators/distribution.md."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -26,14 +26,14 @@
 
 
 class UnsupportedCall(ValueError):
-    """What a fleet with relays, or this process, does not do."""
+    """A command that a fleet with relays, or this process, does not support."""
 
 
 Handler = Callable[[Request, Answer], None]
 
 
 def register_calls(control: Control, shell: Shell, settings: FleetSettings, fleet: Fleet) -> None:
-    """Take the calls that this role answers, and refuse the others naming who does."""
+    """Register the commands of this role. The others are rejected with the names of the voters, who support them."""
     voters = ", ".join(sorted(node.name for node in settings.node if node.role == VOTER)) or "the voters"
 
     def reject_call(call: Request, answer: Answer) -> None:
@@ -64,12 +64,13 @@
 
 
 class VoterService:
-    """The calls at a voter."""
+    """The commands at a voter."""
 
     def __init__(self, voter: Voter, fleet: Fleet):
         self._voter, self._fleet = voter, fleet
 
     def handlers(self) -> dict[str, Handler]:
+        """Return the handler of each command."""
         return {
             "show": lambda call, answer: answer(show_answer(self._voter, call.version)),
             "history": lambda call, answer: answer(history_answer(self._voter, call.limit)),
--- a/rackhub/fleet/distribution/session.py
+++ b/rackhub/fleet/distribution/session.py
@@ -66,7 +66,7 @@
         self.transfer: SnapshotTransfer | None = None
         self.faults: tuple[KeyFault, ...] = ()
         self.last_received_at = now
-        self.progress_at = now  # when the watcher last made progress, or fell behind
+        self.progress_at = now  # time of the watcher's last progress, or when it fell behind
         self.awaiting_since = now  # start of the wait for the next acknowledgement
         self.heartbeat_at = now  # time of the next heartbeat
         # Since when a change in scope is not acknowledged; NEVER if there is none.
--- a/rackhub/fleet/distribution/source.py
+++ b/rackhub/fleet/distribution/source.py
@@ -1,4 +1,4 @@
-"""A voter's side: serves the decided changes to relays, gathers their reports, and asks zones before an edit."""
+"""The serving side of a voter: serves changes to relays, collects their reports and runs checks before edits."""
 
 import random
 from collections.abc import Sequence
@@ -35,7 +35,10 @@
 
 
 class Source:
-    """Serves what the register has decided. It has no upstream; its shell persists a change before it hands it in."""
+    """Serves what the register has decided.
+
+    A source has no upstream. Its shell persists a change before it passes the change to the source.
+    """
 
     def __init__(self, identity: Identity, stored: StoredState, limits: Limits, now: int) -> None:
         self._limits = limits
@@ -47,31 +50,35 @@
         self._reports = ReportStore(limits)
         self._started_at = now
         self._confirmed_at: int | None = None
-        self._decided_at: dict[Revision, int] = {}  # of recent revisions, oldest first
+        self._decided_at: dict[Revision, int] = {}  # time of each recent revision, oldest first
 
     @property
     def revision(self) -> Revision:
+        """The revision that is served."""
         return self._state.revision
 
     @property
     def log(self) -> LogId:
+        """The log that is served; empty if there is none yet."""
         return self._state.log
 
     @property
     def watchers(self) -> int:
+        """The number of watchers with a session."""
         return len(self._server.sessions)
 
     def status(self, now: int, revision: Revision | None = None) -> FleetStatus:
-        """What the relays report of a revision, the newest where none is given."""
+        """Return what the relays report about a revision; None means the newest."""
         requested = self._state.revision if revision is None else revision
         decided_at = self._decided_at.get(requested, self._started_at)
         return self._reports.status(now, self._state.log, requested, decided_at)
 
     def due(self) -> int:
+        """Return when a `Tick` is next needed, in microseconds."""
         return min(self._server.due(), self._checks.due())
 
     def step(self, now: int, event: Event) -> Sequence[Effect]:
-        """Take an event, and do what is due by now."""
+        """Handle an event and do what is due at `now`."""
         effects: list[Effect] = []
         if isinstance(event, Received):
             effects += self._received(now, event.sender, event.message)
@@ -99,7 +106,10 @@
         return [IncrementCounter("distribution_unexpected", sender)]
 
     def _on_decided(self, now: int, log: LogId, changes: tuple[Change, ...]) -> list[Effect]:
-        """Changes that are held are passed over; those after a gap wait until the shell has caught up."""
+        """Apply decided changes.
+
+        Known ones are skipped; those after a gap are dropped until the shell has caught up.
+        """
         if self._state.log and log != self._state.log:
             return [IncrementCounter("distribution_other_logs")]
         self._state.log = log
@@ -134,5 +144,7 @@
             del self._decided_at[next(iter(self._decided_at))]
 
     def _age(self, now: int) -> int:
-        """Since a majority of the voters was known to have nothing newer; 0 where the shell does not tell."""
+        """Return the microseconds since a majority was known to have nothing newer; 0 if the shell does not report
+        this.
+        """
         return 0 if self._confirmed_at is None else max(0, now - self._confirmed_at)
--- a/rackhub/fleet/distribution/store.py
+++ b/rackhub/fleet/distribution/store.py
@@ -1,4 +1,4 @@
-"""What a watcher holds, on a disk: a head, a record for each entry, and the values that they took the place of."""
+"""Stores a watcher's state on disk: a header, a record for each entry, and the previously applied values (fallback)."""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping
@@ -12,11 +12,11 @@
 
 log = logging.getLogger(__name__)
 
-DAMAGED = "distribution_damaged"  # counter
+DAMAGED = "distribution_damaged"  # name of a counter
 
 
 class StoredHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What the entries beside it stand for."""
+    """The header: log, revision and scope of the stored entries."""
 
     log: LogId
     revision: Revision
@@ -24,12 +24,13 @@
 
 
 class StateStore:
-    """`held`: what an earlier process left, or nothing. `fallback`: what was in force for keys whose newest value was
-    not known to be taken; None: no such key. `misplaced_history`: history records of a voter that earlier versions
-    stored in the fallback record; the next `persist` removes them from it. `prefix`: of its keys on the disk.
+    """The state on disk under keys that start with `prefix`.
 
-    A head or entry that can't be read is named in `damage` and counted, all that is held is deleted, and the watcher
-    begins from revision 0. A disk that can't be read at all is put aside by the disk itself.
+    `stored` is what the previous process stored, or empty. `fallback` contains the applied values of keys whose newest
+    value may be rejected; None means that there was none. `misplaced_history` contains history records that earlier
+    versions of a voter stored in the fallback record; the next `persist` removes them from it. If a header or entry
+    can't be read, the fault is in `damage` and counted, all stored entries are deleted, and the watcher starts from
+    revision 0. A disk that can't be read at all is put aside by the disk itself.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         self._disk, self._scope = disk, scope
         self._head_key, self._fallback_key = f"{prefix}/head", f"{prefix}/fallback"
         self._entry_prefix = f"{prefix}/entry/"
-        self._keys: set[str] = set()  # of the entries on the disk
+        self._keys: set[str] = set()  # keys of the entries on the disk
         self.stored = StoredState()
         self.fallback: Mapping[str, bytes | None] = {}
         self.misplaced_history: Mapping[str, bytes | None] = {}
@@ -61,7 +62,7 @@
         fallback: Mapping[str, bytes | None] | None = None,
         extra: Mapping[str, bytes | None] | None = None,
     ) -> None:
-        """Write it all at once; `done` when it is synced. `also`: further keys of the disk, in the same write."""
+        """Write a change, the `fallback` and `extra` keys in one atomic write. `done` is called when it is synced."""
         changes: dict[str, bytes | None] = {}
         if change.snapshot:
             changes = {self._entry_prefix + key: None for key in self._keys}
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -87,7 +87,7 @@
             self.learner, self.history, self._rule_keys, self.replication, self._proposer, self._runner.dispatch
         )
         self._stopped = False
-        self._rejected_keys: dict[Name, tuple[KeyFault, ...]] = {}  # by the relay that reported them last
+        self._rejected_keys: dict[Name, tuple[KeyFault, ...]] = {}  # key: relay that reports them
 
     def _create_catch_up(self, identity: Identity, voters: tuple[Name, ...], limits: Limits) -> CatchUp:
         others = tuple(Node(name, Role.VOTER) for name in voters if name != identity.name)
--- a/rackhub/fleet/distribution/voting.py
+++ b/rackhub/fleet/distribution/voting.py
@@ -10,7 +10,7 @@
 
 log = logging.getLogger(__name__)
 
-KIND = "distribution.voters"  # of the link messages that carry these
+KIND = "distribution.voters"  # the kind of link message that carries these messages
 REGISTER = "distribution.register"  # name of this register; the rule set of a fleet without relays has its own
 
 
