--- a/rackhub/fleet/distribution/decisions.py
+++ b/rackhub/fleet/distribution/decisions.py
@@ -70,7 +70,7 @@
     """The edit expects a revision that is not the newest one."""
 
     def __init__(self, expected: Revision, newest: Revision) -> None:
-        super().__init__(f"the newest revision is {newest}, the edit expects {expected}")
+        super().__init__(f"the newest revision is {newest}, but the edit expects {expected}")
         self.expected, self.newest = expected, newest
 
 
@@ -79,8 +79,8 @@
 
     def __init__(self, size: int, pending: int) -> None:
         super().__init__(
-            f"{pending} changes wait for a majority of the voters; with this one the register would hold {size} bytes, "
-            f"more than {MAX_VALUE_BYTES}"
+            f"{pending} changes wait for a majority of the voters; with this one the register value would "
+            f"have {size} bytes, more than {MAX_VALUE_BYTES}"
         )
         self.size, self.pending = size, pending
 
@@ -100,7 +100,7 @@
     for offset, change in enumerate(tail.changes, 1):
         if change.revision != tail.compacted_revision + offset:
             raise msgspec.ValidationError(
-                f"change {offset} after {tail.compacted_revision} has revision {change.revision}"
+                f"change {offset} after revision {tail.compacted_revision} has revision {change.revision}"
             )
     return tail
 
@@ -148,19 +148,22 @@
 def check_edit(edit: Edit) -> None:
     """Check the limits of an edit. Raises `InvalidEdit`."""
     if not 0 < len(edit.id) <= MAX_ID_CHARS or len(edit.author) > MAX_ID_CHARS or len(edit.reason) > MAX_REASON_CHARS:
-        _reject(f"id and author have at most {MAX_ID_CHARS} letters, a reason {MAX_REASON_CHARS}; an id must be there")
+        _reject(
+            f"id and author have at most {MAX_ID_CHARS} characters, the reason {MAX_REASON_CHARS}; "
+            "the id must not be empty"
+        )
     if not 0 < len(edit.values) <= MAX_CHANGE_ENTRIES:
-        _reject(f"an edit has 1 to {MAX_CHANGE_ENTRIES} keys, not {len(edit.values)}")
+        _reject(f"an edit must change 1 to {MAX_CHANGE_ENTRIES} keys, not {len(edit.values)}")
     size = sum(_entry_bytes(key, value) for key, value in edit.values.items())
     if size > MAX_CHANGE_BYTES:
         largest = max(edit.values, key=lambda key: len(edit.values[key] or b""))
-        raise InvalidEdit(largest, f"it is the largest of an edit of {size} bytes, more than {MAX_CHANGE_BYTES}")
+        raise InvalidEdit(largest, f"its value is the largest of an edit of {size} bytes, more than {MAX_CHANGE_BYTES}")
 
 
 def _entry_bytes(key: str, value: bytes | None) -> int:
     key_bytes = _key_bytes(key)
     if not 0 < key_bytes <= MAX_KEY_BYTES:
-        raise InvalidEdit(key, f"a key has 1 to {MAX_KEY_BYTES} bytes, not {key_bytes}")
+        raise InvalidEdit(key, f"a key must have 1 to {MAX_KEY_BYTES} bytes, not {key_bytes}")
     value_bytes = len(value) if value is not None else 0
     if value_bytes > MAX_ENTRY_VALUE_BYTES:
         raise InvalidEdit(key, f"its value has {value_bytes} bytes, more than {MAX_ENTRY_VALUE_BYTES}")
@@ -171,7 +174,7 @@
     try:
         return len(key.encode())
     except UnicodeEncodeError:
-        raise InvalidEdit(key, "it is not valid text") from None
+        raise InvalidEdit(key, "it is not valid Unicode text") from None
 
 
 def _reject(why: str) -> NoReturn:
--- a/rackhub/fleet/distribution/editing.py
+++ b/rackhub/fleet/distribution/editing.py
@@ -41,7 +41,7 @@
     changed = _plan_edit(request, rule_values) if request.kind == "edit" else _plan_undo(request, history)
     changed = {key: value for key, value in changed.items() if rule_values.get(key) != value}
     if not changed:
-        raise EditRejected(f"it changes nothing: revision {history.newest} says the same")
+        raise EditRejected(f"it changes nothing: revision {history.newest} has the same values")
     check_edit(Edit(request.id, changed, request.author, request.reason))
     return changed
 
@@ -81,7 +81,7 @@
 def _plan_undo(request: EditRequest, history: History) -> KeyChanges:
     to = request.target_revision if request.target_revision != NEWEST else request.base_revision - 1
     if not 0 <= to < request.base_revision:
-        raise EditRejected(f"to: {to} is not from 0 to {request.base_revision - 1}")
+        raise EditRejected(f"to: {to} is not between 0 and {request.base_revision - 1}")
     undone = [record for record in history.since(to) if record.change.revision <= request.base_revision]
     changed: dict[str, bytes | None] = {}
     for record in reversed(undone):
--- a/rackhub/fleet/distribution/editor.py
+++ b/rackhub/fleet/distribution/editor.py
@@ -97,9 +97,9 @@
         entries = tuple(Entry(key, value, base + 1) for key, value in changed.items())
         faults = self._rule_keys.check(entries)
         if faults:
-            return done(EditFailed(f"this voter can't take it: {_describe(faults)}", invalid=True))
+            return done(EditFailed(f"this voter rejects the edit: {_describe(faults)}", invalid=True))
         if len(self._checking) >= MAX_CONCURRENT_CHECKS:
-            return done(EditFailed(f"{MAX_CONCURRENT_CHECKS} edits are being checked already"))
+            return done(EditFailed(f"{MAX_CONCURRENT_CHECKS} edits are already being checked, the maximum"))
         self._last_check_id += 1
         self._checking[self._last_check_id] = _PlannedEdit(request, changed, base, done)
         self._request_check(CheckRequested(self._last_check_id, entries))
@@ -110,7 +110,7 @@
         if planned is None:
             return
         if answer.faults:
-            return planned.done(EditFailed(f"a coordinator can't take it: {_describe(answer.faults)}", invalid=True))
+            return planned.done(EditFailed(f"a coordinator rejects the edit: {_describe(answer.faults)}", invalid=True))
         self._decide(planned, answer.unanswered)
 
     def _decide(self, planned: _PlannedEdit, unanswered_zones: tuple[str, ...]) -> None:
@@ -140,12 +140,12 @@
         request, stored = planned.request, self._learner
         if stored.log and tail.log != stored.log or tail.newest < stored.revision:
             raise EditRejected(
-                f"the register has revision {tail.newest} of log {tail.log!r}, and this voter {stored.revision} of "
-                f"{stored.log!r}: the voters' disks were lost or put back"
+                f"the register has revision {tail.newest} of log {tail.log!r}, and this voter revision "
+                f"{stored.revision} of log {stored.log!r}: the voters' disks were lost or restored from a copy"
             )
         if decided_revision(tail, request.id) is None:
             if tail.compacted_revision > planned.base:
-                raise EditRejected(f"this voter is behind: it holds revision {planned.base}; say it again")
+                raise EditRejected(f"this voter is behind: it has revision {planned.base}; retry the edit")
             check_conflicts(request, planned.changed, [one for one in tail.changes if one.revision > planned.base])
         edit = Edit(request.id, planned.changed, request.author, request.reason)
         return append_edit(tail, edit, self._replication.replicated_revision())
@@ -160,7 +160,7 @@
         tail: Tail = outcome.answer
         revision = decided_revision(tail, planned.request.id)
         if revision is None:
-            return planned.done(EditFailed("the register does not remember it", unknown=True))
+            return planned.done(EditFailed("the register no longer knows the edit", unknown=True))
         self._replication.announce(tail)
         self._answer_when_synced(revision, unanswered_zones, planned.done)
 
--- a/rackhub/fleet/distribution/history.py
+++ b/rackhub/fleet/distribution/history.py
@@ -29,7 +29,7 @@
     """The changes since a revision are not (or no longer) all stored on this voter."""
 
     def __init__(self, revision: Revision, oldest: Revision, newest: Revision):
-        super().__init__(f"revision {revision} is not kept here: there are {oldest} to {newest}")
+        super().__init__(f"revision {revision} is not stored on this voter, which has revisions {oldest} to {newest}")
 
 
 class History:
--- a/rackhub/fleet/distribution/learner.py
+++ b/rackhub/fleet/distribution/learner.py
@@ -69,7 +69,11 @@
     def _is_other_log(self, log_id: LogId) -> bool:
         if not self.log or log_id == self.log:
             return False
-        log.error("fleet: changes of log %r, and %r is held: the register was lost or put back", log_id, self.log)
+        log.error(
+            "fleet: got changes of log %r, but the local log is %r: the register was lost or restored from a copy",
+            log_id,
+            self.log,
+        )
         self._count("distribution_other_logs", 1)
         return True
 
--- a/rackhub/fleet/distribution/messages.py
+++ b/rackhub/fleet/distribution/messages.py
@@ -207,4 +207,4 @@
 
 encode: Callable[[AnyMessage], bytes] = msgspec.msgpack.Encoder().encode
 decode: Callable[[bytes], AnyMessage] = msgspec.msgpack.Decoder(AnyMessage).decode
-"""Raises `msgspec.MsgspecError` (or `UnicodeDecodeError`) for what is none of these messages."""
+"""Decodes a message. Raises `msgspec.MsgspecError` or `UnicodeDecodeError` if it is not valid."""
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -113,7 +113,7 @@
             if bad.errno != errno.EADDRINUSE:
                 raise OSError(bad.errno, f"watch: {bad.strerror or bad}") from None
             if not self._address_in_use:
-                log.warning("fleet: watch: %s: tried again until it is free", bad)
+                log.warning("fleet: watch: %s; retrying until the address is free", bad)
             self._address_in_use = True
             self._cancel = self._fleet.call_later(BIND_RETRY_DELAY, self._open_link)
 
--- a/rackhub/fleet/distribution/queries.py
+++ b/rackhub/fleet/distribution/queries.py
@@ -107,10 +107,10 @@
         "voters": [
             {
                 "name": name,
-                "revision": last_seen.revision,
-                "age_ms": (now - last_seen.received_at) // MICROSECONDS_A_MILLISECOND,
+                "revision": reported.revision,
+                "age_ms": (now - reported.received_at) // MICROSECONDS_A_MILLISECOND,
             }
-            for name, last_seen in sorted(voter.replication.last_seen.items())
+            for name, reported in sorted(voter.replication.last_seen.items())
         ],
         "damage": voter.damage,
     }
--- a/rackhub/fleet/distribution/relay_shell.py
+++ b/rackhub/fleet/distribution/relay_shell.py
@@ -68,7 +68,7 @@
         }
 
     def _perform(self, effect: Effect) -> None:
-        raise AssertionError(f"a relay asks for {type(effect).__name__}, which it has no disk or parts for")
+        raise AssertionError(f"a relay can't perform {type(effect).__name__}: it has neither a disk nor rule sections")
 
     def _member_changed(self, member: Member) -> None:
         self._count_members()
--- a/rackhub/fleet/distribution/replication.py
+++ b/rackhub/fleet/distribution/replication.py
@@ -82,7 +82,7 @@
 
     def replicated_revision(self) -> Revision:
         """Return the newest revision that a majority of the voters is known to have on disk."""
-        others = [last_seen.revision for last_seen in self.last_seen.values()]
+        others = [reported.revision for reported in self.last_seen.values()]
         return majority_revision([self._learner.synced, *others], len(self._voters))
 
     def confirmed_age(self) -> int | None:
@@ -92,7 +92,7 @@
         """
         now, local_revision = self._fleet.clock.now(), self._learner.synced
         ages = sorted(
-            now - last_seen.received_at for last_seen in self.last_seen.values() if last_seen.revision <= local_revision
+            now - reported.received_at for reported in self.last_seen.values() if reported.revision <= local_revision
         )
         needed = quorum_size(self._voters) - 1
         if len(ages) < needed:
@@ -168,7 +168,7 @@
         try:
             tail = decode_tail(outcome.value)
         except msgspec.MsgspecError as bad:
-            return log.error("fleet: the register of distribution can't be read: %s", bad)
+            return log.error("fleet: the value of the distribution register can't be decoded: %s", bad)
         self.learn(tail)
 
     def _tick(self) -> None:
@@ -210,4 +210,4 @@
         try:
             self._accepted_revision = decode_tail(value).newest
         except msgspec.MsgspecError as bad:  # written by a later version; left to that one
-            log.error("fleet: the register of distribution can't be read: %s", bad)
+            log.error("fleet: the value of the distribution register can't be decoded: %s", bad)
--- a/rackhub/fleet/distribution/rollout.py
+++ b/rackhub/fleet/distribution/rollout.py
@@ -57,11 +57,11 @@
     """Return the error of an edit that is decided and not applied everywhere; empty if there is nothing to report."""
     if rejected:
         keys = ", ".join(fault.key for fault in rejected)
-        reason = f"some coordinators can't take {keys}, and go on with the value before"
+        reason = f"some coordinators reject {keys} and keep the previous value"
     elif wait_ms and not status.expected:
         reason = "no coordinator is known: no relay has reported yet"
     elif wait_ms and status.lagging:
-        reason = f"it is not in force at {status.lagging} of {status.expected} after {wait_ms} ms"
+        reason = f"{status.lagging} of {status.expected} coordinators have not applied it after {wait_ms} ms"
     else:
         return {}
     return {"error": f"revision {status.revision} is decided; {reason}", "exit": NOT_APPLIED}
--- a/rackhub/fleet/distribution/rule_keys.py
+++ b/rackhub/fleet/distribution/rule_keys.py
@@ -85,14 +85,14 @@
             try:
                 self._apply_section(name, accepted.values, revision)
             except Exception as bad:  # a fault of one section must not stop the others
-                log.exception("fleet: %s can't hold revision %d", name, revision)
+                log.exception("fleet: section %s failed to apply revision %d", name, revision)
                 self.faults |= {key: f"{name} can't hold it: {bad}" for key in _changed_keys(before, accepted.values)}
                 continue
             kept = {key: value for key, value in self.applied.items() if _section_name(key) != name}
             self.applied = kept | accepted.values
         for key, reason in sorted(self.faults.items()):
             if _section_name(key) in names:
-                log.error("fleet: revision %d: %s can't be taken, the value before goes on: %s", revision, key, reason)
+                log.error("fleet: revision %d: %s is rejected, the previous value is kept: %s", revision, key, reason)
 
     def _apply_section(self, name: str, values: Values, revision: int) -> None:
         if name in self.sections:
@@ -140,7 +140,7 @@
     except ValueError as bad:
         return str(bad) or type(bad).__name__
     except Exception as bad:
-        log.exception("fleet: the check of %s failed", name)
+        log.exception("fleet: the check of section %s failed", name)
         return f"{type(bad).__name__}: {bad}"
     return ""
 
--- a/rackhub/fleet/distribution/rules.py
+++ b/rackhub/fleet/distribution/rules.py
@@ -75,7 +75,7 @@
     try:
         return int(digits, 16)
     except ValueError:
-        raise RuleKeyError(key, f"{digits!r:.{MAX_SHOWN_CHARS}} is no rank of an item") from None
+        raise RuleKeyError(key, f"{digits!r:.{MAX_SHOWN_CHARS}} is not the rank of an item") from None
 
 
 def _ranks(old_ranks: list[int], old: list[bytes], new: list[bytes]) -> list[int]:
@@ -119,7 +119,7 @@
     try:
         value = encode_value(setting)
     except (TypeError, ValueError, OverflowError) as bad:
-        raise RuleKeyError(key, f"can't be written: {bad}") from None
+        raise RuleKeyError(key, f"can't be encoded: {bad}") from None
     key_bytes = len(key.encode())
     if key_bytes > MAX_KEY_BYTES:
         raise RuleKeyError(key, f"the key has {key_bytes} bytes, more than {MAX_KEY_BYTES}")
@@ -137,7 +137,7 @@
     for key in sorted(values):
         names = [unquote(name) for name in key.removeprefix(PREFIX).split("/")]
         if not key.startswith(PREFIX) or not 1 <= len(names) <= 3:
-            raise RuleKeyError(key, f"is no key of the rule book: {PREFIX}<part>/<setting>[/<rank>]")
+            raise RuleKeyError(key, f"is not a key of the rule set: {PREFIX}<part>/<setting>[/<rank>]")
         section = content.setdefault(names[0], {})
         if len(names) == 2:
             section[names[1]] = _read(key, values[key])
@@ -154,13 +154,13 @@
     try:
         return msgspec.msgpack.decode(value)
     except (msgspec.MsgspecError, UnicodeDecodeError, ValueError) as bad:
-        raise RuleKeyError(key, f"its value can't be read: {bad}") from None
+        raise RuleKeyError(key, f"its value can't be decoded: {bad}") from None
 
 
 def section_of(key: str) -> str:
     """Return the section that a key belongs to. Raises `RuleKeyError` if it is not a key of the rule set."""
     if not key.startswith(PREFIX):
-        raise RuleKeyError(key, f"is no key of the rule book: {PREFIX}<part>/<setting>[/<rank>]")
+        raise RuleKeyError(key, f"is not a key of the rule set: {PREFIX}<part>/<setting>[/<rank>]")
     return unquote(key.removeprefix(PREFIX).split("/")[0])
 
 
--- a/rackhub/fleet/distribution/service.py
+++ b/rackhub/fleet/distribution/service.py
@@ -37,7 +37,7 @@
     voters = ", ".join(sorted(node.name for node in settings.node if node.role == VOTER)) or "the voters"
 
     def reject_call(call: Request, answer: Answer) -> None:
-        raise UnsupportedCall(f"{settings.name} is a {settings.role}: ask a voter: {voters}")
+        raise UnsupportedCall(f"{settings.name} is a {settings.role}; send this command to a voter: {voters}")
 
     def status(call: Request, answer: Answer) -> None:
         answer(status_answer(shell, settings, fleet))
@@ -85,9 +85,9 @@
 
     def _edit(self, call: Request, answer: Answer) -> None:
         if call.trial_ms or call.trial_gateways:
-            raise UnsupportedCall("trial: there are no trials in a fleet with relays: edit, and undo where it must be")
+            raise UnsupportedCall("trial: there are no trials in a fleet with relays; edit, and undo if necessary")
         if call.base_version < 0:
-            raise ValueError("on: an edit names the revision that it builds on")
+            raise ValueError("on: an edit must name the revision that it builds on")
         self._change("edit", call, call.base_version, answer)
 
     def _undo(self, call: Request, answer: Answer) -> None:
@@ -116,8 +116,8 @@
 def _failure(failed: EditFailed, edit_id: str) -> dict[str, Any]:
     if failed.unknown:
         return {
-            "error": f"it may have been taken or not: {failed.reason}; say it again with id {edit_id}, which does "
-            "nothing twice",
+            "error": f"the edit may have been decided or not: {failed.reason}; repeat it with id {edit_id}, which "
+            "is applied at most once",
             "exit": REJECTED,
             "id": edit_id,
             "unknown": True,
--- a/rackhub/fleet/distribution/state.py
+++ b/rackhub/fleet/distribution/state.py
@@ -24,7 +24,7 @@
     """A change is missing between the current revision and the one that should be applied."""
 
     def __init__(self, current: Revision, previous: Revision) -> None:
-        super().__init__(f"a change that follows revision {previous} was offered to a state at revision {current}")
+        super().__init__(f"a change after revision {previous} can't be applied to a state at revision {current}")
         self.current, self.previous = current, previous
 
 
@@ -32,7 +32,7 @@
     """The change that should be applied belongs to another log."""
 
     def __init__(self, current: LogId, offered: LogId) -> None:
-        super().__init__(f"a change of log {offered!r} was offered to a state of log {current!r}")
+        super().__init__(f"a change of log {offered!r} can't be applied to a state of log {current!r}")
         self.current, self.offered = current, offered
 
 
--- a/rackhub/fleet/distribution/store.py
+++ b/rackhub/fleet/distribution/store.py
@@ -101,12 +101,12 @@
         for key, body in self._disk.scan(self._entry_prefix):
             entry = msgspec.msgpack.decode(body, type=Entry)
             if self._entry_prefix + entry.key != key:
-                raise msgspec.ValidationError(f"{key} holds the entry of {entry.key}")
+                raise msgspec.ValidationError(f"{key} contains the entry of key {entry.key}")
             yield entry.key, entry
 
     def _discard(self, reason: str) -> None:
         self.damage = f"{self._entry_prefix}: can't be read: {reason}"
-        log.error("fleet: %s; all of it is dropped and fetched anew", self.damage)
+        log.error("fleet: %s; all entries are deleted and fetched again", self.damage)
         discarded = [self._head_key, self._fallback_key, *(key for key, _ in self._disk.scan(self._entry_prefix))]
         self._disk.write(dict.fromkeys(discarded), lambda: None)
         self._keys = set()
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -148,7 +148,7 @@
         then.
         """
         if self._stopped:
-            raise EditRejected("this process ends: ask another voter")
+            raise EditRejected("this process is shutting down; use another voter")
         self._editor.edit(request, done)
 
     def status(self, revision: Revision | None = None) -> FleetStatus:
@@ -194,10 +194,12 @@
         try:
             recovered = recover_misplaced(misplaced, stored)
         except msgspec.MsgspecError as bad:
-            log.error("fleet: the history of revision %d can't be read, and is dropped: %s", stored.revision, bad)
+            log.error(
+                "fleet: the history record of revision %d can't be decoded and is dropped: %s", stored.revision, bad
+            )
             self._fleet.add_count(DAMAGED, 1)
             recovered = {}
-        log.warning("fleet: %d misplaced history records are removed, %d recovered", len(misplaced), len(recovered))
+        log.warning("fleet: removed %d misplaced history records, recovered %d", len(misplaced), len(recovered))
         self._store.persist(Persist(stored.log, stored.revision, (), False), lambda: None, extra=recovered)
 
     # ---- decided changes
--- a/rackhub/fleet/distribution/voting.py
+++ b/rackhub/fleet/distribution/voting.py
@@ -59,6 +59,6 @@
         try:
             message = _decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            log.warning("fleet: mail of voter %s can't be read", sender)
+            log.warning("fleet: a message of voter %s can't be decoded", sender)
             return self._fleet.add_count("distribution_unreadable", 1)
         self._on_voter_message(sender, message)
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -18,7 +18,7 @@
 
 ROLES = ("voter", "relay", "relay", "coordinator", "coordinator")
 VOTER, RELAYS, COORDINATORS = "g0", ("g1", "g2"), ("g3", "g4")
-MAX_LOCAL_REJECTIONS = 16.0  # seconds in which a change has to be in force
+APPLY_TIMEOUT_S = 16.0  # seconds in which a change has to be in force
 
 
 class Fleet:
@@ -30,8 +30,8 @@
     def call(self, name, call, **words):
         answers = []
         control = self.rig.gateways[name].control
-        say(reactor, control, {"call": call, **words}, answers.append, MAX_LOCAL_REJECTIONS)
-        until(reactor, lambda: answers, MAX_LOCAL_REJECTIONS + 1, f"an answer of {name} to {call}")
+        say(reactor, control, {"call": call, **words}, answers.append, APPLY_TIMEOUT_S)
+        until(reactor, lambda: answers, APPLY_TIMEOUT_S + 1, f"an answer of {name} to {call}")
         return answers[0]
 
     def edit(self, on, attempts, wait_ms=15_000):
@@ -44,7 +44,7 @@
 
     def comes_about(self, condition, what):
         """Asked again as soon as it was answered: each call turns the reactor."""
-        end = time.monotonic() + MAX_LOCAL_REJECTIONS
+        end = time.monotonic() + APPLY_TIMEOUT_S
         while not condition():
             assert time.monotonic() < end, what
 
@@ -102,8 +102,8 @@
             (VOTER, {"parts": {"timings": {"x" * 300: 1}}}, "more than 256"),
             (VOTER, {"parts": {"timings": {"note": "x" * 20_000}}}, "rules/timings/note: its value has"),
             (VOTER, {"parts": {}, "trial_ms": 5_000}, "trial: there are no trials"),
-            ("g1", {"parts": {}}, "g1 is a relay: ask a voter: g0"),
-            ("g2", {"parts": {}}, "g2 is a coordinator: ask a voter: g0"),
+            ("g1", {"parts": {}}, "g1 is a relay; send this command to a voter: g0"),
+            ("g2", {"parts": {}}, "g2 is a coordinator; send this command to a voter: g0"),
         ):
             told = fleet.call(name, "rules.edit", **words, **more)
             assert fault in told["error"] and told["exit"] == 2, told
@@ -122,7 +122,7 @@
         assert main([*undo, at[VOTER]]) == 0
         assert "revision 2 in force at 1 of 1" in capsys.readouterr().out
         assert main([*undo, at["g2"]]) == 2
-        assert "g2 is a coordinator: ask a voter" in capsys.readouterr().err
+        assert "g2 is a coordinator; send this command to a voter" in capsys.readouterr().err
         assert main(["rules", "show", "1", "--at", at[VOTER]]) == 0
         assert '"attempts": 1' in capsys.readouterr().out
         assert main(["rules", "diff", "--at", at[VOTER]]) == 0
@@ -141,7 +141,7 @@
     try:
         rig.up(wait=False)
         process = rig.processes.by_name["g0"]
-        until(reactor, lambda: not process.running(), MAX_LOCAL_REJECTIONS, "its end")
+        until(reactor, lambda: not process.running(), APPLY_TIMEOUT_S, "its end")
         assert "fleet: zone: 'z1' has no relay among node" in process.said()
         operator = tmp_path / "g0.toml"
         operator.write_text(operator.read_text().replace('role = "coordinator"', 'role = "boss"'))
--- a/tests/test_distribution_rules.py
+++ b/tests/test_distribution_rules.py
@@ -80,7 +80,7 @@
         ),
         ({"timings": {"note": "y" * MAX_ENTRY_VALUE_BYTES}}, "rules/timings/note: its value has .* bytes, more than"),
         ({"timings": 3}, "rules/timings: 3 is not a table"),
-        ({"timings": {"number": 1 << 70}}, "rules/timings/number: can't be written"),
+        ({"timings": {"number": 1 << 70}}, "rules/timings/number: can't be encoded"),
     ],
 )
 def test_what_can_t_be_a_value_is_refused_naming_the_key(content, fault):
@@ -107,11 +107,15 @@
         ({"a": {"k" * MAX_KEY_BYTES: 1}}, {}, "rules/a/kkk.*the key has 264 bytes, more than 256"),
         ({"k" * MAX_KEY_BYTES: {}}, {}, "rules/kkk.*the key has 262 bytes, more than 256"),
         ({"a": {"b": "x" * MAX_ENTRY_VALUE_BYTES}}, {}, "rules/a/b: its value has 16387 bytes, more than 16384"),
-        ({"a": {f"{n}": "x" * 16_000 for n in range(5)}}, {}, "key 'rules/a/0': it is the largest of an edit of"),
-        ({"a": {f"{n:03}": n for n in range(257)}}, {}, "an edit has 1 to 256 keys, not 257"),
-        ({"a": {"b": 1}}, {"id": "i" * 65}, "id and author have at most 64 letters"),
-        ({"a": {"b": 1}}, {"author": "a" * 65}, "id and author have at most 64 letters"),
-        ({"a": {"b": 1}}, {"reason": "r" * 201}, "a reason 200"),
+        (
+            {"a": {f"{n}": "x" * 16_000 for n in range(5)}},
+            {},
+            "key 'rules/a/0': its value is the largest of an edit of",
+        ),
+        ({"a": {f"{n:03}": n for n in range(257)}}, {}, "an edit must change 1 to 256 keys, not 257"),
+        ({"a": {"b": 1}}, {"id": "i" * 65}, "id and author have at most 64 characters"),
+        ({"a": {"b": 1}}, {"author": "a" * 65}, "id and author have at most 64 characters"),
+        ({"a": {"b": 1}}, {"reason": "r" * 201}, "the reason 200"),
         ({"a": {"b": 1}}, {"reason": ""}, "reason: '' is empty"),
     ],
 )
@@ -124,10 +128,10 @@
 @pytest.mark.parametrize(
     "values, fault",
     [
-        ({"tenants/x": b"\xc0"}, "tenants/x: is no key of the rule book"),
-        ({"rules/a/b/c/d": b"\xc0"}, "is no key of the rule book"),
-        ({"rules/a/b/zz": b"\xc0"}, "'zz' is no rank"),
-        ({"rules/a/b": b"\xc1"}, "rules/a/b: its value can't be read"),
+        ({"tenants/x": b"\xc0"}, "tenants/x: is not a key of the rule set"),
+        ({"rules/a/b/c/d": b"\xc0"}, "is not a key of the rule set"),
+        ({"rules/a/b/zz": b"\xc0"}, "'zz' is not the rank"),
+        ({"rules/a/b": b"\xc1"}, "rules/a/b: its value can't be decoded"),
         ({"rules/a/b": b"\x01", "rules/a/b/1": b"\xc0"}, "rules/a/b/1: b is not an array of tables"),
     ],
 )
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -96,8 +96,8 @@
 
 def test_mail_that_can_t_be_read_is_dropped_and_counted_under_its_sender():
     net, core, inbox, endpoint = endpoint_with({Received: (Send("b", Unwatch(9)),)})
-    last_seen = []
-    net.nodes["b"].subscribe(KIND, lambda sender, body: last_seen.append((sender, body)))
+    received = []
+    net.nodes["b"].subscribe(KIND, lambda sender, body: received.append((sender, body)))
     endpoint.start()
     for body in (
         b"",
@@ -111,7 +111,7 @@
     net.nodes["b"].send("a", KIND, encode(Unwatch(3)))
     net.time.run(20 * MS)
     assert core.events == [Tick(), Received("b", Unwatch(3))]
-    assert last_seen == [("a", encode(Unwatch(9)))]
+    assert received == [("a", encode(Unwatch(9)))]
     assert {row["counter"]: row["count"] for row in inbox.sender_counts.rows()} == {
         "distribution_unreadable": 5,
         "distribution_misdirected": 1,
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -138,16 +138,16 @@
     assert split_entries([], 300) == ((),)
 
 
-def test_an_agenda_gives_each_name_once_when_it_is_due():
-    agenda = Schedule()
-    assert agenda.due() == NEVER
-    agenda.set("a", 50)
-    agenda.set("a", 20)
-    agenda.set("a", 90)  # later than what is set: found when that has come
-    agenda.set("b", 30)
-    agenda.set("c", 10)
-    agenda.remove("c")
-    assert agenda.due() == 20
-    assert agenda.take(30) == ["a", "b"]
-    assert agenda.take(100) == []
-    assert agenda.due() == NEVER
+def test_an_schedule_gives_each_name_once_when_it_is_due():
+    schedule = Schedule()
+    assert schedule.due() == NEVER
+    schedule.set("a", 50)
+    schedule.set("a", 20)
+    schedule.set("a", 90)  # later than what is set: found when that has come
+    schedule.set("b", 30)
+    schedule.set("c", 10)
+    schedule.remove("c")
+    assert schedule.due() == 20
+    assert schedule.take(30) == ["a", "b"]
+    assert schedule.take(100) == []
+    assert schedule.due() == NEVER
--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -175,7 +175,7 @@
         ({"author": "", "sections": {"p": {"a": 2}}}, "author: '' is empty"),
         ({"sections": {"p": {"x": "y" * 20_000}}}, "rules/p/x: its value has 20003 bytes"),
         ({"sections": {"p": {"k" * 300: 1}}}, "rules/p/kkk.*the key has 308 bytes"),
-        ({"kind": "undo", "target_revision": 1}, "to: 1 is not from 0 to 0"),
+        ({"kind": "undo", "target_revision": 1}, "to: 1 is not between 0 and 0"),
     ],
 )
 def test_what_can_t_be_done_is_refused_in_words_and_changes_nothing(words, fault):
@@ -192,11 +192,11 @@
     stand.edit("e1", 0, a=1)
     stand.wait(lambda: stand.all_at(1))
     here = stand.request_edit(id="e2", base_revision=1, sections={"p": {"a": 9}})
-    assert here == EditFailed("this voter can't take it: rules/p/a: a = 9: no", invalid=True)
+    assert here == EditFailed("this voter rejects the edit: rules/p/a: a = 9: no", invalid=True)
     for name in COORDINATORS:
         stand.parts[name].refused = (8,)
     there = stand.request_edit(id="e3", base_revision=1, sections={"p": {"a": 8}})
-    assert there == EditFailed("a coordinator can't take it: rules/p/a: a = 8: no", invalid=True)
+    assert there == EditFailed("a coordinator rejects the edit: rules/p/a: a = 8: no", invalid=True)
     assert stand.processes["v0"].version == 1
 
 
@@ -282,7 +282,7 @@
     stand = VoterFleet()
     catch_up_to_revision_7(stand)
     assert stand.content("v2") == {"p": {"a": 7}} and stand.parts["v2"].apply_calls[-1] == (7, {"a": 7})
-    with pytest.raises(RevisionNotRetained, match="revision 3 is not kept here: there are 7 to 7"):
+    with pytest.raises(RevisionNotRetained, match="revision 3 is not stored on this voter, which has revisions 7 to 7"):
         stand.request_edit("v2", "e9", 3, sections={"p": {"a": 9}})
     stand.net.time.run(2 * SECOND)
     assert stand.edit("e8", 7, "v2", a=8) == 8
