--- a/rackhub/fleet/distribution/checks.py
+++ b/rackhub/fleet/distribution/checks.py
@@ -1,5 +1,6 @@
-"""The check before an edit: one coordinator of each zone, asked through a relay, says whether it would accept the
-entries.
+"""The check before an edit.
+
+One coordinator of each zone, asked through a relay, says whether it would accept the entries.
 """
 
 import random
@@ -29,8 +30,9 @@
 
 
 class CheckForwarding:
-    """At a relay: forwards a voter's check to one watcher of its zone, after a timeout to another one, and returns the
-    answer.
+    """Forwards a voter's check, at a relay.
+
+    A watcher of the relay's zone is asked, after a timeout another one, and its answer is returned to the voter.
     """
 
     def __init__(self, zone: str, limits: Limits, rng: random.Random) -> None:
--- a/rackhub/fleet/distribution/editor.py
+++ b/rackhub/fleet/distribution/editor.py
@@ -121,8 +121,8 @@
             tail = decode_tail(value) if value is not None else self._first_tail(new_log)
             try:
                 after = self._appended(tail, planned)
-            except EditRejected as refused:
-                return value, refused
+            except EditRejected as rejected:
+                return value, rejected
             return (value if after is tail else encode_tail(after)), after
 
         self._proposer.change(
--- a/rackhub/fleet/distribution/messages.py
+++ b/rackhub/fleet/distribution/messages.py
@@ -136,9 +136,10 @@
 
 
 class Unavailable(Message, frozen=True, array_like=True, tag="unavailable"):
-    """The answer to a watch that can't be served now, for example due to a rate limit or because the sender is behind
-    the watcher. The watcher may retry after `retry_after` milliseconds, or try another upstream at once. `log` and
-    `revision` are the sender's.
+    """Answers a watch that can't be served now.
+
+    Reasons are a rate limit, a full server, or a server that is behind the watcher. The watcher may retry after
+    `retry_after` milliseconds, or try another upstream at once. `log` and `revision` are the sender's.
     """
 
     session: Number
--- a/rackhub/fleet/distribution/rules.py
+++ b/rackhub/fleet/distribution/rules.py
@@ -1,8 +1,9 @@
-"""Converts the content of the rule set to keys and values of distribution, and back.
+"""Converts the content of the rule set to keys and values of distribution, and back, by pure functions.
 
-Pure. A section is a table of settings, and most settings are arrays of tables. Each setting has its own key, and so has
-each item of an array of tables: `rules/<part>/<setting>` and `rules/<part>/<setting>/<rank>`. Ranks leave gaps, and
-unchanged items keep theirs, so that adding or removing an item in the middle changes only one key.
+A section is a table of settings, and most settings are arrays of tables. Each setting has its own key, and so has each
+item of an array of tables: `rules/<part>/<setting>` and `rules/<part>/<setting>/<rank>`, where the part is the section.
+Ranks leave gaps, and unchanged items keep theirs, so that adding or removing an item in the middle changes only one
+key.
 """
 
 from collections.abc import Mapping, Sequence
@@ -93,7 +94,10 @@
 
 
 def _fill_ranks(kept: list[int | None]) -> list[int] | None:
-    """Give items without a rank one, evenly spaced between their neighbours. Return None if the gaps are too small."""
+    """Return a rank for each item.
+
+    Items without one get ranks evenly spaced between their neighbours. Return None if the gaps are too small.
+    """
     ranks: list[int] = []
     position = 0
     while position < len(kept):
--- a/rackhub/fleet/distribution/source.py
+++ b/rackhub/fleet/distribution/source.py
@@ -68,7 +68,9 @@
         return len(self._server.sessions)
 
     def status(self, now: int, revision: Revision | None = None) -> FleetStatus:
-        """Return what the relays report about a revision; None means the newest."""
+        """Return for how many microseconds the state has not been confirmed as the newest. 0 if the shell does not
+        report this.
+        """
         requested = self._state.revision if revision is None else revision
         decided_at = self._decided_at.get(requested, self._started_at)
         return self._reports.status(now, self._state.log, requested, decided_at)
