--- a/tests/distribution_cores.py
+++ b/tests/distribution_cores.py
@@ -23,14 +23,14 @@
 RELAYS = (Node("relay-1", Role.RELAY, "z"), Node("relay-2", Role.RELAY, "z"), Node("abroad", Role.RELAY, "y"))
 
 
-class Served:
+class ServerHarness:
     """A server with its state and a clock. Each call gives the messages sent by it, by receiver."""
 
     def __init__(self, *, zone="", **limits):
         self.limits, self.now, self.age = Limits(**limits), START, 0
         self.state = KeyValueState(self.limits)
-        chance = random.Random(1)
-        self.server = WatchServer(self.state, self.limits, zone, chance, START, lambda now: self.age)
+        rng = random.Random(1)
+        self.server = WatchServer(self.state, self.limits, zone, rng, START, lambda now: self.age)
         self.counted, self.numbers = [], {}
 
     def split(self, effects):
@@ -52,7 +52,7 @@
     def receive(self, name, message):
         return self.split(self.server.receive(self.now, name, message))
 
-    def passes(self, time):
+    def advance(self, time):
         """Everything that falls due in that time."""
         end, sent = self.now + time, []
         while self.server.due() <= end:
@@ -62,14 +62,14 @@
         return sent
 
 
-def served(**options):
+def server_with_change(**options):
     """One with a first change."""
-    one = Served(**options)
+    one = ServerHarness(**options)
     one.change(a=b"1")
     return one
 
 
-class Driven:
+class WatcherHarness:
     """A watcher and its shell, one step at a time. `sent`: messages since the last look, by receiver."""
 
     def __init__(self, stored=None, scope=("",), upstreams=RELAYS):
@@ -85,7 +85,7 @@
         self.effects = [effect for effect in effects if not isinstance(effect, IncrementCounter)]
         return self.effects
 
-    def passes(self, time):
+    def advance(self, time):
         end, effects = self.now + time, []
         while self.watcher.due() <= end:
             self.now = max(self.now, self.watcher.due())
--- a/tests/distribution_fleet.py
+++ b/tests/distribution_fleet.py
@@ -33,11 +33,11 @@
     """All processes, the transport between them and the clock. Deterministic by its seed."""
 
     def __init__(self, *, sources=1, zones=("a", "b"), relays=2, limits=None, seed=0, faults=None):
-        self.now, self.chance, self.limits = 1_000 * SECOND, random.Random(seed), limits or Limits()
+        self.now, self.rng, self.limits = 1_000 * SECOND, random.Random(seed), limits or Limits()
         self.faults, self.cuts, self.counted, self.checks, self.sent = faults or Faults(), set(), {}, [], []
         self.queue, self.order, self.history, self.zones, self.processes = [], itertools.count(), History(), {}, {}
         self.seed, self.record = seed, False
-        self.uninformed = set()  # voters that do not learn of decided changes for now
+        self.uninformed_voters = set()  # voters that do not learn of decided changes for now
         self.voters = tuple(Node(f"voter-{i}", Role.VOTER) for i in range(sources))
         self.relays = tuple(Node(f"relay-{z}{i}", Role.RELAY, z) for z in zones for i in range(relays))
         for node in self.voters:
@@ -106,10 +106,10 @@
         if self.record:
             self.sent.append((self.now, sender, to, message))
         message = messages.decode(messages.encode(message))
-        copies = 1 + (self.chance.random() < self.faults.double)
+        copies = 1 + (self.rng.random() < self.faults.double)
         for _ in range(copies):
-            if self.chance.random() >= self.faults.loss:
-                delay = self.faults.delay + int(self.chance.random() * self.faults.jitter)
+            if self.rng.random() >= self.faults.loss:
+                delay = self.faults.delay + int(self.rng.random() * self.faults.jitter)
                 self.at(self.now + delay, lambda: self.arrive(sender, to, message))
 
     def arrive(self, sender, to, message):
@@ -128,11 +128,11 @@
     def decide(self, values):
         change = self.history.add(values)
         for node in self.voters:
-            if node.name not in self.uninformed:
-                self.tell(node.name)
+            if node.name not in self.uninformed_voters:
+                self.inform_voter(node.name)
         return change
 
-    def tell(self, name):
+    def inform_voter(self, name):
         """The shell of a voter hands in all that is decided."""
         process = self.processes[name]
         if process.core is not None:
--- a/tests/distribution_processes.py
+++ b/tests/distribution_processes.py
@@ -58,7 +58,7 @@
 
     def __init__(self, fleet, name, start):
         self.fleet, self.name, self.start = fleet, name, start
-        self.boots, self.core, self.still_until, self.counted, self.backlog = 0, None, 0, {}, []
+        self.boots, self.core, self.stalled_until, self.counted, self.backlog = 0, None, 0, {}, []
         self.wakes_at = None
         self.known = 0  # revision on a voter's disk
         self.restart()
@@ -66,18 +66,18 @@
     def restart(self):
         self.boots += 1
         self.core = self.start(self.boots, self.fleet.now)
-        self.backlog, self.still_until = [], 0
+        self.backlog, self.stalled_until = [], 0
         self.wake()
 
     def stop(self):
         self.core, self.backlog = None, []
 
-    def stand_still(self, duration):
-        self.still_until = self.fleet.now + duration
-        self.fleet.at(self.still_until, self.catch_up)
+    def stall(self, duration):
+        self.stalled_until = self.fleet.now + duration
+        self.fleet.at(self.stalled_until, self.catch_up)
 
     def wake_up(self):
-        self.still_until = self.fleet.now
+        self.stalled_until = self.fleet.now
         self.catch_up()
 
     def catch_up(self):
@@ -89,7 +89,7 @@
     def handle(self, event):
         if self.core is None:
             return
-        if self.fleet.now < self.still_until:
+        if self.fleet.now < self.stalled_until:
             if not isinstance(event, events.Tick):
                 self.backlog.append(event)
             return
@@ -133,7 +133,7 @@
     """A watcher with its disk; what it has in force is kept here as a shell would. `refuses`: keys it can't take."""
 
     def __init__(self, fleet, name, start, scope):
-        self.scope, self.disk, self.in_force, self.refuses = scope, Disk(), StoredState(), set()
+        self.scope, self.disk, self.in_force, self.rejects = scope, Disk(), StoredState(), set()
         self.highest = 0  # revision that was ever in force
         super().__init__(fleet, name, start)
 
@@ -149,7 +149,7 @@
         elif isinstance(effect, events.Apply):
             self.put_in_force(effect)
         elif isinstance(effect, events.RunCheck):
-            faults = tuple(messages.KeyFault(e.key, "no") for e in effect.entries if e.key in self.refuses)
+            faults = tuple(messages.KeyFault(e.key, "no") for e in effect.entries if e.key in self.rejects)
             zone = self.fleet.zones[self.name]
             self.fleet.send(self.name, effect.to, messages.Checked(effect.check_id, zone, faults))
         else:
@@ -167,5 +167,5 @@
         disk.keep(self.scope, effect)
         self.in_force = disk.stored
         self.fleet.on_apply(self, effect)
-        faults = tuple(messages.KeyFault(e.key, "no") for e in effect.entries if e.key in self.refuses)
+        faults = tuple(messages.KeyFault(e.key, "no") for e in effect.entries if e.key in self.rejects)
         self.later(0, events.Applied(effect.revision, faults))
--- a/tests/test_distribution_decisions.py
+++ b/tests/test_distribution_decisions.py
@@ -34,7 +34,7 @@
     assert decode_tail(encode_tail(tail)) == tail
 
 
-def test_an_edit_tried_again_is_not_done_twice():
+def test_a_retried_edit_is_not_decided_twice():
     tail = edited(Tail("log"), 1, 2)
     assert append_edit(tail, Edit("edit-1", {"other": b""}), 0) is tail
     trimmed = trim(tail, 2)
@@ -44,14 +44,14 @@
     assert decided_revision(trimmed, "edit-3") is None
 
 
-def test_what_a_majority_has_leaves_the_tail():
+def test_changes_applied_by_a_majority_leave_the_tail():
     tail = edited(edited(Tail("log"), 1, 2, 3), 4, replicated=2)
     assert tail.compacted_revision == 2 and [change.revision for change in tail.changes] == [3, 4]
     assert trim(tail, 1) == tail, "settled never goes back"
     assert trim(tail, 99).compacted_revision == 4, "nor beyond what was decided"
 
 
-def test_ids_are_remembered_within_a_bound():
+def test_the_number_of_remembered_edit_ids_is_limited():
     tail = Tail("log")
     for number in range(MAX_APPLIED_EDITS + 10):
         tail = edited(tail, number, replicated=tail.newest)
@@ -62,9 +62,9 @@
 def test_a_compare_that_fails_names_both_revisions():
     tail = edited(Tail("log"), 1, 2)
     assert append_edit(tail, Edit("a", {"k": b""}, expected_revision=2), 0).newest == 3
-    with pytest.raises(RevisionMismatch) as refused:
+    with pytest.raises(RevisionMismatch) as rejected:
         append_edit(tail, Edit("a", {"k": b""}, expected_revision=1), 0)
-    assert (refused.value.expected, refused.value.newest) == (1, 2)
+    assert (rejected.value.expected, rejected.value.newest) == (1, 2)
     with pytest.raises(RevisionMismatch):
         append_edit(tail, Edit("a", {"k": b""}, expected_revision=0), 0)
 
@@ -82,18 +82,18 @@
         ({}, ""),
     ],
 )
-def test_an_edit_over_its_bounds_is_refused_by_key(values, key):
-    with pytest.raises(InvalidEdit) as refused:
+def test_an_edit_over_a_limit_is_rejected_with_the_key(values, key):
+    with pytest.raises(InvalidEdit) as rejected:
         append_edit(Tail("log"), Edit("a", values), 0)
-    assert refused.value.key == key
+    assert rejected.value.key == key
 
 
-def test_an_edit_without_id_is_refused():
+def test_an_edit_without_id_is_rejected():
     with pytest.raises(InvalidEdit):
         append_edit(Tail("log"), Edit("", {"k": b""}), 0)
 
 
-def test_a_change_at_its_bounds_is_taken():
+def test_a_change_at_its_limits_is_accepted():
     values = {
         f"{i:<{MAX_KEY_BYTES}}": bytes(MAX_ENTRY_VALUE_BYTES - MAX_KEY_BYTES)
         for i in range(MAX_CHANGE_BYTES // MAX_ENTRY_VALUE_BYTES)
@@ -101,17 +101,17 @@
     assert append_edit(Tail("log"), Edit("a", values), 0).newest == 1
 
 
-def test_a_tail_that_no_majority_applies_is_refused_before_the_registers_bound():
+def test_an_edit_is_rejected_before_the_tail_exceeds_the_register_limit():
     tail, value = Tail("log"), bytes(MAX_ENTRY_VALUE_BYTES)
-    with pytest.raises(TailFull) as refused:
+    with pytest.raises(TailFull) as rejected:
         for number in range(100):
             tail = append_edit(tail, Edit(f"{number}", {"k": value}), 0)
-    assert refused.value.pending == len(tail.changes) == MAX_VALUE_BYTES // MAX_ENTRY_VALUE_BYTES
+    assert rejected.value.pending == len(tail.changes) == MAX_VALUE_BYTES // MAX_ENTRY_VALUE_BYTES
     assert len(encode_tail(tail)) <= MAX_VALUE_BYTES
     assert append_edit(tail, Edit("next", {"k": value}), tail.newest).newest == tail.newest + 1
 
 
-def test_a_damaged_tail_is_refused():
+def test_a_damaged_tail_is_rejected():
     tail = edited(Tail("log"), 1, 2)
     broken = msgspec.structs.replace(tail, compacted_revision=5)
     with pytest.raises(msgspec.MsgspecError):
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -23,8 +23,8 @@
     return fleet
 
 
-def changes(fleet, many, pace, keys=5):
-    for number in range(many):
+def changes(fleet, count, pace, keys=5):
+    for number in range(count):
         fleet.decide({f"k{number % keys}": b"%d" % fleet.history.revision})
         fleet.run(pace)
 
@@ -60,11 +60,11 @@
     for name in ("relay-a0", "relay-a1"):
         fleet.processes[name].restart()
     fleet.run(45 * SECOND)
-    abroad = [one for one in fleet.coordinators() if fleet.zones[one.core.upstream] != fleet.zones[one.name]]
-    assert abroad == [], "guests go home again"
+    foreign = [one for one in fleet.coordinators() if fleet.zones[one.core.upstream] != fleet.zones[one.name]]
+    assert foreign == [], "guests go home again"
 
 
-def test_guests_are_bounded():
+def test_foreign_watchers_are_limited():
     fleet = started(coordinators=20, zones=("a", "b"), limits=Limits(max_foreign_watchers=3))
     for name in ("relay-a0", "relay-a1"):
         fleet.processes[name].stop()
@@ -73,14 +73,14 @@
         for name in ("relay-b0", "relay-b1"):
             sessions = fleet.processes[name].core._server.sessions.values()
             assert sum(session.zone != "b" for session in sessions) <= 3
-    guests = [one for one in fleet.coordinators() if fleet.zones[one.name] == "a" and one.core.upstream]
-    assert len(guests) == 6
+    foreign_watchers = [one for one in fleet.coordinators() if fleet.zones[one.name] == "a" and one.core.upstream]
+    assert len(foreign_watchers) == 6
 
 
-def test_a_relay_that_stood_still_does_not_pass_for_fresh():
+def test_a_stalled_relay_does_not_pass_for_fresh():
     fleet = started(coordinators=4, zones=("a",))
     relay = fleet.processes["relay-a0"]
-    relay.stand_still(30 * SECOND)
+    relay.stall(30 * SECOND)
     changes(fleet, 25, SECOND)
     assert upstreams(fleet) == {"relay-a1": 4}
     fleet.processes["relay-a1"].stop()
@@ -91,16 +91,16 @@
     assert all(m.revision <= 1 for m in answers)
     ages = [m.age for m in answers if isinstance(m, Heartbeat)]
     assert all(age >= 25_000 for age in ages)
-    refusals = [m for _, sender, _, m in fleet.sent if sender == "relay-a0" and isinstance(m, Unavailable)]
-    assert refusals, "those who hold more are sent away"
+    rejections = [m for _, sender, _, m in fleet.sent if sender == "relay-a0" and isinstance(m, Unavailable)]
+    assert rejections, "those who hold more are sent away"
     fleet.heal()
     fleet.run_until(fleet.converged, IN_FORCE)
 
 
-def test_what_was_queued_for_a_relay_that_stood_still_is_not_taken_as_news():
+def test_messages_queued_while_a_relay_is_stalled_do_not_confirm_its_state():
     fleet = started(coordinators=2, zones=("a",), relays=1)
     relay = fleet.processes["relay-a0"]
-    relay.stand_still(20 * SECOND)
+    relay.stall(20 * SECOND)
     fleet.run(19 * SECOND)
     fleet.cut({"relay-a0"}, {"voter-0"})
     fleet.record = True
@@ -120,7 +120,7 @@
     fleet.run_until(fleet.converged, IN_FORCE)
 
 
-def test_a_zone_that_returns_all_at_once_is_taken_in_at_a_bounded_pace():
+def test_a_zone_that_returns_at_once_is_admitted_at_a_limited_rate():
     limits = Limits(max_watches_per_s=20.0, max_snapshots_per_s=10.0)
     fleet = started(coordinators=120, zones=("a",), limits=limits)
     fleet.record, fleet.sent = True, []
@@ -130,18 +130,18 @@
     fleet.decide({"k": b"1"})
     fleet.run_until(fleet.converged, IN_FORCE)
     for relay in ("relay-a0", "relay-a1"):
-        served = {}  # the time of the first answer of each new session
+        server_with_change = {}  # the time of the first answer of each new session
         for time, sender, _, message in fleet.sent:
             if sender == relay and isinstance(message, Update) and message.session > 2 << 20:
-                served.setdefault(message.session, time)
+                server_with_change.setdefault(message.session, time)
         for second in range(int((fleet.now - began) / SECOND) + 1):
             until = began + (second + 1) * SECOND
-            assert sum(time <= until for time in served.values()) <= 20 + 20 * (second + 1)
+            assert sum(time <= until for time in server_with_change.values()) <= 20 + 20 * (second + 1)
     assert fleet.counted.get("distribution_sessions_expired", 0) == 0
 
 
 @pytest.mark.parametrize("history", [4_096, 10])
-def test_a_disk_put_back_by_an_hour(history):
+def test_a_disk_restored_from_an_older_copy(history):
     fleet = started(limits=Limits(max_log_steps=history))
     coordinator = fleet.processes["coordinator-0"]
     changes(fleet, 5, SECOND)
@@ -196,18 +196,18 @@
 def test_another_log_is_never_merged():
     fleet = started(coordinators=1, zones=("a",))
     coordinator = fleet.processes["coordinator-0"]
-    held = coordinator.disk.stored
+    before = coordinator.disk.stored
     coordinator.stop()
-    coordinator.disk.stored = messages.msgspec.structs.replace(held, log="another")
+    coordinator.disk.stored = messages.msgspec.structs.replace(before, log="another")
     coordinator.restart()
     fleet.decide({"k": b"1"})
     fleet.run(20 * SECOND)
-    assert coordinator.core.revision == held.revision and coordinator.core.upstream is None
+    assert coordinator.core.revision == before.revision and coordinator.core.upstream is None
     assert coordinator.counted["distribution_other_logs"] > 3
     assert LOG != coordinator.disk.stored.log
 
 
-def test_a_voter_that_starts_anew_serves_what_it_has_on_its_disk():
+def test_a_restarted_voter_serves_what_it_has_on_its_disk():
     fleet = started(sources=1)
     fleet.processes["voter-0"].stop()
     fleet.run(20 * SECOND)
@@ -216,7 +216,7 @@
     fleet.run_until(fleet.converged, IN_FORCE)
 
 
-def test_bytes_of_a_coordinator_in_quiet():
+def test_traffic_of_an_idle_coordinator():
     fleet = started(coordinators=40, zones=("a",))
     fleet.record, fleet.sent = True, []
     fleet.run(30 * SECOND)
@@ -229,7 +229,7 @@
 
     def confirm():
         for node in fleet.voters:
-            if node.name not in fleet.uninformed:
+            if node.name not in fleet.uninformed_voters:
                 fleet.processes[node.name].handle(events.Confirmed())
 
     for _ in range(5):
@@ -237,7 +237,7 @@
         fleet.run(SECOND)
     watched = Counter(relay.core.upstream for relay in fleet.relay_processes())
     (cut_off, relays), *_ = watched.most_common()
-    fleet.uninformed.add(cut_off)
+    fleet.uninformed_voters.add(cut_off)
     fleet.decide({"k": b"1"})
     began = fleet.now
     while not fleet.converged():
--- a/tests/test_distribution_messages.py
+++ b/tests/test_distribution_messages.py
@@ -47,24 +47,24 @@
 
 
 @pytest.mark.parametrize("message", ALL, ids=lambda message: type(message).__name__)
-def test_messages_come_back_as_they_were(message):
+def test_messages_survive_encoding(message):
     assert decode(encode(message)) == message
 
 
-def test_damaged_bytes_are_refused_or_are_another_message():
-    chance = random.Random(7)
-    refused = 0
+def test_damaged_bytes_are_rejected_or_are_another_message():
+    rng = random.Random(7)
+    rejected = 0
     for _ in range(5_000):
-        body = bytearray(encode(chance.choice(ALL)))
-        if chance.random() < 0.5:
-            body[chance.randrange(len(body))] = chance.randrange(256)
+        body = bytearray(encode(rng.choice(ALL)))
+        if rng.random() < 0.5:
+            body[rng.randrange(len(body))] = rng.randrange(256)
         else:
-            del body[chance.randrange(len(body)) :]
+            del body[rng.randrange(len(body)) :]
         try:
             decode(bytes(body))
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            refused += 1
-    assert refused > 2_500
+            rejected += 1
+    assert rejected > 2_500
 
 
 @pytest.mark.parametrize(
@@ -80,39 +80,37 @@
         Acknowledge(1, 3, (KeyFault("k", ""),) * (MAX_FAULT_KEYS + 1)),
     ],
 )
-def test_what_is_over_a_bound_is_refused(message):
+def test_a_message_over_a_limit_is_rejected(message):
     with pytest.raises(msgspec.ValidationError):
         decode(encode(message))
 
 
-class Storm:
+class RandomMessages:
     """Random messages that decode, most of them within the last sessions that the core has begun."""
 
     def __init__(self, seed):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.sessions = [("up-1", 1)]
 
     def event(self):
-        sender, session = self.chance.choice(self.sessions)
-        if self.chance.random() < 0.3:
-            sender, session = self.chance.choice(["up-1", "up-2", "w", "x"]), self.chance.randrange(4)
+        sender, session = self.rng.choice(self.sessions)
+        if self.rng.random() < 0.3:
+            sender, session = self.rng.choice(["up-1", "up-2", "w", "x"]), self.rng.randrange(4)
         return events.Received(sender, self.message(session))
 
     def entries(self):
-        number = self.chance.randrange
+        number = self.rng.randrange
         values = [b"", b"v", None]
-        return tuple(Entry(f"k{number(4)}", self.chance.choice(values), number(12)) for _ in range(number(3)))
+        return tuple(Entry(f"k{number(4)}", self.rng.choice(values), number(12)) for _ in range(number(3)))
 
     def message(self, session):
-        number = self.chance.randrange
-        log = LOG if number(30) else self.chance.choice(["other", ""])
+        number = self.rng.randrange
+        log = LOG if number(30) else self.rng.choice(["other", ""])
         kinds = [*(type(one) for one in ALL), Update, Update, SnapshotPart, Heartbeat, Heartbeat]
-        kind = self.chance.choice([one for one in kinds if one is not Unavailable or not number(10)])
+        kind = self.rng.choice([one for one in kinds if one is not Unavailable or not number(10)])
         faults = (KeyFault("k1", "why"),) * number(2)
         return {
-            Watch: lambda: Watch(
-                session, log, number(12), self.chance.choice([("",), ("k1",), ()]), 1 + number(4), "z"
-            ),
+            Watch: lambda: Watch(session, log, number(12), self.rng.choice([("",), ("k1",), ()]), 1 + number(4), "z"),
             Unwatch: lambda: Unwatch(session),
             Update: lambda: Update(session, log, number(12), number(12), self.entries()),
             SnapshotPart: lambda: SnapshotPart(session, log, number(12), number(4), 1 + number(3), self.entries()),
@@ -143,17 +141,17 @@
 
 @pytest.mark.parametrize("kind", CORES)
 @pytest.mark.parametrize("seed", range(4))
-def test_a_core_bears_any_message(kind, seed):
-    storm, now = Storm(seed), 100 * SECOND
+def test_a_core_survives_any_message(kind, seed):
+    source_of_messages, now = RandomMessages(seed), 100 * SECOND
     core, revision = CORES[kind](now), 0
     for _ in range(4_000):
-        now += storm.chance.choice([0, 1_000, 300_000])
-        event = storm.event() if storm.chance.random() < 0.7 else events.Tick()
+        now += source_of_messages.rng.choice([0, 1_000, 300_000])
+        event = source_of_messages.event() if source_of_messages.rng.random() < 0.7 else events.Tick()
         effects = core.step(now, event)
         for effect in [effect for effect in effects if isinstance(effect, events.Persist)]:
             effects = [*effects, *core.step(now, events.Persisted(effect.revision))]
             effects += core.step(now, events.Applied(effect.revision))
-        storm.learn(effects)
+        source_of_messages.learn(effects)
         assert core.revision >= revision
         revision = core.revision
         assert core.due() >= now or kind == "source"
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -28,7 +28,7 @@
 )
 FINDING = settings(STEPS, max_examples=400, phases=[Phase.generate])  # without making the example smaller
 CONVERGED = 16 * SECOND  # the bound that the design note derives
-MAX_SCOPE_PREFIXES = {"all": ("",), "first": ("a/",), "second": ("b/", "c/1"), "none": ("z/",)}
+SCOPES = {"all": ("",), "first": ("a/",), "second": ("b/", "c/1"), "none": ("z/",)}
 KEYS = [f"{prefix}/{number}" for prefix in "abc" for number in range(3)]
 LOSSES = st.sampled_from([0.0, 0.1, 0.3, 0.5])
 LIMITS = Limits(
@@ -42,7 +42,7 @@
     @initialize(seed=st.integers(0, 1 << 16), loss=LOSSES)
     def begin(self, seed, loss):
         self.fleet = CheckedFleet(sources=2, limits=LIMITS, seed=seed)
-        for number, (name, scope) in enumerate(MAX_SCOPE_PREFIXES.items()):
+        for number, (name, scope) in enumerate(SCOPES.items()):
             zone = "a" if number % 2 else "b"
             self.fleet.coordinator(f"coordinator-{name}", zone, scope)
         self.names, self.copies = list(self.fleet.processes), {}
@@ -80,7 +80,7 @@
 
     @rule(which=st.integers(0, 63), seconds=st.sampled_from([1, 5, 30]))
     def stand_still(self, which, seconds):
-        self.process(which).stand_still(seconds * SECOND)
+        self.process(which).stall(seconds * SECOND)
 
     @rule(some=st.sets(st.integers(0, 63), min_size=1, max_size=5))
     def cut(self, some):
@@ -90,9 +90,9 @@
     @rule(which=st.integers(0, 1), informed=st.booleans())
     def voter_lags(self, which, informed):
         name = self.fleet.voters[which].name
-        (self.fleet.uninformed.discard if informed else self.fleet.uninformed.add)(name)
+        (self.fleet.uninformed_voters.discard if informed else self.fleet.uninformed_voters.add)(name)
         if informed:
-            self.fleet.tell(name)
+            self.fleet.inform_voter(name)
 
     @rule(which=st.integers(0, 63))
     def copy_disk(self, which):
@@ -138,7 +138,7 @@
         for coordinator in fleet.coordinators():
             coordinator.disk.write = 3 * MILLISECOND
         for node in fleet.voters:
-            fleet.tell(node.name)
+            fleet.inform_voter(node.name)
         fleet.run_until(fleet.converged, CONVERGED)
         self.disks_hold_the_history()
 
@@ -190,7 +190,7 @@
     since = KeyValueState.changes_after
 
     def passes_over(self, revision, scope=("",)):
-        return since(self, max(revision, self.oldest), scope)
+        return since(self, max(revision, self.compact_revision), scope)
 
     monkeypatch.setattr(KeyValueState, "changes_after", passes_over)
     must_be_found("coordinator-.* at |the disk of|not within")
@@ -198,7 +198,7 @@
 
 def test_finds_a_heartbeat_that_hides_a_lost_change(monkeypatch):
     def trusts(self, heartbeat):
-        self.acknowledge = True
+        self.acknowledge_due = True
         if heartbeat.revision > self._delivery.newest and self._delivery.log:
             return self._deliver(heartbeat.log, heartbeat.revision, ())
         return []
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -27,26 +27,26 @@
     def __init__(self, rig):
         self.rig = rig
 
-    def call(self, name, call, **words):
+    def call(self, name, call, **arguments):
         answers = []
         control = self.rig.gateways[name].control
-        say(reactor, control, {"call": call, **words}, answers.append, APPLY_TIMEOUT_S)
+        say(reactor, control, {"call": call, **arguments}, answers.append, APPLY_TIMEOUT_S)
         until(reactor, lambda: answers, APPLY_TIMEOUT_S + 1, f"an answer of {name} to {call}")
         return answers[0]
 
     def edit(self, on, attempts, wait_ms=15_000):
-        words = {"author": "ada", "reason": "attempts", "id": f"e{on}-{attempts}", "wait_ms": wait_ms}
+        arguments = {"author": "ada", "reason": "attempts", "id": f"e{on}-{attempts}", "wait_ms": wait_ms}
         parts = {"timings": {"route": [{"class": "lookup", "attempts": attempts}]}}
-        return self.call(VOTER, "rules.edit", on=on, parts=parts, **words)
+        return self.call(VOTER, "rules.edit", on=on, parts=parts, **arguments)
 
     def status(self, name):
         return self.call(name, "rules.status")
 
-    def comes_about(self, condition, what):
+    def wait_for(self, condition, description):
         """Asked again as soon as it was answered: each call turns the reactor."""
         end = time.monotonic() + APPLY_TIMEOUT_S
         while not condition():
-            assert time.monotonic() < end, what
+            assert time.monotonic() < end, description
 
     def all_watch(self):
         """Every coordinator has a relay, and the voter knows how many there are."""
@@ -56,14 +56,14 @@
         return all(self.status(name)["upstream"] in RELAYS for name in COORDINATORS)
 
 
-def test_an_edit_is_in_force_at_all_over_a_relay_s_end_and_a_coordinator_s_restart(capsys):
+def test_edits_are_applied_despite_a_relay_end_and_a_coordinator_restart(capsys):
     plan = Plan(gateways=len(ROLES), engines=2, seed=5, fleet=True, roles=ROLES)
     with Rig(plan, reactor) as rig:
         rig.up()
         fleet = Fleet(rig)
         trial = Trial(rig, [Load(rate=10.0, end=60 * SECOND, weights=dict.fromkeys(COORDINATORS, 1.0))], 5)
         trial.start()
-        fleet.comes_about(fleet.all_watch, "the coordinators watch a relay")
+        fleet.wait_for(fleet.all_watch, "the coordinators watch a relay")
 
         first = fleet.edit(0, 1)
         assert (first["revision"], first["in_force"], first["lagging"]) == (1, 2, 0) and "error" not in first
@@ -89,14 +89,14 @@
         assert all("Traceback" not in process.said() for process in rig.processes.by_name.values())
 
 
-def test_edits_that_can_t_be_and_the_command_line(capsys):
+def test_rejected_edits_and_the_command_line(capsys):
     plan = Plan(gateways=3, engines=2, seed=6, fleet=True, roles=("voter", "relay", "coordinator"))
     with Rig(plan, reactor) as rig:
         rig.up()
         fleet = Fleet(rig)
-        fleet.comes_about(lambda: fleet.status(VOTER)["expected"] == 1, "the voter hears of the coordinator")
+        fleet.wait_for(lambda: fleet.status(VOTER)["expected"] == 1, "the voter hears of the coordinator")
         assert fleet.edit(0, 1)["in_force"] == 1
-        words = {"on": 1, "author": "ada", "reason": "r", "id": "x"}
+        arguments = {"on": 1, "author": "ada", "reason": "r", "id": "x"}
         for name, more, fault in (
             (VOTER, {"parts": {"timings": {"route": [{"class": "nobody"}]}}}, "rules/timings/route/"),
             (VOTER, {"parts": {"timings": {"x" * 300: 1}}}, "more than 256"),
@@ -105,10 +105,10 @@
             ("g1", {"parts": {}}, "g1 is a relay; send this command to a voter: g0"),
             ("g2", {"parts": {}}, "g2 is a coordinator; send this command to a voter: g0"),
         ):
-            told = fleet.call(name, "rules.edit", **words, **more)
-            assert fault in told["error"] and told["exit"] == 2, told
+            answer = fleet.call(name, "rules.edit", **arguments, **more)
+            assert fault in answer["error"] and answer["exit"] == 2, answer
         assert "there are no trials" in fleet.call(VOTER, "rules.confirm")["error"]
-        stale = fleet.call(VOTER, "rules.edit", **words | {"on": 0}, parts={"timings": {}})
+        stale = fleet.call(VOTER, "rules.edit", **arguments | {"on": 0}, parts={"timings": {}})
         assert "since then there is revision 1 by ada" in stale["error"] and stale["exit"] == 1
 
         at = {name: text(rig.gateways[name].control) for name in rig.gateways}
@@ -145,8 +145,8 @@
         assert "fleet: zone: 'z1' has no relay among node" in process.said()
         operator = tmp_path / "g0.toml"
         operator.write_text(operator.read_text().replace('role = "coordinator"', 'role = "boss"'))
-        words = ["serve", "--config", str(tmp_path / "g0.json"), "--operator", str(operator)]
-        ran = subprocess.run([sys.executable, "-m", "rackhub", *words], capture_output=True, text=True)
+        arguments = ["serve", "--config", str(tmp_path / "g0.json"), "--operator", str(operator)]
+        ran = subprocess.run([sys.executable, "-m", "rackhub", *arguments], capture_output=True, text=True)
         assert ran.returncode == 2
         assert "operator file: fleet: role: 'boss' is none of voter, relay, coordinator" in ran.stderr
     finally:
--- a/tests/test_distribution_relay.py
+++ b/tests/test_distribution_relay.py
@@ -32,51 +32,56 @@
     return Source(Identity(name="voter"), held or StoredState(LOG, 0), Limits(), 0)
 
 
-def told(core, now, relay, **fields):
+def send_report(core, now, relay, **fields):
     fields = {"zone": "a", "log": LOG, "revision": 0, "watchers": 0, "members": 0, "in_force": (), **fields}
     return core.step(now, events.Received(relay, Report(**fields)))
 
 
-def test_each_voter_can_tell_what_is_in_force():
+def test_each_voter_knows_how_many_coordinators_have_applied_a_revision():
     fleet = started(sources=3)
     for voter in ("voter-0", "voter-1", "voter-2"):
-        found = status(fleet, voter=voter)
-        assert (found.revision, found.in_force, found.expected, found.lagging) == (1, 4, 4, 0)
+        fleet_status = status(fleet, voter=voter)
+        assert (fleet_status.revision, fleet_status.in_force, fleet_status.expected, fleet_status.lagging) == (
+            1,
+            4,
+            4,
+            0,
+        )
     assert status(fleet, 2).lagging == 4
 
 
-def test_one_that_lags_is_counted_and_named_with_its_time():
+def test_a_lagging_coordinator_is_counted_and_named_with_its_lag():
     fleet = started()
     fleet.processes["coordinator-1"].disk.write = 60 * SECOND
     fleet.decide({"k": b"2"})
     fleet.run(9 * SECOND)
-    found = status(fleet)
-    assert (found.in_force, found.expected, found.lagging) == (3, 4, 1)
-    assert [(one.name, one.revision) for one in found.most_lagging] == [("coordinator-1", 1)]
-    assert 8_000 <= found.oldest_lag_ms <= 10_500
+    fleet_status = status(fleet)
+    assert (fleet_status.in_force, fleet_status.expected, fleet_status.lagging) == (3, 4, 1)
+    assert [(one.name, one.revision) for one in fleet_status.most_lagging] == [("coordinator-1", 1)]
+    assert 8_000 <= fleet_status.oldest_lag_ms <= 10_500
 
 
-def test_one_for_whom_nothing_is_pending_counts_as_at_the_newest():
+def test_a_coordinator_with_nothing_pending_counts_as_at_the_newest_revision():
     fleet = started(coordinators=2)
     fleet.coordinator("coordinator-scoped", "a", ("scoped/",))
     fleet.run(3 * SECOND)
     fleet.decide({"k": b"2"})
     fleet.run(400 * MILLISECOND)
-    found = status(fleet)
-    assert (found.in_force, found.expected) == (3, 3)
+    fleet_status = status(fleet)
+    assert (fleet_status.in_force, fleet_status.expected) == (3, 3)
 
 
-def test_a_key_that_could_not_be_taken_is_counted_and_the_rest_holds():
+def test_a_rejected_key_is_counted_and_the_others_are_applied():
     fleet = started()
     coordinator = fleet.processes["coordinator-2"]
-    coordinator.refuses = {"bad"}
+    coordinator.rejects = {"bad"}
     fleet.decide({"bad": b"", "good": b""})
     fleet.run(2 * SECOND)
-    found = status(fleet)
-    assert (found.in_force, found.fault_count) == (4, 1)
+    fleet_status = status(fleet)
+    assert (fleet_status.in_force, fleet_status.fault_count) == (4, 1)
     reports = [message for _, _, message in sent_after(fleet, 2 * SECOND, Report)]
     assert any(report.faults == (KeyFault("bad", "no"),) for report in reports)
-    coordinator.refuses = set()
+    coordinator.rejects = set()
     fleet.decide({"bad": b"better"})
     fleet.run(2 * SECOND)
     assert status(fleet).fault_count == 0
@@ -88,7 +93,7 @@
     return sent(fleet, kind)
 
 
-def test_reports_are_bounded_and_come_in_quiet_too():
+def test_reports_are_rate_limited_and_are_sent_without_changes_too():
     fleet = started(sources=1, zones=("a",), relays=1)
     assert 4 <= len(sent_after(fleet, 5 * SECOND, Report)) <= 6
     fleet.sent = []
@@ -98,7 +103,7 @@
     assert 6 <= len(sent(fleet, Report)) <= 9, "at most four a second"
 
 
-def test_a_silent_zone_still_counts_as_expected_and_lagging():
+def test_a_zone_without_reports_still_counts_as_expected_and_lagging():
     fleet = started()
     for name in ("relay-a0", "relay-a1", "relay-b0", "relay-b1"):
         zone_members = events.MembersChanged(2)
@@ -109,31 +114,31 @@
     fleet.run(10 * SECOND)
     fleet.decide({"k": b"2"})
     fleet.run(3 * SECOND)
-    found = status(fleet)
-    assert (found.in_force, found.expected, found.lagging) == (2, 4, 2)
-    assert 2_500 <= found.oldest_lag_ms <= 13_500
+    fleet_status = status(fleet)
+    assert (fleet_status.in_force, fleet_status.expected, fleet_status.lagging) == (2, 4, 2)
+    assert 2_500 <= fleet_status.oldest_lag_ms <= 13_500
 
 
 def test_reports_count_by_age_log_and_zone():
     core = source(StoredState(LOG, 5))
     at_5, at_4 = RevisionCount(5, 3), RevisionCount(4, 2)
-    told(core, 0, "relay-1", revision=5, watchers=5, members=4, in_force=(at_5, at_4))
-    told(core, 0, "relay-2", revision=5, watchers=1, members=6, in_force=(RevisionCount(9, 1),))
-    told(core, 0, "relay-3", zone="b", log="other", watchers=7, in_force=(RevisionCount(9, 7),))
-    found = core.status(0)
-    assert (found.in_force, found.expected) == (4, 13)
+    send_report(core, 0, "relay-1", revision=5, watchers=5, members=4, in_force=(at_5, at_4))
+    send_report(core, 0, "relay-2", revision=5, watchers=1, members=6, in_force=(RevisionCount(9, 1),))
+    send_report(core, 0, "relay-3", zone="b", log="other", watchers=7, in_force=(RevisionCount(9, 7),))
+    fleet_status = core.status(0)
+    assert (fleet_status.in_force, fleet_status.expected) == (4, 13)
     assert core.status(0, 4).in_force == 6
     late = core.status(Limits().max_report_age + 1)
     assert (late.in_force, late.expected) == (0, 6)
 
 
-def test_reports_of_ever_new_names_are_bounded():
+def test_the_number_of_reporting_relays_is_limited():
     core = source()
-    effects = [effect for n in range(600) for effect in told(core, 0, f"relay-{n}")]
+    effects = [effect for n in range(600) for effect in send_report(core, 0, f"relay-{n}")]
     assert effects == [events.IncrementCounter("distribution_unexpected", f"relay-{n}") for n in range(512, 600)]
 
 
-def test_a_report_tells_at_most_so_many_revisions_and_lumps_the_lowest():
+def test_a_report_has_a_limited_number_of_revisions_and_merges_the_oldest():
     fleet = started(coordinators=0, zones=("a",), relays=1)
     relay = fleet.processes["relay-a0"]
     for number in range(30):
@@ -163,7 +168,7 @@
 def test_a_check_asks_one_of_each_zone():
     fleet = started()
     for coordinator in fleet.coordinators():
-        coordinator.refuses = {f"bad-{coordinator.name[-1]}"}
+        coordinator.rejects = {f"bad-{coordinator.name[-1]}"}
     fleet.record, fleet.sent = True, []
     done = checked(fleet, "bad-0", "bad-1", "bad-2", "bad-3", after=100 * MILLISECOND)
     assert len(done.faults) == 2 and done.unanswered == ()
@@ -175,7 +180,7 @@
     fleet = started()
     for coordinator in fleet.coordinators():
         if fleet.zones[coordinator.name] == "b":
-            coordinator.stand_still(60 * SECOND)
+            coordinator.stall(60 * SECOND)
     began = fleet.now
     fleet.run(100 * MILLISECOND)
     assert checked(fleet, "k").unanswered == ("b",)
@@ -188,12 +193,12 @@
     assert checked(fleet, "k").unanswered == ()
 
 
-def test_a_check_where_nobody_reports_is_done_at_once():
+def test_a_check_without_reporting_relays_is_done_at_once():
     core = source()
     assert core.step(0, events.CheckRequested(1, ())) == [events.CheckDone(1, (), ())]
 
 
-def test_checks_of_strangers_and_late_answers_are_counted():
+def test_unexpected_checks_and_late_answers_are_counted():
     fleet = started()
     relay, voter = fleet.processes["relay-a0"], fleet.processes["voter-0"]
     relay.handle(events.Received("coordinator-0", messages.Check(1, ())))
@@ -212,7 +217,7 @@
     return Change(revision, (Entry("k", b"%d" % revision, revision),))
 
 
-def test_a_voter_takes_changes_once_in_order_and_of_one_log():
+def test_a_voter_applies_changes_once_in_order_and_of_one_log():
     core = source()
     core.step(0, Decided(LOG, (change(1), change(2))))
     core.step(0, Decided(LOG, (change(2), change(3))))
--- a/tests/test_distribution_rules.py
+++ b/tests/test_distribution_rules.py
@@ -24,11 +24,11 @@
 
 @settings(max_examples=200, deadline=None)
 @given(contents, contents)
-def test_a_content_comes_back_from_its_keys_and_from_a_difference_to_another_one(content, before):
-    standing = flatten(before, {})
-    values = flatten(content, standing)
+def test_content_survives_conversion_to_keys_and_to_a_difference(content, before):
+    current = flatten(before, {})
+    values = flatten(content, current)
     assert assemble(values) == content
-    changed = standing | difference(standing, values)
+    changed = current | difference(current, values)
     assert {key: value for key, value in changed.items() if value is not None} == values
 
 
@@ -49,12 +49,12 @@
     ],
 )
 def test_a_change_has_as_many_keys_as_items_that_changed(after, keys):
-    standing = flatten(routes(1, 2, 3, 4), {})
-    changed = difference(standing, flatten(after, standing))
+    current = flatten(routes(1, 2, 3, 4), {})
+    changed = difference(current, flatten(after, current))
     assert len(changed) == keys
 
 
-def test_where_there_is_no_room_between_two_items_all_get_new_ranks(monkeypatch):
+def test_without_free_ranks_between_two_items_all_get_new_ranks(monkeypatch):
     monkeypatch.setattr(rules, "RANK_STEP", 2)
     values = flatten(routes(1, 2), {})
     for number in range(10, 30):
@@ -83,12 +83,12 @@
         ({"timings": {"number": 1 << 70}}, "rules/timings/number: can't be encoded"),
     ],
 )
-def test_what_can_t_be_a_value_is_refused_naming_the_key(content, fault):
+def test_an_unusable_value_is_rejected_naming_the_key(content, fault):
     with pytest.raises(RuleKeyError, match=fault):
         flatten(content, {})
 
 
-def planned(sections, standing=(), **words):
+def planned(sections, current=(), **arguments):
     request = {
         "kind": "edit",
         "author": "ann",
@@ -96,13 +96,13 @@
         "id": "e1",
         "base_revision": 0,
         "sections": sections,
-    } | words
+    } | arguments
     history = History(MemoryDisk(lambda delay, call: None, "d"), 0)
-    return plan(EditRequest(**request), dict(standing), history)
+    return plan(EditRequest(**request), dict(current), history)
 
 
 @pytest.mark.parametrize(
-    "parts, words, fault",
+    "parts, arguments, fault",
     [
         ({"a": {"k" * MAX_KEY_BYTES: 1}}, {}, "rules/a/kkk.*the key has 264 bytes, more than 256"),
         ({"k" * MAX_KEY_BYTES: {}}, {}, "rules/kkk.*the key has 262 bytes, more than 256"),
@@ -119,9 +119,9 @@
         ({"a": {"b": 1}}, {"reason": ""}, "reason: '' is empty"),
     ],
 )
-def test_an_edit_over_a_bound_is_refused_naming_the_key(parts, words, fault):
+def test_an_edit_over_a_limit_is_rejected_naming_the_key(parts, arguments, fault):
     with pytest.raises((RuleKeyError, InvalidEdit), match=fault):
-        planned(parts, **words)
+        planned(parts, **arguments)
     assert planned({"a": {"b": "x" * (MAX_ENTRY_VALUE_BYTES - 3)}})
 
 
@@ -135,7 +135,7 @@
         ({"rules/a/b": b"\x01", "rules/a/b/1": b"\xc0"}, "rules/a/b/1: b is not an array of tables"),
     ],
 )
-def test_keys_that_no_edit_makes_are_named(values, fault):
+def test_unusable_keys_are_named(values, fault):
     with pytest.raises(RuleKeyError, match=fault):
         assemble(values)
 
@@ -143,98 +143,101 @@
 # ---- at the parts
 
 
-class Part:
+class RecordingSection:
     """Takes numbers below 10, and `second` only where `first` is there."""
 
     def __init__(self):
         self.apply_calls = []
 
-    def check(self, part):
-        for name, value in (part or {}).items():
+    def check(self, section):
+        for name, value in (section or {}).items():
             if not isinstance(value, int) or value >= 10:
                 raise ValueError(f"part.{name} = {value!r}: is not below 10")
-        if part and "second" in part and "first" not in part:
+        if section and "second" in section and "first" not in section:
             raise ValueError("part.second: there is no first")
 
-    def apply(self, part, version):
-        self.apply_calls.append((version, part))
+    def apply(self, section, version):
+        self.apply_calls.append((version, section))
 
 
 def entry(name, number, revision=1):
     return Entry(f"rules/{name}", None if number is None else rules.encode_value(number), revision)
 
 
-def keys_with_part(desired=(), fallback=()):
-    keys, part = RuleKeys(dict(desired), dict(fallback)), Part()
-    keys.sections["p"] = part
-    return keys, part
+def keys_with_section(desired=(), fallback=()):
+    keys, section = RuleKeys(dict(desired), dict(fallback)), RecordingSection()
+    keys.sections["p"] = section
+    return keys, section
 
 
-def test_all_of_a_change_is_held_together_and_a_deleted_key_goes():
-    keys, part = keys_with_part()
+def test_a_change_is_applied_as_a_whole_and_a_deleted_key_is_removed():
+    keys, section = keys_with_section()
     assert keys.apply([entry("p/second", 2), entry("p/first", 1)], False, 1) == ()
-    assert part.apply_calls == [(1, {"first": 1, "second": 2})]
+    assert section.apply_calls == [(1, {"first": 1, "second": 2})]
     assert keys.apply([entry("p/second", None), entry("p/first", None)], False, 2) == ()
-    assert part.apply_calls[-1] == (2, None)
+    assert section.apply_calls[-1] == (2, None)
 
 
-def test_a_key_that_can_t_be_taken_keeps_its_value_and_the_others_change():
-    keys, part = keys_with_part()
+def test_a_rejected_key_keeps_its_value_and_the_others_change():
+    keys, section = keys_with_section()
     keys.apply([entry("p/first", 1), entry("p/third", 3)], False, 1)
     [fault] = keys.apply([entry("p/first", 99), entry("p/third", 4), entry("p/second", 5)], False, 2)
     assert fault.key == "rules/p/first" and "first = 99: is not below 10" in fault.reason
-    assert part.apply_calls[-1] == (2, {"first": 1, "second": 5, "third": 4})
+    assert section.apply_calls[-1] == (2, {"first": 1, "second": 5, "third": 4})
     assert keys.applied["rules/p/first"] == rules.encode_value(1)
-    assert keys.apply([entry("p/first", 7)], False, 3) == () and part.apply_calls[-1][1]["first"] == 7
+    assert keys.apply([entry("p/first", 7)], False, 3) == () and section.apply_calls[-1][1]["first"] == 7
 
 
-def test_what_rests_on_another_key_of_the_change_is_found_in_a_second_pass():
-    keys, part = keys_with_part()
+def test_a_key_that_depends_on_another_one_is_accepted_in_a_second_pass():
+    keys, section = keys_with_section()
     faults = keys.apply([entry("p/a", 50), entry("p/second", 2), entry("p/tofirst", 1), entry("p/first", 1)], False, 1)
     assert [fault.key for fault in faults] == ["rules/p/a"]
-    assert part.apply_calls[-1][1] == {"second": 2, "tofirst": 1, "first": 1}
+    assert section.apply_calls[-1][1] == {"second": 2, "tofirst": 1, "first": 1}
 
 
-def test_a_snapshot_drops_what_it_does_not_name_and_parts_that_are_not_here_are_faults():
-    keys, part = keys_with_part()
+def test_a_snapshot_deletes_other_keys_and_unknown_sections_are_faults():
+    keys, section = keys_with_section()
     keys.apply([entry("p/first", 1)], False, 1)
     faults = keys.apply([entry("q/x", 1), Entry("other", b"\xc0", 2)], True, 2)
     assert [fault.key for fault in faults] == ["other", "rules/q/x"] and "q: is not known here" in faults[1].reason
-    assert part.apply_calls[-1] == (2, None)
+    assert section.apply_calls[-1] == (2, None)
 
 
-def test_over_a_restart_a_refused_key_s_value_before_holds_again():
-    keys, _ = keys_with_part()
+def test_the_previous_value_of_a_rejected_key_is_applied_after_a_restart():
+    keys, _ = keys_with_section()
     keys.apply([entry("p/first", 1), entry("p/third", 3)], False, 1)
     keys.apply([entry("p/first", 99), entry("p/new", 99)], False, 2)
     fallback = {key: keys.applied.get(key) for key in keys.faults}
-    again, part = keys_with_part(keys.desired, fallback | {"rules/p/third": None})
+    again, section = keys_with_section(keys.desired, fallback | {"rules/p/third": None})
     again.start(2)
-    assert part.apply_calls == [(2, {"first": 1, "third": 3})] and set(again.faults) == {"rules/p/first", "rules/p/new"}
+    assert section.apply_calls == [(2, {"first": 1, "third": 3})] and set(again.faults) == {
+        "rules/p/first",
+        "rules/p/new",
+    }
 
 
-def test_a_part_that_fails_while_it_holds_is_a_fault_and_the_others_go_on():
-    class Broken(Part):
-        def apply(self, part, version):
+def test_a_section_that_fails_to_apply_is_a_fault_and_the_others_are_applied():
+    class Broken(RecordingSection):
+        def apply(self, section, version):
             raise RuntimeError("no")
 
-    keys, part = keys_with_part()
+    keys, section = keys_with_section()
     keys.sections["a"] = Broken()
     [fault] = keys.apply([entry("a/x", 1), entry("p/first", 1)], False, 1)
-    assert fault.key == "rules/a/x" and part.apply_calls == [(1, {"first": 1})]
+    assert fault.key == "rules/a/x" and section.apply_calls == [(1, {"first": 1})]
 
 
-def test_a_check_changes_nothing_and_names_only_keys_that_were_asked():
-    keys, part = keys_with_part()
+def test_a_check_changes_nothing_and_names_only_the_requested_keys():
+    keys, section = keys_with_section()
     keys.apply([entry("p/first", 99)], False, 1)
-    before = (dict(keys.desired), dict(keys.applied), list(part.apply_calls))
+    before = (dict(keys.desired), dict(keys.applied), list(section.apply_calls))
     assert keys.check([entry("p/third", 3)]) == ()
     [fault] = keys.check([entry("p/third", 30)])
     assert fault.key == "rules/p/third" and len(fault.reason) <= MAX_FAULT_REASON_CHARS
-    assert (keys.desired, keys.applied, part.apply_calls) == before
+    assert (keys.desired, keys.applied, section.apply_calls) == before
 
 
-def test_the_work_for_a_part_that_takes_nothing_is_bounded():
+def test_the_work_for_a_section_that_rejects_everything_is_limited():
     calls = []
 
     def check(name, values):
--- a/tests/test_distribution_selection.py
+++ b/tests/test_distribution_selection.py
@@ -33,12 +33,12 @@
     assert all({node.name for node in rank_upstreams(name, "zone-0", RELAYS)[:2]} == LOCAL for name in NAMES[:100])
 
 
-def test_watchers_spread_evenly_at_home_and_abroad():
+def test_watchers_spread_evenly_over_local_and_foreign_relays():
     first = Counter(rank_upstreams(name, "zone-0", RELAYS)[0].name for name in NAMES)
-    assert all(900 < many < 1_100 for many in first.values())
-    refuge = Counter(rank_upstreams(name, "zone-0", RELAYS)[2].name for name in NAMES)
-    assert len(refuge) == 14
-    assert all(100 < many < 200 for many in refuge.values()), refuge
+    assert all(900 < count < 1_100 for count in first.values())
+    fallback = Counter(rank_upstreams(name, "zone-0", RELAYS)[2].name for name in NAMES)
+    assert len(fallback) == 14
+    assert all(100 < count < 200 for count in fallback.values()), fallback
 
 
 def test_a_lost_relays_watchers_spread_and_the_others_stay():
@@ -47,62 +47,62 @@
     after = {name: rank_upstreams(name, "", voters[1:])[0].name for name in NAMES}
     assert all(after[name] == before[name] for name in NAMES if before[name] != "voter-0")
     moved = Counter(after[name] for name in NAMES if before[name] == "voter-0")
-    assert len(moved) == 4 and all(60 < many < 140 for many in moved.values()), moved
+    assert len(moved) == 4 and all(60 < count < 140 for count in moved.values()), moved
 
 
-def test_a_silent_relay_is_left_for_the_other_and_then_for_a_neighbour():
-    found = candidates()
-    first = found.choose(0)
-    found.mark_unresponsive(first, 0)
-    second = found.choose(0)
+def test_an_unresponsive_relay_is_replaced_by_a_local_one_then_by_a_foreign_one():
+    candidates_found = candidates()
+    first = candidates_found.choose(0)
+    candidates_found.mark_unresponsive(first, 0)
+    second = candidates_found.choose(0)
     assert {first, second} == LOCAL
-    found.mark_unresponsive(second, 0)
-    assert found.choose(0) not in LOCAL
-    assert found.choose(LIMITS.silence) in LOCAL, "it is asked again after a while"
+    candidates_found.mark_unresponsive(second, 0)
+    assert candidates_found.choose(0) not in LOCAL
+    assert candidates_found.choose(LIMITS.silence) in LOCAL, "it is asked again after a while"
 
 
-def test_a_home_relay_that_is_only_busy_is_waited_for():
-    found = candidates()
+def test_a_local_relay_that_rejects_for_a_short_time_is_waited_for():
+    candidates_found = candidates()
     for name in LOCAL:
-        found.mark_rejected(name, 0, 800 * MILLISECOND)
-    assert found.choose(0) is None
-    assert found.retry_at(0) == 800 * MILLISECOND
-    assert found.choose(800 * MILLISECOND) in LOCAL
+        candidates_found.mark_rejected(name, 0, 800 * MILLISECOND)
+    assert candidates_found.choose(0) is None
+    assert candidates_found.retry_at(0) == 800 * MILLISECOND
+    assert candidates_found.choose(800 * MILLISECOND) in LOCAL
 
 
-def test_patience_with_home_has_an_end():
-    found = candidates()
+def test_rejections_by_local_relays_are_waited_out_a_limited_number_of_times():
+    candidates_found = candidates()
     for name in LOCAL:
         for _ in range(MAX_LOCAL_REJECTIONS + 1):
-            found.mark_rejected(name, 0, 0)
-    assert found.choose(0) not in LOCAL
+            candidates_found.mark_rejected(name, 0, 0)
+    assert candidates_found.choose(0) not in LOCAL
 
 
-def test_a_long_wait_at_home_is_not_waited_for():
-    found = candidates()
+def test_a_long_retry_delay_of_local_relays_is_not_waited_out():
+    candidates_found = candidates()
     for name in LOCAL:
-        found.mark_rejected(name, 0, 5 * SECOND)
-    assert found.choose(0) not in LOCAL
+        candidates_found.mark_rejected(name, 0, 5 * SECOND)
+    assert candidates_found.choose(0) not in LOCAL
 
 
-def test_where_all_have_failed_the_first_to_fail_is_asked_again():
-    found = Candidates("c", "z", RELAYS[:2], LIMITS, random.Random(1))
+def test_after_all_have_failed_the_first_to_fail_is_tried_again():
+    candidates_found = Candidates("c", "z", RELAYS[:2], LIMITS, random.Random(1))
     for name in LOCAL:
-        found.mark_unresponsive(name, 0)
-    assert found.choose(0) in LOCAL
+        candidates_found.mark_unresponsive(name, 0)
+    assert candidates_found.choose(0) in LOCAL
 
 
-def test_there_may_be_nobody_to_ask():
+def test_a_search_without_upstreams_finds_none():
     search = UpstreamSearch(Identity(name="c"), LIMITS, random.Random(1), 0)
     assert search.next_upstream(0, None) is None
     assert search.due(0, None) > 0
 
 
-def test_a_guest_asks_at_home_after_a_while_of_its_own():
+def test_a_foreign_watcher_tries_its_own_zone_after_a_random_delay():
     times = set()
     for seed in range(20):
         search = UpstreamSearch(Identity(name="c", zone="zone-0", upstreams=RELAYS), LIMITS, random.Random(seed), 0)
-        search.served(0, "relay-zone-3-1")
+        search.server_with_change(0, "relay-zone-3-1")
         due = search.due(0, Stream("relay-zone-3-1", 1, 1 << 50, 1 << 50))
         assert LOCAL_RETURN_DELAY[0] <= due <= LOCAL_RETURN_DELAY[1]
         assert search.next_upstream(due, Stream("relay-zone-3-1", 1, due, due)) in LOCAL
@@ -110,11 +110,11 @@
     assert len(times) == 20
 
 
-def test_waits_grow_between_tries():
+def test_delays_between_attempts_grow():
     search = UpstreamSearch(Identity(name="c", upstreams=RELAYS), LIMITS, random.Random(1), 0)
-    waits = []
+    delays = []
     for _ in range(6):
         search.failed(0, RELAYS[0].name, None)
-        waits.append(search.due(0, None))
-    assert LIMITS.retry_least // 2 <= waits[0] <= LIMITS.retry_least
-    assert LIMITS.retry_most // 2 <= waits[-1] <= LIMITS.retry_most
+        delays.append(search.due(0, None))
+    assert LIMITS.retry_least // 2 <= delays[0] <= LIMITS.retry_least
+    assert LIMITS.retry_most // 2 <= delays[-1] <= LIMITS.retry_most
--- a/tests/test_distribution_settings.py
+++ b/tests/test_distribution_settings.py
@@ -23,12 +23,12 @@
 
 
 @pytest.mark.parametrize("part, name", [(COORDINATOR, "c1"), (RELAY, "r1"), (VOTES, "v1")])
-def test_each_role_is_taken_and_its_zone_is_a_cluster_of_its_own(part, name):
+def test_each_role_is_accepted_and_its_zone_is_a_separate_cluster(part, name):
     settings = fleet_settings(part, SITE, name)
     assert settings.zone_cluster == "rides.z1" and settings.scope == ("",)
 
 
-def test_overload_is_one_for_all_only_where_all_that_serve_are_of_one_zone():
+def test_overload_is_shared_only_if_all_coordinators_are_in_one_zone():
     """Members are of one zone, and the engines serve every zone: each would take its zone's part for all of them."""
     one_zone = {"node": [VOTER, RELAYS[0]]}
     assert shares_overload(fleet_settings({"cluster": "rides", "listen": "127.0.0.1:7001"}, SITE, "n1"))
@@ -38,7 +38,7 @@
     assert not shares_overload(fleet_settings(RELAY | one_zone, SITE, "r1"))
 
 
-def test_without_a_role_the_cluster_s_name_is_as_it_was():
+def test_without_a_role_the_cluster_name_is_unchanged():
     assert fleet_settings({"cluster": "rides", "listen": "127.0.0.1:7001"}, SITE, "n1").zone_cluster == "rides"
 
 
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -54,51 +54,51 @@
         return self.next_due
 
 
-def endpoint_with(answers, perform=lambda effect: None):
+def runner_with(answers, perform=lambda effect: None):
     net = Net(["a", "b"])
     core, inbox = ScriptedCore(answers), Inbox(net.nodes["a"].fleet())
     core.next_due = net.time.now() + SECOND
-    endpoint = CoreRunner(net.nodes["a"].fleet(), inbox, core, perform)
-    inbox.route((Unwatch,), endpoint.on_message)
+    runner = CoreRunner(net.nodes["a"].fleet(), inbox, core, perform)
+    inbox.route((Unwatch,), runner.on_message)
     inbox.start()
-    return net, core, inbox, endpoint
+    return net, core, inbox, runner
 
 
-def test_effects_are_done_in_order_and_events_handed_in_meanwhile_come_after_them():
+def test_events_dispatched_by_an_effect_are_handled_after_the_current_effects():
     done = []
 
     def perform(effect):
         done.append(effect)
         if len(done) == 1:
-            endpoint.dispatch(Persisted(1))
+            runner.dispatch(Persisted(1))
 
     one, two = Persist("l", 1, (), False), Persist("l", 2, (), False)
-    net, core, _, endpoint = endpoint_with({Tick: (one, IncrementCounter("distribution_x", "b"), two)}, perform)
-    endpoint.start()
+    net, core, _, runner = runner_with({Tick: (one, IncrementCounter("distribution_x", "b"), two)}, perform)
+    runner.start()
     assert done == [one, two] and core.events == [Tick(), Persisted(1)]
     assert net.nodes["a"].counts["distribution_x"] == 1
 
 
-def test_the_timer_follows_the_core_and_a_core_that_is_always_due_does_not_spin():
-    net, core, _, endpoint = endpoint_with({})
-    endpoint.start()
+def test_the_timer_follows_the_core_and_an_overdue_core_does_not_spin():
+    net, core, _, runner = runner_with({})
+    runner.start()
     net.time.run(SECOND - MS)
     assert len(core.events) == 1
     net.time.run(2 * MS)
     assert len(core.events) in (2, 3)  # due lies in the past from now on
     net.time.run(100 * MS)
     assert len(core.events) <= 105
-    endpoint.stop()
+    runner.stop()
     before = len(core.events)
     net.time.run(SECOND)
     assert len(core.events) == before
 
 
-def test_mail_that_can_t_be_read_is_dropped_and_counted_under_its_sender():
-    net, core, inbox, endpoint = endpoint_with({Received: (Send("b", Unwatch(9)),)})
+def test_undecodable_messages_are_dropped_and_counted_by_sender():
+    net, core, inbox, runner = runner_with({Received: (Send("b", Unwatch(9)),)})
     received = []
     net.nodes["b"].subscribe(KIND, lambda sender, body: received.append((sender, body)))
-    endpoint.start()
+    runner.start()
     for body in (
         b"",
         b"\xc1",
@@ -119,7 +119,7 @@
     assert all(row["sender"] == "b" for row in inbox.sender_counts.rows())
 
 
-def test_senders_are_counted_by_name_up_to_a_bound():
+def test_senders_are_counted_by_name_up_to_a_limit():
     counts = SenderCounts()
     for number in range(MAX_SENDERS + 10):
         counts.add("unreadable", f"n{number}")
@@ -143,7 +143,7 @@
     return StateStore(disk, ("",), lambda name, by: counts.append(name) if counts is not None else None)
 
 
-def test_what_was_persisted_is_held_by_the_next_process_and_nothing_before_its_sync():
+def test_the_next_process_finds_what_was_synced_and_nothing_else():
     net, disk = memory()
     store, done = loaded(disk), []
     assert store.stored == StoredState()
@@ -164,7 +164,7 @@
     assert list(loaded(disk).stored.entries) == ["z"] and loaded(disk).stored.log == "other"
 
 
-def test_values_that_were_in_force_before_are_kept_with_the_change_that_replaces_them():
+def test_previously_applied_values_are_stored_with_the_change_that_replaces_them():
     net, disk = memory()
     store = loaded(disk)
     store.persist(Persist("log", 1, (), False), lambda: None, fallback={"a": b"old", "b": None})
@@ -183,7 +183,7 @@
         ("distribution/fallback", b"\x01"),
     ],
 )
-def test_a_record_that_can_t_be_read_is_named_and_all_begins_from_0(key, body):
+def test_after_an_undecodable_record_the_watcher_starts_from_revision_0(key, body):
     _, disk = memory()
     store, counts = loaded(disk), []
     store.persist(Persist("log", 5, (entry("a", b"1", 5),), True), lambda: None)
@@ -194,7 +194,7 @@
     assert not loaded(disk).damage and not list(disk.scan("distribution/entry/"))
 
 
-def test_on_the_embedded_store_a_write_is_whole_and_a_damaged_store_is_put_aside(tmp_path):
+def test_the_embedded_store_writes_atomically_and_damaged_files_are_put_aside(tmp_path):
     from twisted.internet import reactor
 
     path = tmp_path / "distribution"
@@ -220,19 +220,19 @@
 # ---- roles on the twin: real cores, real shells, mail that may be lost
 
 
-class RecordingPart:
+class RecordingSection:
     """Refuses the values that it is told to."""
 
-    def __init__(self, refused=()):
-        self.refused, self.apply_calls = refused, []
+    def __init__(self, rejected=()):
+        self.rejected, self.apply_calls = rejected, []
 
-    def check(self, part):
-        bad = [f"{name} = {value!r}: no" for name, value in (part or {}).items() if value in self.refused]
+    def check(self, section):
+        bad = [f"{name} = {value!r}: no" for name, value in (section or {}).items() if value in self.rejected]
         if bad:
             raise ValueError("; ".join(bad))
 
-    def apply(self, part, version):
-        self.apply_calls.append((version, part))
+    def apply(self, section, version):
+        self.apply_calls.append((version, section))
 
 
 def nodes(voters=1, relays=2):
@@ -242,14 +242,14 @@
     )
 
 
-def coordinator_on(net, name, disk, generation=1, refused=(), relays=2, scope=("",)):
+def coordinator_on(net, name, disk, generation=1, rejected=(), relays=2, scope=("",)):
     upstreams = tuple(node for node in nodes(relays=relays) if node.role is Role.RELAY)
     identity = Identity(name=name, zone="z", upstreams=upstreams, scope=scope, generation=generation)
     coordinator = Coordinator(net.nodes[name].fleet(), identity, disk, Limits())
-    part = RecordingPart(refused)
-    coordinator.add_section("p", part)
+    section = RecordingSection(rejected)
+    coordinator.add_section("p", section)
     coordinator.start()
-    return coordinator, part
+    return coordinator, section
 
 
 def relay_on(net, name, voters=1, generation=1):
@@ -261,7 +261,7 @@
     return relay
 
 
-class SourceStand:
+class SourceTestBed:
     """A voter without a register: what it is told is decided."""
 
     def __init__(self, net, name="v0"):
@@ -269,10 +269,10 @@
         self.source = Source(Identity(name=name), StoredState(), Limits(), net.time.now())
         self.checks, self.revision = [], 0
         inbox = Inbox(self.fleet)
-        self.endpoint = CoreRunner(self.fleet, inbox, self.source, self.checks.append)
-        inbox.route((Watch, Unwatch, Acknowledge, Report, Checked), self.endpoint.on_message)
+        self.runner = CoreRunner(self.fleet, inbox, self.source, self.checks.append)
+        inbox.route((Watch, Unwatch, Acknowledge, Report, Checked), self.runner.on_message)
         inbox.start()
-        self.endpoint.start()
+        self.runner.start()
 
     def change(self, **values):
         self.revision += 1
@@ -280,63 +280,63 @@
             Entry(f"rules/p/{name}", None if value is None else encode_value(value), self.revision)
             for name, value in values.items()
         )
-        self.endpoint.dispatch(Decided("log", (Change(self.revision, entries),)))
+        self.runner.dispatch(Decided("log", (Change(self.revision, entries),)))
 
     def status(self):
         return self.source.status(self.fleet.clock.now())
 
 
-def fleet_of(lose=0.0):
+def fleet_of(loss=0.0):
     net = Net(["v0", "r0", "r1", "c0", "c1"], 5)
-    net.lose = lose
+    net.lose = loss
     disks = {name: MemoryDisk(net.nodes[name].later, name) for name in ("c0", "c1")}
-    return net, SourceStand(net), disks
+    return net, SourceTestBed(net), disks
 
 
-@pytest.mark.parametrize("lose", [0.0, 0.2])
-def test_a_change_is_in_force_at_all_coordinators_and_the_voter_knows(lose):
-    net, voter, disks = fleet_of(lose)
+@pytest.mark.parametrize("loss", [0.0, 0.2])
+def test_a_change_is_applied_by_all_coordinators_and_the_voter_knows(loss):
+    net, voter, disks = fleet_of(loss)
     for name in ("r0", "r1"):
         relay_on(net, name)
-    stands = [coordinator_on(net, name, disks[name], refused=(9,)) for name in ("c0", "c1")]
+    coordinators = [coordinator_on(net, name, disks[name], rejected=(9,)) for name in ("c0", "c1")]
     voter.change(first=1)
     assert net.time.run(16 * SECOND, lambda: voter.status().in_force == 2)
-    assert all(part.apply_calls[-1] == (1, {"first": 1}) for _, part in stands)
+    assert all(section.apply_calls[-1] == (1, {"first": 1}) for _, section in coordinators)
     voter.change(first=9, second=2)
     assert net.time.run(16 * SECOND, lambda: voter.status().in_force == 2)
-    for coordinator, part in stands:
-        assert part.apply_calls[-1] == (2, {"first": 1, "second": 2})
+    for coordinator, section in coordinators:
+        assert section.apply_calls[-1] == (2, {"first": 1, "second": 2})
         assert list(coordinator.faults) == ["rules/p/first"] and coordinator.version == 2
         assert coordinator.figures()["distribution_refused_keys"] == 1
     assert net.time.run(16 * SECOND, lambda: voter.status().fault_count == 2)
 
 
-def test_a_coordinator_s_check_is_asked_through_a_relay_and_names_the_key():
+def test_a_check_reaches_a_coordinator_through_a_relay_and_names_the_key():
     net, voter, disks = fleet_of()
     for name in ("r0", "r1"):
         relay_on(net, name)
     for name in ("c0", "c1"):
-        coordinator_on(net, name, disks[name], refused=(9,))
+        coordinator_on(net, name, disks[name], rejected=(9,))
     voter.change(first=1)
     assert net.time.run(16 * SECOND, lambda: voter.status().in_force == 2)
-    voter.endpoint.dispatch(CheckRequested(7, (Entry("rules/p/first", encode_value(9), 0),)))
+    voter.runner.dispatch(CheckRequested(7, (Entry("rules/p/first", encode_value(9), 0),)))
     assert net.time.run(16 * SECOND, lambda: bool(voter.checks))
     [done] = voter.checks
     assert isinstance(done, CheckDone) and done.check_id == 7 and not done.unanswered
     assert [fault.key for fault in done.faults] == ["rules/p/first"]
 
 
-def test_the_relay_that_one_watches_ends_and_the_next_change_comes_by_the_other():
+def test_after_the_watched_relay_ends_changes_arrive_through_the_other():
     net, voter, disks = fleet_of()
     for name in ("r0", "r1"):
         relay_on(net, name)
-    coordinator, part = coordinator_on(net, "c0", disks["c0"])
+    coordinator, section = coordinator_on(net, "c0", disks["c0"])
     voter.change(first=1)
     assert net.time.run(16 * SECOND, lambda: coordinator.version == 1)
     gone = coordinator.upstream
     net.nodes[gone].kill()
     voter.change(first=2)
-    assert net.time.run(16 * SECOND, lambda: part.apply_calls[-1] == (2, {"first": 2}))
+    assert net.time.run(16 * SECOND, lambda: section.apply_calls[-1] == (2, {"first": 2}))
     assert coordinator.upstream not in ("", gone)
 
 
@@ -345,11 +345,11 @@
     [lambda coordinator: coordinator.version == 2, lambda coordinator: coordinator.stored.revision == 2],
     ids=["in force", "on the disk"],
 )
-def test_a_coordinator_resumes_from_its_disk_with_what_was_in_force(at):
+def test_a_coordinator_resumes_from_its_disk_with_the_applied_values(at):
     net, voter, disks = fleet_of()
     for name in ("r0", "r1"):
         relay_on(net, name)
-    coordinator, _ = coordinator_on(net, "c0", disks["c0"], refused=(9,))
+    coordinator, _ = coordinator_on(net, "c0", disks["c0"], rejected=(9,))
     voter.change(first=1, second=2)
     assert net.time.run(16 * SECOND, lambda: coordinator.version == 1)
     voter.change(first=9)
@@ -359,24 +359,24 @@
     disks["c0"].crash()
     net.nodes["c0"].restart()
     net.cut({"c0"}, set(net.nodes))
-    again, part = coordinator_on(net, "c0", disks["c0"], generation=2, refused=(9,))
-    assert part.apply_calls == [(2, {"first": 1, "second": 2})] and again.version == 2
+    again, section = coordinator_on(net, "c0", disks["c0"], generation=2, rejected=(9,))
+    assert section.apply_calls == [(2, {"first": 1, "second": 2})] and again.version == 2
     net.heal()
     voter.change(first=3)
     assert net.time.run(16 * SECOND, lambda: again.version == 3)
-    assert part.apply_calls[-1] == (3, {"first": 3, "second": 2}) and not again.faults
+    assert section.apply_calls[-1] == (3, {"first": 3, "second": 2}) and not again.faults
 
 
-def test_a_scope_keeps_other_keys_away():
+def test_keys_out_of_scope_are_neither_stored_nor_applied():
     net, voter, disks = fleet_of()
     relay_on(net, "r0")
-    coordinator, part = coordinator_on(net, "c0", disks["c0"], scope=("rules/p/a",))
+    coordinator, section = coordinator_on(net, "c0", disks["c0"], scope=("rules/p/a",))
     voter.change(a=1, b=2)
     assert net.time.run(16 * SECOND, lambda: coordinator.version == 1)
-    assert part.apply_calls == [(1, {"a": 1})] and list(coordinator.stored.entries) == ["rules/p/a"]
+    assert section.apply_calls == [(1, {"a": 1})] and list(coordinator.stored.entries) == ["rules/p/a"]
 
 
-def test_a_relay_counts_the_coordinators_of_its_zone_by_the_members_word():
+def test_a_relay_counts_the_live_coordinators_of_its_zone():
     net, voter, disks = fleet_of()
     relay = relay_on(net, "r0")
     assert relay.figures()["distribution_members"] == 2
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -34,7 +34,7 @@
     return {entry.key: entry.value for entry in batch.entries}
 
 
-def test_changes_are_taken_once_and_in_order():
+def test_changes_are_applied_once_and_in_order():
     state = state_of(change(1, a=b"1"), change(2, a=b"2", b=b"2"), change(3, b=None))
     assert (state.log, state.revision) == (LOG, 3)
     assert state.entries == {"a": Entry("a", b"2", 2)}
@@ -42,7 +42,7 @@
     assert state.entries["a"].value == b"2"
 
 
-def test_a_gap_and_another_log_are_refused():
+def test_a_gap_and_another_log_are_rejected():
     state = state_of(change(1, a=b"1"))
     with pytest.raises(RevisionGap) as gap:
         state.apply_change(LOG, change(3, a=b"3"))
@@ -52,14 +52,14 @@
     assert state.revision == 1
 
 
-def test_since_merges_the_changes_of_one_key():
+def test_changes_of_one_key_are_merged():
     state = state_of(change(1, a=b"1"), change(2, a=b"2"), change(3, b=b"3"), change(4, a=None))
     assert state.changes_after(0) == Batch(0, 4, (Entry("b", b"3", 3), Entry("a", None, 4)))
     assert keys(state.changes_after(3)) == {"a": None}
     assert state.changes_after(4) == Batch(4, 4, ())
 
 
-def test_since_keeps_to_the_scope_and_reaches_the_newest():
+def test_a_batch_is_filtered_by_scope_and_ends_at_the_newest_revision():
     state = state_of(change(1, a=b"1"), change(2, b=b"2", ab=b"2"), change(3, c=b"3"))
     assert keys(state.changes_after(0, ("a",))) == {"a": b"1", "ab": b"2"}
     assert state.changes_after(0, ("a",)).revision == 3
@@ -101,7 +101,7 @@
     assert state.changes_after(4_900).revision == 4_999
 
 
-def test_an_update_that_overlaps_is_taken_by_what_is_new():
+def test_only_the_new_entries_of_an_overlapping_update_are_applied():
     state = state_of(change(1, a=b"1"), change(2, b=b"2"))
     merged = (Entry("b", b"2", 2), Entry("a", b"4", 4))
     assert state.apply(LOG, 1, 4, merged)
@@ -112,7 +112,7 @@
     )
 
 
-def test_a_snapshot_does_not_move_with_later_changes():
+def test_a_snapshot_is_not_affected_by_later_changes():
     state = state_of(change(1, a=b"1", b=b"1", c=b"1"), max_update_bytes=2 * (2 + ENTRY_OVERHEAD))
     snapshot = state.snapshot(("a", "b", "c"))
     state.apply_change(LOG, change(2, a=b"2", b=None))
@@ -130,7 +130,7 @@
     assert list(state.entries) == ["b"]
 
 
-def test_parts_hold_to_their_size():
+def test_parts_keep_to_their_maximum_size():
     entries = [Entry(f"k{n}", bytes(n), 1) for n in range(100)]
     parts = split_entries(entries, 300)
     assert [entry for part in parts for entry in part] == entries
@@ -138,7 +138,7 @@
     assert split_entries([], 300) == ((),)
 
 
-def test_an_schedule_gives_each_name_once_when_it_is_due():
+def test_a_schedule_returns_each_name_once_when_it_is_due():
     schedule = Schedule()
     assert schedule.due() == NEVER
     schedule.set("a", 50)
--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -25,19 +25,19 @@
 COORDINATORS = ("c0", "c1")
 
 
-class Part:
+class RecordingSection:
     """Takes no 9, and no 8 where it is told so."""
 
-    def __init__(self, refused=(9,)):
-        self.refused, self.apply_calls = refused, []
+    def __init__(self, rejected=(9,)):
+        self.rejected, self.apply_calls = rejected, []
 
-    def check(self, part):
-        bad = [f"{name} = {value!r}: no" for name, value in (part or {}).items() if value in self.refused]
+    def check(self, section):
+        bad = [f"{name} = {value!r}: no" for name, value in (section or {}).items() if value in self.rejected]
         if bad:
             raise ValueError("; ".join(bad))
 
-    def apply(self, part, version):
-        self.apply_calls.append((version, part))
+    def apply(self, section, version):
+        self.apply_calls.append((version, section))
 
 
 class VoterFleet:
@@ -46,12 +46,12 @@
     def __init__(self, seed=3, relays=RELAYS, coordinators=COORDINATORS):
         self.net = Net([*VOTERS, *RELAYS, *COORDINATORS], seed)
         self.disks = {name: MemoryDisk(self.net.nodes[name].later, name) for name in (*VOTERS, *COORDINATORS)}
-        self.processes, self.parts = {}, {}
+        self.processes, self.recorders = {}, {}
         for name in (*VOTERS, *relays, *coordinators):
             self.start(name)
         self.wait(lambda: all(self.processes[name].acceptor.state.voting for name in VOTERS))
 
-    def start(self, name, refused=(9,)):
+    def start(self, name, rejected=(9,)):
         node = self.net.nodes[name]
         fleet = node.fleet()
         voters = tuple(Node(voter, Role.VOTER) for voter in VOTERS)
@@ -66,8 +66,8 @@
             identity = Identity(name=name, zone="z", upstreams=relays, generation=node.boot)
             process = Coordinator(fleet, identity, self.disks[name], Limits())
         if name not in RELAYS:
-            self.parts[name] = Part(refused)
-            process.add_section("p", self.parts[name])
+            self.recorders[name] = RecordingSection(rejected)
+            process.add_section("p", self.recorders[name])
         self.processes[name] = process
         process.start()
 
@@ -107,68 +107,68 @@
         return all(self.processes[name].version == revision for name in (*VOTERS, *COORDINATORS))
 
 
-def test_an_edit_is_in_force_everywhere_and_the_editor_s_voter_knows():
-    stand = VoterFleet()
-    stand.wait(lambda: stand.processes["v0"].status().expected == 2)
-    assert stand.edit("e1", 0, a=1, b=2) == 1
-    stand.wait(lambda: stand.processes["v0"].status().in_force == 2)
-    stand.wait(lambda: stand.all_at(1))
-    assert stand.edit("e2", 1, "v1", a=1, b=3) == 2
-    stand.wait(lambda: stand.all_at(2))
-    assert all(part.apply_calls[-1] == (2, {"a": 1, "b": 3}) for part in stand.parts.values())
-    stand.wait(lambda: stand.processes["v2"].replication.replicated_revision() == 2)
-    assert stand.processes["v2"].figures()["distribution_replicated"] == 2
-
-
-def test_a_fleet_without_any_change_yet_has_revision_0_in_force_everywhere():
-    stand = VoterFleet()
-    stand.wait(lambda: stand.processes["v0"].status().expected == 2)
-    stand.wait(lambda: stand.processes["v0"].status().in_force == 2)
-    stand.wait(lambda: all(stand.processes[name].upstream in RELAYS for name in COORDINATORS))
-    assert len({stand.processes[name].learner.log for name in VOTERS}) == 1
-    stand.kill("v0")
-    stand.restart("v0")
-    assert stand.processes["v0"].learner.log == stand.processes["v1"].learner.log
-
-
-def test_an_edit_said_again_does_nothing_twice_at_any_voter():
-    stand = VoterFleet()
-    assert stand.edit("e1", 0, a=1) == stand.edit("e1", 0, a=1) == 1
-    assert stand.edit("e1", 0, "v2", a=1) == 1
+def test_an_edit_is_applied_everywhere_and_the_voter_knows():
+    test_bed = VoterFleet()
+    test_bed.wait(lambda: test_bed.processes["v0"].status().expected == 2)
+    assert test_bed.edit("e1", 0, a=1, b=2) == 1
+    test_bed.wait(lambda: test_bed.processes["v0"].status().in_force == 2)
+    test_bed.wait(lambda: test_bed.all_at(1))
+    assert test_bed.edit("e2", 1, "v1", a=1, b=3) == 2
+    test_bed.wait(lambda: test_bed.all_at(2))
+    assert all(section.apply_calls[-1] == (2, {"a": 1, "b": 3}) for section in test_bed.recorders.values())
+    test_bed.wait(lambda: test_bed.processes["v2"].replication.replicated_revision() == 2)
+    assert test_bed.processes["v2"].figures()["distribution_replicated"] == 2
+
+
+def test_a_fleet_without_changes_has_applied_revision_0_everywhere():
+    test_bed = VoterFleet()
+    test_bed.wait(lambda: test_bed.processes["v0"].status().expected == 2)
+    test_bed.wait(lambda: test_bed.processes["v0"].status().in_force == 2)
+    test_bed.wait(lambda: all(test_bed.processes[name].upstream in RELAYS for name in COORDINATORS))
+    assert len({test_bed.processes[name].learner.log for name in VOTERS}) == 1
+    test_bed.kill("v0")
+    test_bed.restart("v0")
+    assert test_bed.processes["v0"].learner.log == test_bed.processes["v1"].learner.log
+
+
+def test_a_repeated_edit_is_decided_only_once_at_any_voter():
+    test_bed = VoterFleet()
+    assert test_bed.edit("e1", 0, a=1) == test_bed.edit("e1", 0, a=1) == 1
+    assert test_bed.edit("e1", 0, "v2", a=1) == 1
     with pytest.raises(EditRejected, match="id 'e1' was used by ann: revision 1"):
-        stand.request_edit(id="e1", base_revision=1, author="bob", sections={"p": {"a": 2}})
+        test_bed.request_edit(id="e1", base_revision=1, author="bob", sections={"p": {"a": 2}})
 
 
-def test_a_later_edit_of_the_same_part_refuses_one_that_did_not_see_it_and_other_parts_do_not():
-    stand = VoterFleet()
+def test_an_edit_conflicts_only_with_unseen_changes_of_the_same_section():
+    test_bed = VoterFleet()
     for name in (*VOTERS, *COORDINATORS):
-        stand.processes[name].add_section("q", Part())
-    stand.edit("e1", 0, a=1)
+        test_bed.processes[name].add_section("q", RecordingSection())
+    test_bed.edit("e1", 0, a=1)
     with pytest.raises(
         EditRejected, match=r"ann's edit .* builds on revision 0; since then there is revision 1 by ann"
     ):
-        stand.request_edit(id="e2", base_revision=0, sections={"p": {"a": 2}})
-    assert isinstance(stand.request_edit(id="e3", base_revision=0, sections={"q": {"x": 1}}), EditDone)
-    assert stand.content() == {"p": {"a": 1}, "q": {"x": 1}}
+        test_bed.request_edit(id="e2", base_revision=0, sections={"p": {"a": 2}})
+    assert isinstance(test_bed.request_edit(id="e3", base_revision=0, sections={"q": {"x": 1}}), EditDone)
+    assert test_bed.content() == {"p": {"a": 1}, "q": {"x": 1}}
 
 
-def test_two_edits_at_once_at_two_voters_are_both_decided_or_one_is_refused_by_the_other():
-    stand = VoterFleet()
+def test_of_concurrent_conflicting_edits_at_several_voters_one_is_decided():
+    test_bed = VoterFleet()
     results = []
     for number, voter in enumerate(VOTERS):
         request = EditRequest(
             kind="edit", author="a", reason="r", id=f"e{number}", base_revision=0, sections={"p": {"a": number}}
         )
-        stand.processes[voter].edit(request, results.append)
-    stand.wait(lambda: len(results) == 3, 30)
+        test_bed.processes[voter].edit(request, results.append)
+    test_bed.wait(lambda: len(results) == 3, 30)
     done = [result for result in results if isinstance(result, EditDone)]
-    refused = [result for result in results if isinstance(result, EditFailed)]
-    assert len(done) == 1 and len(refused) == 2 and all("since then there is revision 1" in r.reason for r in refused)
-    stand.wait(lambda: stand.all_at(1))
+    rejected = [result for result in results if isinstance(result, EditFailed)]
+    assert len(done) == 1 and len(rejected) == 2 and all("since then there is revision 1" in r.reason for r in rejected)
+    test_bed.wait(lambda: test_bed.all_at(1))
 
 
 @pytest.mark.parametrize(
-    "words, fault",
+    "arguments, fault",
     [
         ({"sections": {"p": {"a": 1}}}, "it changes nothing"),
         ({"base_revision": 7, "sections": {"p": {"a": 2}}}, "there is no revision 7 yet"),
@@ -178,228 +178,230 @@
         ({"kind": "undo", "target_revision": 1}, "to: 1 is not between 0 and 0"),
     ],
 )
-def test_what_can_t_be_done_is_refused_in_words_and_changes_nothing(words, fault):
-    stand = VoterFleet()
-    stand.edit("e1", 0, a=1)
+def test_an_invalid_request_is_rejected_with_a_reason_and_changes_nothing(arguments, fault):
+    test_bed = VoterFleet()
+    test_bed.edit("e1", 0, a=1)
     with pytest.raises((EditRejected, RuleKeyError, RevisionNotRetained), match=fault):
-        stand.request_edit(**({"id": "e2", "base_revision": 1} | words))
-    assert stand.processes["v0"].version == 1
+        test_bed.request_edit(**({"id": "e2", "base_revision": 1} | arguments))
+    assert test_bed.processes["v0"].version == 1
 
 
-def test_a_content_that_a_check_refuses_is_not_decided_and_names_the_key():
-    stand = VoterFleet()
-    stand.wait(lambda: stand.processes["v0"].status().expected == 2)
-    stand.edit("e1", 0, a=1)
-    stand.wait(lambda: stand.all_at(1))
-    here = stand.request_edit(id="e2", base_revision=1, sections={"p": {"a": 9}})
+def test_an_edit_rejected_by_a_check_is_not_decided_and_the_key_is_named():
+    test_bed = VoterFleet()
+    test_bed.wait(lambda: test_bed.processes["v0"].status().expected == 2)
+    test_bed.edit("e1", 0, a=1)
+    test_bed.wait(lambda: test_bed.all_at(1))
+    here = test_bed.request_edit(id="e2", base_revision=1, sections={"p": {"a": 9}})
     assert here == EditFailed("this voter rejects the edit: rules/p/a: a = 9: no", invalid=True)
     for name in COORDINATORS:
-        stand.parts[name].refused = (8,)
-    there = stand.request_edit(id="e3", base_revision=1, sections={"p": {"a": 8}})
+        test_bed.recorders[name].rejected = (8,)
+    there = test_bed.request_edit(id="e3", base_revision=1, sections={"p": {"a": 8}})
     assert there == EditFailed("a coordinator rejects the edit: rules/p/a: a = 8: no", invalid=True)
-    assert stand.processes["v0"].version == 1
+    assert test_bed.processes["v0"].version == 1
 
 
-def test_a_zone_that_does_not_answer_holds_up_no_edit_and_is_named():
-    stand = VoterFleet()
-    stand.wait(lambda: stand.processes["v0"].status().expected == 2)
-    stand.edit("e1", 0, a=1)
+def test_a_zone_that_does_not_answer_blocks_no_edit_and_is_named():
+    test_bed = VoterFleet()
+    test_bed.wait(lambda: test_bed.processes["v0"].status().expected == 2)
+    test_bed.edit("e1", 0, a=1)
     for name in (*RELAYS, *COORDINATORS):
-        stand.kill(name)
-    done = stand.request_edit(id="e2", base_revision=1, sections={"p": {"a": 2}})
+        test_bed.kill(name)
+    done = test_bed.request_edit(id="e2", base_revision=1, sections={"p": {"a": 2}})
     assert done == EditDone(2, ("z",))
 
 
-def test_a_coordinator_that_refuses_what_is_decided_is_counted_and_its_key_named():
-    stand = VoterFleet()
-    stand.wait(lambda: stand.processes["v0"].status().expected == 2)
-    stand.edit("e1", 0, a=1)
-    stand.wait(lambda: stand.all_at(1))
-    stand.kill("c1")
-    stand.net.nodes["c1"].restart()
-    stand.start("c1", refused=(8,))
-    stand.parts["c0"].refused = stand.parts["v0"].refused = ()
-    stand.net.cut({"c1"}, set(stand.net.nodes))
-    stand.edit("e2", 1, a=8)
-    stand.net.heal()
-    stand.wait(lambda: stand.processes["c1"].version == 2)
-    stand.wait(lambda: stand.processes["v0"].status().fault_count == 1)
-    assert [(fault.key, fault.reason) for fault in stand.processes["v0"].rejected_keys()] == [
+def test_a_coordinator_that_rejects_a_decided_key_is_counted_and_the_key_named():
+    test_bed = VoterFleet()
+    test_bed.wait(lambda: test_bed.processes["v0"].status().expected == 2)
+    test_bed.edit("e1", 0, a=1)
+    test_bed.wait(lambda: test_bed.all_at(1))
+    test_bed.kill("c1")
+    test_bed.net.nodes["c1"].restart()
+    test_bed.start("c1", rejected=(8,))
+    test_bed.recorders["c0"].rejected = test_bed.recorders["v0"].rejected = ()
+    test_bed.net.cut({"c1"}, set(test_bed.net.nodes))
+    test_bed.edit("e2", 1, a=8)
+    test_bed.net.heal()
+    test_bed.wait(lambda: test_bed.processes["c1"].version == 2)
+    test_bed.wait(lambda: test_bed.processes["v0"].status().fault_count == 1)
+    assert [(fault.key, fault.reason) for fault in test_bed.processes["v0"].rejected_keys()] == [
         ("rules/p/a", "a = 8: no")
     ]
-    assert stand.parts["c1"].apply_calls[-1] == (2, {"a": 1})
-
-
-def test_undo_brings_back_what_was_and_an_undo_of_an_undo_is_a_redo():
-    stand = VoterFleet()
-    stand.edit("e1", 0, a=1, b=1)
-    stand.edit("e2", 1, a=2, c=3)
-    assert stand.request_edit(id="u1", base_revision=2, kind="undo") == EditDone(3, ())
-    assert stand.content() == {"p": {"a": 1, "b": 1}}
-    assert stand.request_edit(id="u2", base_revision=3, kind="undo").revision == 4
-    assert stand.content() == {"p": {"a": 2, "c": 3}}
-    assert stand.request_edit(id="u3", base_revision=4, kind="undo", target_revision=0).revision == 5
-    assert stand.content() == {}
-
-
-def test_an_undo_of_an_older_change_is_refused_where_its_keys_changed_since():
-    stand = VoterFleet()
-    stand.edit("e1", 0, a=1, b=1)
-    stand.edit("e2", 1, a=2, b=1)
-    stand.edit("e3", 2, a=2, b=3)
+    assert test_bed.recorders["c1"].apply_calls[-1] == (2, {"a": 1})
+
+
+def test_undo_restores_the_values_and_undo_of_an_undo_is_a_redo():
+    test_bed = VoterFleet()
+    test_bed.edit("e1", 0, a=1, b=1)
+    test_bed.edit("e2", 1, a=2, c=3)
+    assert test_bed.request_edit(id="u1", base_revision=2, kind="undo") == EditDone(3, ())
+    assert test_bed.content() == {"p": {"a": 1, "b": 1}}
+    assert test_bed.request_edit(id="u2", base_revision=3, kind="undo").revision == 4
+    assert test_bed.content() == {"p": {"a": 2, "c": 3}}
+    assert test_bed.request_edit(id="u3", base_revision=4, kind="undo", target_revision=0).revision == 5
+    assert test_bed.content() == {}
+
+
+def test_undo_of_an_older_change_is_rejected_if_its_keys_changed_since():
+    test_bed = VoterFleet()
+    test_bed.edit("e1", 0, a=1, b=1)
+    test_bed.edit("e2", 1, a=2, b=1)
+    test_bed.edit("e3", 2, a=2, b=3)
     with pytest.raises(EditRejected, match=r"ann's undo .* since then there is revision 2 .*; revision 3 "):
-        stand.request_edit(id="u1", base_revision=1, kind="undo")
-    assert stand.request_edit(id="u2", base_revision=2, kind="undo").revision == 4
-    assert stand.content() == {"p": {"a": 1, "b": 3}}
+        test_bed.request_edit(id="u1", base_revision=1, kind="undo")
+    assert test_bed.request_edit(id="u2", base_revision=2, kind="undo").revision == 4
+    assert test_bed.content() == {"p": {"a": 1, "b": 3}}
 
 
-def test_a_voter_that_was_away_reads_what_the_register_still_has():
-    stand = VoterFleet()
-    stand.edit("e1", 0, a=1)
-    stand.wait(lambda: stand.processes["v2"].version == 1)
-    stand.kill("v2")
-    stand.edit("e2", 1, a=2)
-    stand.restart("v2")
-    assert stand.processes["v2"].version == 1
-    stand.wait(lambda: stand.processes["v2"].version == 2)
-    assert stand.net.nodes["v2"].counts["distribution_catch_ups"] == 0
+def test_a_restarted_voter_learns_changes_that_are_still_in_the_register():
+    test_bed = VoterFleet()
+    test_bed.edit("e1", 0, a=1)
+    test_bed.wait(lambda: test_bed.processes["v2"].version == 1)
+    test_bed.kill("v2")
+    test_bed.edit("e2", 1, a=2)
+    test_bed.restart("v2")
+    assert test_bed.processes["v2"].version == 1
+    test_bed.wait(lambda: test_bed.processes["v2"].version == 2)
+    assert test_bed.net.nodes["v2"].counts["distribution_catch_ups"] == 0
 
 
-def catch_up_to_revision_7(stand):
+def catch_up_to_revision_7(test_bed):
     """v2 is away for so many edits that it takes a snapshot of another voter."""
-    stand.edit("e1", 0, a=1)
-    stand.wait(lambda: stand.processes["v2"].version == 1)
-    stand.kill("v2")
+    test_bed.edit("e1", 0, a=1)
+    test_bed.wait(lambda: test_bed.processes["v2"].version == 1)
+    test_bed.kill("v2")
     for number in range(2, 8):
-        stand.edit(f"e{number}", number - 1, a=number)
-        stand.wait(lambda number=number: stand.processes["v0"].replication.replicated_revision() == number)
-    stand.restart("v2")
-    stand.wait(lambda: stand.processes["v2"].version == 7)
-    assert stand.net.nodes["v2"].counts["distribution_catch_ups"] == 1
+        test_bed.edit(f"e{number}", number - 1, a=number)
+        test_bed.wait(lambda number=number: test_bed.processes["v0"].replication.replicated_revision() == number)
+    test_bed.restart("v2")
+    test_bed.wait(lambda: test_bed.processes["v2"].version == 7)
+    assert test_bed.net.nodes["v2"].counts["distribution_catch_ups"] == 1
 
 
-def test_a_voter_that_missed_what_the_register_no_longer_has_takes_it_from_another_one():
-    stand = VoterFleet()
-    catch_up_to_revision_7(stand)
-    assert stand.content("v2") == {"p": {"a": 7}} and stand.parts["v2"].apply_calls[-1] == (7, {"a": 7})
+def test_a_voter_fetches_changes_that_left_the_register_from_another_voter():
+    test_bed = VoterFleet()
+    catch_up_to_revision_7(test_bed)
+    assert test_bed.content("v2") == {"p": {"a": 7}} and test_bed.recorders["v2"].apply_calls[-1] == (7, {"a": 7})
     with pytest.raises(RevisionNotRetained, match="revision 3 is not stored on this voter, which has revisions 7 to 7"):
-        stand.request_edit("v2", "e9", 3, sections={"p": {"a": 9}})
-    stand.net.time.run(2 * SECOND)
-    assert stand.edit("e8", 7, "v2", a=8) == 8
+        test_bed.request_edit("v2", "e9", 3, sections={"p": {"a": 9}})
+    test_bed.net.time.run(2 * SECOND)
+    assert test_bed.edit("e8", 7, "v2", a=8) == 8
 
 
-def test_a_voter_with_a_new_disk_is_let_in_and_has_all_again():
-    stand = VoterFleet()
+def test_a_voter_with_a_new_disk_is_admitted_and_catches_up():
+    test_bed = VoterFleet()
     for number in range(1, 5):
-        stand.edit(f"e{number}", number - 1, a=number)
-    stand.kill("v1")
-    stand.disks["v1"].wipe("new")
-    stand.restart("v1")
-    stand.wait(lambda: stand.processes["v1"].version == 4, 30)
-    assert stand.content("v1") == {"p": {"a": 4}}
-
-
-def test_where_all_voters_lost_their_disks_others_keep_what_they_have_until_theirs_are_taken_away():
-    stand = VoterFleet()
-    stand.edit("e1", 0, a=1)
-    stand.wait(lambda: stand.all_at(1))
+        test_bed.edit(f"e{number}", number - 1, a=number)
+    test_bed.kill("v1")
+    test_bed.disks["v1"].wipe("new")
+    test_bed.restart("v1")
+    test_bed.wait(lambda: test_bed.processes["v1"].version == 4, 30)
+    assert test_bed.content("v1") == {"p": {"a": 4}}
+
+
+def test_after_all_voters_lost_their_disks_coordinators_keep_theirs_until_wiped():
+    test_bed = VoterFleet()
+    test_bed.edit("e1", 0, a=1)
+    test_bed.wait(lambda: test_bed.all_at(1))
     for name in VOTERS:
-        stand.kill(name)
-        stand.disks[name].wipe(f"new {name}")
+        test_bed.kill(name)
+        test_bed.disks[name].wipe(f"new {name}")
     for name in VOTERS:
-        stand.restart(name)
-    stand.wait(lambda: all(stand.processes[name].acceptor.state.voting for name in VOTERS), 30)
-    stand.edit("e2", 0, a=2)
-    stand.edit("e3", 1, a=3)
-    stand.net.time.run(30 * SECOND)
-    assert all(stand.parts[name].apply_calls[-1] == (1, {"a": 1}) for name in COORDINATORS)
-    assert stand.processes["v0"].status().in_force == 0
-    assert any(stand.net.nodes[name].counts["distribution_other_logs"] for name in (*RELAYS, *COORDINATORS))
+        test_bed.restart(name)
+    test_bed.wait(lambda: all(test_bed.processes[name].acceptor.state.voting for name in VOTERS), 30)
+    test_bed.edit("e2", 0, a=2)
+    test_bed.edit("e3", 1, a=3)
+    test_bed.net.time.run(30 * SECOND)
+    assert all(test_bed.recorders[name].apply_calls[-1] == (1, {"a": 1}) for name in COORDINATORS)
+    assert test_bed.processes["v0"].status().in_force == 0
+    assert any(test_bed.net.nodes[name].counts["distribution_other_logs"] for name in (*RELAYS, *COORDINATORS))
     for name in (*RELAYS, *COORDINATORS):
-        stand.kill(name)
+        test_bed.kill(name)
         if name in COORDINATORS:
-            stand.disks[name].wipe(f"new {name}")
-        stand.restart(name)
-    stand.wait(lambda: stand.all_at(2))
-    assert stand.parts["c1"].apply_calls[-1] == (2, {"a": 3})
+            test_bed.disks[name].wipe(f"new {name}")
+        test_bed.restart(name)
+    test_bed.wait(lambda: test_bed.all_at(2))
+    assert test_bed.recorders["c1"].apply_calls[-1] == (2, {"a": 3})
 
 
-def test_a_change_whose_editor_s_voter_ended_before_it_told_anybody_is_finished_by_the_others():
-    stand = VoterFleet()
-    stand.edit("e1", 0, a=1)
-    stand.wait(lambda: stand.all_at(1))
-    node = stand.net.nodes["v0"]
+def test_an_unannounced_change_of_a_voter_that_ended_is_finished_by_the_others():
+    test_bed = VoterFleet()
+    test_bed.edit("e1", 0, a=1)
+    test_bed.wait(lambda: test_bed.all_at(1))
+    node = test_bed.net.nodes["v0"]
     send = node.send
     node.send = lambda to, kind, body: None if kind == VOTERS_KIND else send(to, kind, body)
     request = EditRequest(kind="edit", author="ann", reason="r", id="e2", base_revision=1, sections={"p": {"a": 2}})
     done = []
-    stand.processes["v0"].edit(request, done.append)
-    stand.wait(lambda: bool(done))
-    stand.kill("v0")
-    others = [stand.processes[name] for name in VOTERS[1:]]
-    stand.wait(lambda: all(process.version == 2 for process in others))
-
-
-def test_without_a_majority_nothing_is_decided_and_the_answer_says_who_is_silent():
-    stand = VoterFleet()
-    stand.edit("e0", 0, a=0)
-    stand.kill("v1")
-    stand.kill("v2")
-    failed = stand.request_edit(id="e1", base_revision=1, sections={"p": {"a": 1}})
+    test_bed.processes["v0"].edit(request, done.append)
+    test_bed.wait(lambda: bool(done))
+    test_bed.kill("v0")
+    others = [test_bed.processes[name] for name in VOTERS[1:]]
+    test_bed.wait(lambda: all(process.version == 2 for process in others))
+
+
+def test_without_a_majority_nothing_is_decided_and_unresponsive_voters_are_named():
+    test_bed = VoterFleet()
+    test_bed.edit("e0", 0, a=0)
+    test_bed.kill("v1")
+    test_bed.kill("v2")
+    failed = test_bed.request_edit(id="e1", base_revision=1, sections={"p": {"a": 1}})
     assert isinstance(failed, EditFailed) and not failed.invalid and "no answer from v1, v2" in failed.reason
-    assert stand.processes["v0"].version == 1
+    assert test_bed.processes["v0"].version == 1
 
 
 def test_relays_leave_a_voter_that_the_other_voters_no_longer_reach():
     """It is up and answers; only that nothing newer can reach it tells it apart from one in a quiet fleet."""
-    stand = VoterFleet()
-    stand.edit("e1", 0, a=1)
-    stand.wait(lambda: stand.all_at(1))
-    cut_off = stand.processes["r0"].upstream
+    test_bed = VoterFleet()
+    test_bed.edit("e1", 0, a=1)
+    test_bed.wait(lambda: test_bed.all_at(1))
+    cut_off = test_bed.processes["r0"].upstream
     others = set(VOTERS) - {cut_off}
-    stand.net.cut({cut_off}, others)
-    stand.edit("e2", 1, voter=min(others), a=2)
-    stand.wait(lambda: all(stand.processes[name].version == 2 for name in COORDINATORS))
-    stand.wait(lambda: all(stand.processes[name].upstream in others for name in RELAYS))
-    assert stand.processes[cut_off].version == 1
-
-
-def test_a_voter_alone_is_fresh_only_by_the_word_of_a_majority():
-    stand = VoterFleet()
-    stand.edit("e1", 0, a=1)
-    stand.wait(lambda: stand.all_at(1))
-    replication = stand.processes["v0"].replication
-    stand.net.time.run(3 * SECOND)
+    test_bed.net.cut({cut_off}, others)
+    test_bed.edit("e2", 1, voter=min(others), a=2)
+    test_bed.wait(lambda: all(test_bed.processes[name].version == 2 for name in COORDINATORS))
+    test_bed.wait(lambda: all(test_bed.processes[name].upstream in others for name in RELAYS))
+    assert test_bed.processes[cut_off].version == 1
+
+
+def test_an_isolated_voter_is_not_confirmed_as_up_to_date():
+    test_bed = VoterFleet()
+    test_bed.edit("e1", 0, a=1)
+    test_bed.wait(lambda: test_bed.all_at(1))
+    replication = test_bed.processes["v0"].replication
+    test_bed.net.time.run(3 * SECOND)
     assert replication.confirmed_age() <= 2 * SECOND
-    stand.net.cut({"v0"}, {"v1", "v2"})
-    stand.net.time.run(10 * SECOND)
+    test_bed.net.cut({"v0"}, {"v1", "v2"})
+    test_bed.net.time.run(10 * SECOND)
     assert replication.confirmed_age() >= 9 * SECOND
-    stand.net.heal()
-    stand.wait(lambda: replication.confirmed_age() <= SECOND, 3)
+    test_bed.net.heal()
+    test_bed.wait(lambda: replication.confirmed_age() <= SECOND, 3)
 
 
-def test_lost_and_doubled_mail_loses_no_change_and_no_revision_goes_back():
-    stand = VoterFleet(seed=11)
-    stand.net.lose = stand.net.double = 0.15
+def test_lost_and_duplicate_messages_lose_no_change_and_lower_no_revision():
+    test_bed = VoterFleet(seed=11)
+    test_bed.net.lose = test_bed.net.double = 0.15
     for number in range(1, 13):
-        stand.edit(f"e{number}", number - 1, VOTERS[number % 3], a=10 + number)
+        test_bed.edit(f"e{number}", number - 1, VOTERS[number % 3], a=10 + number)
         wanted = VOTERS[(number + 1) % 3]
-        stand.wait(lambda wanted=wanted, number=number: stand.processes[wanted].version == number, 30)
-    stand.wait(lambda: stand.all_at(12), 30)
+        test_bed.wait(lambda wanted=wanted, number=number: test_bed.processes[wanted].version == number, 30)
+    test_bed.wait(lambda: test_bed.all_at(12), 30)
     for name in COORDINATORS:
-        versions = [version for version, _ in stand.parts[name].apply_calls]
-        assert versions == sorted(versions) and stand.parts[name].apply_calls[-1] == (12, {"a": 22})
+        versions = [version for version, _ in test_bed.recorders[name].apply_calls]
+        assert versions == sorted(versions) and test_bed.recorders[name].apply_calls[-1] == (12, {"a": 22})
 
 
-def test_the_disk_of_a_voter_of_another_set_is_refused():
-    stand = VoterFleet()
-    stand.kill("v0")
-    stand.net.nodes["v0"].restart()
+def test_the_disk_of_a_voter_of_another_set_is_rejected():
+    test_bed = VoterFleet()
+    test_bed.kill("v0")
+    test_bed.net.nodes["v0"].restart()
     with pytest.raises(ValueError, match="a set of keepers can't be changed in place"):
-        Voter(stand.net.nodes["v0"].fleet(), Identity(name="v0", generation=2), ("v0",), stand.disks["v0"], Limits())
+        Voter(
+            test_bed.net.nodes["v0"].fleet(), Identity(name="v0", generation=2), ("v0",), test_bed.disks["v0"], Limits()
+        )
 
 
-def test_two_registers_of_one_process_know_nothing_of_one_another():
+def test_two_registers_of_one_process_are_independent():
     net = Net(["a"])
     disk, fleet = MemoryDisk(net.nodes["a"].later, "d"), net.nodes["a"].fleet()
     proposers, values = [], []
@@ -424,7 +426,7 @@
     return Change(revision, tuple(Entry(key, value, revision) for key, value in values.items()), f"e{revision}")
 
 
-def test_the_history_is_bounded_outlives_a_restart_and_ends_at_a_gap():
+def test_the_history_is_limited_survives_a_restart_and_ends_at_a_gap():
     net = Net(["a"])
     disk = MemoryDisk(net.nodes["a"].later, "d")
     history, held = History(disk, 0), {}
@@ -455,48 +457,48 @@
 
 
 def test_a_voter_undoes_an_edit_that_was_decided_before_its_own_restart():
-    stand = VoterFleet()
-    stand.edit("e1", 0, a=1)
-    stand.edit("e2", 1, a=2)
-    stand.wait(lambda: stand.all_at(2))
-    stand.kill("v0")
-    stand.restart("v0")
-    assert isinstance(stand.request_edit("v0", "u1", base_revision=2, kind="undo", target_revision=1), EditDone)
-    assert stand.content() == {"p": {"a": 1}}
+    test_bed = VoterFleet()
+    test_bed.edit("e1", 0, a=1)
+    test_bed.edit("e2", 1, a=2)
+    test_bed.wait(lambda: test_bed.all_at(2))
+    test_bed.kill("v0")
+    test_bed.restart("v0")
+    assert isinstance(test_bed.request_edit("v0", "u1", base_revision=2, kind="undo", target_revision=1), EditDone)
+    assert test_bed.content() == {"p": {"a": 1}}
 
 
 # Guards against a voter that stores its history of changes where no restart finds it: an edit sent again is rejected.
 @pytest.mark.parametrize("restarted", [("v0",), VOTERS], ids=["one", "all"])
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_repeated_and_conflicting_edits_and_undo_are_answered_alike_after_restarts(seed, restarted):
-    stand = VoterFleet(seed)
+    test_bed = VoterFleet(seed)
     for revision in range(1, 6):
-        stand.edit(f"e{revision}", revision - 1, VOTERS[revision % 3], a=revision, b=1)
-        stand.wait(lambda revision=revision: stand.all_at(revision))
+        test_bed.edit(f"e{revision}", revision - 1, VOTERS[revision % 3], a=revision, b=1)
+        test_bed.wait(lambda revision=revision: test_bed.all_at(revision))
     for name in restarted:
-        stand.kill(name)
+        test_bed.kill(name)
     for name in restarted:
-        stand.restart(name)
-    stand.wait(lambda: all(stand.processes[name].acceptor.state.voting for name in VOTERS))
+        test_bed.restart(name)
+    test_bed.wait(lambda: all(test_bed.processes[name].acceptor.state.voting for name in VOTERS))
     for revision in range(1, 6):
-        assert stand.edit(f"e{revision}", revision - 1, "v0", a=revision, b=1) == revision
+        assert test_bed.edit(f"e{revision}", revision - 1, "v0", a=revision, b=1) == revision
     with pytest.raises(EditRejected, match=r"since then there is revision 3 .*; revision 4 .*; revision 5 "):
-        stand.request_edit("v0", "late", base_revision=2, sections={"p": {"a": 7}})
-    undone = stand.request_edit("v0", "undo", base_revision=5, kind="undo", target_revision=2)
+        test_bed.request_edit("v0", "late", base_revision=2, sections={"p": {"a": 7}})
+    undone = test_bed.request_edit("v0", "undo", base_revision=5, kind="undo", target_revision=2)
     assert undone == EditDone(6, ())
-    assert stand.content() == {"p": {"a": 2, "b": 1}}
-    stand.wait(lambda: stand.all_at(6))
+    assert test_bed.content() == {"p": {"a": 2, "b": 1}}
+    test_bed.wait(lambda: test_bed.all_at(6))
 
 
 # Guards against a lost history after a catch-up from another voter: it begins anew and is stored from there on.
 def test_a_voter_that_caught_up_by_a_snapshot_keeps_its_new_history_over_a_restart():
-    stand = VoterFleet()
-    catch_up_to_revision_7(stand)
-    assert not list(stand.disks["v2"].scan("distribution/history/")), "of before the snapshot nothing is known"
-    stand.net.time.run(2 * SECOND)
-    stand.edit("e8", 7, "v2", a=8)
-    stand.kill("v2")
-    stand.restart("v2")
-    assert [key for key, _ in stand.disks["v2"].scan("distribution/history/")] == [f"distribution/history/{8:016d}"]
-    assert stand.request_edit("v2", "u1", base_revision=8, kind="undo") == EditDone(9, ())
-    assert stand.content("v2") == {"p": {"a": 7}}
+    test_bed = VoterFleet()
+    catch_up_to_revision_7(test_bed)
+    assert not list(test_bed.disks["v2"].scan("distribution/history/")), "of before the snapshot nothing is known"
+    test_bed.net.time.run(2 * SECOND)
+    test_bed.edit("e8", 7, "v2", a=8)
+    test_bed.kill("v2")
+    test_bed.restart("v2")
+    assert [key for key, _ in test_bed.disks["v2"].scan("distribution/history/")] == [f"distribution/history/{8:016d}"]
+    assert test_bed.request_edit("v2", "u1", base_revision=8, kind="undo") == EditDone(9, ())
+    assert test_bed.content("v2") == {"p": {"a": 7}}
--- a/tests/test_distribution_watcher.py
+++ b/tests/test_distribution_watcher.py
@@ -1,7 +1,7 @@
 """The receiving side of a watch, message by message."""
 
 import pytest
-from distribution_cores import LOG, Driven, acknowledged, persisted, watched
+from distribution_cores import LOG, WatcherHarness, acknowledged, persisted, watched
 
 from rackhub.fleet.distribution import events, messages
 from rackhub.fleet.distribution.events import Apply, Persist, Send, StoredState
@@ -16,100 +16,100 @@
 from rackhub.fleet.distribution.receiver import GAP_TIMEOUT
 
 
-def test_disk_then_force_then_acknowledgement():
-    driven = Driven().connect()
+def test_a_change_is_persisted_then_applied_then_acknowledged():
+    harness = WatcherHarness().connect()
     entry = Entry("b", b"6", 6)
-    assert driven.update(5, 6, b=b"6") == [Persist(LOG, 6, (entry,), False)]
-    assert driven.watcher.stored.revision == driven.watcher.revision == 5
-    assert driven.step(events.Persisted(6)) == [Apply(LOG, 6, (entry,), False)]
-    assert (driven.watcher.stored.revision, driven.watcher.revision) == (6, 5)
-    assert acknowledged(driven.step(events.Applied(6))) == [6]
-    assert driven.watcher.stored == StoredState(LOG, 6, ("",), {"a": Entry("a", b"5", 5), "b": entry})
-
-
-def test_one_write_at_a_time_and_later_ones_merge():
-    driven = Driven().connect()
-    driven.update(5, 6, b=b"6")
-    assert driven.update(6, 7, b=b"7") == driven.update(7, 8, c=b"8") == []
-    driven.step(events.Persisted(6))
-    effects = driven.step(events.Applied(6))
+    assert harness.update(5, 6, b=b"6") == [Persist(LOG, 6, (entry,), False)]
+    assert harness.watcher.stored.revision == harness.watcher.revision == 5
+    assert harness.step(events.Persisted(6)) == [Apply(LOG, 6, (entry,), False)]
+    assert (harness.watcher.stored.revision, harness.watcher.revision) == (6, 5)
+    assert acknowledged(harness.step(events.Applied(6))) == [6]
+    assert harness.watcher.stored == StoredState(LOG, 6, ("",), {"a": Entry("a", b"5", 5), "b": entry})
+
+
+def test_one_write_at_a_time_is_made_and_later_ones_are_merged():
+    harness = WatcherHarness().connect()
+    harness.update(5, 6, b=b"6")
+    assert harness.update(6, 7, b=b"7") == harness.update(7, 8, c=b"8") == []
+    harness.step(events.Persisted(6))
+    effects = harness.step(events.Applied(6))
     assert acknowledged(effects) == [6]
     assert [one for one in effects if isinstance(one, Persist)] == [
         Persist(LOG, 8, (Entry("b", b"7", 7), Entry("c", b"8", 8)), False)
     ]
 
 
-def test_answers_of_the_shell_that_do_not_belong_change_nothing():
-    driven = Driven().connect()
-    assert driven.step(events.Persisted(6)) == driven.step(events.Applied(6)) == []
-    driven.update(5, 6, b=b"6")
-    assert driven.step(events.Applied(6)) == driven.step(events.Persisted(7)) == []
-    driven.step(events.Persisted(6))
-    assert driven.step(events.Persisted(6)) == []
-    assert acknowledged(driven.step(events.Applied(6))) == [6]
+def test_unexpected_answers_of_the_shell_change_nothing():
+    harness = WatcherHarness().connect()
+    assert harness.step(events.Persisted(6)) == harness.step(events.Applied(6)) == []
+    harness.update(5, 6, b=b"6")
+    assert harness.step(events.Applied(6)) == harness.step(events.Persisted(7)) == []
+    harness.step(events.Persisted(6))
+    assert harness.step(events.Persisted(6)) == []
+    assert acknowledged(harness.step(events.Applied(6))) == [6]
 
 
-def test_a_doubled_update_is_only_acknowledged_again():
-    driven = Driven().connect()
-    assert acknowledged(driven.update(4, 5, a=b"other")) == [5]
-    driven.update(5, 6, b=b"6")
-    again = driven.update(5, 6, b=b"6")
+def test_a_duplicate_update_is_only_acknowledged_again():
+    harness = WatcherHarness().connect()
+    assert acknowledged(harness.update(4, 5, a=b"other")) == [5]
+    harness.update(5, 6, b=b"6")
+    again = harness.update(5, 6, b=b"6")
     assert acknowledged(again) == [5] and not persisted(again)
 
 
-def test_an_update_that_overtook_another_waits_for_it():
-    driven = Driven().connect()
-    assert driven.update(6, 7, b=b"7") == []
-    effects = driven.update(5, 6, b=b"6")
+def test_an_update_that_arrives_early_waits_for_the_one_before():
+    harness = WatcherHarness().connect()
+    assert harness.update(6, 7, b=b"7") == []
+    effects = harness.update(5, 6, b=b"6")
     assert persisted(effects) == [6]
-    assert driven.watcher._delivery.newest == 7
-    assert not watched(driven.passes(2 * GAP_TIMEOUT))
+    assert harness.watcher._delivery.newest == 7
+    assert not watched(harness.advance(2 * GAP_TIMEOUT))
 
 
-def test_a_gap_that_stays_makes_it_watch_anew_from_what_it_holds():
-    driven = Driven().connect()
-    driven.update(6, 7, b=b"7")
-    effects = driven.passes(GAP_TIMEOUT)
+def test_a_lasting_gap_leads_to_a_new_watch_from_the_stored_revision():
+    harness = WatcherHarness().connect()
+    harness.update(6, 7, b=b"7")
+    effects = harness.advance(GAP_TIMEOUT)
     (again,) = [one for one in effects if isinstance(one, Send)]
-    assert again == Send(driven.upstream, Watch(driven.session + 1, LOG, 5, ("",), 4, "z"))
-    assert ("distribution_gaps", driven.upstream) in driven.counted
-    driven.update(5, 7, b=b"7")
-    assert driven.counted[-1] == ("distribution_other_sessions", driven.upstream), "of the session before"
+    assert again == Send(harness.upstream, Watch(harness.session + 1, LOG, 5, ("",), 4, "z"))
+    assert ("distribution_gaps", harness.upstream) in harness.counted
+    harness.update(5, 7, b=b"7")
+    assert harness.counted[-1] == ("distribution_other_sessions", harness.upstream), "of the session before"
 
 
-def test_a_heartbeat_moves_on_only_who_holds_what_was_sent_before():
-    driven = Driven().connect()
-    assert persisted(driven.received(Heartbeat(driven.session, LOG, 5, 9))) == [9]
-    driven = Driven().connect()
-    assert not persisted(driven.received(Heartbeat(driven.session, LOG, 6, 9)))
-    assert watched(driven.passes(GAP_TIMEOUT)) == [driven.upstream]
+def test_a_heartbeat_advances_only_a_watcher_without_a_gap():
+    harness = WatcherHarness().connect()
+    assert persisted(harness.received(Heartbeat(harness.session, LOG, 5, 9))) == [9]
+    harness = WatcherHarness().connect()
+    assert not persisted(harness.received(Heartbeat(harness.session, LOG, 6, 9)))
+    assert watched(harness.advance(GAP_TIMEOUT)) == [harness.upstream]
 
 
-def test_a_heartbeat_is_answered_and_never_leads_back():
-    driven = Driven().connect()
-    assert acknowledged(driven.received(Heartbeat(driven.session, LOG, 3, 3))) == [5]
-    assert driven.watcher.revision == 5
+def test_a_heartbeat_is_acknowledged_and_never_lowers_the_revision():
+    harness = WatcherHarness().connect()
+    assert acknowledged(harness.received(Heartbeat(harness.session, LOG, 3, 3))) == [5]
+    assert harness.watcher.revision == 5
 
 
-def test_a_snapshot_below_what_is_held_is_refused():
-    driven = Driven().connect()
-    part = SnapshotPart(driven.session, LOG, 4, 0, 1, (Entry("old", b"4", 4),))
-    assert not persisted(driven.received(part))
-    assert ("distribution_snapshots_refused", "") in driven.counted
+def test_a_snapshot_older_than_the_stored_state_is_rejected():
+    harness = WatcherHarness().connect()
+    part = SnapshotPart(harness.session, LOG, 4, 0, 1, (Entry("old", b"4", 4),))
+    assert not persisted(harness.received(part))
+    assert ("distribution_snapshots_refused", "") in harness.counted
 
 
-def test_a_snapshot_takes_the_place_of_all_that_is_held():
-    driven = Driven().connect()
+def test_a_snapshot_replaces_the_stored_state():
+    harness = WatcherHarness().connect()
     first, second = Entry("b", b"8", 8), Entry("c", b"7", 7)
-    effects = driven.received(SnapshotPart(driven.session, LOG, 9, 1, 2, (second,)))
+    effects = harness.received(SnapshotPart(harness.session, LOG, 9, 1, 2, (second,)))
     assert [one.message.parts for one in effects] == [0]
-    driven.received(SnapshotPart(driven.session, LOG, 9, 1, 2, (second,)))
-    effects = driven.received(SnapshotPart(driven.session, LOG, 9, 0, 2, (first,)))
+    harness.received(SnapshotPart(harness.session, LOG, 9, 1, 2, (second,)))
+    effects = harness.received(SnapshotPart(harness.session, LOG, 9, 0, 2, (first,)))
     assert [one for one in effects if isinstance(one, Persist)] == [Persist(LOG, 9, (first, second), True)]
-    driven.step(events.Persisted(9))
-    assert driven.watcher.stored.entries == {"b": first, "c": second}
-    driven.step(events.Applied(9))
-    again = driven.received(SnapshotPart(driven.session, LOG, 9, 1, 2, (second,)))
+    harness.step(events.Persisted(9))
+    assert harness.watcher.stored.entries == {"b": first, "c": second}
+    harness.step(events.Applied(9))
+    again = harness.received(SnapshotPart(harness.session, LOG, 9, 1, 2, (second,)))
     assert [(one.message.revision, one.message.parts) for one in again] == [(9, 2)]
 
 
@@ -124,48 +124,48 @@
     ],
 )
 def test_damaged_messages_are_counted_and_dropped(message):
-    driven = Driven().connect()
-    effects = driven.received(
-        type(message)(driven.session, *[getattr(message, f) for f in message.__struct_fields__[1:]])
+    harness = WatcherHarness().connect()
+    effects = harness.received(
+        type(message)(harness.session, *[getattr(message, f) for f in message.__struct_fields__[1:]])
     )
     assert not persisted(effects)
-    assert ("distribution_damaged", "") in driven.counted
-    assert driven.watcher.revision == 5
-
-
-def test_messages_of_others_are_counted_under_their_sender():
-    driven = Driven().connect()
-    update = Update(driven.session, LOG, 5, 6, ())
-    assert driven.received(update, "stranger") == []
-    assert driven.update(5, 6, session=driven.session + 1) == []
-    assert driven.received(messages.Watch(1, LOG, 1, ("",), 1), "stranger") == []
-    assert driven.received(messages.Check(1, ()), "stranger") == []
-    assert driven.counted == [
+    assert ("distribution_damaged", "") in harness.counted
+    assert harness.watcher.revision == 5
+
+
+def test_unexpected_messages_are_counted_by_sender():
+    harness = WatcherHarness().connect()
+    update = Update(harness.session, LOG, 5, 6, ())
+    assert harness.received(update, "stranger") == []
+    assert harness.update(5, 6, session=harness.session + 1) == []
+    assert harness.received(messages.Watch(1, LOG, 1, ("",), 1), "stranger") == []
+    assert harness.received(messages.Check(1, ()), "stranger") == []
+    assert harness.counted == [
         ("distribution_other_sessions", "stranger"),
-        ("distribution_other_sessions", driven.upstream),
+        ("distribution_other_sessions", harness.upstream),
         ("distribution_unexpected", "stranger"),
         ("distribution_unexpected", "stranger"),
     ]
 
 
 def test_a_key_out_of_scope_is_dropped_and_counted():
-    driven = Driven(scope=("a",)).connect()
-    effects = driven.update(5, 6, b=b"6", ab=b"6")
+    harness = WatcherHarness(scope=("a",)).connect()
+    effects = harness.update(5, 6, b=b"6", ab=b"6")
     assert [entry.key for entry in effects[0].entries] == ["ab"]
-    assert ("distribution_out_of_scope", "") in driven.counted
+    assert ("distribution_out_of_scope", "") in harness.counted
 
 
-def test_faults_go_upward_until_the_key_is_right():
-    driven = Driven().connect()
-    driven.update(5, 6, bad=b"6", good=b"6")
-    driven.step(events.Persisted(6))
+def test_faults_are_reported_until_the_key_is_valid():
+    harness = WatcherHarness().connect()
+    harness.update(5, 6, bad=b"6", good=b"6")
+    harness.step(events.Persisted(6))
     fault = KeyFault("bad", "no such engine")
-    (send,) = driven.step(events.Applied(6, (fault,)))
+    (send,) = harness.step(events.Applied(6, (fault,)))
     assert (send.message.revision, send.message.faults) == (6, (fault,))
-    assert ("distribution_faults", "") in driven.counted
-    (send,) = driven.received(Heartbeat(driven.session, LOG, 6, 6))
+    assert ("distribution_faults", "") in harness.counted
+    (send,) = harness.received(Heartbeat(harness.session, LOG, 6, 6))
     assert send.message.faults == (fault,)
-    driven.update(6, 7, bad=b"7")
-    driven.step(events.Persisted(7))
-    (send,) = driven.step(events.Applied(7))
+    harness.update(6, 7, bad=b"7")
+    harness.step(events.Persisted(7))
+    (send,) = harness.step(events.Applied(7))
     assert send.message.faults == ()
