--- a/tests/distribution_cores.py
+++ b/tests/distribution_cores.py
@@ -1,4 +1,4 @@
-"""One server or one watcher of distribution by itself, for the tests: its shell, its peer and its clock."""
+"""Test harnesses for a single server or watcher of distribution: its shell, its peer and its clock."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class ServerHarness:
-    """A server with its state and a clock. Each call gives the messages sent by it, by receiver."""
+    """A server with its state and a clock. Each call returns the messages that the server sends."""
 
     def __init__(self, *, zone="", **limits):
         self.limits, self.now, self.age = Limits(**limits), START, 0
@@ -53,7 +53,7 @@
         return self.split(self.server.receive(self.now, name, message))
 
     def advance(self, time):
-        """Everything that falls due in that time."""
+        """Let the time pass and run everything that becomes due. Return the messages sent."""
         end, sent = self.now + time, []
         while self.server.due() <= end:
             self.now = max(self.now, self.server.due())
@@ -63,14 +63,14 @@
 
 
 def server_with_change(**options):
-    """One with a first change."""
+    """Return a server with one change."""
     one = ServerHarness(**options)
     one.change(a=b"1")
     return one
 
 
 class WatcherHarness:
-    """A watcher and its shell, one step at a time. `sent`: messages since the last look, by receiver."""
+    """A watcher and its shell, one step at a time. `effects` are those of the last step."""
 
     def __init__(self, stored=None, scope=("",), upstreams=RELAYS):
         stored = stored if stored is not None else StoredState(LOG, 5, scope, {"a": Entry("a", b"5", 5)})
@@ -94,7 +94,7 @@
         return effects
 
     def begin(self):
-        """The watch that is sent now: to whom, and what."""
+        """Return the receiver and the message of the watch that is sent now."""
         (send,) = [effect for effect in self.step(Tick()) if isinstance(effect, Send)]
         assert isinstance(send.message, Watch)
         return send.to, send.message
--- a/tests/distribution_fleet.py
+++ b/tests/distribution_fleet.py
@@ -1,5 +1,7 @@
-"""A fleet of distribution cores in virtual time, for the tests: sources, relays and coordinators over a transport that
-loses, delays, reorders and doubles, with disks that outlive a process."""
+"""A fleet of distribution cores in virtual time: sources, relays and coordinators.
+
+Their transport loses, delays, reorders and duplicates messages, and their disks outlive a process.
+"""
 
 import heapq
 import itertools
@@ -21,7 +23,7 @@
 
 @dataclass
 class Faults:
-    """Of the transport: chances of one message, and times in microseconds."""
+    """Faults of the transport: probabilities per message, and times in microseconds."""
 
     loss: float = 0.0
     double: float = 0.0
@@ -30,14 +32,14 @@
 
 
 class Fleet:
-    """All processes, the transport between them and the clock. Deterministic by its seed."""
+    """All processes, the transport between them and the clock. Deterministic for a seed."""
 
     def __init__(self, *, sources=1, zones=("a", "b"), relays=2, limits=None, seed=0, faults=None):
         self.now, self.rng, self.limits = 1_000 * SECOND, random.Random(seed), limits or Limits()
         self.faults, self.cuts, self.counted, self.checks, self.sent = faults or Faults(), set(), {}, [], []
         self.queue, self.order, self.history, self.zones, self.processes = [], itertools.count(), History(), {}, {}
         self.seed, self.record = seed, False
-        self.uninformed_voters = set()  # voters that do not learn of decided changes for now
+        self.uninformed_voters = set()  # voters that do not learn of decided changes at present
         self.voters = tuple(Node(f"voter-{i}", Role.VOTER) for i in range(sources))
         self.relays = tuple(Node(f"relay-{z}{i}", Role.RELAY, z) for z in zones for i in range(relays))
         for node in self.voters:
@@ -95,7 +97,7 @@
         self.now = end
 
     def run_until(self, done, most):
-        """The time it took, at the most `most`."""
+        """Run until the condition holds and return the time it took. Fails after `most` microseconds."""
         began = self.now
         while not done():
             assert self.now - began < most, f"not within {most / SECOND} s"
@@ -123,7 +125,7 @@
     def heal(self):
         self.cuts.clear()
 
-    # ---- what is done and looked at
+    # ---- actions and conditions
 
     def decide(self, values):
         change = self.history.add(values)
@@ -133,10 +135,10 @@
         return change
 
     def inform_voter(self, name):
-        """The shell of a voter hands in all that is decided."""
+        """Pass all decided changes to a voter, as its shell does."""
         process = self.processes[name]
         if process.core is not None:
-            process.known = self.history.revision  # on its disk, before the core hears of it
+            process.known = self.history.revision  # on its disk before the core gets it
             process.handle(events.Decided(LOG, tuple(self.history.changes[process.core.revision :])))
 
     def converged(self):
@@ -144,16 +146,16 @@
         return all(one.core is not None and one.core.revision == newest for one in self.coordinators())
 
     def on_apply(self, coordinator, effect):
-        """For checkers."""
+        """Called for each `Apply`; for subclasses that check it."""
 
     def on_acknowledge(self, coordinator, message):
-        """For checkers."""
+        """Called for each `Acknowledge` of a coordinator; for subclasses that check it."""
 
 
 class CheckedFleet(Fleet):
-    """Looks at each change that is put in force, each acknowledgement and each message to a coordinator."""
+    """Checks each applied change, each acknowledgement and each message to a coordinator."""
 
-    broken = False  # something did not hold: what comes after it means nothing
+    broken = False  # True after a failed check; later results mean nothing
 
     def require(self, holds, why):
         self.broken = self.broken or not holds
--- a/tests/distribution_processes.py
+++ b/tests/distribution_processes.py
@@ -1,4 +1,4 @@
-"""Processes of a fleet in virtual time: what runs a core, its disk and its shell, and the history they are held to."""
+"""Processes of a fleet in virtual time: a core with its disk and shell, and the history to check them against."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 
 class History:
-    """The decided changes: what must hold at each revision in each scope."""
+    """The decided changes, and the entries that must exist at each revision in each scope."""
 
     def __init__(self):
         self.changes = []
@@ -19,7 +19,7 @@
         return len(self.changes)
 
     def add(self, values, identifier=""):
-        """A change that sets these values, or deletes a key where it is None."""
+        """Add a change that sets these values, or deletes a key if its value is None."""
         revision = self.revision + 1
         entries = tuple(Entry(key, value, revision) for key, value in values.items())
         self.changes.append(Change(revision, entries, identifier or f"edit-{revision}"))
@@ -38,7 +38,7 @@
 
 @dataclass
 class Disk:
-    """What a coordinator's disk has. `write` is how long it takes."""
+    """A coordinator's disk. `write` is the time that a write takes, in microseconds."""
 
     stored: StoredState = field(default_factory=StoredState)
     write: int = 3 * MILLISECOND
@@ -54,13 +54,13 @@
 
 
 class Process:
-    """One process of the fleet. `boots` counts its starts; what was under way for an earlier one is lost."""
+    """One process of the fleet. `boots` counts its starts; pending work of an earlier start is lost."""
 
     def __init__(self, fleet, name, start):
         self.fleet, self.name, self.start = fleet, name, start
         self.boots, self.core, self.stalled_until, self.counted, self.backlog = 0, None, 0, {}, []
         self.wakes_at = None
-        self.known = 0  # revision on a voter's disk
+        self.known = 0  # the revision on a voter's disk
         self.restart()
 
     def restart(self):
@@ -124,17 +124,20 @@
             self.fleet.checks.append(effect)
 
     def later(self, delay, event):
-        """An answer of the shell to this start of the process."""
+        """Pass an event to the process after a delay, unless it has restarted by then."""
         boots = self.boots
         self.fleet.at(self.fleet.now + delay, lambda: self.handle(event) if self.boots == boots else None)
 
 
 class Coordinator(Process):
-    """A watcher with its disk; what it has in force is kept here as a shell would. `refuses`: keys it can't take."""
+    """A watcher with its disk.
+
+    `in_force` is the applied state, as a shell would have it; `rejects` are the keys it rejects.
+    """
 
     def __init__(self, fleet, name, start, scope):
         self.scope, self.disk, self.in_force, self.rejects = scope, Disk(), StoredState(), set()
-        self.highest = 0  # revision that was ever in force
+        self.highest = 0  # the highest revision ever applied
         super().__init__(fleet, name, start)
 
     def restart(self):
@@ -158,7 +161,7 @@
             super().do(effect)
 
     def written(self, boots, effect):
-        if boots == self.boots and self.core is not None:  # a process that ends before has not synced
+        if boots == self.boots and self.core is not None:  # a write is lost if the process ends before it is synced
             self.disk.keep(self.scope, effect)
             self.handle(events.Persisted(effect.revision))
 
--- a/tests/test_distribution_decisions.py
+++ b/tests/test_distribution_decisions.py
@@ -1,4 +1,4 @@
-"""The tail of decided changes in the register: bounds, compare, idempotence, trimming."""
+"""The tail of decided changes in the register: limits, expected revisions, idempotence and trimming."""
 
 import msgspec
 import pytest
@@ -47,8 +47,8 @@
 def test_changes_applied_by_a_majority_leave_the_tail():
     tail = edited(edited(Tail("log"), 1, 2, 3), 4, replicated=2)
     assert tail.compacted_revision == 2 and [change.revision for change in tail.changes] == [3, 4]
-    assert trim(tail, 1) == tail, "settled never goes back"
-    assert trim(tail, 99).compacted_revision == 4, "nor beyond what was decided"
+    assert trim(tail, 1) == tail, "the compacted revision never decreases"
+    assert trim(tail, 99).compacted_revision == 4, "and it never exceeds the newest revision"
 
 
 def test_the_number_of_remembered_edit_ids_is_limited():
@@ -73,7 +73,7 @@
     ("values", "key"),
     [
         ({"good": b"", "k" * (MAX_KEY_BYTES + 1): b""}, "k" * (MAX_KEY_BYTES + 1)),
-        ({"ä" * MAX_KEY_BYTES: b""}, "ä" * MAX_KEY_BYTES),  # its bytes count, not its letters
+        ({"ä" * MAX_KEY_BYTES: b""}, "ä" * MAX_KEY_BYTES),  # its bytes count, not its characters
         ({"": b""}, ""),
         ({"\ud800": b""}, "\ud800"),
         ({"good": b"", "big": bytes(MAX_ENTRY_VALUE_BYTES + 1)}, "big"),
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -1,4 +1,4 @@
-"""The hard cases of distribution, each in a fleet of cores in virtual time: what holds, and within which time."""
+"""Difficult cases of distribution in a fleet of cores in virtual time, with the time within which each is resolved."""
 
 from collections import Counter
 
@@ -9,11 +9,11 @@
 from rackhub.fleet.distribution.limits import MILLISECOND, SECOND, Limits
 from rackhub.fleet.distribution.messages import Heartbeat, SnapshotPart, Unavailable, Update
 
-IN_FORCE = 16 * SECOND  # from a change, or from the end of a cut
+IN_FORCE = 16 * SECOND  # longest time after a change, or after the end of a cut, until it is applied everywhere
 
 
 def started(coordinators=6, zones=("a", "b"), scope=("",), **options):
-    """A fleet in which everyone has the first change."""
+    """Return a fleet in which all coordinators have applied a first change."""
     fleet = CheckedFleet(zones=zones, **options)
     for number in range(coordinators):
         fleet.coordinator(f"coordinator-{number}", zones[number % len(zones)], scope)
@@ -44,7 +44,7 @@
 def test_a_relay_killed_while_it_sends():
     fleet = started()
     fleet.decide({"k": b"1"})
-    fleet.run(3 * MILLISECOND)  # it is on the way to the relays
+    fleet.run(3 * MILLISECOND)  # the change is on its way to the relays
     fleet.processes["relay-a0"].stop()
     assert fleet.run_until(fleet.converged, IN_FORCE) <= 9 * SECOND
     assert "relay-a0" not in upstreams(fleet)
@@ -61,7 +61,7 @@
         fleet.processes[name].restart()
     fleet.run(45 * SECOND)
     foreign = [one for one in fleet.coordinators() if fleet.zones[one.core.upstream] != fleet.zones[one.name]]
-    assert foreign == [], "guests go home again"
+    assert foreign == [], "foreign watchers return to their own zone"
 
 
 def test_foreign_watchers_are_limited():
@@ -84,7 +84,7 @@
     changes(fleet, 25, SECOND)
     assert upstreams(fleet) == {"relay-a1": 4}
     fleet.processes["relay-a1"].stop()
-    fleet.cut({"relay-a0"}, {"voter-0"})  # it wakes, and can't learn what it has missed
+    fleet.cut({"relay-a0"}, {"voter-0"})  # the relay wakes up and can't learn what it has missed
     fleet.record = True
     fleet.run(10 * SECOND)
     answers = [m for _, sender, _, m in fleet.sent if sender == "relay-a0" and isinstance(m, Heartbeat | Update)]
@@ -92,7 +92,7 @@
     ages = [m.age for m in answers if isinstance(m, Heartbeat)]
     assert all(age >= 25_000 for age in ages)
     rejections = [m for _, sender, _, m in fleet.sent if sender == "relay-a0" and isinstance(m, Unavailable)]
-    assert rejections, "those who hold more are sent away"
+    assert rejections, "watchers at a newer revision are rejected"
     fleet.heal()
     fleet.run_until(fleet.converged, IN_FORCE)
 
@@ -130,13 +130,13 @@
     fleet.decide({"k": b"1"})
     fleet.run_until(fleet.converged, IN_FORCE)
     for relay in ("relay-a0", "relay-a1"):
-        server_with_change = {}  # the time of the first answer of each new session
+        first_answers = {}  # time of the first answer to each new session
         for time, sender, _, message in fleet.sent:
             if sender == relay and isinstance(message, Update) and message.session > 2 << 20:
-                server_with_change.setdefault(message.session, time)
+                first_answers.setdefault(message.session, time)
         for second in range(int((fleet.now - began) / SECOND) + 1):
             until = began + (second + 1) * SECOND
-            assert sum(time <= until for time in server_with_change.values()) <= 20 + 20 * (second + 1)
+            assert sum(time <= until for time in first_answers.values()) <= 20 + 20 * (second + 1)
     assert fleet.counted.get("distribution_sessions_expired", 0) == 0
 
 
@@ -149,7 +149,7 @@
     changes(fleet, 40, 500 * MILLISECOND)
     coordinator.stop()
     coordinator.disk.stored = older
-    coordinator.highest = older.revision  # its operator took it back, nobody else does
+    coordinator.highest = older.revision  # only its operator may lower its revision
     fleet.record, fleet.sent = True, []
     coordinator.restart()
     assert coordinator.core.revision == older.revision
@@ -221,7 +221,7 @@
     fleet.record, fleet.sent = True, []
     fleet.run(30 * SECOND)
     size = sum(len(messages.encode(m)) for _, s, r, m in fleet.sent if "coordinator-7" in (s, r))
-    assert size / 30 < 100, "bytes a second, in and out, without the link's"
+    assert size / 30 < 100, "bytes per second in both directions, without those of the link"
 
 
 def test_a_voter_cut_off_from_the_others_is_left_by_its_relays():
--- a/tests/test_distribution_messages.py
+++ b/tests/test_distribution_messages.py
@@ -1,4 +1,4 @@
-"""What goes over the link: bounds at decoding, and cores that bear any message that decodes, from anybody."""
+"""Messages on the link: limits checked by decoding, and cores that survive any decodable message of any sender."""
 
 import random
 
@@ -86,7 +86,7 @@
 
 
 class RandomMessages:
-    """Random messages that decode, most of them within the last sessions that the core has begun."""
+    """Random messages that decode. Most belong to the last sessions that the core has begun."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -123,7 +123,7 @@
         }[kind]()
 
     def learn(self, effects):
-        """Sessions that the core has begun, so that messages belong to them."""
+        """Remember the sessions that the core has begun, so that messages can belong to them."""
         begun = [(one.to, one.message.session) for one in effects if isinstance(getattr(one, "message", None), Watch)]
         self.sessions = [*self.sessions, *begun][-3:]
 
@@ -158,4 +158,4 @@
         for effect in effects:
             if isinstance(effect, events.Send):
                 assert decode(encode(effect.message)) == effect.message
-    assert revision > 0, "messages that belong are taken"
+    assert revision > 0, "messages of a session are accepted"
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -1,7 +1,7 @@
-"""Random steps of a faulty fleet (hypothesis, always the same ones) against the history of decided changes.
+"""Random steps of a faulty fleet (hypothesis, derandomized), checked against the history of decided changes.
 
-Whatever is lost, doubled, late, cut, restarted or stands still: a watcher holds what the source had at its revision, in
-its scope, and never goes back; what is acknowledged is on its disk; after the faults all get the newest revision.
+Whatever is lost, duplicated, late, cut off, restarted or stalled: a watcher has the state of its revision in its scope
+and never goes back, what it acknowledges is on its disk, and after the faults all watchers get the newest revision.
 """
 
 import pytest
@@ -26,14 +26,16 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-FINDING = settings(STEPS, max_examples=400, phases=[Phase.generate])  # without making the example smaller
-CONVERGED = 16 * SECOND  # the bound that the design note derives
+FINDING = settings(STEPS, max_examples=400, phases=[Phase.generate])  # without shrinking the example
+CONVERGED = 16 * SECOND  # the bound derived in the design note
 SCOPES = {"all": ("",), "first": ("a/",), "second": ("b/", "c/1"), "none": ("z/",)}
 KEYS = [f"{prefix}/{number}" for prefix in "abc" for number in range(3)]
 LOSSES = st.sampled_from([0.0, 0.1, 0.3, 0.5])
 LIMITS = Limits(
-    max_log_steps=6, max_update_bytes=64
-)  # so that revisions are compacted, and snapshots in parts of three keys
+    max_log_steps=6,
+    max_update_bytes=64,
+    # Small limits, so that revisions are compacted and snapshots have parts of three keys.
+)
 
 
 class FleetMachine(RuleBasedStateMachine):
@@ -101,7 +103,7 @@
 
     @rule(which=st.integers(0, 63))
     def put_disk_back(self, which):
-        """An operator's doing, the one way back that is allowed."""
+        """Restore an older copy of a disk, as an operator may do. Nothing else may lower a revision."""
         coordinator = self.coordinator(which)
         coordinator.stop()
         coordinator.disk.stored = self.copies.get(coordinator.name, coordinator.disk.stored)
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -1,4 +1,4 @@
-"""Distribution as real processes on loopback: a voter, two relays and two coordinators under light traffic."""
+"""Distribution in real processes on loopback: a voter, two relays and two coordinators under light traffic."""
 
 import json
 import subprocess
@@ -18,11 +18,11 @@
 
 ROLES = ("voter", "relay", "relay", "coordinator", "coordinator")
 VOTER, RELAYS, COORDINATORS = "g0", ("g1", "g2"), ("g3", "g4")
-APPLY_TIMEOUT_S = 16.0  # seconds in which a change has to be in force
+APPLY_TIMEOUT_S = 16.0  # longest time until a change is applied everywhere
 
 
 class Fleet:
-    """The rig, and calls at control ports that are answered while its reactor turns."""
+    """The processes, and calls to their control ports. The reactor runs while a call waits for its answer."""
 
     def __init__(self, rig):
         self.rig = rig
@@ -43,13 +43,13 @@
         return self.call(name, "rules.status")
 
     def wait_for(self, condition, description):
-        """Asked again as soon as it was answered: each call turns the reactor."""
+        """Wait until the condition holds. It must make a call, since only calls run the reactor."""
         end = time.monotonic() + APPLY_TIMEOUT_S
         while not condition():
             assert time.monotonic() < end, description
 
     def all_watch(self):
-        """Every coordinator has a relay, and the voter knows how many there are."""
+        """Return whether every coordinator watches a relay and the voter knows their number."""
         voter = self.status(VOTER)
         if not voter or "error" in voter or voter["expected"] != len(COORDINATORS):
             return False
@@ -79,7 +79,7 @@
         restarted.kill()
         rig.start(COORDINATORS[1])
         rig.wait_ready([COORDINATORS[1]])
-        assert fleet.status(COORDINATORS[1])["revision"] == 2  # from its disk, whoever it watches by now
+        assert fleet.status(COORDINATORS[1])["revision"] == 2  # from its disk, whichever relay it watches by now
         third = fleet.edit(2, 3)
         assert "error" not in third and (third["revision"], third["in_force"]) == (3, 2)
 
--- a/tests/test_distribution_relay.py
+++ b/tests/test_distribution_relay.py
@@ -1,4 +1,4 @@
-"""Relays and voters: what they report and sum up, the check before an edit, and what they refuse."""
+"""Relays and voters: their reports and status, the check before an edit, and what they reject."""
 
 from distribution_fleet import LOG, Fleet
 
@@ -100,7 +100,7 @@
     for _ in range(100):
         fleet.decide({"k": b"x"})
         fleet.run(20 * MILLISECOND)
-    assert 6 <= len(sent(fleet, Report)) <= 9, "at most four a second"
+    assert 6 <= len(sent(fleet, Report)) <= 9, "at most four per second"
 
 
 def test_a_zone_without_reports_still_counts_as_expected_and_lagging():
@@ -235,7 +235,7 @@
     core.step(0, events.CaughtUp(LOG, 3, 6, (entry, Entry("m", b"6", 6)), False))
     assert core.revision == 6
     core.step(0, events.CaughtUp(LOG, 0, 5, (), True))
-    assert core.revision == 6, "never back"
+    assert core.revision == 6, "the revision never decreases"
     assert core.step(0, events.CaughtUp("other", 0, 9, (), True)) == [
         events.IncrementCounter("distribution_other_logs")
     ]
--- a/tests/test_distribution_rules.py
+++ b/tests/test_distribution_rules.py
@@ -1,4 +1,4 @@
-"""The rule book as keys and values: there and back, changes as large as themselves, keys that no part takes."""
+"""The rule set as keys and values: conversion in both directions, the size of changes, and rejected keys."""
 
 import pytest
 from hypothesis import given, settings
@@ -39,10 +39,10 @@
 @pytest.mark.parametrize(
     "after, keys",
     [
-        (routes(1, 2, 9, 3, 4), 1),  # put in
-        (routes(9, 1, 2, 3, 4), 1),  # before the first
-        (routes(1, 2, 3, 4, 9), 1),  # after the last
-        (routes(1, 3, 4), 1),  # taken out
+        (routes(1, 2, 9, 3, 4), 1),  # inserted
+        (routes(9, 1, 2, 3, 4), 1),  # inserted before the first
+        (routes(1, 2, 3, 4, 9), 1),  # appended
+        (routes(1, 3, 4), 1),  # removed
         (routes(1, 2, 9, 4), 1),  # replaced
         (routes(1, 2, 3, 4), 0),
         ({}, 4),
@@ -140,11 +140,11 @@
         assemble(values)
 
 
-# ---- at the parts
+# ---- rule sections
 
 
 class RecordingSection:
-    """Takes numbers below 10, and `second` only where `first` is there."""
+    """Accepts numbers below 10, and `second` only together with `first`. Records what is applied."""
 
     def __init__(self):
         self.apply_calls = []
--- a/tests/test_distribution_selection.py
+++ b/tests/test_distribution_selection.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: stable, spread evenly, the own zone first; and the search for an upstream."""
+"""Rendezvous hashing (stable, evenly spread, local relays first) and the search for an upstream."""
 
 import random
 from collections import Counter
@@ -58,7 +58,7 @@
     assert {first, second} == LOCAL
     candidates_found.mark_unresponsive(second, 0)
     assert candidates_found.choose(0) not in LOCAL
-    assert candidates_found.choose(LIMITS.silence) in LOCAL, "it is asked again after a while"
+    assert candidates_found.choose(LIMITS.silence) in LOCAL, "it is tried again after the timeout"
 
 
 def test_a_local_relay_that_rejects_for_a_short_time_is_waited_for():
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -1,4 +1,4 @@
-"""The serving side of a watch: credit, merging, sending again, heartbeats, snapshots in parts."""
+"""The serving side of a watch: credit, merged updates, repeated messages, heartbeats, and snapshots in parts."""
 
 from distribution_cores import LOG, ServerHarness, server_with_change
 
@@ -73,7 +73,7 @@
     harness.acknowledge(2)
     again = [m for m in harness.advance(harness.limits.acknowledge_timeout) if isinstance(m, Update)]
     assert again == [Update(1, LOG, 2, 3, (Entry("c", b"3", 3),))]
-    assert harness.change(d=b"4") == [], "one at a time until an acknowledgement comes"
+    assert harness.change(d=b"4") == [], "one at a time until the next acknowledgement"
     assert [u.revision for u in harness.acknowledge(3)] == [4]
     assert ("distribution_resent", "") in harness.counted
 
@@ -115,7 +115,7 @@
     last = harness.acknowledge(0, snapshot=1, parts=4)
     assert [p.part for p in last] == [4, 5]
     assert last[-1].entries == (Entry("k5", b"", 1),)
-    assert harness.acknowledge(0, snapshot=1, parts=6) == [], "changes wait until the snapshot is in force"
+    assert harness.acknowledge(0, snapshot=1, parts=6) == [], "changes wait until the snapshot is applied"
     assert [(u.previous, u.revision) for u in harness.acknowledge(1)] == [(1, 2)]
 
 
@@ -128,7 +128,7 @@
     assert again == [1], "one at a time after a loss"
     assert [p.part for p in harness.acknowledge(0, snapshot=1, parts=3)] == []
     again = [m.part for m in harness.advance(harness.limits.acknowledge_timeout) if isinstance(m, SnapshotPart)]
-    assert again == [2], "all have come: the last one asks for the acknowledgement"
+    assert again == [2], "all parts are confirmed, so the last one is repeated to get an acknowledgement"
 
 
 def test_a_late_answer_to_an_earlier_snapshot_does_not_count_for_the_next():
@@ -152,8 +152,8 @@
     for _ in range(4):
         harness.acknowledge(1)
         ages += [m.age for m in harness.advance(harness.limits.heartbeat_interval) if isinstance(m, Heartbeat)]
-    assert ages == [0, 0, 0, 0], "all was sent: the heartbeat shows what is missing"
-    harness.change(c=b"3")  # there is no credit for it
+    assert ages == [0, 0, 0, 0], "everything was sent, so the heartbeat's revision shows what is missing"
+    harness.change(c=b"3")  # there is no credit for this change
     harness.acknowledge(1)
     ages = [m.age for m in harness.advance(3 * harness.limits.heartbeat_interval) if isinstance(m, Heartbeat)]
     assert ages == [10_000, 12_000, 14_000]
--- a/tests/test_distribution_sessions.py
+++ b/tests/test_distribution_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of a server: who is taken in and who is not, how they end, and messages that don't belong."""
+"""The sessions of a server: which watchers are admitted, how sessions end, and unexpected messages."""
 
 from distribution_cores import LOG, ServerHarness, server_with_change
 
@@ -29,7 +29,7 @@
     waits = [answer.retry_after for answer in answers if isinstance(answer, Unavailable)]
     assert len(waits) == 50 and len(harness.server.sessions) == 10
     assert min(waits) >= 100 and max(waits) <= 6_250
-    assert len(set(waits)) > 40, "they don't come back together"
+    assert len(set(waits)) > 40, "they don't retry at the same time"
     harness.now += SECOND
     answers = [harness.watch(f"w{number}", revision=1, session=2)[0] for number in range(10, 60)]
     assert sum(isinstance(answer, Heartbeat) for answer in answers) == 10
--- a/tests/test_distribution_settings.py
+++ b/tests/test_distribution_settings.py
@@ -1,4 +1,4 @@
-"""The keys of `[fleet]` that give a process a role: each fault by key and value, and off without a role."""
+"""The keys of `[fleet]` that give a process a role. A fault names key and value; nothing is loaded without a role."""
 
 import subprocess
 import sys
@@ -29,7 +29,10 @@
 
 
 def test_overload_is_shared_only_if_all_coordinators_are_in_one_zone():
-    """Members are of one zone, and the engines serve every zone: each would take its zone's part for all of them."""
+    """Members are those of one zone, but engines serve all zones.
+
+    With several zones, each would take its zone's load for that of all zones.
+    """
     one_zone = {"node": [VOTER, RELAYS[0]]}
     assert shares_overload(fleet_settings({"cluster": "rides", "listen": "127.0.0.1:7001"}, SITE, "n1"))
     assert shares_overload(fleet_settings(COORDINATOR | one_zone, SITE, "c1"))
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -1,4 +1,4 @@
-"""The shells of distribution: a core on mail and timer, what is held on a disk, all roles on the twin."""
+"""The shells of distribution: a core with messages and a timer, the stored state, and all roles in a test fleet."""
 
 import pytest
 
@@ -41,7 +41,7 @@
 
 
 class ScriptedCore:
-    """Does what it is told by `answers`, by type of event, and notes what came."""
+    """Returns the effects given in `answers` for each type of event, and records the events."""
 
     def __init__(self, answers):
         self.answers, self.events, self.next_due = answers, [], 0
@@ -85,7 +85,7 @@
     net.time.run(SECOND - MS)
     assert len(core.events) == 1
     net.time.run(2 * MS)
-    assert len(core.events) in (2, 3)  # due lies in the past from now on
+    assert len(core.events) in (2, 3)  # the core's due time is in the past from now on
     net.time.run(100 * MS)
     assert len(core.events) <= 105
     runner.stop()
@@ -217,11 +217,11 @@
     assert any(aside.name.startswith("distribution.damaged-") for aside in tmp_path.iterdir())
 
 
-# ---- roles on the twin: real cores, real shells, mail that may be lost
+# ---- roles in the simulated fleet: real cores and shells, and a network that may lose messages
 
 
 class RecordingSection:
-    """Refuses the values that it is told to."""
+    """Rejects the given values and records what is applied."""
 
     def __init__(self, rejected=()):
         self.rejected, self.apply_calls = rejected, []
@@ -262,7 +262,7 @@
 
 
 class SourceTestBed:
-    """A voter without a register: what it is told is decided."""
+    """A voter without a register. The test decides its changes."""
 
     def __init__(self, net, name="v0"):
         self.fleet = net.nodes[name].fleet()
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -1,4 +1,4 @@
-"""Keys, revisions and the log of changes, and what keeps the time of many sessions."""
+"""Keys, revisions and the log of changes, and the schedule of due times."""
 
 import pytest
 
@@ -143,7 +143,7 @@
     assert schedule.due() == NEVER
     schedule.set("a", 50)
     schedule.set("a", 20)
-    schedule.set("a", 90)  # later than what is set: found when that has come
+    schedule.set("a", 90)  # a later time than the set one has no effect
     schedule.set("b", 30)
     schedule.set("c", 10)
     schedule.remove("c")
--- a/tests/test_distribution_upstream.py
+++ b/tests/test_distribution_upstream.py
@@ -55,7 +55,7 @@
     effects = harness.advance(harness.limits.upstream_timeout)
     assert Send(harness.upstream, Unwatch(harness.session)) in effects
     assert watched(effects)[0] not in (harness.upstream, "abroad")
-    assert harness.watcher.stored.revision == 5, "what it holds stays"
+    assert harness.watcher.stored.revision == 5, "the stored state is kept"
 
 
 def test_an_upstream_behind_the_watcher_is_left_for_another():
--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -1,4 +1,4 @@
-"""Voters on the faulty twin: edits, their checks and conflicts, undo, what others miss, and two registers on a disk."""
+"""Voters in the simulated faulty fleet: edits, checks, conflicts, undo, catch-up, and two registers on one disk."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 class RecordingSection:
-    """Takes no 9, and no 8 where it is told so."""
+    """Rejects the given values and records what is applied."""
 
     def __init__(self, rejected=(9,)):
         self.rejected, self.apply_calls = rejected, []
@@ -41,7 +41,7 @@
 
 
 class VoterFleet:
-    """Three voters, two relays and two coordinators of one zone; any of them may end and come back."""
+    """Three voters, two relays and two coordinators of one zone. Each may be killed and restarted."""
 
     def __init__(self, seed=3, relays=RELAYS, coordinators=COORDINATORS):
         self.net = Net([*VOTERS, *RELAYS, *COORDINATORS], seed)
@@ -85,7 +85,7 @@
         assert self.net.time.run(seconds * SECOND, condition)
 
     def request_edit(self, voter="v0", id="e1", base_revision=0, kind="edit", author="ann", **more):
-        """An edit's result, awaited."""
+        """Make an edit, wait for its result and return it."""
         results = []
         request = EditRequest(
             kind=kind, author=author, reason=f"because of {id}", id=id, base_revision=base_revision, **more
@@ -266,7 +266,7 @@
 
 
 def catch_up_to_revision_7(test_bed):
-    """v2 is away for so many edits that it takes a snapshot of another voter."""
+    """Keep v2 away for so many edits that it has to fetch a snapshot from another voter."""
     test_bed.edit("e1", 0, a=1)
     test_bed.wait(lambda: test_bed.processes["v2"].version == 1)
     test_bed.kill("v2")
@@ -351,7 +351,7 @@
 
 
 def test_relays_leave_a_voter_that_the_other_voters_no_longer_reach():
-    """It is up and answers; only that nothing newer can reach it tells it apart from one in a quiet fleet."""
+    """A voter that is cut off from the others still answers, like one of an idle fleet. Its heartbeats must differ."""
     test_bed = VoterFleet()
     test_bed.edit("e1", 0, a=1)
     test_bed.wait(lambda: test_bed.all_at(1))
@@ -450,7 +450,7 @@
     disk.write({"distribution/history/0000000000000270": b"\xc1"}, lambda: None)
     damaged = History(disk, newest + 1)
     assert damaged.damage and damaged.oldest == damaged.newest == newest + 1
-    assert len(list(disk.scan("distribution/history/"))) > 1  # so that their absence below says something
+    assert len(list(disk.scan("distribution/history/"))) > 1  # makes sure that their absence below means something
     disk.write(damaged.reset(400), lambda: None)
     net.time.run(MS)
     assert not list(disk.scan("distribution/history/")) and damaged.oldest == 400
@@ -467,7 +467,7 @@
     assert test_bed.content() == {"p": {"a": 1}}
 
 
-# Guards against a voter that stores its history of changes where no restart finds it: an edit sent again is rejected.
+# Guards against a voter whose stored history is not found after a restart, so that a repeated edit is rejected.
 @pytest.mark.parametrize("restarted", [("v0",), VOTERS], ids=["one", "all"])
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_repeated_and_conflicting_edits_and_undo_are_answered_alike_after_restarts(seed, restarted):
@@ -490,11 +490,13 @@
     test_bed.wait(lambda: test_bed.all_at(6))
 
 
-# Guards against a lost history after a catch-up from another voter: it begins anew and is stored from there on.
+# Guards against a history that is lost after a catch-up from another voter instead of being stored from there on.
 def test_a_voter_that_caught_up_by_a_snapshot_keeps_its_new_history_over_a_restart():
     test_bed = VoterFleet()
     catch_up_to_revision_7(test_bed)
-    assert not list(test_bed.disks["v2"].scan("distribution/history/")), "of before the snapshot nothing is known"
+    assert not list(test_bed.disks["v2"].scan("distribution/history/")), (
+        "the changes before the snapshot are not stored"
+    )
     test_bed.net.time.run(2 * SECOND)
     test_bed.edit("e8", 7, "v2", a=8)
     test_bed.kill("v2")
--- a/tests/test_distribution_watcher.py
+++ b/tests/test_distribution_watcher.py
@@ -74,7 +74,7 @@
     assert again == Send(harness.upstream, Watch(harness.session + 1, LOG, 5, ("",), 4, "z"))
     assert ("distribution_gaps", harness.upstream) in harness.counted
     harness.update(5, 7, b=b"7")
-    assert harness.counted[-1] == ("distribution_other_sessions", harness.upstream), "of the session before"
+    assert harness.counted[-1] == ("distribution_other_sessions", harness.upstream), "it belongs to the earlier session"
 
 
 def test_a_heartbeat_advances_only_a_watcher_without_a_gap():
--- a/tests/test_voter_disk.py
+++ b/tests/test_voter_disk.py
@@ -1,4 +1,4 @@
-"""A voter's disk on the faulty files: kills at every step of its writes, and disks that fail for a while."""
+"""A voter's disk on faulty files: power cuts at every step of its writes, and disks that fail for a while."""
 
 from types import SimpleNamespace
 
@@ -21,16 +21,17 @@
 from rackhub.store.faulty import MemoryFiles, PowerCut
 
 LOG = "log"
-MAX_CHANGES = 3  # kept in these tests, so that a few changes trim the history
+# Limit on the history in these tests, so that a few changes trim it.
+MAX_CHANGES = 3
 SNAPSHOT_REVISION = 8
 LAST_REVISION = 12
-POWER_CUTS_PER_STEP = 4  # of what a power cut may leave, each drawn anew
+POWER_CUTS_PER_STEP = 4  # number of random results of each power cut
 NO_SPACE = OSError(28, "No space left on device")
 IO_ERROR = OSError(5, "Input/output error")
 
 
 class VoterDisk:
-    """What a voter holds on its disk, with the pieces that read and write it; no network."""
+    """A voter's stored state and the objects that read and write it, without a network."""
 
     def __init__(self, files):
         self.reactor, self.files, self.counts = Clock(), files, []
@@ -57,12 +58,12 @@
         self.reactor.pump([seconds] + [0.0] * 8)
 
     def on_dispatch(self, event, apply):
-        """The watcher's part: what is persisted is applied next."""
+        """Apply a persisted change, as the watcher would request it."""
         if isinstance(event, Persisted):
             self.catch_up._perform(apply)
 
     def take(self, revision):
-        """The change or snapshot that leads to this revision."""
+        """Store the change or snapshot that leads to this revision."""
         if revision != SNAPSHOT_REVISION:
             self.learner.learn(LOG, (change(revision),))
         else:
@@ -76,7 +77,7 @@
 
 
 def values(revision):
-    """Of each key after that change; key `k0` is deleted by every third change."""
+    """Return the value of each key after that change. Every third change deletes the key `k0`."""
     return {
         "rules/p/k0": None if revision % 3 == 0 else encode_value(revision),
         f"rules/p/k{revision % 4}": b"%d" % revision,
@@ -89,7 +90,7 @@
 
 
 def content(revision):
-    """All keys with their values at a revision."""
+    """Return all keys with their values at a revision."""
     found = {}
     for earlier in range(1, revision + 1):
         found |= values(earlier)
@@ -97,15 +98,15 @@
 
 
 def oldest(revision):
-    """The earliest revision that the history reaches back to when that one is the newest."""
+    """Return the earliest revision in the history if the given one is the newest."""
     first_step = SNAPSHOT_REVISION if revision >= SNAPSHOT_REVISION else 0
     return max(first_step, revision - MAX_CHANGES)
 
 
 def check(voter_disk, least):
-    """All that a restart must find: a revision not before `least`, its values, and an undo to each kept revision."""
+    """Check the state after a restart: a revision of at least `least`, its values, and undo to each stored revision."""
     newest = voter_disk.store.stored.revision
-    assert newest >= least, "a revision that was acknowledged is gone"
+    assert newest >= least, "an acknowledged revision is lost"
     assert {key: entry.value for key, entry in voter_disk.store.stored.entries.items()} == content(newest)
     assert (voter_disk.history.oldest, voter_disk.history.newest) == (oldest(newest), newest)
     for to in range(oldest(newest), newest):
@@ -118,7 +119,7 @@
         with pytest.raises(RevisionNotRetained):
             voter_disk.history.since(oldest(newest) - 1)
     stored_keys = {key for key, _ in voter_disk.disk.scan("distribution/history/")}
-    assert len(stored_keys) == newest - oldest(newest), "records of the history stay that nothing leads to"
+    assert len(stored_keys) == newest - oldest(newest), "obsolete history records are left"
     assert not voter_disk.counts and not voter_disk.history.damage
 
 
@@ -136,7 +137,7 @@
     return first_step, voter_disk.files.steps
 
 
-# Guards against a history that does not match what is held after a kill: in a write, a trim, or at a snapshot.
+# Guards against a history that does not match the stored state after a power cut in a write, a trim or a snapshot.
 @pytest.mark.parametrize("seed", range(4))
 def test_after_a_power_cut_at_any_step_the_history_undoes_to_every_kept_revision(seed):
     first_step, ended = fault_free_steps()
@@ -156,10 +157,10 @@
             for revision in range(restarted.store.stored.revision + 1, LAST_REVISION + 1):
                 restarted.take(revision)
             check(VoterDisk(restarted.files.copy()), LAST_REVISION)
-    assert seen >= set(range(LAST_REVISION)), "each revision is the newest after some cut"
+    assert seen >= set(range(LAST_REVISION)), "each revision is the newest after some power cut"
 
 
-# Guards against changes that a failing disk refuses and that are never written, so that a later one leaves a gap.
+# Guards against changes that a failing disk rejects and that are never written, so that a later one leaves a gap.
 @pytest.mark.parametrize("fault", [NO_SPACE, IO_ERROR], ids=["ENOSPC", "EIO"])
 @pytest.mark.parametrize("first, changes", [(1, 1), (2, 3), (4, 5), (7, 2), (8, 1), (10, 3)])
 def test_changes_accepted_while_the_disk_fails_are_stored_once_it_recovers(first, changes, fault):
@@ -169,13 +170,13 @@
     voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.lasting = fault, voter_disk.files.steps + 1, True
     for revision in range(first, first + changes):
         voter_disk.take(revision)
-        assert voter_disk.learner.synced == first - 1, "nothing is acknowledged that is not on the disk"
-    voter_disk.run_iterations(1.5)  # a retry fails too
+        assert voter_disk.learner.synced == first - 1, "a change is acknowledged before it is on the disk"
+    voter_disk.run_iterations(1.5)  # a retry fails, too
     assert VoterDisk(voter_disk.files.copy()).store.stored.revision in range(first - 1, first + changes)
     voter_disk.files.fail_at = 0
     for _ in range(4):
         voter_disk.run_iterations(4)
-    assert voter_disk.learner.synced == first + changes - 1, "what was taken on is acknowledged when the disk is back"
+    assert voter_disk.learner.synced == first + changes - 1, "pending changes are acknowledged once the disk recovers"
     check(VoterDisk(voter_disk.files.after_power_cut(1)), first + changes - 1)
     for revision in range(first + changes, LAST_REVISION + 1):
         voter_disk.take(revision)
@@ -184,7 +185,7 @@
     check(VoterDisk(voter_disk.files.after_power_cut(2)), LAST_REVISION)
 
 
-# Guards against reads that miss what waits for a failed disk.
+# Guards against reads that miss pending writes of a failed disk.
 def test_pending_writes_of_a_failed_disk_are_visible_to_reads():
     voter_disk = VoterDisk(MemoryFiles())
     voter_disk.disk.write({"a/1": b"1", "a/2": b"2"}, lambda: None)
@@ -232,7 +233,7 @@
     assert done == list(range(1_000)) and voter_disk.disk.waiting_bytes == 0
 
 
-# Guards against a write that is made while those that waited are written, and that is lost with them.
+# Guards against the loss of a write that is made while pending writes are being written.
 def test_a_write_made_by_an_acknowledgement_during_recovery_is_kept():
     voter_disk = VoterDisk(MemoryFiles())
     voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.lasting = (
