--- a/rackhub/fleet/distribution/replication.py
+++ b/rackhub/fleet/distribution/replication.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 TICK = 500 * MILLISECOND
-# number of ticks between two messages with the synced revision
+# Number of ticks between two messages with the synced revision.
 TICKS_PER_MESSAGE = 2
 UNFINISHED_TIMEOUT = 1 * SECOND  # time that an accepted value may stay unannounced before the register is read
 READ_INTERVAL = 1 * SECOND  # shortest time between two reads of the register
--- a/rackhub/fleet/distribution/server.py
+++ b/rackhub/fleet/distribution/server.py
@@ -186,7 +186,7 @@
         previous = session.last_update_revision if whole else session.acknowledged
         revision = session.position if whole else session.acknowledged
         age = self._age(now)
-        # report the age of a watcher without progress, so that it does not pass for fresh
+        # Report the age of a watcher without progress, so that it does not pass for fresh.
         if revision < self._state.revision:
             age = max(age, now - session.progress_at)
         self._send(session.name, Heartbeat(session.number, self._state.log, previous, revision, age // MILLISECOND))
