--- a/rackhub/fleet/distribution/coordinator.py
+++ b/rackhub/fleet/distribution/coordinator.py
@@ -70,7 +70,7 @@
         """Stop watching. The rules stay applied."""
         self._runner.stop()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the metrics by name."""
         return {
             "distribution_revision": float(self.version),
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -74,10 +74,10 @@
         self.shell.stop()
         self._link.stop()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the metrics of the link and the role by name."""
-        link = {f"distribution_{name}": figure for name, figure in self._link.figures().items()}
-        return link | self.shell.figures()
+        link = {f"distribution_{name}": metric for name, metric in self._link.metrics().items()}
+        return link | self.shell.metrics()
 
     def _shell(self, disk: KeyedDisk | None) -> Coordinator | RelayShell | Voter:
         settings, limits = self._settings, Limits()
--- a/rackhub/fleet/distribution/relay_shell.py
+++ b/rackhub/fleet/distribution/relay_shell.py
@@ -58,7 +58,7 @@
         self._stopped = True
         self._runner.stop()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the metrics by name."""
         return {
             "distribution_revision": float(self.version),
--- a/rackhub/fleet/distribution/service.py
+++ b/rackhub/fleet/distribution/service.py
@@ -16,7 +16,7 @@
 from rackhub.fleet.distribution.voter import Voter
 from rackhub.fleet.ports import Answer, Control, Fleet
 from rackhub.fleet.roles import VOTER
-from rackhub.fleet.rules.requests import Request, read
+from rackhub.fleet.rules.requests import Request, parse_request
 from rackhub.fleet.settings import FleetSettings
 
 REJECTED, BAD_USAGE = 1, 2  # exit statuses of the command line
@@ -52,7 +52,7 @@
 def _with_error_answers(handler: Handler) -> Callable[[Mapping[str, Any], Answer], None]:
     def handle(arguments: Mapping[str, Any], answer: Answer) -> None:
         try:
-            handler(read(arguments), answer)
+            handler(parse_request(arguments), answer)
         except InvalidEdit as bad:
             answer({"error": str(bad), "exit": BAD_USAGE})
         except (EditRejected, RevisionNotRetained) as rejected:
--- a/rackhub/fleet/distribution/voter.py
+++ b/rackhub/fleet/distribution/voter.py
@@ -164,7 +164,7 @@
             {fault for faults in self._rejected_keys.values() for fault in faults}, key=lambda fault: fault.key
         )
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return the metrics by name."""
         status = self.status()
         return {
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -203,17 +203,17 @@
     store.persist(Persist("log", 2, (entry("a", b"1", 1), entry("b", b"2", 2)), True), lambda: None)
     store.persist(Persist("log", 3, (entry("a", None, 3),), False), lambda: None)
     identity = disk.identity
-    disk.end()
+    disk.close()
     disk = StoreDisk(reactor, path)
     assert disk.identity == identity and sorted(loaded(disk).stored.entries) == ["b"]
     assert loaded(disk).stored.revision == 3
-    disk.end()
+    disk.close()
     for file in path.iterdir():
         if file.stat().st_size:
             file.write_bytes(b"\xff" * file.stat().st_size)
     disk = StoreDisk(reactor, path)
     assert disk.damage and disk.identity != identity and loaded(disk).stored == StoredState()
-    disk.end()
+    disk.close()
     assert any(aside.name.startswith("distribution.damaged-") for aside in tmp_path.iterdir())
 
 
@@ -307,7 +307,7 @@
     for coordinator, section in coordinators:
         assert section.apply_calls[-1] == (2, {"first": 1, "second": 2})
         assert list(coordinator.faults) == ["rules/p/first"] and coordinator.version == 2
-        assert coordinator.figures()["distribution_refused_keys"] == 1
+        assert coordinator.metrics()["distribution_refused_keys"] == 1
     assert net.time.run(16 * SECOND, lambda: voter.status().fault_count == 2)
 
 
@@ -379,6 +379,6 @@
 def test_a_relay_counts_the_live_coordinators_of_its_zone():
     net, voter, disks = fleet_of()
     relay = relay_on(net, "r0")
-    assert relay.figures()["distribution_members"] == 2
+    assert relay.metrics()["distribution_members"] == 2
     net.nodes["r0"].say("c1", MemberState.GONE)
-    assert relay.figures()["distribution_members"] == 1
+    assert relay.metrics()["distribution_members"] == 1
--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -117,7 +117,7 @@
     test_bed.wait(lambda: test_bed.all_at(2))
     assert all(section.apply_calls[-1] == (2, {"a": 1, "b": 3}) for section in test_bed.recorders.values())
     test_bed.wait(lambda: test_bed.processes["v2"].replication.replicated_revision() == 2)
-    assert test_bed.processes["v2"].figures()["distribution_replicated"] == 2
+    assert test_bed.processes["v2"].metrics()["distribution_replicated"] == 2
 
 
 def test_a_fleet_without_changes_has_applied_revision_0_everywhere():
--- a/tests/test_voter_disk.py
+++ b/tests/test_voter_disk.py
@@ -226,11 +226,11 @@
     for number in range(1_000):
         voter_disk.disk.put("register/voter", msgspec.msgpack.encode(number), lambda number=number: done.append(number))
         voter_disk.run_iterations()
-    assert voter_disk.disk.waiting_bytes < 1_000
+    assert voter_disk.disk.deferred_bytes < 1_000
     voter_disk.files.fail_at = 0
     for _ in range(4):
         voter_disk.run_iterations(4)
-    assert done == list(range(1_000)) and voter_disk.disk.waiting_bytes == 0
+    assert done == list(range(1_000)) and voter_disk.disk.deferred_bytes == 0
 
 
 # Guards against the loss of a write that is made while pending writes are being written.
