--- a/rackhub/fleet/distribution/selection.py
+++ b/rackhub/fleet/distribution/selection.py
@@ -34,7 +34,7 @@
 
 
 class _Candidate:
-    __slots__ = ("node", "rank", "home", "until", "refusals")
+    __slots__ = ("node", "rank", "local", "available_at", "rejections")
 
     def __init__(self, node: Node, rank: int, local: bool) -> None:
         self.node, self.rank, self.local = node, rank, local
--- a/tests/test_distribution_selection.py
+++ b/tests/test_distribution_selection.py
@@ -58,7 +58,7 @@
     assert {first, second} == LOCAL
     candidates_found.mark_unresponsive(second, 0)
     assert candidates_found.choose(0) not in LOCAL
-    assert candidates_found.choose(LIMITS.silence) in LOCAL, "it is tried again after the timeout"
+    assert candidates_found.choose(LIMITS.upstream_timeout) in LOCAL, "it is tried again after the timeout"
 
 
 def test_a_local_relay_that_rejects_for_a_short_time_is_waited_for():
@@ -102,7 +102,7 @@
     times = set()
     for seed in range(20):
         search = UpstreamSearch(Identity(name="c", zone="zone-0", upstreams=RELAYS), LIMITS, random.Random(seed), 0)
-        search.server_with_change(0, "relay-zone-3-1")
+        search.served(0, "relay-zone-3-1")
         due = search.due(0, Stream("relay-zone-3-1", 1, 1 << 50, 1 << 50))
         assert LOCAL_RETURN_DELAY[0] <= due <= LOCAL_RETURN_DELAY[1]
         assert search.next_upstream(due, Stream("relay-zone-3-1", 1, due, due)) in LOCAL
@@ -116,5 +116,5 @@
     for _ in range(6):
         search.failed(0, RELAYS[0].name, None)
         delays.append(search.due(0, None))
-    assert LIMITS.retry_least // 2 <= delays[0] <= LIMITS.retry_least
-    assert LIMITS.retry_most // 2 <= delays[-1] <= LIMITS.retry_most
+    assert LIMITS.min_retry_delay // 2 <= delays[0] <= LIMITS.min_retry_delay
+    assert LIMITS.max_retry_delay // 2 <= delays[-1] <= LIMITS.max_retry_delay
