--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -16,7 +16,7 @@
 from rackhub.fleet.distribution.relay_shell import RelayShell
 from rackhub.fleet.distribution.service import register_calls
 from rackhub.fleet.distribution.voter import Voter
-from rackhub.fleet.link.mail_link import MailLink
+from rackhub.fleet.link.message_transport import MessageTransport
 from rackhub.fleet.ports import Control, Fleet, KeyedDisk, RuleSection
 from rackhub.fleet.settings import FleetSettings
 
@@ -37,8 +37,8 @@
     ):
         self._settings, self._control = settings, control
         self._generation = fleet.members.all()[fleet.members.local_name].generation
-        self._link = _message_link(reactor, fleet, settings, self._generation)
-        self._fleet = fleet._replace(messenger=self._link)
+        self._transport = _message_transport(reactor, fleet, settings, self._generation)
+        self._fleet = fleet._replace(messenger=self._transport)
         self.shell = self._shell(disk)
         self._cancel: Callable[[], None] = lambda: None
         self._address_in_use = False
@@ -72,11 +72,11 @@
         self._stopped = True
         self._cancel()
         self.shell.stop()
-        self._link.stop()
+        self._transport.stop()
 
     def metrics(self) -> dict[str, float]:
         """Return the metrics of the link and the role by name."""
-        link = {f"distribution_{name}": metric for name, metric in self._link.metrics().items()}
+        link = {f"distribution_{name}": metric for name, metric in self._transport.metrics().items()}
         return link | self.shell.metrics()
 
     def _shell(self, disk: KeyedDisk | None) -> Coordinator | RelayShell | Voter:
@@ -108,7 +108,7 @@
         if self._stopped:
             return
         try:
-            self._link.start()
+            self._transport.start()
         except OSError as bad:
             if bad.errno != errno.EADDRINUSE:
                 raise OSError(bad.errno, f"watch: {bad.strerror or bad}") from None
@@ -118,9 +118,9 @@
             self._cancel = self._fleet.call_later(BIND_RETRY_DELAY, self._open_link)
 
 
-def _message_link(reactor: Any, fleet: Fleet, settings: FleetSettings, generation: int) -> MailLink:
+def _message_transport(reactor: Any, fleet: Fleet, settings: FleetSettings, generation: int) -> MessageTransport:
     directory = {node.name: parse_ipv4_address(node.address, "node") for node in settings.node}
-    return MailLink(
+    return MessageTransport(
         reactor,
         parse_ipv4_address(settings.watch, "watch"),
         settings.cluster,
--- a/rackhub/trials/scale/ranking.py
+++ b/rackhub/trials/scale/ranking.py
@@ -126,12 +126,12 @@
         ),
     ]
     limits_of_program = Limits()
-    polls, longest_poll = limits_of_program.fleet_polls, limits_of_program.max_poll_retry_interval / SECOND
+    polls, longest_poll = limits_of_program.max_fleet_polls_per_s, limits_of_program.max_poll_retry_interval / SECOND
     return [
         *(measured_item(data, limit, target["coordinators"]) for limit in limits),
         fixed_item(
             "names of members kept",
-            LinkLimits().members,
+            LinkLimits().max_members,
             "members",
             target["coordinators"],
             "names kept, also of the gone",
