--- a/rackhub/fleet/distribution/session.py
+++ b/rackhub/fleet/distribution/session.py
@@ -25,7 +25,7 @@
 
     @property
     def all_sent(self) -> bool:
-        """True if each part was sent at least once since the last rewind."""
+        """True if no part is left to send."""
         return self.next_part == len(self.snapshot.parts)
 
     def confirm(self, parts: int) -> None:
--- a/tests/test_distribution_relay.py
+++ b/tests/test_distribution_relay.py
@@ -28,8 +28,8 @@
     return [(sender, to, message) for _, sender, to, message in fleet.sent if isinstance(message, kind)]
 
 
-def source(held=None):
-    return Source(Identity(name="voter"), held or StoredState(LOG, 0), Limits(), 0)
+def source(stored=None):
+    return Source(Identity(name="voter"), stored or StoredState(LOG, 0), Limits(), 0)
 
 
 def send_report(core, now, relay, **fields):
