--- a/rackhub/fleet/distribution/messages.py
+++ b/rackhub/fleet/distribution/messages.py
@@ -123,9 +123,9 @@
 class Heartbeat(Message, frozen=True, array_like=True, tag="heartbeat"):
     """Nothing in scope changed after `previous` up to `revision`.
 
-    A watcher before `previous` has lost an update and must watch again; others are now at `revision`. `age` says how
-    long ago the sender last knew that `revision` is the newest: a relay by its upstream, a voter by a majority of the
-    voters. It is 0 if the voter does not track this.
+    A watcher before `previous` misses an update, and watches again if it does not arrive soon. Others are now at
+    `revision`. `age` says how long ago the sender last knew that `revision` is the newest: a relay by its upstream, a
+    voter by a majority of the voters. It is 0 if the voter does not track this.
     """
 
     session: Number
--- a/rackhub/fleet/distribution/queries.py
+++ b/rackhub/fleet/distribution/queries.py
@@ -110,7 +110,7 @@
                 "revision": reported.revision,
                 "age_ms": (now - reported.received_at) // MICROSECONDS_A_MILLISECOND,
             }
-            for name, reported in sorted(voter.replication.last_seen.items())
+            for name, reported in sorted(voter.replication.reports.items())
         ],
         "damage": voter.damage,
     }
--- a/rackhub/fleet/distribution/replication.py
+++ b/rackhub/fleet/distribution/replication.py
@@ -1,8 +1,9 @@
 """Replication between voters: each learns what a majority has chosen, and which voters have it on disk.
 
-A voter learns of a change by a message of the voter that had it decided. It reads the register if another voter is
-ahead, or if its own acceptor has accepted a value that was never announced. If the register no longer contains the
-change, it fetches a snapshot.
+The voter whose edit is decided sends the change to the others. A voter reads the register if another voter reports a
+newer revision, if a change arrives before an earlier one, or if the local acceptor holds a newer change that has not
+been learned for `UNFINISHED_TIMEOUT`. If the register no longer contains a missing change, the learner starts a
+catch-up from another voter.
 """
 
 import logging
@@ -15,7 +16,7 @@
 from rackhub.fleet.distribution.learner import Learner
 from rackhub.fleet.distribution.limits import MILLISECOND, SECOND
 from rackhub.fleet.distribution.messages import Change, Revision
-from rackhub.fleet.distribution.voting import ChosenChanges, NewestRevision, VoterMessage, VoterMessenger
+from rackhub.fleet.distribution.voting import ChosenChanges, SyncedRevision, VoterMessage, VoterMessenger
 from rackhub.fleet.ports import Fleet, Name
 from rackhub.fleet.register.acceptor_shell import AcceptorShell
 from rackhub.fleet.register.messages import quorum_size
@@ -23,17 +24,17 @@
 
 log = logging.getLogger(__name__)
 
-TICK = 500 * MILLISECOND
+TICK = 500 * MILLISECOND  # interval of the timer
 # Number of ticks between two messages with the synced revision.
 TICKS_PER_MESSAGE = 2
-UNFINISHED_TIMEOUT = 1 * SECOND  # time that an accepted value may stay unannounced before the register is read
+UNFINISHED_TIMEOUT = 1 * SECOND  # longest time that the local acceptor may hold a change not learned yet
 READ_INTERVAL = 1 * SECOND  # shortest time between two reads of the register
 LOG_ID_BYTES = 8  # size of a new log's random id
 REGISTER_TIMEOUT = 5 * SECOND  # time for one change or read of the register
 
 
 class VoterRevision(msgspec.Struct, frozen=True):
-    """The last revision that a voter has reported, and when the report arrived."""
+    """The last synced revision that a voter has reported, and when the report arrived."""
 
     revision: Revision
     received_at: int
@@ -42,8 +43,8 @@
 class Replication:
     """Keeps a voter up to date with the others.
 
-    `is_catching_up` returns whether a catch-up is running, during which nothing else may be learned. `on_confirmed`
-    gets the microseconds since a majority of the voters had nothing newer than this one, as far as they have reported.
+    `is_catching_up` returns whether a catch-up is running, during which nothing else may be learned. `on_confirmed` is
+    called with `confirmed_age` on each tick and each report, unless it is None.
     """
 
     def __init__(
@@ -60,12 +61,13 @@
         self._acceptor, self._learner, self._is_catching_up = acceptor, learner, is_catching_up
         self._on_confirmed = on_confirmed
         self._messenger = VoterMessenger(fleet, voters, self._on_message)
-        self.last_seen: dict[Name, VoterRevision] = {}
+        self.reports: dict[Name, VoterRevision] = {}
         self._reading = False
-        self._read_at = fleet.clock.now()
-        self._last_value: bytes | None = None  # the value of the local acceptor when it was last checked
+        self._next_read_at = fleet.clock.now()
+        # The local acceptor's value when it was last checked, so that each value is decoded only once.
+        self._last_value: bytes | None = None
         self._accepted_revision: Revision = 0  # the newest revision in that value
-        self._unfinished_since: int | None = None
+        self._unfinished_since: int | None = None  # or since the last read because of that change
         self._ticks = 0
         self._cancel: Callable[[], None] = lambda: None
         self._stopped = False
@@ -76,23 +78,26 @@
         self._tick()
 
     def stop(self) -> None:
-        """Stop the timer and learn nothing more."""
+        """Stop the timer and the reads of the register. Messages of other voters are still handled."""
         self._stopped = True
         self._cancel()
 
     def replicated_revision(self) -> Revision:
-        """Return the newest revision that a majority of the voters is known to have on disk."""
-        others = [reported.revision for reported in self.last_seen.values()]
+        """Return the newest revision that a majority of the voters is known to have on disk; 0 if there is none."""
+        others = [reported.revision for reported in self.reports.values()]
         return majority_revision([self._learner.synced, *others], len(self._voters))
 
     def confirmed_age(self) -> int | None:
-        """Return the microseconds since a majority of the voters, including this one, had nothing newer than the local
-        disk. None if too few voters have reported. The age is a lower bound: reports on their way and changes not
-        announced yet are not included.
+        """Return how many microseconds ago a majority of the voters is known to have had nothing newer.
+
+        Newer means newer than what is synced to the local disk. The result is the age of the oldest report among the
+        latest ones needed for a majority that includes this voter; 0 if this voter alone is a majority. None if too few
+        voters have last reported a revision that is not newer than the local one. The true age may be greater: the time
+        that a report takes to arrive is not counted, and a change may be decided but not announced yet.
         """
         now, local_revision = self._fleet.clock.now(), self._learner.synced
         ages = sorted(
-            now - reported.received_at for reported in self.last_seen.values() if reported.revision <= local_revision
+            now - reported.received_at for reported in self.reports.values() if reported.revision <= local_revision
         )
         needed = quorum_size(self._voters) - 1
         if len(ages) < needed:
@@ -100,22 +105,26 @@
         return ages[needed - 1] if needed else 0
 
     def learn(self, tail: Tail) -> None:
-        """Learn a tail that a majority has chosen."""
+        """Learn a tail (see `decisions`) that a majority has chosen.
+
+        It is ignored during a catch-up and after `stop`.
+        """
         if not self._is_catching_up() and not self._stopped:
             self._learner.learn_tail(tail)
 
     def announce(self, tail: Tail) -> None:
-        """Send changes that this voter had decided to the other voters, each in its own message to keep within the
-        message size.
+        """Send the changes that a majority is not known to have on disk yet to the other voters.
+
+        Each change has its own message, so that no message is too large.
         """
-        known = self.replicated_revision()
+        replicated = self.replicated_revision()
         for change in tail.changes:
-            if change.revision > known:
+            if change.revision > replicated:
                 self._messenger.send_all(ChosenChanges(tail.log, (change,)))
 
     def send_synced_revision(self) -> None:
         """Send the revision that is synced to the local disk to the other voters."""
-        self._messenger.send_all(NewestRevision(self._learner.synced))
+        self._messenger.send_all(SyncedRevision(self._learner.synced))
 
     # ---- messages of other voters
 
@@ -123,8 +132,8 @@
         match message:
             case ChosenChanges(log_id, changes):
                 self._on_chosen(log_id, changes)
-            case NewestRevision(revision):
-                self.last_seen[sender] = VoterRevision(revision, self._fleet.clock.now())
+            case SyncedRevision(revision):
+                self.reports[sender] = VoterRevision(revision, self._fleet.clock.now())
                 if revision > self._learner.revision:
                     self._read()
                 self._report_confirmed()
@@ -138,24 +147,27 @@
         if self._is_catching_up():
             return
         if changes and changes[0].revision > self._learner.revision + 1:
-            return self._read()  # the earlier changes are on their way, or in the register
+            return self._read()  # the register probably has the earlier changes; `learn` would start a catch-up
         self._learner.learn(log_id, changes)
 
     # ---- the register
 
     def _read(self) -> None:
         now = self._fleet.clock.now()
-        if self._reading or self._is_catching_up() or self._stopped or now < self._read_at:
+        if self._reading or self._is_catching_up() or self._stopped or now < self._next_read_at:
             return
-        self._reading, self._read_at = True, now + READ_INTERVAL
+        self._reading, self._next_read_at = True, now + READ_INTERVAL
         self._proposer.read(self._on_read, REGISTER_TIMEOUT)
 
     def _begin_log(self) -> None:
-        """Have the register start a log if it has none, so that watchers of an empty fleet learn the log's id."""
+        """Write an empty tail with a new log id to the register if it has no value yet, and learn the result.
+
+        Thus watchers get a log id before the first edit.
+        """
         now = self._fleet.clock.now()
-        if self._reading or self._is_catching_up() or now < self._read_at:
+        if self._reading or self._is_catching_up() or now < self._next_read_at:
             return
-        self._reading, self._read_at = True, now + READ_INTERVAL
+        self._reading, self._next_read_at = True, now + READ_INTERVAL
         first = encode_tail(Tail(secrets.token_hex(LOG_ID_BYTES)))
         self._proposer.change(
             lambda value: (value if value is not None else first, None), self._on_read, REGISTER_TIMEOUT
@@ -168,7 +180,9 @@
         try:
             tail = decode_tail(outcome.value)
         except msgspec.MsgspecError as bad:
-            return log.error("fleet: the value of the distribution register can't be decoded: %s", bad)
+            return log.error(
+                "fleet: the value of the distribution register is not a valid tail and is not learned: %s", bad
+            )
         self.learn(tail)
 
     def _tick(self) -> None:
@@ -184,10 +198,10 @@
         self._cancel = self._fleet.call_later(TICK, self._tick)
 
     def _check_unfinished(self) -> None:
-        """Read the register if the local acceptor has held an unannounced value for too long.
+        """Read the register if the local acceptor has held a change for too long that this voter has not learned.
 
-        A voter may end between the acceptance of its edit and the announcement. The accepted value may then be chosen
-        without any voter knowing; a read settles this.
+        The process that proposed it may have stopped after acceptors accepted the change and before it sent
+        `ChosenChanges`. A read runs a round of the register, which shows whether the change is chosen, or completes it.
         """
         now = self._fleet.clock.now()
         self._update_accepted_revision()
@@ -200,6 +214,10 @@
             self._read()
 
     def _update_accepted_revision(self) -> None:
+        """Decode the local acceptor's value if it has changed.
+
+        `voting` is set once the acceptor has joined the register.
+        """
         state = self._acceptor.state
         value = state.value if state.voting else None
         if value is self._last_value:
@@ -209,5 +227,5 @@
             return
         try:
             self._accepted_revision = decode_tail(value).newest
-        except msgspec.MsgspecError as bad:  # written by a later version; left to that one
-            log.error("fleet: the value of the distribution register can't be decoded: %s", bad)
+        except msgspec.MsgspecError as bad:  # probably written by a later version, whose voters will learn it
+            log.error("fleet: the value that the local acceptor holds is not a valid tail and is ignored: %s", bad)
--- a/rackhub/fleet/distribution/server.py
+++ b/rackhub/fleet/distribution/server.py
@@ -207,7 +207,7 @@
         if session.needs_snapshot:
             return self._begin_transfer(now, session)
         newest = self._state.revision
-        while session.position < newest and session.has_credit:
+        while session.position < newest and session.may_send:
             batch = self._state.changes_after(session.position, session.scope)
             if isinstance(batch, Compacted):
                 return self._begin_transfer(now, session)
@@ -231,7 +231,7 @@
 
     def _send_parts(self, now: int, session: Session, transfer: SnapshotTransfer) -> None:
         parts = transfer.snapshot.parts
-        while not transfer.all_sent and session.has_credit:
+        while not transfer.all_sent and session.may_send:
             part = transfer.next_part
             message = SnapshotPart(
                 session.number, self._state.log, transfer.snapshot.revision, part, len(parts), parts[part]
--- a/rackhub/fleet/distribution/session.py
+++ b/rackhub/fleet/distribution/session.py
@@ -16,7 +16,7 @@
     def __init__(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
         self.next_part = 0
-        self.confirmed = 0  # number of parts from the first one on that the watcher has in memory
+        self.confirmed = 0  # the watcher has the first `confirmed` parts; lower after `rewind`
 
     @property
     def in_flight(self) -> int:
@@ -25,7 +25,7 @@
 
     @property
     def all_sent(self) -> bool:
-        """True if no part is left to send."""
+        """True if no part is left to send. Parts confirmed after a rewind are not sent again."""
         return self.next_part == len(self.snapshot.parts)
 
     def confirm(self, parts: int) -> None:
@@ -34,7 +34,10 @@
         self.next_part = max(self.next_part, self.confirmed)
 
     def rewind(self) -> None:
-        """Send again from the first missing part, or the last part if none is missing, so that the watcher answers."""
+        """Make the first unconfirmed part the next to send.
+
+        If all are confirmed, count the last one as unconfirmed, so that it is sent again and the watcher answers.
+        """
         self.next_part = min(self.confirmed, len(self.snapshot.parts) - 1)
         self.confirmed = min(self.confirmed, self.next_part)
 
@@ -47,10 +50,15 @@
 
 
 class Session:
-    """One watch.
+    """A server's record of one watch: what was sent and what is acknowledged.
 
-    Everything in scope up to `position` was sent. `last_update_revision` is where the last sent update ended, or a
-    later revision that the watcher has acknowledged since; the next update names it as the one before.
+    The watcher has, or was sent, all updates in scope up to `position`. `last_update_revision` becomes `previous` of
+    the next `Update`: it is the end of the last update sent, or the acknowledged revision if that is newer or the
+    session was rewound. At first both are the watcher's revision. During a snapshot transfer only an acknowledgement
+    advances them.
+
+    `credit` is the number of messages that may be unacknowledged at most, and `window` how many may be now: 1 after an
+    acknowledge timeout, and one more with each progress up to `credit`.
     """
 
     def __init__(self, name: Name, watch: Watch, max_credit: int, now: int) -> None:
@@ -66,10 +74,12 @@
         self.transfer: SnapshotTransfer | None = None
         self.faults: tuple[KeyFault, ...] = ()
         self.last_received_at = now
-        self.progress_at = now  # time of the watcher's last progress, or when it fell behind
-        self.awaiting_since = now  # start of the wait for the next acknowledgement
+        self.progress_at = now  # the later of the last progress and the time when the watcher fell behind
+        # Start of the acknowledge timeout: the first unacknowledged message, the last progress or a rewind.
+        self.awaiting_since = now
         self.heartbeat_at = now  # time of the next heartbeat
-        # Since when a change in scope is not acknowledged; NEVER if there is none.
+        # When the oldest unacknowledged update was sent, or when a snapshot became necessary. A rewind does not change
+        # it. NEVER if nothing that was sent is unacknowledged.
         self.behind_since = now if not watch.log else NEVER
 
     @property
@@ -78,13 +88,13 @@
         return bool(self.in_flight) or self.transfer is not None
 
     @property
-    def has_credit(self) -> bool:
-        """True if there is credit for one more message."""
+    def may_send(self) -> bool:
+        """True if one more update or snapshot part may be sent: fewer than `window` are unacknowledged."""
         in_flight = len(self.in_flight) if self.transfer is None else self.transfer.in_flight
         return in_flight < self.window
 
     def due(self, limits: Limits) -> int:
-        """Return when this session next needs attention."""
+        """Return when the next heartbeat, repeated message or session timeout is due."""
         due = min(self.heartbeat_at, self.last_received_at + limits.session_timeout)
         return min(due, self.awaiting_since + limits.acknowledge_timeout) if self.awaits_acknowledge else due
 
@@ -97,7 +107,7 @@
         self.position = self.last_update_revision = revision
 
     def begin_transfer(self, snapshot: Snapshot, now: int) -> None:
-        """Start to send a snapshot instead of updates."""
+        """Record that a snapshot is to be sent instead of updates."""
         self.transfer = SnapshotTransfer(snapshot)
         self.in_flight.clear()
         self.awaiting_since = now
@@ -140,9 +150,10 @@
         self.window = min(self.window + 1, self.credit)
 
     def rewind(self, now: int) -> None:
-        """Go back to the last acknowledged revision after an acknowledge timeout.
+        """Have everything unacknowledged sent again, after an acknowledge timeout.
 
-        One message at a time is sent until the next acknowledgement arrives.
+        Sending continues from the acknowledged revision or the first unconfirmed part. The window is one message and
+        grows by one with each progress.
         """
         self.window, self.awaiting_since = 1, now
         if self.transfer is not None:
@@ -152,10 +163,10 @@
             self.position = self.last_update_revision = self.acknowledged
 
     def effective_revision(self, newest: Revision, now: int, limits: Limits) -> Revision:
-        """Return the revision that counts as applied.
+        """Return the revision that a report gives as applied by the watcher.
 
-        That is the newest one if nothing in scope is pending and the watcher was heard from within the upstream
-        timeout; else the acknowledged one.
+        That is `newest`, the server's revision, if all changes in scope are sent and acknowledged and the watcher was
+        heard from within the upstream timeout; else the acknowledged revision, at most `newest`.
         """
         complete = not self.awaits_acknowledge and self.position >= newest
         if complete and now - self.last_received_at <= limits.upstream_timeout:
--- a/rackhub/fleet/distribution/voting.py
+++ b/rackhub/fleet/distribution/voting.py
@@ -21,13 +21,13 @@
     changes: tuple[Change, ...]
 
 
-class NewestRevision(msgspec.Struct, frozen=True, array_like=True, tag="newest"):
+class SyncedRevision(msgspec.Struct, frozen=True, array_like=True, tag="newest"):
     """The newest revision that is synced to the sender's disk."""
 
     revision: Revision
 
 
-VoterMessage = ChosenChanges | NewestRevision
+VoterMessage = ChosenChanges | SyncedRevision
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode: Callable[[bytes], VoterMessage] = msgspec.msgpack.Decoder(VoterMessage).decode  # type: ignore[arg-type]
--- a/rackhub/fleet/distribution/watcher.py
+++ b/rackhub/fleet/distribution/watcher.py
@@ -154,7 +154,7 @@
             self._count(unusable.counter, stream.name)
             return self._leave_upstream(now)
         self._confirm(now, stream, message)
-        if self._receiver.acknowledge_due or self._delivery.revision > before:
+        if self._receiver.acknowledge_now or self._delivery.revision > before:
             self._acknowledge(stream)
 
     def _check_known_log(self, message: Content) -> None:
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -172,7 +172,7 @@
         return bool(self._delivery.log) and part.revision == self._delivery.newest
 
     monkeypatch.setattr(WatchServer, "_watch", serves_those_ahead)
-    monkeypatch.setattr(Receiver, "_is_behind", takes_older_ones)
+    monkeypatch.setattr(Receiver, "_is_unneeded", takes_older_ones)
     must_be_found("goes back")
 
 
@@ -200,7 +200,7 @@
 
 def test_finds_a_heartbeat_that_hides_a_lost_change(monkeypatch):
     def trusts(self, heartbeat):
-        self.acknowledge_due = True
+        self.acknowledge_now = True
         if heartbeat.revision > self._delivery.newest and self._delivery.log:
             return self._deliver(heartbeat.log, heartbeat.revision, ())
         return []
