--- a/rackhub/fleet/distribution/history.py
+++ b/rackhub/fleet/distribution/history.py
@@ -1,6 +1,6 @@
 """The newest changes at a voter, each with the values it replaced: for conflict checks, undo and `rackhub rules`.
 
-Each voter stores its own history as it learns changes. After a snapshot the history starts empty.
+Each voter stores its own history as it learns changes. After a catch-up the history starts empty.
 """
 
 from collections.abc import Iterable, Mapping
@@ -75,7 +75,7 @@
         return dict.fromkeys(dropped) | {_key(change.revision): body}
 
     def reset(self, newest: Revision) -> dict[str, bytes | None]:
-        """Drop all changes, because a snapshot replaced the state.
+        """Drop all changes, because a catch-up brings entries without the changes that led to them.
 
         Return the records to delete together with its write.
         """
--- a/rackhub/fleet/distribution/learner.py
+++ b/rackhub/fleet/distribution/learner.py
@@ -16,7 +16,7 @@
     """Writes chosen changes in order of their revision.
 
     `on_log_begun` gets the empty state once the log's id is on the disk, `on_decided` each change once it is on the
-    disk, and `on_gap` the last missing revision if a change can't be applied yet because earlier ones are missing.
+    disk, and `on_gap` the revision up to which changes are missing.
     `entries`, `revision` and `log` include changes whose write is not yet synced; `synced` is the revision that the
     disk has.
     """
@@ -78,7 +78,7 @@
         return True
 
     def adopt_snapshot(self, snapshot: Apply) -> None:
-        """Replace the state with that of another voter, which is already on the disk."""
+        """Adopt a snapshot or update of another voter that is already on the disk."""
         self.entries = {} if snapshot.snapshot else self.entries
         self._update_entries(snapshot.entries)
         self.log, self.revision = snapshot.log, snapshot.revision
@@ -92,7 +92,7 @@
             self._sync_waiters.append((revision, call))
 
     def _begin_log(self, log_id: LogId) -> None:
-        """Store the id of an empty log, so that watchers learn that nothing is missing."""
+        """Store the id of a log that is new to this voter, so that watchers can be served before the first change."""
         self.log = log_id
         empty = CaughtUp(log_id, 0, 0, (), True)
         self._store.persist(Persist(log_id, 0, (), False), lambda: self._on_log_begun(empty))
--- a/rackhub/fleet/distribution/part.py
+++ b/rackhub/fleet/distribution/part.py
@@ -46,7 +46,7 @@
 
     @property
     def version(self) -> int:
-        """The applied revision; at a voter or relay, which serve it, the stored one."""
+        """The applied revision of a coordinator, the synced one of a voter, or the served one of a relay."""
         return self.shell.version
 
     def add_section(self, name: str, section: RuleSection) -> None:
--- a/rackhub/fleet/distribution/rollout.py
+++ b/rackhub/fleet/distribution/rollout.py
@@ -18,9 +18,10 @@
 def wait_until_applied(
     voter: Voter, fleet: Fleet, request: EditRequest, edit: EditDone, began: int, wait_ms: int, answer: Answer
 ) -> None:
-    """Answer when all coordinators have applied the edit, some have rejected one of its keys, or `wait_ms` is over.
+    """Answer once all coordinators have applied the edit, or once `wait_ms` is over.
 
-    `began` is the start of the edit in microseconds.
+    A coordinator that rejects a key counts as having applied the edit; the answer names the key. `began` is the start
+    of the edit in microseconds.
     """
     deadline = fleet.clock.now() + wait_ms * MILLISECOND
 
--- a/rackhub/fleet/distribution/upstream.py
+++ b/rackhub/fleet/distribution/upstream.py
@@ -62,7 +62,7 @@
         self._back_off(now, stream)
 
     def stream_ended(self, now: int, name: Name) -> None:
-        """Record that the current upstream no longer serves. Another one is tried without delay."""
+        """Record that the stream has ended. Its upstream is not tried for a while, another one without delay."""
         self._candidates.mark_unresponsive(name, now)
         self._retry_at = now
 
--- a/rackhub/fleet/distribution/watcher.py
+++ b/rackhub/fleet/distribution/watcher.py
@@ -1,8 +1,8 @@
 """The receiving side of a watch.
 
 It follows one upstream and never goes back to an older revision. At any time there is at most one stream, from which
-changes are accepted, and one attempt to watch another upstream. Once the attempt is answered with usable data it
-replaces the stream; until then the stream continues.
+changes are accepted, and one attempt to watch another upstream. An answered attempt replaces the stream, unless the
+answer is a rejection or a stale heartbeat. Until then the stream continues.
 """
 
 import random
@@ -62,7 +62,7 @@
         self._attempt: Attempt | None = None
         self._effects: list[Effect] = []
         self._due_at = now  # latest time for the next step
-        self.confirmed_at = now  # time at which the stored revision was last known to be the newest
+        self.confirmed_at = now  # time at which the watcher's revision was last known to be the newest
 
     # ---- state for callers
 
--- a/tests/distribution_fleet.py
+++ b/tests/distribution_fleet.py
@@ -138,7 +138,7 @@
         """Pass all decided changes to a voter, as its shell does."""
         process = self.processes[name]
         if process.core is not None:
-            process.known = self.history.revision  # on its disk before the core gets it
+            process.known = self.history.revision  # The change is on disk before the core gets it.
             process.handle(events.Decided(LOG, tuple(self.history.changes[process.core.revision :])))
 
     def converged(self):
--- a/tests/test_distribution_decisions.py
+++ b/tests/test_distribution_decisions.py
@@ -73,7 +73,7 @@
     ("values", "key"),
     [
         ({"good": b"", "k" * (MAX_KEY_BYTES + 1): b""}, "k" * (MAX_KEY_BYTES + 1)),
-        ({"ä" * MAX_KEY_BYTES: b""}, "ä" * MAX_KEY_BYTES),  # its bytes count, not its characters
+        ({"ä" * MAX_KEY_BYTES: b""}, "ä" * MAX_KEY_BYTES),  # The limit counts bytes, not characters.
         ({"": b""}, ""),
         ({"\ud800": b""}, "\ud800"),
         ({"good": b"", "big": bytes(MAX_ENTRY_VALUE_BYTES + 1)}, "big"),
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -149,7 +149,7 @@
     changes(fleet, 40, 500 * MILLISECOND)
     coordinator.stop()
     coordinator.disk.stored = older
-    coordinator.highest = older.revision  # only its operator may lower its revision
+    coordinator.highest = older.revision  # Only an operator may lower a revision.
     fleet.record, fleet.sent = True, []
     coordinator.restart()
     assert coordinator.core.revision == older.revision
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -26,7 +26,7 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-FINDING = settings(STEPS, max_examples=400, phases=[Phase.generate])  # without shrinking the example
+FINDING = settings(STEPS, max_examples=400, phases=[Phase.generate])  # a found example is not shrunk
 CONVERGED = 16 * SECOND  # the bound derived in the design note
 SCOPES = {"all": ("",), "first": ("a/",), "second": ("b/", "c/1"), "none": ("z/",)}
 KEYS = [f"{prefix}/{number}" for prefix in "abc" for number in range(3)]
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -79,7 +79,7 @@
         restarted.kill()
         rig.start(COORDINATORS[1])
         rig.wait_ready([COORDINATORS[1]])
-        assert fleet.status(COORDINATORS[1])["revision"] == 2  # from its disk, whichever relay it watches by now
+        assert fleet.status(COORDINATORS[1])["revision"] == 2  # It resumes from its disk, whichever relay it watches.
         third = fleet.edit(2, 3)
         assert "error" not in third and (third["revision"], third["in_force"]) == (3, 2)
 
--- a/tests/test_distribution_server.py
+++ b/tests/test_distribution_server.py
@@ -153,7 +153,7 @@
         harness.acknowledge(1)
         ages += [m.age for m in harness.advance(harness.limits.heartbeat_interval) if isinstance(m, Heartbeat)]
     assert ages == [0, 0, 0, 0], "everything was sent, so the heartbeat's revision shows what is missing"
-    harness.change(c=b"3")  # there is no credit for this change
+    harness.change(c=b"3")  # The credit is used up.
     harness.acknowledge(1)
     ages = [m.age for m in harness.advance(3 * harness.limits.heartbeat_interval) if isinstance(m, Heartbeat)]
     assert ages == [10_000, 12_000, 14_000]
