--- a/tests/test_voter_disk.py
+++ b/tests/test_voter_disk.py
@@ -18,7 +18,7 @@
 from rackhub.fleet.distribution.rules import encode_value
 from rackhub.fleet.distribution.store import StateStore
 from rackhub.fleet.register.disk import StoreDisk
-from rackhub.store.faulty import MemoryFiles, PowerCut
+from rackhub.store.memory_files import MemoryFiles, PowerCut
 
 LOG = "log"
 # Limit on the history in these tests, so that a few changes trim it.
@@ -167,7 +167,11 @@
     voter_disk = VoterDisk(MemoryFiles())
     for revision in range(1, first):
         voter_disk.take(revision)
-    voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.lasting = fault, voter_disk.files.steps + 1, True
+    voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.keep_failing = (
+        fault,
+        voter_disk.files.steps + 1,
+        True,
+    )
     for revision in range(first, first + changes):
         voter_disk.take(revision)
         assert voter_disk.learner.synced == first - 1, "a change is acknowledged before it is on the disk"
@@ -190,7 +194,7 @@
     voter_disk = VoterDisk(MemoryFiles())
     voter_disk.disk.write({"a/1": b"1", "a/2": b"2"}, lambda: None)
     voter_disk.run_iterations()
-    voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.lasting = (
+    voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.keep_failing = (
         NO_SPACE,
         voter_disk.files.steps + 1,
         True,
@@ -217,7 +221,7 @@
 
 def test_pending_writes_of_a_failed_disk_are_limited_by_their_keys():
     voter_disk = VoterDisk(MemoryFiles())
-    voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.lasting = (
+    voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.keep_failing = (
         IO_ERROR,
         voter_disk.files.steps + 1,
         True,
@@ -236,7 +240,7 @@
 # Guards against the loss of a write that is made while pending writes are being written.
 def test_a_write_made_by_an_acknowledgement_during_recovery_is_kept():
     voter_disk = VoterDisk(MemoryFiles())
-    voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.lasting = (
+    voter_disk.files.fault, voter_disk.files.fail_at, voter_disk.files.keep_failing = (
         IO_ERROR,
         voter_disk.files.steps + 1,
         True,
