--- a/rackhub/fleet/members/__init__.py
+++ b/rackhub/fleet/members/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet, who hears whom, and the board of small records. docs/design/fleet.md."""
+"""Fleet membership by SWIM, directed reachability, and gossip of small records. See docs/design/fleet.md."""
--- a/rackhub/fleet/members/anti_entropy.py
+++ b/rackhub/fleet/members/anti_entropy.py
@@ -1,7 +1,7 @@
-"""The exchange of all that is known with one member: digests by ranges of names, then only what the other lacks. Pure.
+"""Anti-entropy: digests by ranges of names are exchanged with one member, then only what the other lacks. Pure.
 
-Each chunk of a digest fits a datagram and stands for itself: one that is lost costs its range of names until the next
-exchange, and nothing is put together.
+Each chunk of a digest fits a datagram and is handled alone. A lost chunk costs its range of names until the next
+exchange; nothing is reassembled.
 """
 
 from collections.abc import Iterator
@@ -13,16 +13,18 @@
 from rackhub.fleet.members.peer import Peer, precedence
 from rackhub.fleet.members.table import MemberTable
 
-CHUNK_BYTES = 900  # bytes of lines in a chunk
+CHUNK_BYTES = 900  # encoded entries in one chunk of a digest, or names in one request
 
 
 class AntiEntropy:
+    """Starts exchanges with random members and answers theirs."""
+
     def __init__(self, context: Context, table: MemberTable, records: GossipRecords, outgoing: Outgoing):
         self._context, self._table, self._records, self._outgoing = context, table, records, outgoing
         self._next_exchange_at = context.now
 
     def tick(self) -> None:
-        """With one member by chance, now and then."""
+        """Start an exchange with a random reachable member when one is due."""
         context = self._context
         if context.now < self._next_exchange_at:
             return
@@ -32,17 +34,20 @@
             self.begin_exchange(self._table.peers[context.random.choice(candidates)])
 
     def schedule_soon(self) -> None:
+        """Start the next exchange within one probe period."""
         self._next_exchange_at = min(
             self._next_exchange_at,
             self._context.now + self._context.random.randrange(self._context.timing.probe_period),
         )
 
     def begin_exchange(self, peer: Peer) -> None:
+        """Send the digests to a member."""
         self._context.count("syncs")
         for digest in self.digests():
             self._outgoing.send(peer, digest, piggyback=False)
 
     def digests(self) -> Iterator[f.Digest]:
+        """Digests of all claims and record numbers, in chunks."""
         entries: list[f.DigestEntry] = []
         after, size = "", 0
         for name in sorted([self._context.local_name, *self._table.peers]):
@@ -61,7 +66,7 @@
         return f.DigestEntry(name, *precedence(claim), self._records.numbers(name))
 
     def handle_digest(self, sender: Peer, digest: f.Digest) -> None:
-        """Send what the other lacks, and ask for what it has that is newer."""
+        """Send what the other member lacks, and request what it has that is newer."""
         remote_entries = {entry.name: entry for entry in digest.entries}
         names_in_range = [
             name
@@ -124,6 +129,7 @@
             self._outgoing.send_all(sender, frames())
 
     def handle_request(self, sender: Peer, requested: f.StateRequest) -> None:
+        """Send the claims and records that a member requested."""
         self._outgoing.send_all(
             sender,
             (
--- a/rackhub/fleet/members/context.py
+++ b/rackhub/fleet/members/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the core share: the moment, the chance, what is to be done, and what is counted."""
+"""State shared by the components of the membership core: time, random numbers, pending effects and counters."""
 
 import random
 from collections import Counter
@@ -10,26 +10,26 @@
 
 
 class SendDatagram(NamedTuple):
-    """A datagram goes out."""
+    """Send a datagram."""
 
     to: Address
     data: bytes
 
 
 class MemberChanged(NamedTuple):
-    """A member's state, boot or incarnation is another one."""
+    """The state, generation or incarnation of a member changed."""
 
     member: Member
 
 
 class RecordReceived(NamedTuple):
-    """A newer record of another member is there."""
+    """A newer record of another member was received."""
 
     record: Record
 
 
 class MessageReceived(NamedTuple):
-    """A piece of mail is whole."""
+    """All pages of a message were received."""
 
     sender: Name
     kind: str
@@ -37,13 +37,13 @@
 
 
 class GenerationRaised(NamedTuple):
-    """The own boot number had to rise; what is kept of it is to be written."""
+    """The local generation was raised and is to be stored."""
 
     generation: int
 
 
 class OperatorWarning(NamedTuple):
-    """Something that an operator should read, once."""
+    """An event to log for the operator, reported once. `event` also names a counter."""
 
     event: str
     fields: dict[str, object]
@@ -53,6 +53,8 @@
 
 
 class Context:
+    """Time, random numbers, limits, pending effects and counters. `now` is in microseconds of the local clock."""
+
     __slots__ = ("now", "random", "effects", "counts", "timing", "limits", "local_name", "cluster")
 
     def __init__(self, local_name: Name, cluster: str, timing: Timing, limits: Limits, seed: int, now: int):
@@ -62,7 +64,9 @@
         self.counts = Counter[str]()
 
     def count(self, name: str, amount: int = 1) -> None:
+        """Add to a counter."""
         self.counts[name] += amount
 
     def emit(self, effect: Effect) -> None:
+        """Append an effect, to be returned by the current step of the core."""
         self.effects.append(effect)
--- a/rackhub/fleet/members/core.py
+++ b/rackhub/fleet/members/core.py
@@ -1,7 +1,8 @@
-"""One gateway's members, board and mail as a state machine: an event goes in, effects come out. Pure.
+"""The membership core of one gateway: members, gossip state and messages as a state machine without I/O.
 
-`step(now, event)`: `now` is in microseconds of the own monotonic clock and never goes back. `due` says when a `Tick`
-is next of use; one that comes much later than that shows that this process stood still.
+`step(now, event)` takes an event and returns effects; `now` is in microseconds of the local monotonic clock and never
+goes back. `due` says when the next `Tick` is needed. A `Tick` that comes much later shows that this process did not run
+meanwhile.
 """
 
 from rackhub.fleet.link import frames as f
@@ -22,13 +23,15 @@
 from rackhub.fleet.members.timing import SECOND, Timing
 from rackhub.fleet.ports import MAX_MESSAGE_BYTES, Name
 
-JOIN_INTERVAL_ALONE = 1 * SECOND  # between two calls to all seeds while nobody else is known to live
-MINIMUM_TICK_INTERVAL = 1_000  # microseconds between two ticks at the least
-EXPECTED_NOTIFIERS = 4  # of those that hear of a suspicion, so many tell the suspected
-JOIN_INTERVAL_PERIODS = 20  # periods between two calls to a seed whose address is no living member's
+JOIN_INTERVAL_ALONE = 1 * SECOND  # time between join requests to all seeds while no other live member is known
+MINIMUM_TICK_INTERVAL = 1_000  # microseconds; keeps a fault from causing a busy loop
+EXPECTED_NOTIFIERS = 4  # expected number of members that notify a suspected member
+JOIN_INTERVAL_PERIODS = 20  # probe periods between join requests to a seed whose address is no live member's
 
 
 class Core:
+    """The components of the core and the timers that they share."""
+
     def __init__(self, start: Start, timing: Timing, limits: Limits, now: int):
         self.context = context = Context(start.name, start.cluster, timing, limits, start.seed, now)
         self.dissemination = DisseminationQueue(limits.max_queued_updates, context.count)
@@ -57,10 +60,14 @@
         self._due = now
 
     def due(self) -> int:
+        """The time at which the next `Tick` is needed."""
         return self._due
 
     def step(self, now: int, event: Event) -> list[Effect]:
-        """Raises `ValueError` for a record or mail that is too large, and has done nothing then."""
+        """Handle an event and return its effects.
+
+        Raises `ValueError`, without effect, for an invalid record or message.
+        """
         context = self.context
         gap = now - self._due
         context.now = now
@@ -82,10 +89,10 @@
         effects, context.effects = context.effects, []
         return effects
 
-    # ---- time
+    # ---- timers
 
     def _next_due(self) -> int:
-        """When a tick is next of use; never at once, so that no fault can spin."""
+        """The time at which the next tick is needed, at least `MINIMUM_TICK_INTERVAL` from now."""
         dues = [self._gossip_at]
         if not self.local_member.leaving:
             dues.append(self.probing.due())
@@ -124,7 +131,7 @@
             self.outgoing.send_updates(self.table.peers[name], self.context.timing.gossip_datagrams)
 
     def _join_seeds(self) -> None:
-        """Ask to join where nobody known stands: at every seed while alone, else at one now and then."""
+        """Ask to join at seeds whose address is no live member's: at all while alone, else at one of them."""
         context = self.context
         if context.now < self._join_at or not self._seeds:
             return
@@ -139,25 +146,30 @@
         for seed in missing:
             self.outgoing.send_to_address(seed, *self.anti_entropy.digests())
 
-    # ---- what changes
+    # ---- reactions to changes
 
-    def _local_member_changed(self, generation: bool) -> None:
+    def _local_member_changed(self, is_new_generation: bool) -> None:
+        """Disseminate the local claim. With a new generation, records are sent again under it."""
         self.dissemination.enqueue(CLAIM, self.context.local_name)
         if not self.local_member.leaving:
             self.probing.health.record_failure()
-        if generation:
+        if is_new_generation:
             self.outbox.drop_all()
             for kind in self.records.set_generation(self.local_member.generation):
                 self.dissemination.enqueue(RECORD, self.context.local_name, kind)
 
     def _verify_claim(self, claim: f.Claim) -> None:
-        """What hearsay may not change the member itself may say: it is called, one in a period."""
+        """Contact the subject of an implausible claim, which may confirm it. At most once per probe period."""
         if self.context.now >= self._inquiry_at:
             self._inquiry_at = self.context.now + self.context.timing.probe_period
             self.outgoing.send_to_address((claim.host, claim.port))
 
     def _notify_suspected(self, peer: Peer) -> None:
-        """The suspected is told first, at once: by its accuser, and by some few of those that hear of it."""
+        """Probe a newly suspected member, which tells it of the suspicion.
+
+        The accuser always does so. Each other member does with a probability such that `EXPECTED_NOTIFIERS` do on
+        average.
+        """
         if not self.local_member.leaving and (
             peer.suspected_by == self.context.local_name
             or self.context.random.random() * self.table.size < EXPECTED_NOTIFIERS
@@ -165,15 +177,20 @@
             self.probing.probe_outside_rounds(peer)
 
     def _member_returned(self, peer: Peer, from_subject: bool) -> None:
-        """One that was gone is back: whether it is heard is looked at anew. Where it said so itself others may be back
-        with it, and what each of the two knows is exchanged."""
+        """Handle the return of a member that was gone: probe it, as its reachability may have changed.
+
+        If the claim came from the member itself, others may be back with it, so start an anti-entropy exchange.
+        """
         if peer.missed_probes:
             self.probing.probe_outside_rounds(peer)
         if from_subject:
             self.anti_entropy.begin_exchange(peer)
 
     def _publish_reachability(self) -> None:
-        """Not at each change: while a fleet forms or falls apart there are many."""
+        """Publish the reachability record if it changed.
+
+        The rate is limited, as many changes come while a fleet forms or falls apart.
+        """
         if self.context.now < self._publish_reachability_at:
             return
         body = reachability.encode_reachability(self.table.peers.values())
@@ -184,7 +201,7 @@
             )
             self._publish(reachability.KIND, body)
 
-    # ---- what this gateway does
+    # ---- local operations
 
     def _publish(self, kind: str, body: bytes) -> None:
         self.records.publish(self.local_member.generation, kind, body)
@@ -192,9 +209,9 @@
 
     def _send_message(self, to: Name, kind: str, body: bytes) -> None:
         if len(body) > MAX_MESSAGE_BYTES:
-            raise ValueError(f"mail of {len(body)} bytes, more than {MAX_MESSAGE_BYTES}")
+            raise ValueError(f"message of {len(body)} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")
         if not 0 < len(kind.encode()) <= 32:
-            raise ValueError(f"{kind!r} is not a kind of 1 to 32 bytes")
+            raise ValueError(f"message kind {kind!r} has {len(kind.encode())} bytes, allowed are 1 to 32")
         if to == self.context.local_name:
             self.context.emit(MessageReceived(to, kind, body))
             return
@@ -211,16 +228,17 @@
             self.outgoing.send(peer, page, piggyback=False)
 
     def _leave(self) -> None:
-        """All that live are told at once, and again with the news until the process ends."""
+        """Send the claim of leaving to all live members at once; gossip repeats it until the process ends."""
         if self.local_member.leaving:
             return
         self.local_member.leave()
         for peer in list(self.table.live()):
             self.outgoing.send(peer, self.local_member.claim())
 
-    # ---- what is known
+    # ---- queries
 
     def receives_from(self, receiver: Name, sender: Name) -> bool | None:
+        """Return whether `receiver` receives datagrams from `sender`; None if not known."""
         if receiver == sender:
             return True
         if receiver == self.context.local_name:
--- a/rackhub/fleet/members/dissemination.py
+++ b/rackhub/fleet/members/dissemination.py
@@ -1,27 +1,29 @@
-"""News that waits to be spread: the least sent first, claims before records, then the newest. Pure."""
+"""The queue of updates to piggyback: fewest transmissions first, claims before records, newest first. Pure."""
 
 from collections.abc import Callable, Iterator
 from itertools import islice
 
 CLAIM, RECORD = "claim", "note"
-UpdateKey = tuple[str, ...]  # what a piece is about: CLAIM and a name, or NOTE, an owner and a kind
-SCAN_LIMIT = 64  # pieces of one rank that are looked at for one datagram
+UpdateKey = tuple[str, ...]  # (CLAIM, name) or (RECORD, owner, kind)
+SCAN_LIMIT = 64  # updates of one rank considered for one datagram
 
 
 class DisseminationQueue:
-    """A later piece under the same key takes the place of the one before, and begins anew."""
+    """Updates by key. An update replaces an earlier one with the same key and starts with no transmissions."""
 
     __slots__ = ("_capacity", "_queues", "_rank_by_key", "_count")
 
     def __init__(self, capacity: int, count: Callable[[str], None]):
         self._capacity, self._count = capacity, count
-        self._queues: list[dict[UpdateKey, None]] = []  # two for each number of times sent: claims, then records
+        # Indexed by rank: claims, then records, for each number of transmissions.
+        self._queues: list[dict[UpdateKey, None]] = []
         self._rank_by_key: dict[UpdateKey, int] = {}
 
     def __len__(self) -> int:
         return len(self._rank_by_key)
 
     def enqueue(self, *key: str) -> None:
+        """Add an update, or drop and count it if the queue is full."""
         if key in self._rank_by_key:
             self.remove(*key)
         elif len(self._rank_by_key) >= self._capacity:
@@ -37,18 +39,20 @@
         self._rank_by_key[key] = rank
 
     def remove(self, *key: str) -> None:
+        """Remove an update, if it is queued."""
         rank = self._rank_by_key.pop(key, None)
         if rank is not None:
             del self._queues[rank][key]
 
     def keys(self) -> Iterator[UpdateKey]:
-        """In the order in which they go out; `sent` and `drop` may be called in between."""
+        """The keys in the order of sending. `mark_sent` and `remove` may be called during the iteration."""
         for rank in range(len(self._queues)):
             for key in list(islice(reversed(self._queues[rank]), SCAN_LIMIT)):
                 if self._rank_by_key.get(key) == rank:
                     yield key
 
     def mark_sent(self, key: UpdateKey, transmissions: int) -> None:
+        """Count a transmission, and remove the update after `transmissions` of them."""
         rank = self._rank_by_key.get(key)
         if rank is None:
             return
--- a/rackhub/fleet/members/events.py
+++ b/rackhub/fleet/members/events.py
@@ -1,4 +1,4 @@
-"""What goes into the core of the members."""
+"""Input events of the membership core."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Start(NamedTuple):
-    """What a process begins with. `seeds`: addresses to join at, the own one may be among them."""
+    """Parameters of a process start. `seeds` are addresses to join at, and may include the local address."""
 
     cluster: str
     name: Name
@@ -24,20 +24,20 @@
 
 
 class DatagramReceived(NamedTuple):
-    """A datagram is here, from wherever."""
+    """A datagram was received; its source address is not used."""
 
     data: bytes
 
 
 class PublishRecord(NamedTuple):
-    """A record of this gateway."""
+    """Publish a record of the local member."""
 
     kind: str
     body: bytes
 
 
 class SendMessage(NamedTuple):
-    """Mail."""
+    """Send a message to a member."""
 
     to: Name
     kind: str
@@ -45,7 +45,7 @@
 
 
 class Leave(NamedTuple):
-    """This process ends as planned."""
+    """The local process ends as planned."""
 
 
 Event = Tick | DatagramReceived | PublishRecord | SendMessage | Leave
--- a/rackhub/fleet/members/generations.py
+++ b/rackhub/fleet/members/generations.py
@@ -1,7 +1,8 @@
-"""The boot number: grows with each start of a gateway's process, and ranks nothing else than those.
+"""The generation number of a gateway's process, which grows with each start.
 
-From the wall clock in milliseconds, and above the one kept in the state directory, if there is one: a clock that was
-set back then changes nothing. Without the directory the fleet tells a process whose number is too low, and it rises.
+It is taken from the wall clock in milliseconds and is always above the number stored in the state directory, if there
+is one, so a clock that was set back does no harm. Without a state directory, other members report a number that is too
+low, and the process raises it.
 """
 
 import os
@@ -12,19 +13,19 @@
 
 
 def next_generation(state: str) -> int:
-    """The number for this start, kept. Raises `OSError` where it can't be."""
+    """Return the generation for this start and store it. Raises `OSError` if it can't be stored."""
     generation = time.time_ns() // 1_000_000
     if state:
         try:
             generation = max(generation, int((Path(state) / FILE_NAME).read_text("ascii")) + 1)
         except (FileNotFoundError, ValueError):
-            pass  # none yet, or damaged: the wall clock's word is as good as without a directory
+            pass  # missing or damaged: rely on the wall clock, as without a state directory
         store_generation(state, generation)
     return generation
 
 
 def store_generation(state: str, generation: int) -> None:
-    """Synced, and whole or not there."""
+    """Write the number atomically and sync it. Does nothing without a state directory. Raises `OSError`."""
     if not state:
         return
     folder = Path(state)
--- a/rackhub/fleet/members/local_member.py
+++ b/rackhub/fleet/members/local_member.py
@@ -1,8 +1,8 @@
-"""What this gateway says of itself, and how it answers words about it that are wrong. Pure.
+"""The local member: the claim about it, and the refutation of wrong claims about it. Pure.
 
-The boot number ranks the starts of one gateway's process and nothing else: it is taken from the wall clock only so that
-it grows without a disk. Where the fleet holds a later one of this name, at this address or of a process that is no
-more, the own one rises above it.
+The generation ranks the starts of one gateway's process and nothing else. It is taken from the wall clock only so that
+it grows without a disk. If other members hold a later generation of this name, for this address or for a process that
+has ended, the local one rises above it.
 """
 
 from collections.abc import Callable
@@ -11,10 +11,12 @@
 from rackhub.fleet.members.context import Context, GenerationRaised, OperatorWarning
 from rackhub.fleet.ports import Address, Member, MemberState
 
-INTRODUCTION_PERIOD = 10_000_000  # microseconds after a new boot number in which each packet says whose it is
+INTRODUCTION_PERIOD = 10_000_000  # microseconds after a new generation in which each packet carries the local claim
 
 
 class LocalMember:
+    """The state that this gateway claims for itself."""
+
     def __init__(
         self,
         context: Context,
@@ -24,7 +26,7 @@
         site: str,
         on_change: Callable[[bool], None],
     ):
-        """`changed` is called when others must be told; True: it is under another boot number."""
+        """`on_change` is called when the claim is to be disseminated, with True if the generation was raised."""
         self._context, self._on_change = context, on_change
         self.address, self.generation, self.client_address, self.site = address, generation, client_address, site
         self.incarnation, self.leaving, self.since = 0, False, context.now
@@ -32,6 +34,7 @@
         self.clashes: dict[str, set[str]] = {}
 
     def claim(self) -> f.Claim:
+        """The claim to disseminate."""
         host, port = self.client_address or ("", 0)
         return f.Claim(
             self._context.local_name,
@@ -46,6 +49,7 @@
         )
 
     def member(self) -> Member:
+        """The local member as reported to other components."""
         return Member(
             self._context.local_name,
             self.address,
@@ -59,11 +63,15 @@
 
     @property
     def recently_started(self) -> bool:
+        """True for a while after a new generation, while each packet carries the local claim."""
         return self._context.now - self._generation_began < INTRODUCTION_PERIOD
 
     def handle_claim(self, claim: f.Claim) -> bool:
-        """Somebody's word about this gateway. False: it is nonsense. Suspicion and worse are refuted with the next
-        incarnation, which holds against them."""
+        """Handle a claim by another member about this gateway. Return False if it is implausible.
+
+        A claim of suspicion or death is refuted by the next incarnation, which takes precedence. A claim with a later
+        generation, or of a dead process at another address, raises the generation.
+        """
         context = self._context
         same_address = (claim.host, claim.port) == self.address
         if claim.generation >= f.MAX_COUNT:
@@ -84,11 +92,15 @@
         return True
 
     def leave(self) -> None:
+        """Mark this gateway as leaving."""
         self.leaving, self.since = True, self._context.now
         self._on_change(False)
 
     def report_clash(self, name: str, address: str) -> None:
-        """Two processes say that they are the same gateway: for the operator, since nothing here can tell who is."""
+        """Report two processes with the same name.
+
+        An operator has to decide, as this gateway can't tell which is right.
+        """
         self._context.count("clashes")
         if name not in self.clashes and len(self.clashes) >= self._context.timing.max_reported_names:
             return
--- a/rackhub/fleet/members/outgoing.py
+++ b/rackhub/fleet/members/outgoing.py
@@ -1,4 +1,4 @@
-"""What goes to one member: the frames that are meant for it, and news in the room that is left. Pure."""
+"""Datagrams to other members: the frames meant for one member, and piggybacked updates in the space left. Pure."""
 
 from collections.abc import Iterable, Iterator
 
@@ -12,15 +12,17 @@
 from rackhub.fleet.members.table import MemberTable
 from rackhub.fleet.ports import Address
 
-MAX_SKIPPED_UPDATES = 8  # pieces of news that found no room, before the rest is left for the next packet
+MAX_SKIPPED_UPDATES = 8  # updates that did not fit, after which the rest waits for the next packet
 
 
 class Outgoing:
+    """Builds datagrams and emits them as effects."""
+
     def __init__(self, context: Context, table: MemberTable, records: GossipRecords, dissemination: DisseminationQueue):
         self._context, self._table, self._records, self._dissemination = context, table, records, dissemination
 
     def send(self, peer: Peer, *frames: f.AnyFrame, piggyback: bool = True) -> None:
-        """One datagram. Whoever is not simply alive here is told so first: it may object."""
+        """Send frames in one datagram. A member that is not alive here is first told so, as it may refute that."""
         builder = self._new_datagram(peer, any(isinstance(frame, f.Ping) for frame in frames))
         for frame in frames:
             builder.add_frame(f.encode(frame))
@@ -29,7 +31,7 @@
         self._emit(peer, builder)
 
     def send_all(self, peer: Peer, frames: Iterable[f.AnyFrame]) -> bool:
-        """As many datagrams as these need, but no more than the member's share; False: some were left out."""
+        """Send frames in as many datagrams as needed, within the member's rate. Return False if some were left out."""
         limits, now = self._context.limits, self._context.now
         if peer.sync_bucket is None:
             peer.sync_bucket = TokenBucket(limits.sync_datagrams_per_second, limits.sync_datagrams_per_second, now)
@@ -49,7 +51,7 @@
         return True
 
     def send_to_address(self, address: Address, *frames: f.AnyFrame) -> None:
-        """To whoever stands there: a request to join."""
+        """Send the local claim and `frames` to whichever process has the address, as in a join request."""
         builder = DatagramBuilder(self._context.cluster, self._context.local_name, "")
         for frame in (self._table.local_member.claim(), *frames):
             builder.add_frame(f.encode(frame))
@@ -58,7 +60,7 @@
         )
 
     def send_updates(self, peer: Peer, max_datagrams: int) -> bool:
-        """News alone, in up to `most` datagrams; whether there was any."""
+        """Send queued updates alone, in up to `max_datagrams` datagrams. Return False if there were none."""
         included: set[UpdateKey] = set()
         for _ in range(max_datagrams):
             builder = self._new_datagram(peer)
@@ -87,7 +89,7 @@
         return self._context.now // 1_000
 
     def _piggyback(self, builder: DatagramBuilder, to: str, included: set[UpdateKey]) -> int:
-        """What is not done yet, and not a member's own record that it would get back."""
+        """Add queued updates that are not in `included`, except records of the recipient itself. Return the count."""
         timing, size, skipped, count = self._context.timing, self._table.size, 0, 0
         for key in self._dissemination.keys():
             if skipped >= MAX_SKIPPED_UPDATES or builder.free_bytes < 24:
@@ -113,7 +115,7 @@
         return self._records.to_update(key[1], key[2])
 
     def state_frames(self, name: str, kinds: Iterable[str]) -> Iterator[f.AnyFrame]:
-        """A member's claim and those of its records."""
+        """The claim about a member and its records of these kinds."""
         claim = self._table.claim(name)
         if claim is not None:
             yield claim
@@ -123,6 +125,7 @@
                 yield update
 
     def disseminate(self, *key: str) -> None:
+        """Queue an update."""
         self._dissemination.enqueue(*key)
 
 
--- a/rackhub/fleet/members/part.py
+++ b/rackhub/fleet/members/part.py
@@ -1,4 +1,4 @@
-"""The shell: the core on a reactor and a socket, as one object that the daemon makes, starts and ends."""
+"""The membership core on a reactor and a UDP socket, as one object that the daemon creates, starts and stops."""
 
 import errno
 import logging
@@ -28,22 +28,26 @@
 from rackhub.fleet.settings import FleetSettings
 
 log = logging.getLogger(__name__)
-ADDRESS_RETRY_DELAY = 250_000  # microseconds until an address that is taken is tried again
+ADDRESS_RETRY_DELAY = 250_000  # microseconds between attempts to bind an address in use
 
 
 class MonotonicClock:
     """Microseconds of this machine's monotonic clock."""
 
     def now(self) -> int:
+        """The time in microseconds."""
         return time.monotonic_ns() // 1_000
 
 
 class Membership:
-    """`serves`: where this gateway's clients connect, told to the others. `tally`: adds to a counter of the process.
+    """The membership of this gateway, and the ports that other components use.
 
-    `start` opens the socket and raises `OSError`; an address that is taken may be that of the process which this one
-    replaces, and is tried again until it is free (`fleet_listening` is 0 so long). `leave` says that this process ends,
-    its result comes when the others have been told a few times; `stop` closes. Both are safe to call twice.
+    `client_address` is where clients connect to this gateway, as claimed to other members. `add_count` adds to a
+    counter of the process.
+
+    `start` opens the socket and raises `OSError`. An address in use may be that of the process which this one replaces,
+    so it is retried until it is free, and `fleet_listening` is 0 meanwhile. `leave` announces that this process ends;
+    its result fires after a few rounds of gossip. `stop` closes the socket. Both are idempotent.
     """
 
     def __init__(
@@ -75,28 +79,31 @@
         self.port = UdpPort(reactor, settings.listen_address, self._handle_datagram, self.core.context.count)
         self._timer: Any = None
         self._running = False
-        self._cancel_retry: Callable[[], None] | None = None  # cancels the next try of an address that is taken
+        self._cancel_retry: Callable[[], None] | None = None  # cancels the next attempt to bind
         self._left_result: defer.Deferred[None] | None = None
 
     def fleet(self) -> Fleet:
+        """The ports for components of the fleet."""
         return Fleet(
             self.members, self.gossip_state, self.messenger, self._clock, self._add_count, self.call_later, self._seed
         )
 
     def start(self) -> None:
+        """Open the socket. Raises `OSError` unless the address is merely in use."""
         try:
             self.port.open()
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
             if self._cancel_retry is None:
-                log.warning("fleet: listen: %s: tried again until it is free", error)
+                log.warning("fleet: listen: %s; retrying until the address is free", error)
             self._cancel_retry = self.call_later(ADDRESS_RETRY_DELAY, self.start)
             return
         self._cancel_retry, self._running = None, True
         self.step(Tick())
 
     def leave(self) -> "defer.Deferred[None]":
+        """Announce that this process ends. The result fires after a few rounds of gossip."""
         if self._left_result is None:
             self._left_result = defer.Deferred()
             self.step(Leave())
@@ -108,6 +115,7 @@
             self._left_result.callback(None)
 
     def stop(self) -> Any:
+        """Close the socket. The result is a Deferred, or None if it was closed already."""
         self._running = False
         if self._cancel_retry is not None:
             self._cancel_retry()
@@ -116,10 +124,11 @@
         return self.port.close()
 
     def now(self) -> int:
+        """Microseconds of the local clock."""
         return self._clock.now()
 
     def call_later(self, delay: int, call: Callable[[], None]) -> Callable[[], None]:
-        """After so many microseconds; gives its cancel."""
+        """Call `call` after `delay` microseconds. Returns a function that cancels the call."""
         due = self._reactor.callLater(max(delay, 0) / 1_000_000, call)
 
         def cancel() -> None:
@@ -128,9 +137,10 @@
 
         return cancel
 
-    # ---- the core
+    # ---- running the core
 
     def step(self, event: Event) -> None:
+        """Hand an event to the core and perform the effects."""
         effects = self.core.step(self._clock.now(), event)
         if self._running:
             self._schedule_tick()
@@ -153,26 +163,26 @@
                     log.warning("fleet: %s: %s", name, " ".join(f"{key}={value!r}" for key, value in fields.items()))
 
     def _notify(self, call: Callable[[Any], None], effect: Any) -> None:
-        """A fault in one part must not keep the others from what happened."""
+        """Call a subscriber. Its fault must not keep others from being notified."""
         try:
             call(effect)
         except Exception:
             self.core.context.count("faults")
-            log.exception("fleet: a part failed on %s", type(effect).__name__)
+            log.exception("fleet: a subscriber failed on %s", type(effect).__name__)
 
     def _store_generation(self, generation: int) -> None:
         try:
             generations.store_generation(self._settings.state, generation)
         except OSError as error:
             self.core.context.count("boot_not_kept")
-            log.warning("fleet: state: %s: %s", self._settings.state, error)
+            log.warning("fleet: state: generation not stored in %s: %s", self._settings.state, error)
 
     def _handle_datagram(self, data: bytes) -> None:
         if self._running:
             self.step(DatagramReceived(data))
 
     def _schedule_tick(self) -> None:
-        """One timer, at the core's next time."""
+        """Set the one timer to the time at which the core is next due."""
         wait = max(0.0, (self.core.due() - self._clock.now()) / 1_000_000)
         if self._timer is None or not self._timer.active():
             self._timer = self._reactor.callLater(wait, self._tick)
@@ -182,14 +192,15 @@
     def _tick(self) -> None:
         self.step(Tick())
 
-    # ---- what it counts
+    # ---- metrics
 
     def published_records(self) -> list[Record]:
-        """All that stands on the board, with its age at this moment."""
+        """All records held, with their present age."""
         self.core.context.now = max(self.core.context.now, self._clock.now())
         return list(self.core.records.all())
 
     def metrics(self) -> Mapping[str, float]:
+        """Counters and gauges by name."""
         collected: dict[str, float] = {f"fleet_{name}": count for name, count in self.core.context.counts.items()}
         members = self.members.all().values()
         for member in members:
--- a/rackhub/fleet/members/peer.py
+++ b/rackhub/fleet/members/peer.py
@@ -1,4 +1,4 @@
-"""What this gateway holds of another one, and the order in which claims about it hold."""
+"""The state held for one other member, and the precedence of claims about it."""
 
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.link.inbox import Inbox
@@ -15,6 +15,8 @@
 
 
 class Peer:
+    """Another member as this gateway sees it."""
+
     __slots__ = (
         "name",
         "address",
@@ -42,11 +44,11 @@
         self.name = claim.name
         self.packet_bucket: TokenBucket | None = None
         self.sync_bucket: TokenBucket | None = None
-        self.last_shown: tuple[MemberState, int, int] | None = None  # what was last said of it
+        self.last_shown: tuple[MemberState, int, int] | None = None  # state, generation, incarnation last reported
         self.begin(claim, now)
 
     def begin(self, claim: f.Claim, now: int) -> None:
-        """A process of that boot number begins here: nothing of an earlier one is left."""
+        """Reset to a new process with the generation of `claim`; nothing of an earlier one is kept."""
         self.address: Address = (claim.host, claim.port)
         self.generation, self.incarnation, self.rank, self.suspected_by = (
             claim.generation,
@@ -56,39 +58,42 @@
         )
         self.since = now
         self.suspicion: Suspicion | None = None
-        self.last_received: int | None = None  # when something of it last came straight
-        self.missed_probes, self.first_missed_at = (
-            0,
-            0,
-        )  # straight probes not answered, one after another, and when the first was
+        self.last_received: int | None = None  # time of the last datagram received from it
+        # Direct probes unanswered in a row, and when the first of them was sent.
+        self.missed_probes, self.first_missed_at = 0, 0
         self.stamp = self.stamp_at = 0
         self.inbox: Inbox | None = None
-        self.greeted_at: int | None = None  # when it was last sent a stamp because it had none
+        self.greeted_at: int | None = None  # when a `Hello` was last sent because the member had no timestamp to echo
         self.describe(claim)
 
     def describe(self, claim: f.Claim) -> None:
+        """Take client address and site from the claim."""
         self.client_address: Address | None = (claim.client_host, claim.client_port) if claim.client_port else None
         self.site = claim.site
 
     @property
     def is_live(self) -> bool:
+        """True if the member is alive or suspected."""
         return self.rank in (f.ALIVE, f.SUSPECT)
 
     def receives_directly(self) -> bool | None:
-        """Whether this gateway hears it: None as long as nothing has come and nothing been missed."""
+        """Return whether this gateway receives datagrams from the member; None before any evidence."""
         if self.missed_probes and (self.last_received is None or self.last_received < self.first_missed_at):
             return False
         return None if self.last_received is None else True
 
     def is_cut(self, threshold: int) -> bool:
+        """True if at least `threshold` direct probes in a row went unanswered."""
         return self.missed_probes >= threshold
 
     def state(self, threshold: int) -> MemberState:
+        """The state to report: `CUT` for an alive member that misses direct probes."""
         if self.rank == f.ALIVE and self.is_cut(threshold):
             return MemberState.CUT
         return STATE_BY_RANK[self.rank]
 
     def member(self, threshold: int) -> Member:
+        """The member as reported to other components."""
         return Member(
             self.name,
             self.address,
@@ -101,6 +106,7 @@
         )
 
     def claim(self) -> f.Claim:
+        """The claim to disseminate about this member."""
         host, port = self.client_address or ("", 0)
         return f.Claim(
             self.name,
@@ -115,9 +121,10 @@
         )
 
     def precedence(self) -> tuple[int, int, int]:
+        """The sort key of the claim held, as `precedence`."""
         return self.generation, self.incarnation, self.rank
 
 
 def precedence(claim: f.Claim) -> tuple[int, int, int]:
-    """The later of two claims about one name, wherever they meet: greatest boot, then incarnation, then rank."""
+    """The sort key of a claim. Of two claims about one name, the greater wins: generation, incarnation, then rank."""
     return claim.generation, claim.incarnation, claim.rank
--- a/rackhub/fleet/members/probing.py
+++ b/rackhub/fleet/members/probing.py
@@ -1,8 +1,9 @@
-"""Probes after SWIM: one member each period, straight, then by way of others; Lifeguard's patience with oneself. Pure.
+"""SWIM's failure detector: one member is probed each period, directly and then by ping-reqs. Lifeguard's health
+multiplier lengthens period and timeout while this gateway itself seems slow. Pure.
 
-A member that answers by way of others alone is cut off from this one, and named so after some such rounds in a row. One
-that does not answer at all is suspected. Those that are cut off or gone are probed seldom and beside the rounds, so
-that both are found again without anybody's help.
+A member that answers only indirect probes is cut off from this gateway, and reported so after some such rounds in a
+row. A member that does not answer at all is suspected. Members that are cut off or gone are probed at a lower rate
+outside the rounds, so both are found again without outside help.
 """
 
 from rackhub.fleet.link import frames as f
@@ -14,13 +15,13 @@
 from rackhub.fleet.members.table import MemberTable
 from rackhub.fleet.ports import Name
 
-MAX_INDIRECT_PROBES, LATE_ACK_PERIODS = (
-    256,
-    20,
-)  # probes for others that are open at once; periods in which an answer that comes late counts
+# Concurrent probes for other members; probe periods for which a late ack still counts.
+MAX_INDIRECT_PROBES, LATE_ACK_PERIODS = 256, 20
 
 
 class Probing:
+    """The current probe round, indirect probes for other members, and probes outside the rounds."""
+
     def __init__(self, context: Context, table: MemberTable, outgoing: Outgoing):
         self._context, self._table, self._outgoing = context, table, outgoing
         self.health = LocalHealth(context.timing.max_health_multiplier)
@@ -29,13 +30,13 @@
         self._probe_order: list[Name] = []
         self._retry_first: list[Name] = []
         self._indirect_probes: dict[int, IndirectProbe] = {}
-        self._outside_probes: dict[
-            int, tuple[Name, int]
-        ] = {}  # pings whose straight answer shows both ways, and until when
+        # Target and expiry of pings outside the rounds, and of missed rounds: a late direct ack proves both directions.
+        self._outside_probes: dict[int, tuple[Name, int]] = {}
         self._next_round_at = context.now + context.random.randrange(context.timing.probe_period)
         self._next_unreachable_probe_at = context.now + context.timing.unreachable_probe_interval
 
     def due(self) -> int:
+        """The time at which `tick` is next needed."""
         next_round_event = (
             self._next_round_at
             if self._current_round is None
@@ -52,7 +53,10 @@
         )
 
     def handle_stall(self, gap: int) -> None:
-        """This process did not run for so long: what it did not hear meanwhile says nothing."""
+        """Forget the current round after this process did not run for `gap` microseconds.
+
+        Probes unanswered in that time say nothing about their targets.
+        """
         self._current_round, self._retry_first, self._next_round_at = (
             None,
             [],
@@ -67,6 +71,7 @@
                 peer.missed_probes = 0
 
     def tick(self) -> None:
+        """Advance the current round or start the next one, and handle expired indirect probes."""
         now = self._context.now
         if self._current_round is not None:
             self._advance_round(self._current_round)
@@ -82,7 +87,7 @@
             self._next_unreachable_probe_at = now + self._context.timing.unreachable_probe_interval
             self._probe_unreachable()
 
-    # ---- the own rounds
+    # ---- probe rounds
 
     def _next_sequence(self) -> int:
         self._seq += 1
@@ -170,7 +175,7 @@
         self._table.suspect(peer, self._context.local_name)
 
     def _probe_unreachable(self) -> None:
-        """One of those that are cut off or gone, at its address."""
+        """Probe one of the members that are cut off or gone at its last address."""
         context = self._context
         for seq, (_, expires_at) in list(self._outside_probes.items()):
             if expires_at <= context.now:
@@ -184,7 +189,7 @@
             self.probe_outside_rounds(self._table.peers[context.random.choice(unreachable)])
 
     def probe_outside_rounds(self, peer: Peer) -> None:
-        """A ping outside the rounds."""
+        """Ping a member outside the rounds."""
         seq = self._next_sequence()
         self._outside_probes[seq] = (
             peer.name,
@@ -193,22 +198,23 @@
         self._outgoing.send(peer, f.Ping(seq))
         self._context.count("probes_beside")
 
-    # ---- what comes
+    # ---- incoming frames
 
     def handle_ping(self, sender: Peer, ping: f.Ping) -> None:
+        """Send an ack, and a `Hello` to the member that asked for the ping by a ping-req."""
         self._outgoing.send(sender, f.Ack(ping.seq))
         origin = self._table.peers.get(ping.origin)
         if origin is not None and origin is not sender:
             self._outgoing.send(origin, f.Hello(), piggyback=False)
 
     def handle_ping_req(self, sender: Peer, ping_req: f.PingReq) -> None:
+        """Ping the target for another member."""
         target = self._table.peers.get(ping_req.target)
         if target is None or len(self._indirect_probes) >= MAX_INDIRECT_PROBES:
             self._context.count("asks_dropped")
             return
-        if (
-            target.generation != ping_req.generation
-        ):  # here that name is another process: this one can't speak for the one meant
+        # The name belongs to another process here, which can't answer for the one meant.
+        if target.generation != ping_req.generation:
             self._context.count("asks_of_another")
             self._reply(sender.name, f.Nack(ping_req.seq))
             return
@@ -224,6 +230,7 @@
         self._outgoing.send(target, f.Ping(seq, sender.name))
 
     def handle_ack(self, sender: Peer, ack: f.Ack) -> None:
+        """Match an ack to the current round, an indirect probe or a probe outside the rounds."""
         probe_round = self._current_round
         if probe_round is not None and ack.seq == probe_round.seq:
             if sender.name == probe_round.name and not ack.indirect:
@@ -241,6 +248,7 @@
             self._mark_reachable(sender)
 
     def handle_nack(self, sender: Peer, nack: f.Nack) -> None:
+        """Note that a helper is alive though its target has not answered yet."""
         if self._current_round is not None and nack.seq == self._current_round.seq:
             self._current_round.nacks.add(sender.name)
 
--- a/rackhub/fleet/members/reachability.py
+++ b/rackhub/fleet/members/reachability.py
@@ -1,7 +1,8 @@
-"""Directed reachability: each member says on the board whom it hears straight. Pure.
+"""Directed reachability: each member publishes which members it receives datagrams from. Pure.
 
-Names go as four bytes of their CRC-32. Up to 48 members a record lists those that are heard; above, those of the known
-that are not, so that it stays small: one that its owner has not heard of yet then counts as heard until it has.
+Names are hashed to the four bytes of their CRC-32. With up to 48 reachable members a record lists those; with more, it
+lists the unreachable ones, so that it stays small. A member that the owner does not know yet then counts as reachable
+until it does.
 """
 
 import zlib
@@ -14,23 +15,24 @@
 from rackhub.fleet.ports import Name
 
 KIND = "reach"
-MAX_LISTED_REACHABLE = 48  # heard ones that are listed
-MAX_LISTED_UNREACHABLE = 220  # marks in a record
+MAX_LISTED_REACHABLE = 48  # hashes in a record; with more reachable members it lists the unreachable ones
+MAX_LISTED_UNREACHABLE = 220  # hashes in a record
 
 
 class ReachabilityRecord(msgspec.Struct, frozen=True, array_like=True):
-    """`heard`: whether the marks are of those heard or of those not heard."""
+    """`reachable`: whether the hashes are of reachable or of unreachable members."""
 
     reachable: bool
     name_hashes: bytes
 
 
 def name_hash(name: Name) -> bytes:
+    """The hash of a name in a record."""
     return zlib.crc32(name.encode()).to_bytes(4, "big")
 
 
 def encode_reachability(peers: Iterable[Peer]) -> bytes:
-    """The own record, of those that live: the same bytes as long as the same are heard."""
+    """The local record of live members. The bytes stay the same while the same members are reachable."""
     reachable: list[bytes] = []
     unreachable: list[bytes] = []
     for peer in peers:
@@ -43,14 +45,14 @@
 
 
 class ReachabilityReports:
-    """What the others' records say, read once for each number."""
+    """The records of other members, decoded once for each number."""
 
     def __init__(self, records: GossipRecords):
         self._records = records
         self._decoded: dict[Name, tuple[tuple[int, int], ReachabilityRecord | None, frozenset[bytes]]] = {}
 
     def receives_from(self, receiver: Name, sender: Name) -> bool | None:
-        """By the word of `one`; None: it has not said so, or not in words that can be read."""
+        """Return whether `receiver` reports that it receives from `sender`; None without a readable record."""
         record = self._records.get(receiver, KIND)
         if record is None:
             self._decoded.pop(receiver, None)
--- a/rackhub/fleet/members/receive.py
+++ b/rackhub/fleet/members/receive.py
@@ -1,4 +1,4 @@
-"""What a datagram may do here: whose it is, whether it is of the present process, how long it was on its way. Pure."""
+"""Incoming datagrams: checks of the sender and its generation, transit time, and dispatch of the frames. Pure."""
 
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.link.inbox import Inbox
@@ -13,13 +13,14 @@
 from rackhub.fleet.members.probing import Probing
 from rackhub.fleet.members.table import MemberTable
 
-CLOCK_DRIFT_DIVISOR = 10  # held milliseconds by this are the microseconds that two clocks differ over them: 1 in 10,000
-STAMP_LIFETIME = (
-    2_000_000  # microseconds after which a stamp gives way to a lower one: it was wrong, or a clock began anew
-)
+CLOCK_DRIFT_DIVISOR = 10  # milliseconds held / 10 = microseconds of clock drift, that is, 1 in 10,000
+# Microseconds after which a lower timestamp replaces a greater one, which was wrong or of a clock that was reset.
+STAMP_LIFETIME = 2_000_000
 
 
 class Receiver:
+    """Hands the frames of accepted packets to the other components."""
+
     def __init__(
         self,
         context: Context,
@@ -38,6 +39,7 @@
         self._started_stamp = context.now // 1_000
 
     def handle_datagram(self, data: bytes) -> None:
+        """Check a datagram and handle its frames. Those not accepted are counted and dropped."""
         context = self._context
         try:
             packet = f.decode_datagram(data)
@@ -56,7 +58,7 @@
                 self._handle_packet(peer, packet)
 
     def _handle_local_name(self, packet: f.Packet) -> None:
-        """From a process that says it is this gateway: the own call to a seed, or a clash."""
+        """Handle a packet with the local name: a join request that reached this process itself, or a clash."""
         if packet.generation == self._table.local_member.generation:
             self._context.count("own_packets")
             return
@@ -65,7 +67,7 @@
             self._table.local_member.report_clash(packet.name, f"{claim.host}:{claim.port}")
 
     def _accept_sender(self, packet: f.Packet) -> Peer | None:
-        """Who sent it; None: it is not to be taken."""
+        """Return the member that sent the packet, or None if the packet is not accepted."""
         context, peer = self._context, self._table.peers.get(packet.name)
         if peer is None or packet.generation > peer.generation:
             if not self._newcomer_bucket.take(context.now):
@@ -97,8 +99,11 @@
         return peer
 
     def _correct_sender(self, peer: Peer, claim: f.Claim | None) -> None:
-        """Tell one that goes by a name whose process here is another: it rises above that one's boot number where that
-        is its own or gone, and names the clash where it lives."""
+        """Send a sender the claim held here about another process with its name.
+
+        If that process has the sender's own address or is gone, the sender raises its generation above that one's; if
+        it is live, the sender reports the clash.
+        """
         address = peer.address if claim is None else (claim.host, claim.port)
         if address != peer.address and peer.is_live and claim is not None and claim.generation < peer.generation:
             self._table.local_member.report_clash(peer.name, f"{claim.host}:{claim.port}")
@@ -126,8 +131,10 @@
             self._dispatch(peer, frame, transit_time)
 
     def _transit_time(self, packet: f.Packet) -> int | None:
-        """Microseconds that this packet was on its way at the most: what the way there and back took. None: the sender
-        has nothing of this process yet, so there is no bound."""
+        """The upper bound of this packet's transit time in microseconds, from the round trip.
+
+        None without a bound, as the sender has no timestamp of this process yet.
+        """
         if packet.echo < self._started_stamp or not packet.echo:
             return None
         transit_time = (
@@ -160,8 +167,11 @@
                     self._outgoing.send(self._table.peers[name], page, piggyback=False)
 
     def _handle_record(self, sender: Peer, update: f.RecordUpdate, transit_time: int | None) -> None:
-        """A record. One of a process that is not the present one of its owner changes nothing, and one that may have
-        been on its way for ever is not taken: it comes again."""
+        """Store a record.
+
+        It is ignored unless it is of its owner's present process, and dropped if its transit time has no bound; it
+        comes again.
+        """
         context = self._context
         if update.owner == context.local_name:
             if update.generation == self._table.local_member.generation:
--- a/rackhub/fleet/members/rounds.py
+++ b/rackhub/fleet/members/rounds.py
@@ -1,10 +1,12 @@
-"""What a probe under way knows: the own round, and the probe made for another member."""
+"""State of the probes in progress: the local round, and indirect probes for other members."""
 
 from rackhub.fleet.members.peer import Peer
 from rackhub.fleet.ports import Name
 
 
 class ProbeRound:
+    """One probe of one member by this gateway, with the helpers asked for indirect probes."""
+
     __slots__ = (
         "name",
         "generation",
@@ -22,11 +24,13 @@
         self.name, self.generation, self.seq, self.began_at = peer.name, peer.generation, seq, began_at
         self.direct_deadline, self.deadline = direct_deadline, deadline
         self.direct_ack = self.indirect_ack = False
-        self.helpers: set[Name] | None = None
+        self.helpers: set[Name] | None = None  # None until the direct timeout
         self.nacks: set[Name] = set()
 
 
 class IndirectProbe:
+    """A probe sent for the member `origin`, which asked by a ping-req with number `seq`."""
+
     __slots__ = ("origin", "seq", "target", "nack_at", "expires_at")
 
     def __init__(self, origin: Name, seq: int, target: Name, nack_at: int, expires_at: int):
--- a/rackhub/fleet/members/table.py
+++ b/rackhub/fleet/members/table.py
@@ -1,8 +1,9 @@
-"""All members as this gateway holds them, and what each claim about them changes. Pure.
+"""The member table: all known members, and how claims change it. Pure.
 
-Claims are ordered by boot, incarnation and rank; the latest holds, in whatever order they come. One thing is not taken
-at once: that a member that lives here is gone. It becomes suspected, is told so, and has the least time to object, so
-that halves that find each other again, or one that tells nonsense, give nobody up who can answer.
+Claims are ordered by generation, incarnation and rank, and the greatest wins in whatever order they arrive. One claim
+is not applied at once: that a member which is live here is gone. It becomes suspected, is told so, and has the minimum
+suspicion timeout to refute. So neither partitions that merge nor a member with wrong claims remove a member that can
+answer.
 """
 
 from collections.abc import Callable, Iterator
@@ -18,45 +19,49 @@
 
 
 class MemberTable:
+    """Members by name. The `on_...` callbacks and `local_member` are set by the core."""
+
     def __init__(self, context: Context, dissemination: DisseminationQueue, records: GossipRecords):
         self._context, self._dissemination, self._records = context, dissemination, records
-        self.local_member: LocalMember  # set by the core, which puts both together
+        self.local_member: LocalMember  # set by the core
         self.on_doubtful_claim: Callable[[f.Claim], None] = lambda claim: None
         self.on_suspected: Callable[[Peer], None] = lambda peer: None
         self.on_returned: Callable[[Peer, bool], None] = lambda peer, from_subject: None
         self.peers: dict[Name, Peer] = {}
         self.implausible_claims: dict[Name, int] = {}
-        self.version = 0  # another one whenever something may look different
+        self.version = 0  # grows whenever a member may have changed
         self._changed_names: set[Name] = set()
         self._local_shown: tuple[MemberState, int, int] | None = None
         self._size: int | None = None
 
-    # ---- what is known
+    # ---- queries
 
     @property
     def size(self) -> int:
-        """Members that live, this one too."""
+        """Number of live members, including the local one."""
         if self._size is None:
             self._size = 1 + sum(peer.is_live for peer in self.peers.values())
         return self._size
 
     def live(self) -> Iterator[Peer]:
+        """The live members, without the local one."""
         return (peer for peer in self.peers.values() if peer.is_live)
 
     def claim(self, name: Name) -> f.Claim | None:
+        """The claim to disseminate about a member, None if it is unknown."""
         if name == self._context.local_name:
             return self.local_member.claim()
         peer = self.peers.get(name)
         return None if peer is None else peer.claim()
 
     def mark_changed(self, peer: Peer) -> None:
-        """Something of it may look different now."""
+        """Check the member for changes at the next `emit_changes`."""
         self._changed_names.add(peer.name)
         self.version += 1
         self._size = None
 
     def emit_changes(self) -> bool:
-        """Say what changed since the last time; whether anything did."""
+        """Emit the changes since the last call. Return True if there were any."""
         changed_names, self._changed_names = self._changed_names, set()
         threshold, any_changed = self._context.timing.cut_threshold, False
         for name in sorted(changed_names):
@@ -77,15 +82,17 @@
         return any_changed
 
     def members(self) -> dict[Name, Member]:
+        """All members as reported to other components."""
         threshold = self._context.timing.cut_threshold
         return {
             self._context.local_name: self.local_member.member(),
             **{name: peer.member(threshold) for name, peer in self.peers.items()},
         }
 
-    # ---- what claims change
+    # ---- claims
 
     def merge(self, claim: f.Claim, sender: Name) -> None:
+        """Apply a claim received from `sender`."""
         context = self._context
         if claim.name == context.local_name:
             if not self.local_member.handle_claim(claim):
@@ -146,7 +153,10 @@
             self._apply(peer, claim, True, sender == peer.name)
 
     def _evict_dead(self) -> bool:
-        """Make room: of those that are no more, the one of which that has been known longest."""
+        """Make room by removing a member that left or is gone. Return False if there is none.
+
+        Members that left go first, then those in their state for longest.
+        """
         oldest = min(
             (peer for peer in self.peers.values() if not peer.is_live),
             default=None,
@@ -160,7 +170,7 @@
         return True
 
     def _apply(self, peer: Peer, claim: f.Claim, is_new_process: bool, from_subject: bool) -> None:
-        """A claim that is later than what was held; `straight`: from the one whom it is about."""
+        """Apply a claim that takes precedence over the one held. `from_subject`: it came from the member itself."""
         was_live = peer.is_live
         if claim.incarnation > peer.incarnation or is_new_process:
             peer.incarnation = claim.incarnation
@@ -186,6 +196,7 @@
             self._disseminate(peer)
 
     def suspect(self, peer: Peer, accuser: Name) -> None:
+        """Suspect an alive member, or add an accuser to the suspicion."""
         if peer.rank != f.ALIVE:
             if peer.suspicion is not None and peer.suspicion.confirm(accuser):
                 peer.suspected_by = accuser
@@ -205,7 +216,7 @@
         self.on_suspected(peer)
 
     def expire_suspicion(self, peer: Peer) -> None:
-        """A suspicion whose time is over: gone, unless something of it came straight in the meantime."""
+        """Declare a member gone when its suspicion timed out, unless a datagram came from it in the meantime."""
         suspicion = peer.suspicion
         if suspicion is None or self._context.now < suspicion.expires_at:
             return
@@ -222,7 +233,7 @@
         self._dissemination.enqueue(CLAIM, peer.name)
 
     def report_implausible_claim(self, sender: Name) -> None:
-        """What it said can't be: dropped, counted, and named once."""
+        """Count an implausible claim, and report its sender once."""
         self._context.count("nonsense")
         if sender not in self.implausible_claims:
             if len(self.implausible_claims) >= self._context.timing.max_reported_names:
--- a/rackhub/fleet/members/views.py
+++ b/rackhub/fleet/members/views.py
@@ -1,4 +1,4 @@
-"""The ports of `rackhub.fleet.ports` over the core: what other parts of the process read and call."""
+"""The ports of `rackhub.fleet.ports` on the membership core, for other components of the process."""
 
 from collections.abc import Callable, Mapping
 from typing import Protocol
@@ -12,13 +12,15 @@
 
 
 class CoreHost(Protocol):
-    """The shell: it takes an event to the core at the present moment and does what comes out."""
+    """The shell, which hands events to the core with the present time and performs the effects."""
 
     def step(self, event: Event) -> None: ...
     def now(self) -> int: ...
 
 
 class MembersView:
+    """`ports.Members` on the member table, cached by its version."""
+
     def __init__(self, core: Core):
         self._core, self.local_name = core, core.context.local_name
         self._listeners: list[Callable[[Member], None]] = []
@@ -41,61 +43,78 @@
         return self._all
 
     def all(self) -> Mapping[Name, Member]:
+        """All known members by name."""
         return self._refresh()
 
     def live(self) -> frozenset[Name]:
+        """The members that are alive, suspected or cut off, and the local one."""
         self._refresh()
         return self._live
 
     def reachable(self) -> frozenset[Name]:
+        """The live members that are not cut off from this gateway."""
         self._refresh()
         return self._reachable
 
     def receives_from(self, one: Name, other: Name) -> bool | None:
+        """Return whether `one` receives datagrams from `other`; None if not known."""
         return self._core.receives_from(one, other)
 
     def follow(self, call: Callable[[Member], None]) -> None:
+        """Call `call` after each change of a member."""
         self._listeners.append(call)
 
     def notify_changed(self, effect: MemberChanged) -> None:
+        """Call the followers."""
         for call in list(self._listeners):
             call(effect.member)
 
 
 class GossipStateView:
+    """`ports.GossipState` on the records of the core."""
+
     def __init__(self, core: Core, host: CoreHost):
         self._core, self._host = core, host
         self._listeners: dict[str, list[Callable[[Record], None]]] = {}
 
     def publish(self, kind: str, body: bytes) -> None:
+        """Publish the newest local record of a kind. Raises `ValueError` if it is invalid."""
         self._host.step(PublishRecord(kind, body))
 
     def read(self, kind: str) -> Mapping[Name, Record]:
+        """The newest record of the kind, by owner, with its present age."""
         self._core.context.now = max(self._core.context.now, self._host.now())
         return self._core.records.read(kind)
 
     def follow(self, kind: str, call: Callable[[Record], None]) -> None:
+        """Call `call` with each newer record of the kind by another member."""
         self._listeners.setdefault(kind, []).append(call)
 
     def notify_record(self, effect: RecordReceived) -> None:
+        """Call the followers of the record's kind."""
         for call in list(self._listeners.get(effect.record.kind, ())):
             call(effect.record)
 
 
 class MessengerView:
+    """`ports.Messenger` on the outbox of the core."""
+
     def __init__(self, host: CoreHost, count: Callable[[str], None]):
         self._host, self._count = host, count
         self._handlers: dict[str, Callable[[Name, bytes], None]] = {}
 
     def send(self, to: Name, kind: str, body: bytes) -> None:
+        """Send a message. Raises `ValueError` if it is too large or its kind is invalid."""
         self._host.step(SendMessage(to, kind, body))
 
     def subscribe(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
+        """Set the handler of a kind. Raises `ValueError` if there is one already."""
         if kind in self._handlers:
-            raise ValueError(f"mail of kind {kind!r} is taken already")
+            raise ValueError(f"message kind {kind!r} already has a handler")
         self._handlers[kind] = call
 
     def deliver(self, effect: MessageReceived) -> None:
+        """Call the handler of the message's kind, or count the message if there is none."""
         call = self._handlers.get(effect.kind)
         if call is None:
             self._count("mail_unknown_kind")
