--- a/rackhub/fleet/link/__init__.py
+++ b/rackhub/fleet/link/__init__.py
@@ -1,1 +1,1 @@
-"""What lies between gateways: frames in datagrams, mail in pages, rates, and the socket. docs/design/fleet.md."""
+"""Datagrams between gateways: frames, paged messages, rate limits and the UDP socket. See docs/design/fleet.md."""
--- a/rackhub/fleet/link/admission.py
+++ b/rackhub/fleet/link/admission.py
@@ -1,4 +1,4 @@
-"""Which datagrams an association takes: whole, of its cluster, for its process, of a sender that is known. Pure."""
+"""Checks datagrams of an association: intact, of its cluster, for its process, and from an acceptable sender. Pure."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class Admitted(NamedTuple):
-    """A packet that is to be taken. `fresh`: it is the first of its sender's process."""
+    """An accepted packet. `is_new_process`: it is the first packet from its sender's process."""
 
     remote: Remote
     packet: f.Packet
@@ -19,7 +19,7 @@
 
 
 class Admission:
-    """`fault` gets a counter's name and the sender for each datagram that is dropped."""
+    """Decides which datagrams to accept. `count_fault` gets a counter's name and the sender for each one dropped."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._count_fault = count_fault
 
     def check(self, now: int, data: bytes, source: Address | None) -> Admitted | None:
-        """`source`: the address that the datagram came from, where it is known."""
+        """Return the packet if it is accepted. `source` is the datagram's source address, where known."""
         owner = self._remotes.configured_owner(source)
         try:
             packet = f.decode_datagram(data)
@@ -73,7 +73,10 @@
         return Admitted(remote, packet, is_new_process)
 
     def _admit_newcomer(self, now: int, packet: f.Packet, previous: Remote | None) -> Remote | None:
-        """A process heard for the first time. Learned ones share a rate, so that they can't use up this process."""
+        """Admit a process seen for the first time.
+
+        Processes that are not configured share a rate limit, so that they can't overload this one.
+        """
         if (previous is None or not previous.configured) and not self._newcomer_bucket.take(now):
             self._count_fault("newcomers_over", packet.name)
             return None
--- a/rackhub/fleet/link/association.py
+++ b/rackhub/fleet/link/association.py
@@ -1,9 +1,9 @@
-"""Mail between processes that are not members of one another's zone, on the frames and pages of the link. Pure.
+"""Messages between processes that are not members of one zone, on the link's frames and pages. Pure.
 
-Peers of the directory are reached at their configured address, others at the one that they claim. The boot number that
-pages must carry is learned from the receiver's own packets: who has mail for a process that it does not know yet greets
-it, with its claim, and sends what waits once the answer is there. Nothing here judges who lives: silence is for the
-caller to notice.
+Peers of the directory are reached at their configured address, others at the address that they claim. Pages carry the
+receiver's generation, which is learned from its packets: a sender that does not know it yet sends a greeting with its
+own claim, and the waiting messages once the answer arrives. The association does not judge which processes are alive;
+the caller has to notice missing answers.
 """
 
 import random
@@ -22,13 +22,13 @@
 from rackhub.fleet.members.events import DatagramReceived, SendMessage, Tick
 from rackhub.fleet.ports import MAX_MESSAGE_BYTES, Address, Name
 
-MINIMUM_TICK_INTERVAL = 1_000  # microseconds between two ticks at the least
-MAX_KIND_BYTES = 32  # most bytes of a kind of mail
-UNKNOWN_SENDER = ""  # whom a fault is counted under where no known process can be named
+MINIMUM_TICK_INTERVAL = 1_000  # microseconds; keeps a fault from causing a busy loop
+MAX_KIND_BYTES = 32  # limit of a message kind
+UNKNOWN_SENDER = ""  # sender of faults whose sender is not a known process
 
 
 class DatagramReceivedFrom(NamedTuple):
-    """A datagram is here, from that address."""
+    """A datagram was received from that address."""
 
     data: bytes
     source: Address
@@ -39,8 +39,11 @@
 
 
 class Association:
-    """`directory`: the peers with a configured address. `address`: where others reach this process. `counts` has what
-    happened, `faults` what was dropped under the name of its sender."""
+    """Exchanges messages with other processes: events go in, effects come out.
+
+    `directory` holds the peers with a configured address; `address` is where other processes reach this one. `counts`
+    has all counters, `faults` the dropped datagrams by counter and sender.
+    """
 
     def __init__(
         self,
@@ -64,12 +67,12 @@
         self._outbox = Outbox(limits, self._count)
         self._admission = Admission(cluster, name, generation, self._remotes, limits, now, self._count_fault)
         self._started_stamp = now // 1_000
-        self._awaiting_greeting: set[Name] = set()  # those that mail waits for
+        self._awaiting_greeting: set[Name] = set()  # processes that messages wait for
         self._idle_check_at = now + limits.idle_check_interval
         self._effects: list[Effect] = []
 
     def step(self, now: int, event: Event) -> list[Effect]:
-        """Raises `ValueError` for mail that is too large, and has done nothing then."""
+        """Handle an event and return its effects. Raises `ValueError`, without effect, for an invalid message."""
         self._now = max(self._now, now)
         match event:
             case DatagramReceived(data):
@@ -84,7 +87,7 @@
         return effects
 
     def due(self) -> int:
-        """When a `Tick` is next of use; never at once, so that no fault can spin."""
+        """The time at which a `Tick` is next needed, at least `MINIMUM_TICK_INTERVAL` from now."""
         dues = [self._idle_check_at]
         resend_due = self._outbox.due()
         if resend_due is not None:
@@ -96,17 +99,17 @@
         return max(self._now + MINIMUM_TICK_INTERVAL, min(dues))
 
     def knows(self, name: Name) -> bool:
-        """Whether mail to that name goes out at once: its boot number is known."""
+        """True if the generation of that process is known, so that messages are sent at once."""
         remote = self._remotes.get(name)
         return remote is not None and remote.generation > 0
 
-    # ---- what goes out
+    # ---- sending
 
     def _send_message(self, to: Name, kind: str, body: bytes) -> None:
         if len(body) > MAX_MESSAGE_BYTES:
-            raise ValueError(f"mail of {len(body)} bytes, more than {MAX_MESSAGE_BYTES}")
+            raise ValueError(f"message of {len(body)} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")
         if not 0 < len(kind.encode()) <= MAX_KIND_BYTES:
-            raise ValueError(f"{kind!r} is not a kind of 1 to {MAX_KIND_BYTES} bytes")
+            raise ValueError(f"message kind {kind!r} has {len(kind.encode())} bytes, allowed are 1 to {MAX_KIND_BYTES}")
         if to == self.name:
             self._effects.append(MessageReceived(to, kind, body))
             return
@@ -127,7 +130,7 @@
             self._send_frame(remote, page)
 
     def _greet(self, remote: Remote) -> None:
-        """Ask for its boot number: its answer carries it."""
+        """Send a greeting, whose answer carries the generation of the process."""
         wait = min(self._limits.greeting_interval << min(remote.greeting_count, 8), self._limits.max_greeting_interval)
         remote.greeting_count += 1
         remote.next_greeting_at = self._now + self._random.randint(wait // 2, wait)
@@ -135,7 +138,7 @@
         self._send_frame(remote, f.Hello())
 
     def _send_frame(self, remote: Remote, frame: f.AnyFrame) -> None:
-        """One datagram, with the own claim before it where the receiver may not know this process."""
+        """Send one frame, after the local claim where the receiver may not know this process."""
         body = f.encode(frame)
         builder = DatagramBuilder(self._cluster, self.name, remote.name)
         if not remote.knows_local_process or self._now - remote.last_received >= self._limits.introduce_after:
@@ -151,7 +154,7 @@
         stamp = max(1, self._now // 1_000)
         self._effects.append(SendDatagram(remote.address, builder.build(self.generation, stamp, remote.stamp, held)))
 
-    # ---- what comes in
+    # ---- receiving
 
     def _handle_datagram(self, data: bytes, source: Address | None) -> None:
         admitted = self._admission.check(self._now, data, source)
@@ -162,7 +165,7 @@
         self._handle_packet(admitted.remote, admitted.packet)
 
     def _handle_new_process(self, remote: Remote) -> None:
-        """Another process goes by that name now: what was under way to the one before is void, what waits goes out."""
+        """Drop messages in transit to the earlier process of that name, and send the waiting ones to the new one."""
         self._outbox.drop_recipient(remote.name)
         self._awaiting_greeting.discard(remote.name)
         for message in remote.take_waiting():
@@ -185,7 +188,7 @@
             self._dispatch(remote, frame)
 
     def _answer_with_hello(self, remote: Remote) -> None:
-        """Tell it that it is heard, and under which boot number this process goes; not at each of its packets."""
+        """Tell the sender that its packets arrive, and the local generation. Rate limited."""
         if remote.answered_at is None or self._now - remote.answered_at >= self._limits.greeting_interval:
             remote.answered_at = self._now
             self._send_frame(remote, f.Hello())
@@ -219,7 +222,7 @@
             self._count("mail_in")
             self._effects.append(MessageReceived(remote.name, page.kind, body))
 
-    # ---- time and counters
+    # ---- timers and counters
 
     def _tick(self) -> None:
         for name, page in self._outbox.tick(self._now):
@@ -247,6 +250,6 @@
             self.counts[name] += amount
 
     def _count_fault(self, name: str, sender: Name) -> None:
-        """Counted under its sender where that is a process known here, so that strangers can't fill the memory."""
+        """Count a fault, by its sender if that is a known process: names of unknown senders would use up memory."""
         self.counts[name] += 1
         self.faults[name, sender if self._remotes.get(sender) or sender == self.name else UNKNOWN_SENDER] += 1
--- a/rackhub/fleet/link/datagram_builder.py
+++ b/rackhub/fleet/link/datagram_builder.py
@@ -1,13 +1,12 @@
-"""Frames put together into datagrams that stay below the size, with the head that says whose they are."""
+"""Packs frames into datagrams below the size limit, with the packet header."""
 
 import msgspec
 
 from rackhub.fleet.link import frames as f
 from rackhub.fleet.ports import DATAGRAM_LIMIT_BYTES
 
-PACKET_OVERHEAD_BYTES = (
-    56  # bytes of a packet without its names: checksum, numbers at their widest, heads of the arrays
-)
+# A packet without its names and frames: checksum, integers at their widest, array headers.
+PACKET_OVERHEAD_BYTES = 56
 
 
 class DatagramBuilder:
@@ -24,13 +23,14 @@
 
     @property
     def free_bytes(self) -> int:
+        """Bytes left for frames."""
         return self._free_bytes
 
     def __len__(self) -> int:
         return len(self._frames)
 
     def add_frame(self, body: bytes) -> bool:
-        """Whether the frame found room."""
+        """Add an encoded frame. Return False if it does not fit."""
         if len(body) > self._free_bytes:
             return False
         self._free_bytes -= len(body)
@@ -38,5 +38,6 @@
         return True
 
     def build(self, generation: int, stamp: int, echo: int, held: int) -> bytes:
+        """The datagram with its header fields, as described at `frames.Packet`."""
         cluster, name, to = self._names
         return f.encode_datagram(f.Packet(f.VERSION, cluster, name, generation, to, stamp, echo, held, self._frames))
--- a/rackhub/fleet/link/frames.py
+++ b/rackhub/fleet/link/frames.py
@@ -1,8 +1,8 @@
-"""Frames and the packets that carry them: msgspec types, as they go over the wire.
+"""The wire format: frames, and the packets that carry them, as msgspec types.
 
 A packet is four bytes of CRC-32 and one MessagePack array. Fields are added at the end and have defaults: an older
-program ignores them, a newer one reads their absence. A kind of frame that is not known is counted and passed over, the
-rest of its packet is taken. A packet of another `VERSION` is not read at all.
+version ignores them, a newer one takes the default where they are missing. An unknown kind of frame is counted and
+skipped, and the rest of its packet is handled. A packet of another `VERSION` is not decoded at all.
 """
 
 import zlib
@@ -23,15 +23,17 @@
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
 PageNumber = Annotated[int, Meta(ge=0, le=1 << 20)]
 
-ALIVE, SUSPECT, GONE, LEFT = range(4)  # a claim's rank: of two with one boot and incarnation the higher holds
+ALIVE, SUSPECT, GONE, LEFT = range(4)  # rank of a claim: the greater wins at equal generation and incarnation
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
+    """A frame, encoded as an array that starts with its tag."""
+
     pass
 
 
 class Claim(Frame, tag=1, frozen=True, array_like=True):
-    """What the fleet is told of one member. `by`: who suspects it. Of the sender itself it is a request to join."""
+    """A claim about one member, suspected by `suspected_by`. A claim by the sender about itself is a join request."""
 
     name: Name
     host: Host
@@ -46,21 +48,25 @@
 
 
 class Ping(Frame, tag=2, frozen=True, array_like=True):
-    """`origin`: the member that asked for it; it gets a `Hello` straight, which shows that way alone."""
+    """SWIM's ping.
+
+    `origin` is the member that asked for it by a ping-req, if any. The target sends it a `Hello`, which proves that
+    direction alone.
+    """
 
     seq: Count
     origin: OptionalName = ""
 
 
 class Ack(Frame, tag=3, frozen=True, array_like=True):
-    """`via`: it came by way of another member, and says nothing of the straight way."""
+    """SWIM's ack. `indirect`: relayed by a helper, so it does not prove the direct path."""
 
     seq: Count
     indirect: bool = False
 
 
 class PingReq(Frame, tag=4, frozen=True, array_like=True):
-    """Please ping the target, and say so when its process of that boot number answers."""
+    """SWIM's ping-req: ping the target, and relay its ack if its process has that generation."""
 
     seq: Count
     target: Name
@@ -68,17 +74,17 @@
 
 
 class Nack(Frame, tag=5, frozen=True, array_like=True):
-    """The one that was asked lives; the target has not answered it yet."""
+    """The helper is alive, but the target has not answered it yet."""
 
     seq: Count
 
 
 class Hello(Frame, tag=6, frozen=True, array_like=True):
-    """Nothing but that the sender is heard."""
+    """Proves that datagrams from the sender arrive, and carries no data."""
 
 
 class RecordUpdate(Frame, tag=7, frozen=True, array_like=True):
-    """One record of the board. `age`: milliseconds at sending, rounded up."""
+    """One published record. `age`: milliseconds at the time of sending, rounded up."""
 
     owner: Name
     kind: Kind
@@ -99,7 +105,10 @@
 
 
 class Digest(Frame, tag=8, frozen=True, array_like=True):
-    """All that the sender knows of names after `after` up to `upto` ("": to the end). Each stands for itself."""
+    """All that the sender knows about names after `after` up to `up_to`, or to the end if that is empty.
+
+    Each digest is handled alone.
+    """
 
     after: OptionalName
     up_to: OptionalName
@@ -107,13 +116,13 @@
 
 
 class StateRequest(Frame, tag=9, frozen=True, array_like=True):
-    """The names whose claim is wanted, with the kinds of records."""
+    """Requests the claims about these members, with their records of these kinds."""
 
     names: dict[Name, list[Kind]]
 
 
 class Page(Frame, tag=10, frozen=True, array_like=True):
-    """One page of mail for the process of that boot number."""
+    """One page of a message for the process of that generation."""
 
     id: Count
     generation: Count
@@ -124,7 +133,10 @@
 
 
 class PageAck(Frame, tag=11, frozen=True, array_like=True):
-    """The pages that are there, one bit each, lowest first; `whole`: all are, or the mail is no longer wanted."""
+    """`received`: one bit for each page received, lowest first.
+
+    `complete`: all are, or the message is no longer accepted.
+    """
 
     id: Count
     received: Annotated[bytes, Meta(max_length=64)]
@@ -135,15 +147,18 @@
 
 
 class Packet(msgspec.Struct, frozen=True, array_like=True):
-    """`stamp`: the sender's clock, milliseconds, which only comes back to it: `echo` is the last stamp that the sender
-    has of the receiver, `held` how long it has had it. So the receiver knows what the way there and back took, and that
-    this packet has been on its way for no longer, without comparing clocks. 0: none yet."""
+    """A packet's header and frames.
+
+    `stamp` is the sender's clock in milliseconds and is only ever returned to it: `echo` is the last stamp that the
+    sender has of the receiver, and `held` the milliseconds since it arrived. From these the receiver knows the
+    round-trip time, an upper bound of this packet's transit time, without comparing clocks. 0 means no stamp yet.
+    """
 
     version: int
     cluster: Name
     name: Name
     generation: Count
-    to: OptionalName  # empty: to whoever stands at that address, as at a join
+    to: OptionalName  # empty in a join request, whose recipient's name is unknown
     stamp: Count
     echo: Count
     held: Count
@@ -151,14 +166,14 @@
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
-    """The part of a packet that every version begins with."""
+    """The fields that a packet of every version starts with."""
 
     version: int
     cluster: str
 
 
 class FrameError(Exception):
-    """Not a packet, or not one that this program reads; its text is the counter's name."""
+    """Not a packet or frame, or not one that this version can decode. The text is the name of a counter."""
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -169,16 +184,18 @@
 
 
 def encode(frame: AnyFrame | DigestEntry) -> bytes:
+    """Encode a frame or an entry of a digest."""
     return _encode(frame)
 
 
 def encode_datagram(packet: Packet) -> bytes:
+    """Encode a packet with its checksum."""
     body = _encode(packet)
     return zlib.crc32(body).to_bytes(4, "big") + body
 
 
 def decode_datagram(data: bytes) -> Packet:
-    """Raises `Damaged`."""
+    """Decode a packet. Raises `FrameError`: `damaged` or `other_version`."""
     if not 5 <= len(data) < DATAGRAM_LIMIT_BYTES or zlib.crc32(data[4:]) != int.from_bytes(data[:4], "big"):
         raise FrameError("damaged")
     try:
@@ -190,7 +207,7 @@
 
 
 def decode_frame(raw: msgspec.Raw) -> AnyFrame:
-    """Raises `Damaged`: `unknown_kind` or `bad_frame`."""
+    """Decode a frame. Raises `FrameError`: `unknown_kind` or `bad_frame`."""
     try:
         return _frame_decoder.decode(raw)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError, RecursionError):
@@ -204,7 +221,7 @@
 
 
 def first_claim(packet: Packet) -> Claim | None:
-    """The sender's word of itself, with which the packets of those not known must begin; None where it is not there."""
+    """The sender's claim about itself, with which packets of unknown senders must start; None if it is missing."""
     try:
         claim = decode_frame(packet.frames[0]) if packet.frames else None
     except FrameError:
--- a/rackhub/fleet/link/inbox.py
+++ b/rackhub/fleet/link/inbox.py
@@ -1,7 +1,7 @@
-"""Mail that comes in: pages put together, each piece handed on at most once.
+"""Incoming messages: pages are reassembled, and each message is delivered at most once.
 
-A sender's numbers only grow. Those taken lately are remembered one by one; whatever is older than all of them counts as
-taken, so a late double can't come through when its number has been forgotten.
+A sender's message ids only grow. The ids completed most recently are remembered one by one. Any id below all of those
+counts as completed, so a late duplicate is not delivered again after its id was forgotten.
 """
 
 from collections import OrderedDict
@@ -13,6 +13,8 @@
 
 
 class PartialMessage:
+    """A message of which some pages are missing."""
+
     __slots__ = ("kind", "count", "pages", "size")
 
     def __init__(self, kind: str, count: int):
@@ -21,7 +23,7 @@
 
 
 class Inbox:
-    """What one process of one sender has sent here."""
+    """Messages from one process of one sender."""
 
     def __init__(self, limits: Limits, count: Callable[[str], None]):
         self._limits, self._count = limits, count
@@ -30,7 +32,10 @@
         self._completed_floor = self._size = 0
 
     def handle_page(self, page: f.Page) -> tuple[f.PageAck | None, bytes | None]:
-        """The ack, and the whole body with the last page that was missing."""
+        """Handle a page.
+
+        Return the ack and, with the last missing page, the whole body. Both are None for an invalid page.
+        """
         if page.id <= self._completed_floor or page.id in self._completed_ids:
             self._count("pages_double")
             return f.PageAck(page.id, b"", True), None
@@ -65,7 +70,7 @@
         return f.PageAck(page.id, bytes(received)), None
 
     def _finish(self, id: int) -> None:
-        """Taken or dropped: nothing more of it is."""
+        """Mark a message as delivered or dropped, so that no more of its pages are accepted."""
         self._size -= self._partial.pop(id).size
         self._completed_ids[id] = None
         if len(self._completed_ids) > self._limits.completed_ids_kept:
--- a/rackhub/fleet/link/message_transport.py
+++ b/rackhub/fleet/link/message_transport.py
@@ -1,4 +1,4 @@
-"""The shell of an association: a UDP socket, one timer, and the port for mail that the parts of a fleet use."""
+"""Runs an association on a UDP socket and one timer, as the messenger that components of the fleet use."""
 
 import logging
 import time
@@ -13,11 +13,11 @@
 from rackhub.fleet.ports import Address, Clock, Name
 
 log = logging.getLogger(__name__)
-TIMER_TOLERANCE = 0.001  # seconds by which a timer may be off before it is set anew
+TIMER_TOLERANCE = 0.001  # seconds by which a timer may be off before it is reset
 
 
 class SourceAwareUdpPort(UdpPort):
-    """A socket that hands on whence a datagram came, too."""
+    """A socket whose handler gets the source address of each datagram, too."""
 
     def __init__(
         self, reactor: Any, bind: Address, handler: Callable[[bytes, Address], None], count: Callable[[str], None]
@@ -26,9 +26,10 @@
         self._source_handler = handler
 
     def _reject_unsourced(self, data: bytes) -> None:
-        raise AssertionError("a datagram without its source")
+        raise AssertionError("datagram passed without its source address")
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
+        """Count the datagram and pass it to the handler with its source address."""
         self.packets_in += 1
         self.bytes_in += len(data)
         self._source_handler(data, (addr[0], addr[1]))
@@ -38,13 +39,14 @@
     """Microseconds of this machine's monotonic clock."""
 
     def now(self) -> int:
+        """The time in microseconds."""
         return time.monotonic_ns() // 1_000
 
 
 class MessageTransport:
-    """`fleet.ports.Messenger` on an association of its own. `told`: the address where others reach this process.
+    """`fleet.ports.Messenger` on an association. `advertised_address`: where other processes reach this one.
 
-    `start` opens the socket and raises `OSError`; `stop` closes it. Both are safe to call twice.
+    `start` opens the socket and raises `OSError`; `stop` closes it. Both are idempotent.
     """
 
     def __init__(
@@ -72,16 +74,18 @@
 
     @property
     def name(self) -> Name:
+        """The name of the local process."""
         return self.association.name
 
     def start(self) -> None:
+        """Open the socket. Raises `OSError`."""
         if not self._running:
             self.port.open()
             self._running = True
             self._step(Tick())
 
     def stop(self) -> Any:
-        """The result of closing the socket: a Deferred, or None where it was closed already."""
+        """Close the socket. The result is a Deferred, or None if it was closed already."""
         self._running = False
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
@@ -90,14 +94,17 @@
     # ---- ports.Messenger
 
     def send(self, to: Name, kind: str, body: bytes) -> None:
-        """At most `MAX_MESSAGE_BYTES` bytes; to one that is not known it is dropped and counted."""
+        """Send a message.
+
+        Raises `ValueError` if it is too large. A message to an unknown process is dropped and counted.
+        """
         self._step(SendMessage(to, kind, body))
 
     def subscribe(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
-        """Who gets the mail of that kind, with its sender."""
+        """Set the handler of a kind of message. It gets the sender and the body."""
         self._handlers[kind] = call
 
-    # ---- the core
+    # ---- running the association
 
     def _step(self, event: Event) -> None:
         effects = self.association.step(self._clock.now(), event)
@@ -113,7 +120,7 @@
                     self._deliver(effect)
 
     def _deliver(self, message: MessageReceived) -> None:
-        """A fault of one taker must not end the link."""
+        """Call the handler of a message. Its fault must not stop the transport."""
         handler = self._handlers.get(message.kind)
         if handler is None:
             self._count("mail_untaken")
@@ -122,7 +129,7 @@
             handler(message.sender, message.body)
         except Exception:
             self._count("faults")
-            log.exception("fleet: mail of kind %s from %s failed", message.kind, message.sender)
+            log.exception("fleet: handler of messages of kind %s failed on one from %s", message.kind, message.sender)
 
     def _handle_datagram(self, data: bytes, source: Address) -> None:
         if self._running:
@@ -131,10 +138,10 @@
     def _count(self, name: str) -> None:
         self.association.counts[name] += 1
 
-    # ---- time
+    # ---- timer
 
     def _schedule_tick(self) -> None:
-        """One timer, at the association's next time."""
+        """Set the one timer to the time at which the association is next due."""
         wait = max(0.0, (self.association.due() - self._clock.now()) / 1_000_000)
         if self._timer is None or not self._timer.active():
             self._timer = self._reactor.callLater(wait, self._tick)
@@ -145,7 +152,7 @@
         self._step(Tick())
 
     def metrics(self) -> Mapping[str, float]:
-        """Counters of the association and of the socket; those of faults have the sender's name at the end."""
+        """Counters of the association and the socket. Faults are also counted with the sender's name appended."""
         collected: dict[str, float] = {f"mail_{name}": count for name, count in self.association.counts.items()}
         for (name, sender), count in self.association.faults.items():
             if sender:
--- a/rackhub/fleet/link/outbox.py
+++ b/rackhub/fleet/link/outbox.py
@@ -1,7 +1,7 @@
-"""Mail that goes out: pages in a window, acked, and sent again a few times.
+"""Outgoing messages: pages are sent in a window, acknowledged, and resent a limited number of times. Pure.
 
-Pure: the time is handed in, pages come out. A piece that is not wholly acked when its life ends or its tries are used
-up is dropped, and nobody is told but the counter.
+A message that is not fully acknowledged when it expires or its attempts are used up is dropped. Only a counter shows
+it.
 """
 
 from collections.abc import Callable, Iterator
@@ -11,7 +11,7 @@
 
 
 class OutgoingMessage:
-    """One piece of mail to one process."""
+    """One message to one process."""
 
     __slots__ = ("id", "recipient", "generation", "kind", "pages", "unsent", "unacked", "expires_at")
 
@@ -24,21 +24,25 @@
             pages,
             expires_at,
         )
-        self.unsent = list(range(len(pages) - 1, -1, -1))  # never sent, the first at the end
-        self.unacked: dict[int, tuple[int, int]] = {}  # page: when to send it again, times sent
+        self.unsent = list(range(len(pages) - 1, -1, -1))  # pages not sent yet, the first at the end
+        self.unacked: dict[int, tuple[int, int]] = {}  # each page's time of the next attempt and number of attempts
 
     def page(self, index: int) -> f.Page:
+        """The frame of one page."""
         return f.Page(self.id, self.generation, index, len(self.pages), self.kind, self.pages[index])
 
 
 class Outbox:
+    """Messages in transit to all recipients. Generators yield the recipient and each page to send."""
+
     def __init__(self, limits: Limits, count: Callable[[str], None]):
         self._limits, self._count, self._last_id = limits, count, 0
-        self._next_due = 0  # no page is to go out again before, and no piece ends
+        self._next_due = 0  # earliest time at which a page is resent or a message expires
         self._messages: dict[int, OutgoingMessage] = {}
         self._count_by_recipient: dict[str, int] = {}
 
     def send(self, now: int, recipient: str, generation: int, kind: str, body: bytes) -> Iterator[tuple[str, f.Page]]:
+        """Start to send a message, or count it as dropped if too many are in transit to the recipient."""
         if self._count_by_recipient.get(recipient, 0) >= self._limits.max_outgoing_messages:
             self._count("mail_over")
             return
@@ -63,16 +67,20 @@
             yield message.recipient, message.page(index)
 
     def drop_all(self) -> None:
-        """This process goes by another boot number: whoever took pages of the one before would take them anew."""
+        """Drop all messages, as this process has a new generation.
+
+        A receiver would accept pages again that it already got under the earlier generation.
+        """
         for message in list(self._messages.values()):
             self._drop_lost(message)
 
     def drop_recipient(self, recipient: str) -> None:
-        """The receiver's process is another one or gone: what is under way to it can't arrive."""
+        """Drop messages to a process that restarted or is gone, as they can't arrive."""
         for message in [message for message in self._messages.values() if message.recipient == recipient]:
             self._drop_lost(message)
 
     def handle_page_ack(self, now: int, sender: str, ack: f.PageAck) -> Iterator[tuple[str, f.Page]]:
+        """Remove acknowledged pages and fill the window."""
         message = self._messages.get(ack.id)
         if message is None or message.recipient != sender:
             return
@@ -84,6 +92,7 @@
             yield from self._fill_window(now, message)
 
     def tick(self, now: int) -> Iterator[tuple[str, f.Page]]:
+        """Resend pages that are due, and drop expired messages."""
         if now < self._next_due:
             return
         for message in list(self._messages.values()):
@@ -109,7 +118,10 @@
         )
 
     def due(self) -> int | None:
-        """When `tick` is next of use; sooner where what was waited for has been acked."""
+        """The time at which `tick` is next needed; None if nothing is in transit.
+
+        It may be too early if pages have been acknowledged since.
+        """
         return self._next_due if self._messages else None
 
     def _drop_lost(self, message: OutgoingMessage) -> None:
--- a/rackhub/fleet/link/port.py
+++ b/rackhub/fleet/link/port.py
@@ -1,4 +1,4 @@
-"""The socket: one UDP port on the configured address. It sends and hands on bytes, and knows nothing of them."""
+"""The UDP socket on the configured address. It does not interpret datagrams."""
 
 import socket
 from collections.abc import Callable
@@ -9,11 +9,14 @@
 
 from rackhub.fleet.ports import DATAGRAM_LIMIT_BYTES, Address
 
-RECEIVE_BUFFER_BYTES = 1 << 20  # asked of the system for what comes in; it may give less
+RECEIVE_BUFFER_BYTES = 1 << 20  # requested receive buffer; the system may give less
 
 
 class UdpPort(DatagramProtocol):
-    """`take` gets each datagram; `count` a counter's name for each that could not go out or was too long."""
+    """A UDP socket with counters of bytes and packets.
+
+    `handler` gets each datagram received; `count` gets the name of a counter for each that could not be sent.
+    """
 
     def __init__(self, reactor: Any, bind: Address, handler: Callable[[bytes], None], count: Callable[[str], None]):
         self._reactor, self._bind, self._handler, self._count = reactor, bind, handler, count
@@ -22,7 +25,7 @@
         self.bytes_in = self.bytes_out = self.packets_in = self.packets_out = 0
 
     def open(self) -> None:
-        """Raises `OSError` where the address can't be had."""
+        """Bind the socket. Raises `OSError` if the address can't be bound."""
         try:
             self._port = self._reactor.listenUDP(
                 self._bind[1], self, interface=self._bind[0], maxPacketSize=DATAGRAM_LIMIT_BYTES
@@ -34,21 +37,24 @@
         self._port.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
 
     def close(self) -> Any:
+        """Close the socket. The result is a Deferred, or None if it was closed already."""
         port, self._port = self._port, None
         return port.stopListening() if port is not None else None
 
     def send(self, to: Address, data: bytes) -> None:
+        """Send a datagram. A failure is counted."""
         if self._port is None:
             return
         try:
             self.transport.write(data, to)
-        except OSError:  # no route, no buffer: as if it were lost on the way
+        except OSError:  # A missing route or full buffer is treated like a lost datagram.
             self._count("not_sent")
             return
         self.packets_out += 1
         self.bytes_out += len(data)
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
+        """Count the datagram and pass it to the handler."""
         self.packets_in += 1
         self.bytes_in += len(data)
         self._handler(data)
--- a/rackhub/fleet/link/remotes.py
+++ b/rackhub/fleet/link/remotes.py
@@ -1,7 +1,7 @@
-"""The processes that an association exchanges mail with: their addresses, boot numbers and bounds. Pure.
+"""The processes that an association exchanges messages with: addresses, generations and limits. Pure.
 
-Peers of the directory are reached at their configured address and never forgotten. Others are learned from the claim
-that their first packet begins with, up to a number, and forgotten when they have been silent for long enough.
+Peers of the directory are reached at their configured address and never forgotten. Others are learned, up to a limit,
+from the claim that their first packet starts with, and forgotten after a time without packets.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -15,7 +15,7 @@
 
 
 class WaitingMessage(NamedTuple):
-    """Mail to a process whose boot number is not known yet; dropped after `until`."""
+    """A message to a process whose generation is not known yet. It is dropped at `expires_at`."""
 
     kind: str
     body: bytes
@@ -23,7 +23,7 @@
 
 
 class Remote:
-    """What is known of one other process. `boot` 0: nothing has come from it yet."""
+    """What is known of one other process. Generation 0: no packet received yet."""
 
     __slots__ = (
         "name",
@@ -51,7 +51,7 @@
         self.begin(0, now)
 
     def begin(self, generation: int, now: int) -> None:
-        """A process of that boot number begins here: nothing of an earlier one is left but the mail that waits."""
+        """Reset to a new process of that generation. Only waiting messages are kept."""
         self.generation, self.last_received, self.knows_local_process = generation, now, False
         self.stamp = self.stamp_at = 0
         self.inbox: Inbox | None = None
@@ -60,7 +60,7 @@
         self.answered_at: int | None = None
 
     def queue_message(self, message: WaitingMessage, limits: Limits) -> bool:
-        """Whether there was room for mail that waits for the boot number."""
+        """Queue a message until the generation is known. Return False if the queue is full."""
         if (
             len(self.waiting) >= limits.max_waiting_messages
             or self.waiting_bytes + len(message.body) > limits.max_waiting_bytes
@@ -71,12 +71,13 @@
         return True
 
     def take_waiting(self) -> list[WaitingMessage]:
+        """Remove and return all waiting messages."""
         messages, self.waiting = self.waiting, []
         self.waiting_bytes = 0
         return messages
 
     def expire_waiting(self, now: int) -> int:
-        """Drop mail that has waited for too long; how many pieces."""
+        """Drop waiting messages that have expired, and return their number."""
         dropped = 0
         while self.waiting and now >= self.waiting[0].expires_at:
             self.waiting_bytes -= len(self.waiting.pop(0).body)
@@ -85,7 +86,7 @@
 
 
 class Remotes:
-    """All of them by name. `count` gets a counter's name and the sender at fault."""
+    """All known processes by name. `count` gets a counter's name and the sender at fault."""
 
     def __init__(self, directory: Mapping[Name, Address], limits: Limits, now: int, count: Callable[[str, str], None]):
         self._limits, self._count = limits, count
@@ -94,17 +95,22 @@
         self._learned = 0
 
     def get(self, name: Name) -> Remote | None:
+        """The process with that name, None if unknown."""
         return self._remotes.get(name)
 
     def all(self) -> Iterator[Remote]:
+        """All known processes."""
         yield from self._remotes.values()
 
     def configured_owner(self, address: Address | None) -> Name:
-        """The name of the directory that has this address; empty: none."""
+        """The name that the directory has for this address, empty if none."""
         return self._configured_names.get(address, "") if address is not None else ""
 
     def admit(self, claim: f.Claim, now: int) -> Remote | None:
-        """The process that says so of itself, whose boot number is greater than what is held; None: not admitted."""
+        """Admit the process that sent this claim about itself, with a greater generation than the one held.
+
+        Return None if it is rejected.
+        """
         address = (claim.host, claim.port)
         if self._has_address_clash(claim.name, address):
             self._count("address_clashes", claim.name)
@@ -121,7 +127,7 @@
         return remote
 
     def _has_address_clash(self, name: Name, address: Address) -> bool:
-        """Whether the address is configured for another name, or the name for another address."""
+        """True if the address is configured for another name, or the name for another address."""
         owner = self.configured_owner(address)
         if owner:
             return owner != name
@@ -129,7 +135,7 @@
         return remote is not None and remote.configured
 
     def forget_idle(self, now: int) -> list[Name]:
-        """Those heard of for too long ago: learned ones go, of configured ones only the boot number does."""
+        """Forget processes without packets for too long: learned ones altogether, of configured ones the generation."""
         idle = [
             candidate
             for candidate in self._remotes.values()
--- a/rackhub/fleet/link/token_bucket.py
+++ b/rackhub/fleet/link/token_bucket.py
@@ -1,8 +1,8 @@
-"""A bucket of tokens: a rate with a burst."""
+"""A token bucket, which limits a rate and allows a burst."""
 
 
 class TokenBucket:
-    """`rate` a second, at most `burst` at once; it begins full."""
+    """`rate` tokens per second, at most `burst` at once. It starts full. Times are microseconds."""
 
     __slots__ = ("_rate", "_burst", "_tokens", "_updated_at")
 
@@ -10,6 +10,7 @@
         self._rate, self._burst, self._tokens, self._updated_at = rate, burst, burst, now
 
     def take(self, now: int, count: float = 1.0) -> bool:
+        """Take `count` tokens. Return False, and take none, if there are fewer."""
         if now > self._updated_at:
             self._tokens = min(self._burst, self._tokens + (now - self._updated_at) * self._rate / 1_000_000)
             self._updated_at = now
