--- a/tests/test_fleet_association.py
+++ b/tests/test_fleet_association.py
@@ -1,4 +1,4 @@
-"""Mail between processes of different zones: associations over a faulty transport, restarts, and what is dropped."""
+"""Associations between processes of different zones: a faulty network, restarts, and dropped datagrams."""
 
 import heapq
 import random
@@ -23,40 +23,40 @@
 
 
 class Network:
-    """Associations at addresses, with losses, doubles, disorder and cuts, in virtual time."""
+    """Associations at addresses in virtual time, with loss, duplication, reordering and cuts."""
 
-    def __init__(self, seed=0, lose=0.0, double=0.0, late=0):
-        self.random, self.lose, self.double, self.late = random.Random(seed), lose, double, late
+    def __init__(self, seed=0, loss=0.0, duplication=0.0, max_delay=0):
+        self.random, self.loss, self.duplication, self.max_delay = random.Random(seed), loss, duplication, max_delay
         self.now, self.queue, self.order = START, [], 0
-        self.at, self.mail, self.sent = {}, [], []
+        self.processes, self.messages, self.sent = {}, [], []
 
     def join(self, name, address, generation=1, directory=DIRECTORY, limits=None):
         process = Association("c", name, generation, address, directory, limits or Limits(), self.now, 1)
-        self.at[address] = process
+        self.processes[address] = process
         return process
 
     def send(self, process, to, body, kind="k"):
-        self.do(process, process.step(self.now, SendMessage(to, kind, body)))
+        self.perform(process, process.step(self.now, SendMessage(to, kind, body)))
 
-    def do(self, process, effects):
-        source = next(address for address, other in self.at.items() if other is process)
+    def perform(self, process, effects):
+        source = next(address for address, other in self.processes.items() if other is process)
         for effect in effects:
             if isinstance(effect, MessageReceived):
-                self.mail.append((process.name, effect.sender, effect.kind, effect.body))
+                self.messages.append((process.name, effect.sender, effect.kind, effect.body))
                 continue
             self.sent.append((source, effect))
-            for _ in range(1 + (self.random.random() < self.double)):
-                if self.random.random() >= self.lose:
-                    self.put(1 * MS + self.random.randint(0, self.late), source, effect)
+            for _ in range(1 + (self.random.random() < self.duplication)):
+                if self.random.random() >= self.loss:
+                    self.schedule(1 * MS + self.random.randint(0, self.max_delay), source, effect)
 
-    def put(self, delay, source, out):
+    def schedule(self, delay, source, out):
         self.order += 1
         heapq.heappush(self.queue, (self.now + delay, self.order, source, out))
 
     def run(self, span):
         end = self.now + span
         while True:
-            ticks = [(process.due(), address) for address, process in self.at.items()]
+            ticks = [(process.due(), address) for address, process in self.processes.items()]
             soonest = min([due for due, _ in ticks] + [entry[0] for entry in self.queue[:1]])
             if soonest > end:
                 self.now = end
@@ -64,15 +64,15 @@
             self.now = max(self.now, soonest)
             while self.queue and self.queue[0][0] <= self.now:
                 _, _, source, out = heapq.heappop(self.queue)
-                process = self.at.get(out.to)
+                process = self.processes.get(out.to)
                 if process is not None:
-                    self.do(process, process.step(self.now, DatagramReceivedFrom(out.data, source)))
+                    self.perform(process, process.step(self.now, DatagramReceivedFrom(out.data, source)))
             for due, address in ticks:
                 if due <= self.now:
-                    self.do(self.at[address], self.at[address].step(self.now, Tick()))
+                    self.perform(self.processes[address], self.processes[address].step(self.now, Tick()))
 
     def bodies(self, name):
-        return [body for receiver, _, _, body in self.mail if receiver == name]
+        return [body for receiver, _, _, body in self.messages if receiver == name]
 
 
 def pair(**faults):
@@ -81,23 +81,23 @@
 
 
 def packet(name="coordinator", generation=1, to="relay", cluster="c", address=COORDINATOR, frames=(), claim=True):
-    told = [f.Claim(name, *address, generation, 0, f.ALIVE)] if claim else []
-    raws = [msgspec.Raw(f.encode(frame)) for frame in [*told, *frames]]
+    claims = [f.Claim(name, *address, generation, 0, f.ALIVE)] if claim else []
+    raws = [msgspec.Raw(f.encode(frame)) for frame in [*claims, *frames]]
     return f.encode_datagram(f.Packet(f.VERSION, cluster, name, generation, to, 1, 0, 0, raws))
 
 
-def test_mail_goes_to_a_configured_peer_and_back_to_the_one_that_it_learned():
+def test_messages_reach_a_configured_peer_and_a_learned_one():
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"up")
     network.run(100 * MS)
-    assert network.mail == [("relay", "coordinator", "k", b"up")]
+    assert network.messages == [("relay", "coordinator", "k", b"up")]
     network.send(relay, "coordinator", b"down" * 10_000)
     network.run(100 * MS)
-    assert network.mail[1:] == [("coordinator", "relay", "k", b"down" * 10_000)]
+    assert network.messages[1:] == [("coordinator", "relay", "k", b"down" * 10_000)]
     assert not relay.faults and not coordinator.faults
 
 
-def test_nothing_is_sent_when_nothing_is_to_be_said():
+def test_an_idle_association_sends_nothing():
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"up")
     network.run(1 * SECOND)
@@ -106,7 +106,7 @@
     assert len(network.sent) == before
 
 
-def test_the_claim_goes_only_before_frames_to_who_may_not_know_this_process():
+def test_the_claim_is_sent_only_if_the_receiver_may_not_know_this_process():
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"1")
     network.run(100 * MS)
@@ -120,7 +120,7 @@
     assert isinstance(f.decode_frame(f.decode_datagram(network.sent[-1][1].data).frames[0]), f.Claim)
 
 
-def test_mail_to_a_peer_that_is_not_there_waits_within_bounds_and_not_for_long():
+def test_messages_to_an_absent_peer_wait_within_bounds():
     network = Network()
     coordinator = network.join("coordinator", COORDINATOR)
     for _ in range(Limits().max_waiting_messages + 3):
@@ -135,7 +135,7 @@
     assert network.bodies("relay") == [b"new"]
 
 
-def test_waiting_mail_is_bounded_by_bytes():
+def test_waiting_messages_are_bounded_by_bytes():
     network = Network()
     coordinator = network.join("coordinator", COORDINATOR)
     for _ in range(3):
@@ -143,7 +143,7 @@
     assert coordinator.counts["mail_over"] == 1
 
 
-def test_a_receiver_that_restarted_gets_what_is_sent_from_then_on():
+def test_a_restarted_receiver_gets_later_messages():
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"1")
     network.run(100 * MS)
@@ -158,7 +158,7 @@
     assert network.bodies("coordinator") == [b"back"]
 
 
-def test_a_sender_that_restarted_begins_with_new_numbers_and_loses_nothing():
+def test_a_restarted_sender_loses_no_message():
     network, relay, coordinator = pair()
     for _ in range(3):
         network.send(coordinator, "relay", b"before")
@@ -174,31 +174,31 @@
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"x")
     network.run(100 * MS)
-    del network.at[COORDINATOR]
+    del network.processes[COORDINATOR]
     moved = network.join("coordinator", OTHER, generation=2)
     network.send(moved, "relay", b"y")
     network.run(100 * MS)
     network.send(relay, "coordinator", b"z")
     network.run(100 * MS)
-    assert network.mail[-1] == ("coordinator", "relay", "k", b"z")
+    assert network.messages[-1] == ("coordinator", "relay", "k", b"z")
 
 
-def test_packets_of_an_older_process_are_dropped_and_counted_under_the_sender():
+def test_packets_of_an_earlier_process_are_dropped_and_counted():
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"x")
     network.run(100 * MS)
-    late = [out for source, out in network.sent if source == COORDINATOR]
+    old_datagrams = [out for source, out in network.sent if source == COORDINATOR]
     coordinator = network.join("coordinator", COORDINATOR, generation=2)
     network.send(coordinator, "relay", b"y")
     network.run(100 * MS)
-    for out in late:
-        network.put(1 * MS, COORDINATOR, out)
+    for out in old_datagrams:
+        network.schedule(1 * MS, COORDINATOR, out)
     network.run(1 * SECOND)
     assert network.bodies("relay") == [b"x", b"y"]
-    assert relay.faults["old_packets", "coordinator"] == len(late)
+    assert relay.faults["old_packets", "coordinator"] == len(old_datagrams)
 
 
-def test_a_boot_number_that_fell_is_taken_once_the_greater_has_been_silent():
+def test_a_lower_generation_is_accepted_once_the_greater_one_is_idle():
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"x")
     network.run(100 * MS)
@@ -217,11 +217,11 @@
     network, relay, coordinator = pair()
     network.send(coordinator, "relay", b"x")
     network.run(100 * MS)
-    spoilt = bytearray(packet())
-    spoilt[-1] ^= 1
-    assert coordinator.step(network.now, DatagramReceivedFrom(bytes(spoilt), RELAY)) == []
+    damaged = bytearray(packet())
+    damaged[-1] ^= 1
+    assert coordinator.step(network.now, DatagramReceivedFrom(bytes(damaged), RELAY)) == []
     assert coordinator.faults["damaged", "relay"] == 1
-    assert relay.step(network.now, DatagramReceived(bytes(spoilt))) == [] and relay.faults["damaged", ""] == 1
+    assert relay.step(network.now, DatagramReceived(bytes(damaged))) == [] and relay.faults["damaged", ""] == 1
     assert relay.step(network.now, DatagramReceived(packet(cluster="d"))) == []
     assert relay.faults["other_cluster", "coordinator"] == 1
     assert relay.step(network.now, DatagramReceived(packet(to="other"))) == []
@@ -230,14 +230,14 @@
     assert relay.faults["unexpected_frames", "coordinator"] == 1
 
 
-def test_a_stranger_must_begin_with_its_claim_and_faults_of_strangers_share_one_counter():
+def test_strangers_without_a_claim_are_dropped_under_one_counter():
     network, relay, _ = pair()
     for number in range(40):
         assert relay.step(network.now, DatagramReceived(packet(name=f"stranger-{number}", claim=False))) == []
     assert relay.faults == {("strangers", ""): 40}
 
 
-def test_a_name_can_not_come_from_the_address_of_another():
+def test_a_name_is_rejected_from_the_address_of_another():
     directory = {"relay": RELAY, "voter": OTHER}
     network = Network()
     process = network.join("me", COORDINATOR, directory=directory)
@@ -254,7 +254,7 @@
     assert process.knows("relay")
 
 
-def test_a_second_process_of_the_own_name_is_counted():
+def test_a_second_process_with_the_local_name_is_counted():
     network, relay, _ = pair()
     assert relay.step(network.now, DatagramReceived(packet(name="relay", generation=5))) == []
     assert relay.faults == {("address_clashes", "relay"): 1}
@@ -272,7 +272,7 @@
     assert relay.knows("n4")
 
 
-def test_newcomers_and_each_sender_are_held_to_a_rate():
+def test_newcomers_and_each_sender_are_rate_limited():
     network = Network()
     limits = Limits(newcomer_packets_per_second=10, packets_per_second=10, packet_burst=5)
     relay = network.join("relay", RELAY, limits=limits)
@@ -284,7 +284,7 @@
     assert relay.faults["over_rate", "n1"] == 3
 
 
-def test_mail_to_oneself_and_mail_that_is_too_large():
+def test_messages_to_oneself_and_oversized_messages():
     network, relay, _ = pair()
     assert relay.step(network.now, SendMessage("relay", "k", b"x")) == [MessageReceived("relay", "k", b"x")]
     with pytest.raises(ValueError):
@@ -295,7 +295,7 @@
     assert relay.counts["mail_to_nobody"] == 1
 
 
-def test_a_page_beside_a_claim_with_the_longest_names_still_goes_out():
+def test_a_page_with_a_claim_of_the_longest_names_is_sent():
     long = "n" * 63
     network = Network()
     network.join(long, RELAY, generation=1 << 50, directory={})
@@ -315,34 +315,34 @@
         st.tuples(st.sampled_from(["send", "reply", "restart-relay", "restart-coordinator"]), st.integers(0, 900))
     ),
 )
-def test_over_a_faulty_transport_mail_comes_whole_and_at_most_once(seed, lose, double, moves):
-    network, relay, coordinator = pair(seed=seed, lose=lose, double=double, late=80 * MS)
+def test_messages_arrive_whole_and_at_most_once_over_a_faulty_network(seed, loss, duplication, actions):
+    network, relay, coordinator = pair(seed=seed, loss=loss, duplication=duplication, max_delay=80 * MS)
     generations, sent = {RELAY: 1, COORDINATOR: 1}, set()
-    for number, (move, wait) in enumerate(moves):
+    for number, (action, wait) in enumerate(actions):
         body = b"%d:" % number + bytes(wait * 4)
-        relay, coordinator = network.at[RELAY], network.at[COORDINATOR]
-        if move == "send":
+        relay, coordinator = network.processes[RELAY], network.processes[COORDINATOR]
+        if action == "send":
             network.send(coordinator, "relay", body)
             sent.add(("relay", "coordinator", "k", body))
-        elif move == "reply":
+        elif action == "reply":
             network.send(relay, "coordinator", body)
             sent.add(("coordinator", "relay", "k", body))
         else:
-            address = RELAY if move == "restart-relay" else COORDINATOR
+            address = RELAY if action == "restart-relay" else COORDINATOR
             generations[address] += 1
-            network.join(network.at[address].name, address, generation=generations[address])
+            network.join(network.processes[address].name, address, generation=generations[address])
         network.run(wait * MS)
     network.run(10 * SECOND)
-    assert len(set(network.mail)) == len(network.mail) and set(network.mail) <= sent
-    network.lose = 0
+    assert len(set(network.messages)) == len(network.messages) and set(network.messages) <= sent
+    network.loss = 0
     for _ in range(12):
-        network.send(network.at[COORDINATOR], "relay", b"at last")
+        network.send(network.processes[COORDINATOR], "relay", b"at last")
         network.run(1 * SECOND)
-    assert network.mail[-1][3] == b"at last"
+    assert network.messages[-1][3] == b"at last"
 
 
 class FakePort:
-    """In place of the socket: what went out, and a way to hand something in."""
+    """Replaces the socket: keeps the datagrams sent."""
 
     def __init__(self, reactor, bind, take, count):
         self.take, self.out, self.opened = take, [], 0
@@ -366,7 +366,7 @@
         return START + int(self.reactor.seconds() * 1_000_000)
 
 
-def shell(reactor, name, address, directory):
+def start_transport(reactor, name, address, directory):
     link = MessageTransport(
         reactor, address, "c", name, 1, address, directory, clock=ReactorClock(reactor), port=FakePort
     )
@@ -385,9 +385,12 @@
         reactor.advance(0.05)
 
 
-def test_the_shell_delivers_by_kind_and_counts_what_nobody_takes():
+def test_the_transport_delivers_by_kind_and_counts_unhandled_messages():
     reactor = task.Clock()
-    relay, coordinator = shell(reactor, "relay", RELAY, {}), shell(reactor, "coordinator", COORDINATOR, DIRECTORY)
+    relay, coordinator = (
+        start_transport(reactor, "relay", RELAY, {}),
+        start_transport(reactor, "coordinator", COORDINATOR, DIRECTORY),
+    )
     links, taken = {RELAY: relay, COORDINATOR: coordinator}, []
     relay.subscribe("k", lambda sender, body: taken.append((sender, body)))
     relay.subscribe("bad", lambda sender, body: 1 / 0)
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -1,4 +1,4 @@
-"""Frames, datagrams and paged mail of the fleet's link."""
+"""Frames, datagrams, token buckets and paged messages of the fleet's link."""
 
 import random
 
@@ -31,22 +31,22 @@
 ]
 
 
-def packed(*frames):
+def build_datagram(*frames):
     builder = DatagramBuilder(LONG, LONG, LONG)
-    put = [builder.add_frame(f.encode(frame)) for frame in frames]
-    return put, builder.build(BIG, BIG, BIG, BIG)
+    added = [builder.add_frame(f.encode(frame)) for frame in frames]
+    return added, builder.build(BIG, BIG, BIG, BIG)
 
 
 @pytest.mark.parametrize("frame", FRAMES, ids=lambda frame: type(frame).__name__)
-def test_each_frame_at_its_largest_fits_a_datagram_and_comes_back(frame):
-    put, data = packed(frame)
-    assert put == [True] and len(data) < DATAGRAM_LIMIT_BYTES
+def test_each_frame_at_its_largest_fits_a_datagram_and_round_trips(frame):
+    added, data = build_datagram(frame)
+    assert added == [True] and len(data) < DATAGRAM_LIMIT_BYTES
     packet = f.decode_datagram(data)
     assert (packet.name, packet.to, packet.stamp) == (LONG, LONG, BIG)
     assert f.decode_frame(packet.frames[0]) == frame
 
 
-def test_a_full_parcel_stays_below_the_size_and_says_so():
+def test_a_full_datagram_stays_below_the_limit():
     builder = DatagramBuilder("c", "a", "b")
     body = f.encode(f.Hello())
     while builder.add_frame(body):
@@ -56,13 +56,13 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.binary(max_size=1_500))
-def test_no_bytes_but_a_packet_are_read(data):
+def test_arbitrary_bytes_are_rejected(data):
     with pytest.raises(f.FrameError):
         f.decode_datagram(data)
 
 
-def test_any_damaged_bit_is_found():
-    _, data = packed(*FRAMES[1:5])
+def test_any_flipped_bit_is_detected():
+    _, data = build_datagram(*FRAMES[1:5])
     for at in range(8 * len(data)):
         spoilt = bytearray(data)
         spoilt[at >> 3] ^= 1 << (at & 7)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    "value, wrong",
+    "value, invalid",
     [
         ([99, "new"], "unknown_kind"),
         ([2, "no number"], "bad_frame"),
@@ -85,112 +85,112 @@
         ([7, "a", "k", 0, 0, -1, b""], "bad_frame"),
     ],
 )
-def test_frames_that_cannot_be_used_are_named(value, wrong):
-    with pytest.raises(f.FrameError, match=wrong):
+def test_undecodable_frames_are_rejected_by_kind_of_fault(value, invalid):
+    with pytest.raises(f.FrameError, match=invalid):
         f.decode_frame(raw(value))
 
 
-def test_a_later_program_may_add_fields_and_an_older_may_lack_them():
+def test_frames_with_added_or_missing_fields_are_decoded():
     assert f.decode_frame(raw([3, 7, True, "more", {}])) == f.Ack(7, True)
     assert f.decode_frame(raw([3, 7])) == f.Ack(7)
     with pytest.raises(f.FrameError, match="other_version"):
         f.decode_datagram(
-            f.encode_datagram(msgspec.structs.replace(f.decode_datagram(packed(f.Hello())[1]), version=2))
+            f.encode_datagram(msgspec.structs.replace(f.decode_datagram(build_datagram(f.Hello())[1]), version=2))
         )
 
 
-def test_a_bucket_holds_its_rate_and_burst():
+def test_a_token_bucket_limits_rate_and_burst():
     bucket = TokenBucket(10, 5, 0)
     assert [bucket.take(0) for _ in range(6)] == [True] * 5 + [False]
     assert [bucket.take(100 * MS), bucket.take(100 * MS)] == [True, False]
     assert sum(bucket.take(10 * SECOND + i) for i in range(20)) == 5
 
 
-class Way:
-    """Pages and acks between an outbox and an inbox, with losses, doubles and disorder."""
+class FaultyLink:
+    """Carries pages and acks between an outbox and an inbox, with loss, duplication and reordering."""
 
-    def __init__(self, seed, lose, double=0.0, limits=None):
-        self.random, self.lose, self.double, self.now = random.Random(seed), lose, double, 0
+    def __init__(self, seed, loss, duplication=0.0, limits=None):
+        self.random, self.loss, self.duplication, self.now = random.Random(seed), loss, duplication, 0
         self.counts = []
-        self.out, self.into = (
+        self.outbox, self.inbox = (
             Outbox(limits or Limits(), self.counts.append),
             Inbox(limits or Limits(), self.counts.append),
         )
-        self.queue, self.taken = [], []
+        self.queue, self.delivered = [], []
 
-    def put(self, frames):
+    def transmit(self, frames):
         for frame in frames:
-            for _ in range(1 + (self.random.random() < self.double)):
-                if self.random.random() >= self.lose:
+            for _ in range(1 + (self.random.random() < self.duplication)):
+                if self.random.random() >= self.loss:
                     self.queue.append((self.now + self.random.randint(1, 20 * MS), len(self.queue), frame))
 
     def send(self, body):
-        self.put(page for _, page in self.out.send(self.now, "b", 1, "k", body))
+        self.transmit(page for _, page in self.outbox.send(self.now, "b", 1, "k", body))
 
     def run(self, span=8 * SECOND):
         end = self.now + span
-        while self.now < end and (self.queue or self.out.due() is not None):
+        while self.now < end and (self.queue or self.outbox.due() is not None):
             self.queue.sort(key=lambda entry: entry[:2])
             self.now = max(
                 self.now,
-                min([entry[0] for entry in self.queue[:1]] + [due for due in [self.out.due()] if due is not None]),
+                min([entry[0] for entry in self.queue[:1]] + [due for due in [self.outbox.due()] if due is not None]),
             )
             if self.queue and self.queue[0][0] <= self.now:
                 frame = self.queue.pop(0)[2]
                 if isinstance(frame, f.Page):
-                    got, body = self.into.handle_page(frame)
-                    self.put([got] if got else [])
-                    self.taken += [body] if body is not None else []
+                    page_ack, body = self.inbox.handle_page(frame)
+                    self.transmit([page_ack] if page_ack else [])
+                    self.delivered += [body] if body is not None else []
                 else:
-                    self.put(page for _, page in self.out.handle_page_ack(self.now, "b", frame))
-            self.put(page for _, page in self.out.tick(self.now))
+                    self.transmit(page for _, page in self.outbox.handle_page_ack(self.now, "b", frame))
+            self.transmit(page for _, page in self.outbox.tick(self.now))
 
 
 @pytest.mark.parametrize("size", [0, 1, 1_040, 1_041, 65_536, MAX_MESSAGE_BYTES])
-def test_mail_of_any_size_arrives_under_five_percent_of_loss_and_once(size):
+def test_messages_of_any_size_arrive_once_at_five_percent_loss(size):
     for seed in range(6):
-        way = Way(seed, 0.05, 0.05)
+        link = FaultyLink(seed, 0.05, 0.05)
         body = random.Random(seed).randbytes(size)
-        way.send(body)
-        way.run()
-        assert way.taken == [body] and way.out.due() is None
+        link.send(body)
+        link.run()
+        assert link.delivered == [body] and link.outbox.due() is None
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
 @given(st.integers(0, 1 << 30), st.floats(0, 0.7), st.floats(0, 0.5), st.lists(st.integers(0, 9_000), max_size=8))
-def test_mail_comes_whole_or_not_at_all_and_never_twice(seed, lose, double, sizes):
-    way = Way(seed, lose, double)
+def test_a_message_arrives_whole_and_at_most_once(seed, loss, duplication, sizes):
+    link = FaultyLink(seed, loss, duplication)
     bodies = [bytes([i]) + bytes(size) for i, size in enumerate(sizes)]
     for body in bodies:
-        way.send(body)
-    way.run()
-    assert len(set(way.taken)) == len(way.taken) and set(way.taken) <= set(bodies)
-    assert way.out.due() is None and len(way.taken) >= len(bodies) - way.counts.count("mail_lost")
+        link.send(body)
+    link.run()
+    assert len(set(link.delivered)) == len(link.delivered) and set(link.delivered) <= set(bodies)
+    assert link.outbox.due() is None and len(link.delivered) >= len(bodies) - link.counts.count("mail_lost")
 
 
-def test_a_number_that_was_forgotten_is_not_taken_anew():
+def test_an_id_that_was_forgotten_is_not_accepted_again():
     limits = Limits(completed_ids_kept=4)
-    way = Way(1, 0.0, limits=limits)
+    link = FaultyLink(1, 0.0, limits=limits)
     pages = [f.Page(id, 1, 0, 1, "k", b"%d" % id) for id in range(1, 20)]
-    assert [way.into.handle_page(page)[1] for page in pages] == [page.body for page in pages]
-    assert [way.into.handle_page(page)[1] for page in pages] == [None] * len(pages)
+    assert [link.inbox.handle_page(page)[1] for page in pages] == [page.body for page in pages]
+    assert [link.inbox.handle_page(page)[1] for page in pages] == [None] * len(pages)
 
 
-def test_begun_mail_and_full_outboxes_are_bounded():
+def test_partial_messages_and_the_outbox_are_bounded():
     limits = Limits(max_partial_messages=3, max_outgoing_messages=2)
-    way = Way(1, 1.0, limits=limits)
+    link = FaultyLink(1, 1.0, limits=limits)
     for id in range(1, 9):
-        way.into.handle_page(f.Page(id, 1, 0, 2, "k", b"x"))
-    assert way.counts.count("mail_dropped") == 5
-    assert way.into.handle_page(f.Page(1, 1, 1, 2, "k", b"y"))[1] is None
+        link.inbox.handle_page(f.Page(id, 1, 0, 2, "k", b"x"))
+    assert link.counts.count("mail_dropped") == 5
+    assert link.inbox.handle_page(f.Page(1, 1, 1, 2, "k", b"y"))[1] is None
     for _ in range(4):
-        way.send(b"z")
-    assert way.counts.count("mail_over") == 2
-    for wrong in (
+        link.send(b"z")
+    assert link.counts.count("mail_over") == 2
+    for invalid in (
         f.Page(20, 1, 2, 2, "k", b""),
         f.Page(20, 1, 0, 0, "k", b""),
         f.Page(20, 1, 0, 1 << 20, "k", b""),
         f.Page(20, 1, 0, 1, "k", bytes(limits.page_bytes + 1)),
         f.Page(8, 1, 0, 5, "k", b""),
     ):
-        assert way.into.handle_page(wrong) == (None, None)
+        assert link.inbox.handle_page(invalid) == (None, None)
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -1,4 +1,4 @@
-"""Members, board and mail of the fleet: the pure core in virtual time, and the control port."""
+"""Members, records and messages of the fleet: the core in virtual time, sockets and the control port."""
 
 import json
 import subprocess
@@ -30,23 +30,23 @@
 from rackhub.trials.fleet.twin import MS, SECOND
 
 
-def core(name="me", generation=100, now=0, **more):
-    return Core(Start("c", name, ("10.0.0.1", 1), generation, **more), Timing(), Limits(), now)
+def make_core(name="me", generation=100, now=0, **options):
+    return Core(Start("c", name, ("10.0.0.1", 1), generation, **options), Timing(), Limits(), now)
 
 
 def claim(name="b", generation=1, incarnation=0, rank=f.ALIVE, by="", port=2):
     return f.Claim(name, "10.0.0.1", port, generation, incarnation, rank, by)
 
 
-def fleet(count, seed=1, span=20, **more):
-    wire = Wire(count, seed, **more)
+def start_fleet(count, seed=1, span=20, **options):
+    wire = Wire(count, seed, **options)
     watch = Watch(wire)
     wire.start()
     wire.time.run(span * SECOND)
     return wire, watch, [wire.gateways[name] for name in sorted(wire.gateways)]
 
 
-def state(gateway, name):
+def state_of(gateway, name):
     return gateway.core.table.members()[name].state
 
 
@@ -58,34 +58,34 @@
     st.lists(st.tuples(st.integers(1, 3), st.integers(0, 3), st.integers(0, 3)), min_size=1, max_size=8),
     st.randoms(use_true_random=False),
 )
-def test_views_agree_in_whatever_order_claims_come(told, chance):
-    """The model: the latest claim holds, and a suspicion that nobody refutes ends as gone."""
+def test_views_converge_in_any_order_of_claims(claims, rng):
+    """The model: the claim of the highest precedence wins, and a suspicion that nobody refutes ends as gone."""
     ends = []
     for _ in range(2):
-        one = core()
-        for generation, incarnation, rank in told:
-            one.context.now += chance.randrange(5 * SECOND)
-            for peer in one.table.peers.values():
-                one.table.expire_suspicion(peer)
-            one.table.merge(claim(generation=generation, incarnation=incarnation, rank=rank, by="c"), "d")
-        one.context.now += 60 * SECOND
-        one.table.expire_suspicion(one.table.peers["b"])
-        ends.append(one.table.peers["b"].precedence())
-        chance.shuffle(told)
-    generation, incarnation, rank = max(told)
+        core = make_core()
+        for generation, incarnation, rank in claims:
+            core.context.now += rng.randrange(5 * SECOND)
+            for peer in core.table.peers.values():
+                core.table.expire_suspicion(peer)
+            core.table.merge(claim(generation=generation, incarnation=incarnation, rank=rank, by="c"), "d")
+        core.context.now += 60 * SECOND
+        core.table.expire_suspicion(core.table.peers["b"])
+        ends.append(core.table.peers["b"].precedence())
+        rng.shuffle(claims)
+    generation, incarnation, rank = max(claims)
     assert ends == [(generation, incarnation, f.GONE if rank == f.SUSPECT else rank)] * 2
 
 
-def test_nobody_that_lives_is_given_up_at_once_by_hearsay():
-    one = core()
-    one.table.merge(claim(), "b")
-    one.table.merge(claim(rank=f.GONE), "c")
-    assert one.table.peers["b"].rank == f.SUSPECT
-    one.table.merge(claim(incarnation=1), "b")
-    assert one.table.peers["b"].rank == f.ALIVE
+def test_hearsay_of_a_death_makes_a_live_member_suspected_first():
+    core = make_core()
+    core.table.merge(claim(), "b")
+    core.table.merge(claim(rank=f.GONE), "c")
+    assert core.table.peers["b"].rank == f.SUSPECT
+    core.table.merge(claim(incarnation=1), "b")
+    assert core.table.peers["b"].rank == f.ALIVE
 
 
-def test_a_suspicion_is_shorter_with_each_accuser():
+def test_each_further_accuser_shortens_a_suspicion():
     suspicion = Suspicion(0, 2 * SECOND, 12 * SECOND, 3, "a")
     ends = [suspicion.expires_at]
     for by in ("a", "b", "c", "d", "e"):
@@ -95,44 +95,47 @@
     assert ends == sorted(ends, reverse=True) and len(set(ends)) == 4
 
 
-def test_words_about_itself_are_refuted_and_a_higher_boot_is_passed():
-    one = core()
-    one.table.merge(claim("me", 100, 4, f.SUSPECT, port=1), "b")
-    assert (one.local_member.generation, one.local_member.incarnation) == (100, 5)
-    one.context.effects.clear()
-    one.records.publish(100, "k", b"x")
-    one.table.merge(claim("me", 100, 1 << 53, f.GONE, port=1), "b")  # no incarnation holds against that
-    assert (one.local_member.generation, one.local_member.incarnation) == (101, 0)
-    one.table.merge(claim("me", 200, port=1), "b")  # a process of the same address whose clock was ahead
-    one.table.merge(claim("me", 300, rank=f.GONE, port=9), "b")  # or of another address, and no more
-    assert one.local_member.generation == 301 and one.records.get("me", "k").generation == 301
-    assert [effect.generation for effect in one.context.effects if isinstance(effect, GenerationRaised)] == [
+def test_wrong_claims_about_the_local_member_are_refuted():
+    core = make_core()
+    core.table.merge(claim("me", 100, 4, f.SUSPECT, port=1), "b")
+    assert (core.local_member.generation, core.local_member.incarnation) == (100, 5)
+    core.context.effects.clear()
+    core.records.publish(100, "k", b"x")
+    core.table.merge(claim("me", 100, 1 << 53, f.GONE, port=1), "b")  # no incarnation can exceed the maximum
+    assert (core.local_member.generation, core.local_member.incarnation) == (101, 0)
+    core.table.merge(claim("me", 200, port=1), "b")  # an earlier process at the same address, whose clock was ahead
+    core.table.merge(claim("me", 300, rank=f.GONE, port=9), "b")  # a process at another address that has ended
+    assert core.local_member.generation == 301 and core.records.get("me", "k").generation == 301
+    assert [effect.generation for effect in core.context.effects if isinstance(effect, GenerationRaised)] == [
         101,
         201,
         301,
     ]
 
 
-def test_two_that_live_under_one_name_are_named_and_the_first_stays():
-    one = core()
-    one.table.merge(claim(), "b")
-    one.table.merge(claim(generation=7, port=3), "b")
-    one.table.merge(claim("me", 900, port=9), "b")
-    assert one.table.peers["b"].address == ("10.0.0.1", 2) and one.local_member.generation == 100
-    assert one.local_member.clashes == {"b": {"10.0.0.1:3"}, "me": {"10.0.0.1:9"}}
-    assert [effect.event for effect in one.context.effects if isinstance(effect, OperatorWarning)] == ["clash", "clash"]
+def test_two_live_processes_with_one_name_are_reported_as_a_clash():
+    core = make_core()
+    core.table.merge(claim(), "b")
+    core.table.merge(claim(generation=7, port=3), "b")
+    core.table.merge(claim("me", 900, port=9), "b")
+    assert core.table.peers["b"].address == ("10.0.0.1", 2) and core.local_member.generation == 100
+    assert core.local_member.clashes == {"b": {"10.0.0.1:3"}, "me": {"10.0.0.1:9"}}
+    assert [effect.event for effect in core.context.effects if isinstance(effect, OperatorWarning)] == [
+        "clash",
+        "clash",
+    ]
 
 
 @pytest.mark.parametrize(
     "wrong",
     [claim(generation=1 << 44), claim(incarnation=1 << 30), claim("me", 1 << 53, port=1), claim("new", 1 << 44)],
 )
-def test_nonsense_changes_nothing_and_is_named_with_who_said_it(wrong):
-    one = core()
-    one.table.merge(claim(), "b")
-    before = one.table.members()
-    one.table.merge(wrong, "liar")
-    assert one.table.members() == before and one.table.implausible_claims == {"liar": 1}
+def test_an_implausible_claim_is_ignored_and_its_sender_reported(wrong):
+    core = make_core()
+    core.table.merge(claim(), "b")
+    before = core.table.members()
+    core.table.merge(wrong, "liar")
+    assert core.table.members() == before and core.table.implausible_claims == {"liar": 1}
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -140,91 +143,94 @@
     st.lists(st.tuples(st.integers(1, 5), st.integers(0, 900), st.integers(0, 900)), min_size=1, max_size=8),
     st.randoms(use_true_random=False),
 )
-def test_the_newest_number_stands_whatever_the_order_and_never_younger_than_told(notes, chance):
+def test_the_newest_record_wins_in_any_order_and_is_never_too_young(updates, rng):
     for _ in range(2):
-        one, taken = core(), []
-        for number, age, way in notes:
-            one.context.now += MS
-            if one.records.merge(f.RecordUpdate("b", "k", 1, number, age, b"%d" % number), way * MS):
-                taken.append((number, one.context.now - (age + way) * MS))
-        record = one.records.get("b", "k")
-        assert record.number == int(record.body) == max(number for number, _, _ in notes)
+        core, taken = make_core(), []
+        for number, age, transit_ms in updates:
+            core.context.now += MS
+            if core.records.merge(f.RecordUpdate("b", "k", 1, number, age, b"%d" % number), transit_ms * MS):
+                taken.append((number, core.context.now - (age + transit_ms) * MS))
+        record = core.records.get("b", "k")
+        assert record.number == int(record.body) == max(number for number, _, _ in updates)
         assert [number for number, _ in taken] == sorted({number for number, _ in taken})
-        assert record.age == one.context.now - taken[-1][1]
-        chance.shuffle(notes)
+        assert record.age == core.context.now - taken[-1][1]
+        rng.shuffle(updates)
 
 
-# ---- whole fleets in virtual time
+# ---- fleets in virtual time
 
 
 @pytest.mark.parametrize("lose", [0.0, 0.1])
-def test_a_fleet_forms_knows_who_hears_whom_and_finds_the_killed(lose):
-    wire, watch, gateways = fleet(6, span=1)
+def test_a_fleet_forms_and_detects_a_killed_member(lose):
+    wire, watch, gateways = start_fleet(6, span=1)
     wire.lose = lose
     assert wire.time.run(30 * SECOND, lambda: not watch.unsettled())
     gateways[3].kill()
     assert wire.time.run(30 * SECOND, lambda: not watch.unsettled())
-    assert state(gateways[0], "g003") is MemberState.GONE
+    assert state_of(gateways[0], "g003") is MemberState.GONE
 
 
 @pytest.mark.parametrize("swap", [False, True])
-def test_a_one_sided_cut_has_its_name_at_both_ends_and_goes_with_the_cut(swap):
-    wire, watch, gateways = fleet(5)
+def test_a_one_way_cut_is_reported_at_both_ends_until_it_heals(swap):
+    wire, watch, gateways = start_fleet(5)
     one, other = ("g001", "g002")[::-1] if swap else ("g001", "g002")
-    wire.cut([one], [other], both=False)  # other does not hear one
+    wire.cut([one], [other], both=False)  # `other` does not receive from `one`
     wire.time.run(40 * SECOND)
     for gateway in gateways:
         assert gateway.core.receives_from(other, one) is False and gateway.core.receives_from(one, other) is True
         assert gateway.core.receives_from(one, "g000") is True
-    assert state(wire.gateways[one], other) is state(wire.gateways[other], one) is MemberState.CUT
+    assert state_of(wire.gateways[one], other) is state_of(wire.gateways[other], one) is MemberState.CUT
     view = MembersView(wire.gateways[one].core)
     assert len(view.live()) == 5 and view.reachable() == view.live() - {other}
-    assert state(gateways[0], one) is state(gateways[0], other) is MemberState.ALIVE and not watch.counts["given_up"]
+    assert (
+        state_of(gateways[0], one) is state_of(gateways[0], other) is MemberState.ALIVE and not watch.counts["given_up"]
+    )
     wire.heal()
     assert wire.time.run(wire.timing.settling_bound(5), lambda: not watch.unsettled())
 
 
-def test_a_ghost_of_a_member_at_a_false_address_is_not_kept_alive_by_others_word():
-    wire, watch, gateways = fleet(4)
+def test_a_false_claim_at_another_address_does_not_hide_a_restart():
+    wire, watch, gateways = start_fleet(4)
     gateways[3].kill()
     wire.time.run(20 * SECOND)
-    ghost = f.Claim("g003", "10.9.9.9", 1, gateways[3].boot + 1_000_000, 0, f.ALIVE)
-    gateways[0].core.table.merge(ghost, "g001")
+    false_claim = f.Claim("g003", "10.9.9.9", 1, gateways[3].boot + 1_000_000, 0, f.ALIVE)
+    gateways[0].core.table.merge(false_claim, "g001")
     gateways[3].start(gateways[3].boot + 1)
     assert wire.time.run(40 * SECOND, lambda: not watch.unsettled())
     assert (
-        gateways[3].core.local_member.generation > ghost.generation and "g003" in gateways[0].core.local_member.clashes
+        gateways[3].core.local_member.generation > false_claim.generation
+        and "g003" in gateways[0].core.local_member.clashes
     )
 
 
-def test_halves_that_gave_each_other_up_find_each_other_without_seeds():
-    wire, watch, gateways = fleet(6)
+def test_partitions_merge_without_seeds():
+    wire, watch, gateways = start_fleet(6)
     names = sorted(wire.gateways)
     for gateway in gateways:
         gateway.core._seeds = []
     wire.cut(names[:3], names[3:])
     wire.time.run(60 * SECOND)
-    assert state(gateways[0], names[5]) is MemberState.GONE
+    assert state_of(gateways[0], names[5]) is MemberState.GONE
     wire.heal()
     given_up = watch.counts["given_up"]
     assert wire.time.run(wire.timing.settling_bound(6), lambda: not watch.unsettled())
-    assert watch.counts["given_up"] == given_up  # nobody of the own half for the word of the other
+    assert watch.counts["given_up"] == given_up  # no member of a partition is given up on the claim of the other
 
 
-def test_one_that_leaves_is_gone_by_its_own_word_and_comes_back():
-    wire, watch, gateways = fleet(5)
+def test_a_member_that_leaves_is_reported_as_left_and_may_return():
+    wire, watch, gateways = start_fleet(5)
     gateways[4].step(Leave())
     wire.time.run(SECOND)
-    assert {state(gateway, "g004") for gateway in gateways[:4]} == {MemberState.LEFT}
-    ticks = gateways[4].packets
+    assert {state_of(gateway, "g004") for gateway in gateways[:4]} == {MemberState.LEFT}
+    packets_before = gateways[4].packets
     wire.time.run(SECOND)
-    assert gateways[4].packets - ticks < 60  # it answers, and does not spin
+    assert gateways[4].packets - packets_before < 60  # it answers pings without a busy loop
     gateways[4].start()
     assert wire.time.run(10 * SECOND, lambda: not watch.unsettled())
 
 
-def test_one_whose_clock_was_set_back_and_kept_nothing_rises_above_what_it_was():
-    wire, watch, gateways = fleet(4)
+def test_a_generation_that_fell_with_the_clock_is_raised():
+    wire, watch, gateways = start_fleet(4)
     generation = gateways[3].core.local_member.generation
     gateways[3].kill()
     gateways[3].start(generation - 50_000)
@@ -232,8 +238,8 @@
     assert gateways[3].core.local_member.generation == generation + 1
 
 
-def test_a_sleeper_accuses_nobody_and_its_old_records_are_as_old_as_they_are():
-    wire, watch, gateways = fleet(5)
+def test_a_paused_process_accuses_nobody_and_its_records_keep_their_age():
+    wire, watch, gateways = start_fleet(5)
 
     def post():
         wire.time.later(500 * MS, post)
@@ -250,13 +256,13 @@
     assert not watch.worded and gateways[2].core.context.counts["gone"] == 0
 
 
-def test_strangers_other_clusters_and_those_over_their_rate_are_dropped():
-    wire, _, gateways = fleet(3)
+def test_packets_of_strangers_other_clusters_and_over_the_rate_are_dropped():
+    wire, _, gateways = start_fleet(3)
     one, other = gateways[:2]
     before = Counter(one.core.context.counts)
     stranger = Core(Start("trial", "x", ("10.0.0.1", 9), 1), Timing(), Limits(), 0)
     stranger.table.merge(f.Claim("g000", *one.address, 1, 0, f.ALIVE), "g000")
-    stranger.context.now = 60 * SECOND  # past the time in which it says who it is
+    stranger.context.now = 60 * SECOND  # after the period in which each packet carries its claim
     stranger.outgoing.send(stranger.table.peers["g000"], f.Hello())
     foreign = Core(Start("elsewhere", "x", ("10.0.0.1", 9), 1, seeds=[one.address]), Timing(), Limits(), 0)
     said = [effect for effect in stranger.context.effects + foreign.step(0, Tick()) if isinstance(effect, SendDatagram)]
@@ -271,15 +277,15 @@
     assert "x" not in one.core.table.peers
 
 
-def test_the_board_says_what_it_does_not_take():
-    one = core()
+def test_invalid_records_are_rejected():
+    core = make_core()
     for body, kind in ((bytes(901), "k"), (b"", ""), (b"", "k" * 33)):
         with pytest.raises(ValueError):
-            one.step(0, PublishRecord(kind, body))
+            core.step(0, PublishRecord(kind, body))
     for i in range(Limits().max_record_kinds):
-        one.records.publish(100, f"k{i}", b"")
-    with pytest.raises(ValueError, match="more than 32"):
-        one.step(0, PublishRecord("k", b""))
+        core.records.publish(100, f"k{i}", b"")
+    with pytest.raises(ValueError, match="limit of 32"):
+        core.step(0, PublishRecord("k", b""))
 
 
 def test_the_same_seed_gives_the_same_run():
@@ -292,7 +298,7 @@
 
 
 @pytest.mark.parametrize("gateways, seed", [(2, 1), (5, 2), (7, 3)])
-def test_the_torture_finds_nothing(gateways, seed):
+def test_fault_injection_finds_no_violation(gateways, seed):
     torture = Torture(gateways, seed)
     for _ in range(4):
         torture.cycle()
@@ -301,16 +307,16 @@
 
 
 @pytest.mark.parametrize("name", PLANTS)
-def test_the_torture_finds_what_is_planted_and_not_without_it(name):
+def test_fault_injection_finds_each_injected_bug(name):
     plant = PLANTS[name]
     assert found(plant, 4, 3, 1) is not None
     assert found(plant._replace(make=Core), 4, 3, 1) is None
 
 
-# ---- what is kept, and the control port
+# ---- the stored generation and the control port
 
 
-def test_the_boot_number_grows_whatever_the_clock_says(tmp_path):
+def test_the_generation_grows_whatever_the_clock_says(tmp_path):
     state = str(tmp_path / "kept")
     first = generations.next_generation(state)
     generations.store_generation(state, first + 10**9)
@@ -374,7 +380,7 @@
     parts[2].leave().addCallback(lambda _: parts[2].stop())
 parts[0].messenger.subscribe("big", mailed)
 import socket
-holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)  # as a process that is being replaced
+holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)  # holds the address like a process that is being replaced
 holder.bind(("127.0.9.2", 17947))
 reactor.callLater(0.5, holder.close)
 for part in (control, *parts):
@@ -392,7 +398,7 @@
 """
 
 
-def test_three_on_sockets_share_members_board_and_mail_and_the_command_line_sees_it():
+def test_three_memberships_on_sockets_share_members_records_and_messages():
     child = subprocess.Popen([sys.executable, "-c", FLEET], stdout=subprocess.PIPE)
     try:
         assert child.stdout.readline() == b"up\n"
@@ -410,7 +416,7 @@
                 "more than" in send_request(("127.0.9.1", 17948), {"call": "fleet", "x": "x" * (2 << 20)}, 10)["error"]
             )
         except OSError:
-            pass  # the connection ended before the answer could be read
+            pass  # the connection was closed before the answer could be read
         assert "takes no x" in send_request(("127.0.9.1", 17948), {"call": "fleet", "x": 1}, 10)["error"]
     finally:
         child.kill()
--- a/tests/test_fleet_subset.py
+++ b/tests/test_fleet_subset.py
@@ -1,11 +1,11 @@
-"""Members of a fleet with some names left out."""
+"""A view of the members without some names."""
 
 from rackhub.fleet.members.subset import MembersWithout
 from rackhub.fleet.ports import Member, MemberState
 
 
-class Three:
-    """`a`, the own one, hears `b` and `r`; `b` and `r` hear one another."""
+class ThreeMembers:
+    """`a`, the local member, reaches `b` and `r`; `b` and `r` reach each other."""
 
     local_name = "a"
 
@@ -32,8 +32,8 @@
     return Member(name, ("127.0.0.1", 1), 1, 0, MemberState.ALIVE, 0)
 
 
-def test_the_names_are_in_nothing_that_is_told():
-    members = MembersWithout(Three(), frozenset("r"))
+def test_excluded_names_are_in_no_result():
+    members = MembersWithout(ThreeMembers(), frozenset("r"))
     assert (members.local_name, set(members.all()), members.live(), members.reachable()) == (
         "a",
         {"a", "b"},
@@ -47,13 +47,13 @@
     )
 
 
-def test_changes_of_those_names_are_not_passed_on():
-    three, told = Three(), []
-    MembersWithout(three, frozenset("r")).follow(told.append)
+def test_changes_of_excluded_names_are_not_passed_on():
+    members, received = ThreeMembers(), []
+    MembersWithout(members, frozenset("r")).follow(received.append)
     for name in "br":
-        three.calls[0](member(name))
-    assert [each.name for each in told] == ["b"]
+        members.calls[0](member(name))
+    assert [changed.name for changed in received] == ["b"]
 
 
-def test_the_own_name_is_never_left_out():
-    assert MembersWithout(Three(), frozenset("ab")).live() == {"a", "r"}
+def test_the_local_name_is_never_excluded():
+    assert MembersWithout(ThreeMembers(), frozenset("ab")).live() == {"a", "r"}
