--- a/tests/model_search.py
+++ b/tests/model_search.py
@@ -126,11 +126,9 @@
         10,
     ),
     "rules": Model(rules, 1),
-    "gather": Model(
-        property_test(test_gather.test_whatever_happens_there_is_one_answer_and_it_says_what_is_in_it, 200), 200
-    ),
+    "gather": Model(property_test(test_gather.test_any_events_give_one_answer_that_states_its_sites, 200), 200),
     "store": Model(machine(test_store.Histories, 30, 50), 30),
-    "timings": Model(machine(test_timings.Lives, 30, 50), 30),
+    "timings": Model(machine(test_timings.RequestModel, 30, 50), 30),
 }
 
 
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -370,7 +370,7 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(RULES, NEEDS, STEPS, st.sets(st.sampled_from("abc")), st.booleans())
-def test_whatever_happens_there_is_one_answer_and_it_says_what_is_in_it(rule, need, steps, cut, over):
+def test_any_events_give_one_answer_that_states_its_sites(rule, need, steps, cut, over):
     follow(rule, need, steps, cut, over)
 
 
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -653,7 +653,7 @@
 # ---- one request's life against the rules
 
 
-class Lives(RuleBasedStateMachine):
+class RequestModel(RuleBasedStateMachine):
     """Requests under random routes, ends, reloads, drains and steps of the clock, against what must hold."""
 
     ROUTES = st.lists(
@@ -768,7 +768,7 @@
 
 
 LIVES = hypothesis_settings(max_examples=80, stateful_step_count=40, deadline=None, derandomize=True)
-test_a_request_keeps_to_the_rules_whatever_happens = coverage_test(Lives, LIVES)
+test_a_request_keeps_to_the_rules_whatever_happens = coverage_test(RequestModel, LIVES)
 
 
 # ---- what they are for
