--- a/tests/model_search.py
+++ b/tests/model_search.py
@@ -127,7 +127,7 @@
     ),
     "rules": Model(rules, 1),
     "gather": Model(property_test(test_gather.test_any_events_give_one_answer_that_states_its_sites, 200), 200),
-    "store": Model(machine(test_store.Histories, 30, 50), 30),
+    "store": Model(machine(test_store.StoreModel, 30, 50), 30),
     "timings": Model(machine(test_timings.RequestModel, 30, 50), 30),
 }
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -514,7 +514,7 @@
     assert taken.floor == 54 and not taken.skipped
     without = plan.rescue([old, newer], [log])  # a gap after record 20: a prefix, and the rest told as left
     assert [one.number for one in without.tables] == [3] and without.last_record == 20 and without.skipped == (log,)
-    assert plan.rescue([], [log]).end == 0
+    assert plan.rescue([], [log]).last_record == 0
 
 
 # ---- torture: a small, fixed part, and the faults that it must find
@@ -565,7 +565,7 @@
 VALUES = st.binary(max_size=300)
 
 
-class Histories(RuleBasedStateMachine):
+class StoreModel(RuleBasedStateMachine):
     """The store beside a plain list of states, with crashes, compactions and merges among its steps."""
 
     snapshots = Bundle("snapshots")
@@ -677,4 +677,4 @@
 
 
 HISTORIES = hypothesis_settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
-test_the_store_keeps_to_a_model_of_histories = coverage_test(Histories, HISTORIES)
+test_the_store_keeps_to_a_model_of_histories = coverage_test(StoreModel, HISTORIES)
