--- a/rackhub/core/attempts.py
+++ b/rackhub/core/attempts.py
@@ -86,7 +86,7 @@
         if blocked_by := attempt.send_blocked_by(attempt.sent_at, self._state.lease):
             self._reject(attempt, blocked_by)
             return
-        if attempt.query.reply.may_have_unread_input:  # which may show that the client has disconnected
+        if attempt.query.reply.may_have_unread_input:  # the client may have disconnected
             self._state.timers.call_after_reads(DEFER_UNCONDITIONALLY, self.begin, attempt)
             return
         attempt.state = AttemptState.IN_FLIGHT  # the port sets QUEUED if it can't send the attempt now
--- a/rackhub/core/gather.py
+++ b/rackhub/core/gather.py
@@ -22,7 +22,7 @@
     """Status that accompanies the gathered rows of an answer."""
 
     complete: bool = msgspec.field(name="whole")  # fresh rows of every site are included
-    sites: Sequence[SiteStatus]  # one entry for each site, in the order of the sites
+    sites: Sequence[SiteStatus]  # ordered as the sites of the rule
 
 
 class GatherPort(Protocol):
