--- a/rackhub/fleet/distribution/receiver.py
+++ b/rackhub/fleet/distribution/receiver.py
@@ -108,7 +108,7 @@
         assembly = self._assembly
         if assembly is None or part.revision > assembly.revision:
             assembly = self._assembly = SnapshotAssembly(part)
-        if not assembly.matches(part):  # also a late part of an older snapshot
+        if not assembly.matches(part):  # This may be a late part of an older snapshot.
             return [IncrementCounter("distribution_damaged")]
         assembly.add(part)
         self._confirm_parts(part.revision, assembly.contiguous)
@@ -136,7 +136,7 @@
         """
         if part.revision < self._min_snapshot_revision:
             raise UnusableUpstream("distribution_snapshots_refused")
-        self._confirm_parts(part.revision, part.parts)  # so that the upstream sends no more parts
+        self._confirm_parts(part.revision, part.parts)  # The upstream then sends no more parts.
         return [IncrementCounter("distribution_snapshots_refused")] if part.revision < self._delivery.newest else []
 
     def _take_heartbeat(self, heartbeat: Heartbeat) -> list[Effect]:
@@ -147,7 +147,7 @@
             self._sent_revision = max(self._sent_revision, heartbeat.previous)
             return []
         if heartbeat.revision > self._delivery.newest and self._delivery.log:
-            return self._deliver(heartbeat.log, heartbeat.revision, ())  # only the revision advances
+            return self._deliver(heartbeat.log, heartbeat.revision, ())  # Only the revision advances.
         return []
 
     def _deliver(
--- a/rackhub/fleet/distribution/replication.py
+++ b/rackhub/fleet/distribution/replication.py
@@ -67,7 +67,7 @@
         # The local acceptor's value when it was last checked, so that each value is decoded only once.
         self._last_value: bytes | None = None
         self._accepted_revision: Revision = 0  # the newest revision in that value
-        self._unfinished_since: int | None = None  # or since the last read because of that change
+        self._unfinished_since: int | None = None  # A read because of that change sets it again.
         self._ticks = 0
         self._cancel: Callable[[], None] = lambda: None
         self._stopped = False
--- a/tests/test_distribution_relay.py
+++ b/tests/test_distribution_relay.py
@@ -40,13 +40,8 @@
 def test_each_voter_knows_how_many_coordinators_have_applied_a_revision():
     fleet = started(sources=3)
     for voter in ("voter-0", "voter-1", "voter-2"):
-        fleet_status = status(fleet, voter=voter)
-        assert (fleet_status.revision, fleet_status.in_force, fleet_status.expected, fleet_status.lagging) == (
-            1,
-            4,
-            4,
-            0,
-        )
+        result = status(fleet, voter=voter)
+        assert (result.revision, result.in_force, result.expected, result.lagging) == (1, 4, 4, 0)
     assert status(fleet, 2).lagging == 4
 
 
@@ -55,10 +50,10 @@
     fleet.processes["coordinator-1"].disk.write = 60 * SECOND
     fleet.decide({"k": b"2"})
     fleet.run(9 * SECOND)
-    fleet_status = status(fleet)
-    assert (fleet_status.in_force, fleet_status.expected, fleet_status.lagging) == (3, 4, 1)
-    assert [(one.name, one.revision) for one in fleet_status.most_lagging] == [("coordinator-1", 1)]
-    assert 8_000 <= fleet_status.oldest_lag_ms <= 10_500
+    result = status(fleet)
+    assert (result.in_force, result.expected, result.lagging) == (3, 4, 1)
+    assert [(one.name, one.revision) for one in result.most_lagging] == [("coordinator-1", 1)]
+    assert 8_000 <= result.oldest_lag_ms <= 10_500
 
 
 def test_a_coordinator_with_nothing_pending_counts_as_at_the_newest_revision():
@@ -67,8 +62,8 @@
     fleet.run(3 * SECOND)
     fleet.decide({"k": b"2"})
     fleet.run(400 * MILLISECOND)
-    fleet_status = status(fleet)
-    assert (fleet_status.in_force, fleet_status.expected) == (3, 3)
+    result = status(fleet)
+    assert (result.in_force, result.expected) == (3, 3)
 
 
 def test_a_rejected_key_is_counted_and_the_others_are_applied():
@@ -77,8 +72,8 @@
     coordinator.rejects = {"bad"}
     fleet.decide({"bad": b"", "good": b""})
     fleet.run(2 * SECOND)
-    fleet_status = status(fleet)
-    assert (fleet_status.in_force, fleet_status.fault_count) == (4, 1)
+    result = status(fleet)
+    assert (result.in_force, result.fault_count) == (4, 1)
     reports = [message for _, _, message in sent_after(fleet, 2 * SECOND, Report)]
     assert any(report.faults == (KeyFault("bad", "no"),) for report in reports)
     coordinator.rejects = set()
@@ -114,9 +109,9 @@
     fleet.run(10 * SECOND)
     fleet.decide({"k": b"2"})
     fleet.run(3 * SECOND)
-    fleet_status = status(fleet)
-    assert (fleet_status.in_force, fleet_status.expected, fleet_status.lagging) == (2, 4, 2)
-    assert 2_500 <= fleet_status.oldest_lag_ms <= 13_500
+    result = status(fleet)
+    assert (result.in_force, result.expected, result.lagging) == (2, 4, 2)
+    assert 2_500 <= result.oldest_lag_ms <= 13_500
 
 
 def test_reports_count_by_age_log_and_zone():
@@ -125,8 +120,8 @@
     send_report(core, 0, "relay-1", revision=5, watchers=5, members=4, in_force=(at_5, at_4))
     send_report(core, 0, "relay-2", revision=5, watchers=1, members=6, in_force=(RevisionCount(9, 1),))
     send_report(core, 0, "relay-3", zone="b", log="other", watchers=7, in_force=(RevisionCount(9, 7),))
-    fleet_status = core.status(0)
-    assert (fleet_status.in_force, fleet_status.expected) == (4, 13)
+    result = core.status(0)
+    assert (result.in_force, result.expected) == (4, 13)
     assert core.status(0, 4).in_force == 6
     late = core.status(Limits().max_report_age + 1)
     assert (late.in_force, late.expected) == (0, 6)
