--- a/rackhub/fleet/link/outbox.py
+++ b/rackhub/fleet/link/outbox.py
@@ -1,7 +1,7 @@
 """Outgoing messages: pages are sent in a window, acknowledged, and resent a limited number of times. Pure.
 
-A message that is not fully acknowledged when it expires or its attempts are used up is dropped. Only a counter shows
-it.
+A message that is not fully acknowledged when it expires or its attempts are used up is dropped, which only a counter
+shows.
 """
 
 from collections.abc import Callable, Iterator
--- a/rackhub/fleet/members/core.py
+++ b/rackhub/fleet/members/core.py
@@ -243,7 +243,7 @@
             return True
         if receiver == self.context.local_name:
             peer = self.table.peers.get(sender)
-            return None if peer is None else peer.receives_directly()
+            return None if peer is None else peer.reaches_local_member()
         if receiver not in self.table.peers or not self.table.peers[receiver].is_live:
             return None
         return self._reachability_reports.receives_from(receiver, sender)
--- a/rackhub/fleet/members/gossip_records.py
+++ b/rackhub/fleet/members/gossip_records.py
@@ -43,10 +43,9 @@
         local_records[kind] = StoredRecord(generation, self._last_number, self._context.now, body)
 
     def raise_number(self, update: f.RecordUpdate) -> bool | None:
-        """Raise local record numbers above `update`, which has a local record with a number that this process never
-        gave.
+        """Continue the local record numbers above the one in `update`, which this process never gave.
 
-        Return None if the number is not above the local ones, False if it is implausibly far above.
+        Return None if that number is not above the local ones, False if it is implausibly far above.
         """
         if update.number <= self._last_number:
             return None
--- a/rackhub/fleet/members/peer.py
+++ b/rackhub/fleet/members/peer.py
@@ -61,7 +61,7 @@
         self.last_received: int | None = None  # time of the last datagram received from it
         # Direct probes unanswered in a row, and when the first of them was sent.
         self.missed_probes, self.first_missed_at = 0, 0
-        self.stamp = self.stamp_at = 0
+        self.stamp = self.stamp_at = 0  # the member's last timestamp to echo, and when it arrived
         self.inbox: Inbox | None = None
         self.greeted_at: int | None = None  # when a `Hello` was last sent because the member had no timestamp to echo
         self.describe(claim)
@@ -76,8 +76,8 @@
         """True if the member is alive or suspected."""
         return self.rank in (f.ALIVE, f.SUSPECT)
 
-    def receives_directly(self) -> bool | None:
-        """Return whether this gateway receives datagrams from the member; None before any evidence."""
+    def reaches_local_member(self) -> bool | None:
+        """Return whether the member's datagrams reach this gateway; None before any evidence."""
         if self.missed_probes and (self.last_received is None or self.last_received < self.first_missed_at):
             return False
         return None if self.last_received is None else True
--- a/rackhub/fleet/members/probing.py
+++ b/rackhub/fleet/members/probing.py
@@ -1,5 +1,6 @@
-"""SWIM's failure detector: one member is probed each period, directly and then by ping-reqs. Lifeguard's health
-multiplier lengthens period and timeout while this gateway itself seems slow. Pure.
+"""SWIM's failure detector: one member is probed each period, directly and then by ping-reqs. Pure.
+
+Lifeguard's local health multiplier lengthens period and timeout while this gateway itself seems slow.
 
 A member that answers only indirect probes is cut off from this gateway, and reported so after some such rounds in a
 row. A member that does not answer at all is suspected. Members that are cut off or gone are probed at a lower rate
--- a/rackhub/fleet/members/reachability.py
+++ b/rackhub/fleet/members/reachability.py
@@ -37,7 +37,7 @@
     unreachable: list[bytes] = []
     for peer in peers:
         if peer.is_live:
-            (reachable if peer.receives_directly() else unreachable).append(name_hash(peer.name))
+            (reachable if peer.reaches_local_member() else unreachable).append(name_hash(peer.name))
     listed_hashes = (
         sorted(reachable) if len(reachable) <= MAX_LISTED_REACHABLE else sorted(unreachable)[:MAX_LISTED_UNREACHABLE]
     )
--- a/rackhub/fleet/members/receive.py
+++ b/rackhub/fleet/members/receive.py
@@ -111,7 +111,7 @@
 
     def _handle_packet(self, peer: Peer, packet: f.Packet) -> None:
         context = self._context
-        if peer.last_received is None or not peer.receives_directly():
+        if peer.last_received is None or not peer.reaches_local_member():
             self._table.mark_changed(peer)
         peer.last_received = context.now
         transit_time = self._transit_time(packet)
