--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -337,7 +337,7 @@
     dispatcher.on("fails", lambda words, answer: 1 / 0)
     dispatcher.on("long", lambda words, answer: answer({"x": "y" * 2_000}))
     dispatcher.on("odd", lambda words, answer: answer({"x": object()}))
-    with pytest.raises(ValueError, match="taken"):
+    with pytest.raises(ValueError, match="'twice' is already registered"):
         dispatcher.on("twice", twice)
     for line in (
         b'{"call":"twice","n":1}',
