--- a/tests/test_distribution_voter.py
+++ b/tests/test_distribution_voter.py
@@ -395,7 +395,7 @@
     test_bed = VoterFleet()
     test_bed.kill("v0")
     test_bed.net.nodes["v0"].restart()
-    with pytest.raises(ValueError, match="a set of keepers can't be changed in place"):
+    with pytest.raises(ValueError, match="the set of keepers can't be changed in place"):
         Voter(
             test_bed.net.nodes["v0"].fleet(), Identity(name="v0", generation=2), ("v0",), test_bed.disks["v0"], Limits()
         )
