--- a/rackhub/net/tds/codec.py
+++ b/rackhub/net/tds/codec.py
@@ -77,25 +77,26 @@
 NCHAR = 0xEF
 CHARACTER_ENCODINGS = {NVARCHAR: "utf-16-le", NCHAR: "utf-16-le", BIGVARCHAR: "cp1252", BIGCHAR: "cp1252"}
 
-ENCRYPT_NOT_SUP = 2
+ENCRYPT_NOT_SUP = 2  # value of the PRELOGIN option ENCRYPTION: encryption is not supported
 COLLATION = bytes.fromhex("0904d00034")  # Latin1_General, case-insensitive
-MAX = 0xFFFF  # as a declared length: a (max) type; as the length of a value: NULL
-NO_PLP = (1 << 64) - 1  # PLP_NULL
-UNKNOWN_PLP = (1 << 64) - 2  # PLP_UNKNOWN_LEN
+USHORT_MAX = 0xFFFF  # declared length of a (max) type, length of a NULL value, column count without metadata
+# Lengths of partially length-prefixed (PLP) values with a special meaning.
+PLP_NULL = (1 << 64) - 1
+PLP_UNKNOWN_LENGTH = (1 << 64) - 2
 PRELOGIN_OPTION_BYTES = 5
 PRELOGIN_TERMINATOR = 0xFF
-LOGIN_HEADER_BYTES = 94  # the fixed fields and the offsets of LOGIN7
-LOGIN_INTEGRATED_SECURITY = 0x80  # in OptionFlags2
-RPC_BY_NUMBER = 0xFFFF
-RPC_BATCH_FLAGS = (0x80, 0xFF, 0xFE)  # separate the calls of one message
+LOGIN_HEADER_BYTES = 94  # size of the fixed fields of LOGIN7 and of its table of text offsets
+LOGIN_INTEGRATED_SECURITY = 0x80  # bit of OptionFlags2 in LOGIN7
+RPC_BY_NUMBER = 0xFFFF  # length of a procedure name that is given as a number
+RPC_BATCH_FLAGS = (0x80, 0xFF, 0xFE)  # bytes that separate the calls of one RPC message
 
 
 class TdsProtocolError(ValueError):
-    """The bytes are not TDS, or not of a supported TDS version."""
+    """The bytes violate the TDS protocol or belong to an unsupported version of it."""
 
 
 class UnsupportedTdsError(ValueError):
-    """Valid TDS that requests a feature which is not implemented."""
+    """The TDS is valid but uses a feature that is not implemented."""
 
 
 class IncompleteTokenError(Exception):
@@ -105,44 +106,44 @@
 class ByteCursor:
     """Reads values from a buffer in place; reading past the end raises `IncompleteTokenError`."""
 
-    __slots__ = ("data", "at", "end")
+    __slots__ = ("data", "position", "end")
 
-    def __init__(self, data: bytes | bytearray, at: int = 0, end: int | None = None):
+    def __init__(self, data: bytes | bytearray, position: int = 0, end: int | None = None):
         self.data = data
-        self.at = at
+        self.position = position
         self.end = len(data) if end is None else end
 
-    def take(self, size: int) -> bytes:
-        """The next `size` bytes."""
-        if size < 0 or self.at + size > self.end:
+    def read(self, size: int) -> bytes:
+        """Read the next `size` bytes."""
+        if size < 0 or self.position + size > self.end:
             raise IncompleteTokenError
-        self.at += size
-        return bytes(self.data[self.at - size : self.at])
+        self.position += size
+        return bytes(self.data[self.position - size : self.position])
 
-    def number(self, size: int, signed: bool = False) -> int:
-        """The next little-endian integer of `size` bytes."""
-        return int.from_bytes(self.take(size), "little", signed=signed)
+    def read_int(self, size: int, signed: bool = False) -> int:
+        """Read the next little-endian integer of `size` bytes."""
+        return int.from_bytes(self.read(size), "little", signed=signed)
 
-    def text(self, code_units: int) -> str:
-        """The next UTF-16 text of `code_units` code units."""
+    def read_text(self, code_units: int) -> str:
+        """Read the next UTF-16 text of `code_units` code units."""
         try:
-            return self.take(2 * code_units).decode("utf-16-le")
+            return self.read(2 * code_units).decode("utf-16-le")
         except UnicodeDecodeError:
-            raise TdsProtocolError("text that is not UTF-16") from None
+            raise TdsProtocolError("text is not valid UTF-16") from None
 
-    def left(self) -> int:
-        """The number of bytes not yet read."""
-        return self.end - self.at
+    def remaining(self) -> int:
+        """Return the number of bytes not yet read."""
+        return self.end - self.position
 
 
-def b_text(text: str) -> bytes:
-    """B_VARCHAR: UTF-16 text with a one-byte length, truncated to 255 code units."""
+def encode_b_varchar(text: str) -> bytes:
+    """Encode a B_VARCHAR: UTF-16 text with a one-byte length, truncated to 255 code units."""
     raw = text[:255].encode("utf-16-le", "replace")[:510]
     return bytes([len(raw) // 2]) + raw
 
 
-def us_text(text: str) -> bytes:
-    """US_VARCHAR: UTF-16 text with a two-byte length, truncated to 2,000 characters."""
+def encode_us_varchar(text: str) -> bytes:
+    """Encode a US_VARCHAR: UTF-16 text with a two-byte length, truncated to 2,000 characters."""
     raw = text[:2_000].encode("utf-16-le", "replace")
     return struct.pack("<H", len(raw) // 2) + raw
 
@@ -151,7 +152,7 @@
 
 
 class MessageAssembler:
-    """Reassembles packets, split anywhere, into complete messages; buffers one message of at most `max_bytes`."""
+    """Reassembles messages from a byte stream; buffers one message of at most `max_bytes`."""
 
     def __init__(self, max_bytes: int):
         self._max_bytes = max_bytes
@@ -161,21 +162,24 @@
         self._reset = False
 
     @property
-    def begun(self) -> bool:
-        """Whether a message has been received in part."""
+    def has_partial_message(self) -> bool:
+        """Whether part of a message has been received."""
         return bool(self._buffer or self._body)
 
     def feed(self, data: bytes) -> Iterator[tuple[int, int, bytes]]:
-        """(type, status bits of all its packets, body) of each message that is now complete."""
+        """Add received bytes and yield each message that is now complete.
+
+        A message is (type, status, body); status has the RESET bits if any of its packets had them.
+        """
         for kind, status, body in self.feed_packets(data):
             if self._body and kind != self._kind:
                 if kind != ATTENTION:
-                    raise TdsProtocolError("a message inside another")
-                # Attention inside a request cancels the request
+                    raise TdsProtocolError(f"packet of type {kind} inside a message of type {self._kind}")
+                # An Attention received inside a request cancels that request.
                 self._body = bytearray()
                 self._reset = False
             if len(self._body) + len(body) > self._max_bytes:
-                raise TdsProtocolError("a message over the limit")
+                raise TdsProtocolError(f"message exceeds the limit of {self._max_bytes} bytes")
             self._kind = kind
             self._body += body
             self._reset |= bool(status & RESET)
@@ -187,14 +191,14 @@
                 yield kind, status | (RESET if reset else 0), complete
 
     def feed_packets(self, data: bytes) -> Iterator[tuple[int, int, bytes]]:
-        """(type, status, body) of each packet that is now complete."""
+        """Add received bytes and yield (type, status, body) of each packet that is now complete."""
         self._buffer += data
         while len(self._buffer) >= HEADER.size:
             kind, status, size, _, _, _ = HEADER.unpack_from(self._buffer)
             if not HEADER.size <= size <= MAX_PACKET_BYTES:
-                raise TdsProtocolError(f"a packet of {size} bytes")
+                raise TdsProtocolError(f"packet of {size} bytes: must be {HEADER.size} to {MAX_PACKET_BYTES} bytes")
             if kind not in PACKET_TYPES:
-                raise TdsProtocolError(f"a packet of type {kind}")
+                raise TdsProtocolError(f"unknown packet type {kind}")
             if len(self._buffer) < size:
                 return
             body = bytes(self._buffer[HEADER.size : size])
@@ -203,29 +207,29 @@
 
 
 class Packetizer:
-    """Splits an outgoing message into packets as it grows; the last packet has the EOM bit."""
+    """Splits an outgoing message into packets while it is being written; the last packet has the EOM bit."""
 
     def __init__(self, kind: int, size: int):
         self._kind = kind
         self._capacity = size - HEADER.size
         self._packet_id = 0
-        self._rest = bytearray()
+        self._pending = bytearray()
 
     def add(self, pieces: Iterable[bytes]) -> list[bytes]:
-        """Headers and bodies of the packets that are now full; the last one is retained for `end`."""
+        """Append to the message and return the headers and bodies of full packets; the last is kept for `finish`."""
         for piece in pieces:
-            self._rest += piece
+            self._pending += piece
         out: list[bytes] = []
-        while len(self._rest) > self._capacity:
-            out += self._packet(bytes(self._rest[: self._capacity]), 0)
-            del self._rest[: self._capacity]
+        while len(self._pending) > self._capacity:
+            out += self._packet(bytes(self._pending[: self._capacity]), 0)
+            del self._pending[: self._capacity]
         return out
 
-    def end(self, pieces: Iterable[bytes] = ()) -> list[bytes]:
-        """Headers and bodies of all remaining packets, the last one with the EOM bit."""
+    def finish(self, pieces: Iterable[bytes] = ()) -> list[bytes]:
+        """Complete the message and return the headers and bodies of all remaining packets."""
         out = self.add(pieces)
-        out += self._packet(bytes(self._rest), EOM)
-        self._rest = bytearray()
+        out += self._packet(bytes(self._pending), EOM)
+        self._pending = bytearray()
         return out
 
     def _packet(self, body: bytes, status: int) -> tuple[bytes, bytes]:
@@ -234,69 +238,69 @@
 
 
 def encode_message(kind: int, body: bytes, size: int = DEFAULT_PACKET_BYTES) -> list[bytes]:
-    """A complete message as packet headers and bodies; `size` is the packet size in bytes."""
-    return Packetizer(kind, size).end((body,))
+    """Encode a complete message as packet headers and bodies; `size` is the packet size in bytes."""
+    return Packetizer(kind, size).finish((body,))
 
 
-# ---- the hand-shake
+# ---- handshake
 
 
 def encode_prelogin(encryption: int = ENCRYPT_NOT_SUP) -> bytes:
-    """VERSION, ENCRYPTION, INSTOPT, THREADID and MARS: no encryption, no MARS."""
+    """Encode PRELOGIN with VERSION, ENCRYPTION, INSTOPT, THREADID and MARS, without encryption and MARS."""
     options = ((0, b"\x10\x00\x00\x00\x00\x00"), (1, bytes([encryption])), (2, b"\0"), (3, b""), (4, b"\0"))
-    at = PRELOGIN_OPTION_BYTES * len(options) + 1
-    heads = b""
-    bodies = b""
-    for option, body in options:
-        heads += struct.pack(">BHH", option, at + len(bodies), len(body))
-        bodies += body
-    return heads + b"\xff" + bodies
+    data_offset = PRELOGIN_OPTION_BYTES * len(options) + 1
+    option_table = b""
+    data = b""
+    for option, value in options:
+        option_table += struct.pack(">BHH", option, data_offset + len(data), len(value))
+        data += value
+    return option_table + b"\xff" + data
 
 
 def parse_prelogin(body: bytes) -> dict[int, bytes]:
-    """The options of a PRELOGIN message by option number."""
+    """Parse the body of a PRELOGIN message into its options by option number."""
     options: dict[int, bytes] = {}
-    at = 0
-    while at < len(body) and body[at] != PRELOGIN_TERMINATOR:
-        if at + PRELOGIN_OPTION_BYTES > len(body):
-            raise TdsProtocolError("PRELOGIN is cut off")
-        option, offset, size = struct.unpack_from(">BHH", body, at)
+    position = 0
+    while position < len(body) and body[position] != PRELOGIN_TERMINATOR:
+        if position + PRELOGIN_OPTION_BYTES > len(body):
+            raise TdsProtocolError(f"PRELOGIN is truncated inside its option table, after {len(body)} bytes")
+        option, offset, size = struct.unpack_from(">BHH", body, position)
         if offset + size > len(body):
-            raise TdsProtocolError("PRELOGIN points outside itself")
+            raise TdsProtocolError(f"PRELOGIN option {option} ends at byte {offset + size} of {len(body)}")
         options[option] = body[offset : offset + size]
-        at += PRELOGIN_OPTION_BYTES
-    if at >= len(body):
-        raise TdsProtocolError("PRELOGIN has no end")
+        position += PRELOGIN_OPTION_BYTES
+    if position >= len(body):
+        raise TdsProtocolError("PRELOGIN has no terminator after its option table")
     return options
 
 
 class Login(NamedTuple):
-    """The fields of LOGIN7 that the server uses."""
+    """The fields of a LOGIN7 message that the front uses."""
 
     version: int
     packet_size: int
     user: str
     password: str
     database: str
-    integrated: bool
+    integrated_security: bool
 
 
-LOGIN_FIXED = struct.Struct("<IIIIIIBBBBiI")
-LOGIN_TEXTS = ("host", "user", "password", "app", "server", "extension", "library", "language", "database")
+LOGIN_FIXED_FIELDS = struct.Struct("<IIIIIIBBBBiI")
+LOGIN_TEXT_FIELDS = ("host", "user", "password", "app", "server", "extension", "library", "language", "database")
 
 
-def scrambled(password: bytes) -> bytes:
+def obfuscate_password(password: bytes) -> bytes:
     """Obfuscate a password as LOGIN7 requires."""
     return bytes(((byte << 4 | byte >> 4) & 0xFF) ^ 0xA5 for byte in password)
 
 
-def unscrambled(password: bytes) -> bytes:
-    """The inverse of `scrambled`."""
+def deobfuscate_password(password: bytes) -> bytes:
+    """Reverse `obfuscate_password`."""
     return bytes(((byte ^ 0xA5) << 4 | (byte ^ 0xA5) >> 4) & 0xFF for byte in password)
 
 
 def encode_login7(user: str, password: str, database: str, packet_size: int) -> bytes:
-    """The body of a LOGIN7 message; `packet_size` is in bytes."""
+    """Encode the body of a LOGIN7 message; `packet_size` is in bytes."""
     texts = {
         "host": "rackhub",
         "user": user,
@@ -305,35 +309,41 @@
         "library": "rackhub",
         "database": database,
     }
-    at = LOGIN_HEADER_BYTES
-    heads = b""
-    bodies = b""
-    for name in LOGIN_TEXTS:
-        raw = scrambled(password.encode("utf-16-le")) if name == "password" else texts.get(name, "").encode("utf-16-le")
-        heads += struct.pack("<HH", at + len(bodies), len(raw) // 2)
-        bodies += raw
-    heads += b"\0" * 6 + struct.pack("<HHHHHHI", *(at + len(bodies), 0) * 3, 0)
-    fixed = LOGIN_FIXED.pack(at + len(bodies), VERSION_74, packet_size, 0, 0, 0, 0xE0, 0x03, 0, 0, 0, 0x0409)
-    return fixed + heads + bodies
+    data_offset = LOGIN_HEADER_BYTES
+    offset_table = b""
+    data = b""
+    for name in LOGIN_TEXT_FIELDS:
+        raw = (
+            obfuscate_password(password.encode("utf-16-le"))
+            if name == "password"
+            else texts.get(name, "").encode("utf-16-le")
+        )
+        offset_table += struct.pack("<HH", data_offset + len(data), len(raw) // 2)
+        data += raw
+    offset_table += b"\0" * 6 + struct.pack("<HHHHHHI", *(data_offset + len(data), 0) * 3, 0)
+    fixed = LOGIN_FIXED_FIELDS.pack(
+        data_offset + len(data), VERSION_74, packet_size, 0, 0, 0, 0xE0, 0x03, 0, 0, 0, 0x0409
+    )
+    return fixed + offset_table + data
 
 
 def parse_login7(body: bytes) -> Login:
     """Parse the body of a LOGIN7 message."""
     if len(body) < LOGIN_HEADER_BYTES:
-        raise TdsProtocolError("LOGIN7 is cut off")
-    size, version, packet_size, *_ = LOGIN_FIXED.unpack_from(body)
+        raise TdsProtocolError(f"LOGIN7 is truncated: got {len(body)} bytes, its header has {LOGIN_HEADER_BYTES}")
+    size, version, packet_size, *_ = LOGIN_FIXED_FIELDS.unpack_from(body)
     if size > len(body):
-        raise TdsProtocolError("LOGIN7 is cut off")
+        raise TdsProtocolError(f"LOGIN7 is truncated: got {len(body)} of {size} bytes")
     texts = {}
-    for index, name in enumerate(LOGIN_TEXTS):
-        at, code_units = struct.unpack_from("<HH", body, LOGIN_FIXED.size + 4 * index)
-        if at + 2 * code_units > len(body):
-            raise TdsProtocolError("LOGIN7 points outside itself")
-        raw = body[at : at + 2 * code_units]
+    for index, name in enumerate(LOGIN_TEXT_FIELDS):
+        offset, code_units = struct.unpack_from("<HH", body, LOGIN_FIXED_FIELDS.size + 4 * index)
+        if offset + 2 * code_units > len(body):
+            raise TdsProtocolError(f"LOGIN7 field {name} ends at byte {offset + 2 * code_units} of {len(body)}")
+        raw = body[offset : offset + 2 * code_units]
         try:
-            texts[name] = (unscrambled(raw) if name == "password" else raw).decode("utf-16-le")
+            texts[name] = (deobfuscate_password(raw) if name == "password" else raw).decode("utf-16-le")
         except UnicodeDecodeError:
-            raise TdsProtocolError("LOGIN7 holds text that is not UTF-16") from None
+            raise TdsProtocolError(f"LOGIN7 field {name} is not valid UTF-16") from None
     return Login(
         version,
         packet_size,
@@ -347,67 +357,68 @@
 # ---- requests
 
 
-def all_headers(body: bytes) -> ByteCursor:
-    """A cursor behind the ALL_HEADERS block that begins a request (MS-TDS 2.2.5.3)."""
+def skip_all_headers(body: bytes) -> ByteCursor:
+    """Return a cursor after the ALL_HEADERS block that begins a request (MS-TDS 2.2.5.3)."""
     if len(body) < 4 or not 4 <= int.from_bytes(body[:4], "little") <= len(body):
-        raise TdsProtocolError("a request without its headers")
+        raise TdsProtocolError("request does not begin with a valid ALL_HEADERS block")
     return ByteCursor(body, int.from_bytes(body[:4], "little"))
 
 
-HEADERS = struct.pack("<IIHQI", 22, 18, 2, 0, 1)  # one, of a transaction: none, one request outstanding
+# One transaction descriptor header: no transaction, one outstanding request.
+ALL_HEADERS = struct.pack("<IIHQI", 22, 18, 2, 0, 1)
 
 
 def encode_sql_batch(statement: str) -> bytes:
-    """The body of a SQL batch message."""
-    return HEADERS + statement.encode("utf-16-le")
+    """Encode the body of a SQL batch message."""
+    return ALL_HEADERS + statement.encode("utf-16-le")
 
 
 def parse_sql_batch(body: bytes) -> str:
-    """The statement of a SQL batch message."""
-    cursor = all_headers(body)
-    if cursor.left() % 2:
-        raise TdsProtocolError("a batch of half a letter")
-    return cursor.text(cursor.left() // 2)
+    """Parse the body of a SQL batch message and return its statement."""
+    cursor = skip_all_headers(body)
+    if cursor.remaining() % 2:
+        raise TdsProtocolError("SQL batch ends inside a UTF-16 code unit")
+    return cursor.read_text(cursor.remaining() // 2)
 
 
 class RpcCall(NamedTuple):
-    """A remote procedure call: its name ('#10' for one called by number) and its arguments by lower-case name."""
+    """A remote procedure call; `arguments` are by lower-case name. A procedure called by number 10 is named '#10'."""
 
     name: str
     arguments: dict[str, Any]
 
 
-def plp(raw: bytes) -> bytes:
-    """A value of a (max) type, in one chunk."""
+def encode_plp(raw: bytes) -> bytes:
+    """Encode a value of a (max) type as one chunk."""
     return struct.pack("<QI", len(raw), len(raw)) + raw + b"\0\0\0\0" if raw else b"\0" * 12
 
 
 def read_plp(cursor: ByteCursor, max_bytes: int) -> bytes | None:
     """Read a partially length-prefixed value; None for NULL."""
-    total = cursor.number(8)
-    if total == NO_PLP:
+    total = cursor.read_int(8)
+    if total == PLP_NULL:
         return None
-    if total != UNKNOWN_PLP and total > max_bytes:
-        raise TdsProtocolError("a value over the limit")
+    if total != PLP_UNKNOWN_LENGTH and total > max_bytes:
+        raise TdsProtocolError(f"value of {total} bytes exceeds the limit of {max_bytes} bytes")
     chunks: list[bytes] = []
     size = 0
-    while chunk := cursor.number(4):
+    while chunk := cursor.read_int(4):
         size += chunk
         if size > max_bytes:
-            raise TdsProtocolError("a value over the limit")
-        chunks.append(cursor.take(chunk))
-    if total not in (UNKNOWN_PLP, size):
-        raise TdsProtocolError("a value of another length than told")
+            raise TdsProtocolError(f"value exceeds the limit of {max_bytes} bytes")
+        chunks.append(cursor.read(chunk))
+    if total not in (PLP_UNKNOWN_LENGTH, size):
+        raise TdsProtocolError(f"value has {size} bytes, its declared length is {total}")
     return b"".join(chunks)
 
 
 def encode_rpc(name: str, arguments: dict[str, str | int | float]) -> bytes:
-    """A call with nvarchar(max), bigint and float arguments."""
-    pieces = [HEADERS, struct.pack("<H", len(name)), name.encode("utf-16-le"), b"\0\0"]
+    """Encode the body of an RPC message with one call; arguments are sent as nvarchar(max), bigint or float."""
+    pieces = [ALL_HEADERS, struct.pack("<H", len(name)), name.encode("utf-16-le"), b"\0\0"]
     for argument, value in arguments.items():
-        pieces += (b_text(argument), b"\0")
+        pieces += (encode_b_varchar(argument), b"\0")
         if isinstance(value, str):
-            pieces += (bytes([NVARCHAR]), b"\xff\xff", COLLATION, plp(value.encode("utf-16-le")))
+            pieces += (bytes([NVARCHAR]), b"\xff\xff", COLLATION, encode_plp(value.encode("utf-16-le")))
         elif isinstance(value, int):
             pieces.append(struct.pack("<BBBq", INTN, 8, 8, value))
         else:
@@ -415,7 +426,7 @@
     return b"".join(pieces)
 
 
-FIXED = {
+FIXED_TYPE_FORMATS = {
     INT1TYPE: ("<B", 1),
     BITTYPE: ("<B", 1),
     INT2TYPE: ("<h", 2),
@@ -424,130 +435,135 @@
     FLT4TYPE: ("<f", 4),
     FLT8TYPE: ("<d", 8),
 }
-INTEGERS = {1: "<B", 2: "<h", 4: "<i", 8: "<q"}
-FLOATS = {4: "<f", 8: "<d"}
+INTEGER_FORMATS = {1: "<B", 2: "<h", 4: "<i", 8: "<q"}
+FLOAT_FORMATS = {4: "<f", 8: "<d"}
 
 
-def argument(cursor: ByteCursor) -> Any:
+def read_argument(cursor: ByteCursor) -> Any:
     """Read one argument: its TYPE_INFO and value. Raises `UnsupportedTdsError` for other types."""
-    kind = cursor.number(1)
+    kind = cursor.read_int(1)
     if kind in CHARACTER_ENCODINGS:
-        return _text_argument(cursor, CHARACTER_ENCODINGS[kind])
+        return _read_text_argument(cursor, CHARACTER_ENCODINGS[kind])
     if kind == NULLTYPE:
         return None
-    if kind in FIXED:
-        form, size = FIXED[kind]
-        return struct.unpack(form, cursor.take(size))[0]
+    if kind in FIXED_TYPE_FORMATS:
+        number_format, size = FIXED_TYPE_FORMATS[kind]
+        return struct.unpack(number_format, cursor.read(size))[0]
     if kind in (INTN, FLTN, BITN):
-        return _nullable_number(cursor, FLOATS if kind == FLTN else INTEGERS)
+        return _read_nullable_number(cursor, FLOAT_FORMATS if kind == FLTN else INTEGER_FORMATS)
     if kind in (DECIMALN, NUMERICN):
-        return _decimal(cursor)
+        return _read_decimal(cursor)
     raise UnsupportedTdsError(f"arguments of type 0x{kind:02x}")
 
 
-def _nullable_number(cursor: ByteCursor, formats: dict[int, str]) -> Any:
-    cursor.number(1)
-    size = cursor.number(1)
+def _read_nullable_number(cursor: ByteCursor, formats: dict[int, str]) -> Any:
+    cursor.read_int(1)
+    size = cursor.read_int(1)
     if not size:
         return None
     if size not in formats:
-        raise TdsProtocolError(f"a number of {size} bytes")
-    return struct.unpack(formats[size], cursor.take(size))[0]
+        raise TdsProtocolError(f"number of {size} bytes: must be one of {', '.join(map(str, formats))}")
+    return struct.unpack(formats[size], cursor.read(size))[0]
 
 
-def _decimal(cursor: ByteCursor) -> float | None:
-    cursor.number(2)
-    scale = cursor.number(1)
-    size = cursor.number(1)
+def _read_decimal(cursor: ByteCursor) -> float | None:
+    cursor.read_int(2)
+    scale = cursor.read_int(1)
+    size = cursor.read_int(1)
     if not size:
         return None
-    sign = 1 if cursor.number(1) else -1
-    return float(sign * cursor.number(size - 1) / 10**scale)
+    sign = 1 if cursor.read_int(1) else -1
+    return float(sign * cursor.read_int(size - 1) / 10**scale)
 
 
-def _text_argument(cursor: ByteCursor, encoding: str) -> str | None:
-    declared = cursor.number(2)
-    cursor.take(len(COLLATION))
-    raw = read_plp(cursor, cursor.end) if declared == MAX else _short_value(cursor)
+def _read_text_argument(cursor: ByteCursor, encoding: str) -> str | None:
+    declared = cursor.read_int(2)
+    cursor.read(len(COLLATION))
+    raw = read_plp(cursor, cursor.end) if declared == USHORT_MAX else _read_short_value(cursor)
     if raw is None:
         return None
     try:
         return raw.decode(encoding)
     except UnicodeDecodeError:
-        raise TdsProtocolError("an argument that is not text") from None
+        raise TdsProtocolError(f"text argument is not valid {encoding}") from None
 
 
-def _short_value(cursor: ByteCursor) -> bytes | None:
+def _read_short_value(cursor: ByteCursor) -> bytes | None:
     """Read a value with a two-byte length; None for NULL."""
-    size = cursor.number(2)
-    return None if size == MAX else cursor.take(size)
+    size = cursor.read_int(2)
+    return None if size == USHORT_MAX else cursor.read(size)
 
 
 def parse_rpc(body: bytes) -> RpcCall:
     """Parse the body of an RPC message with one call."""
-    cursor = all_headers(body)
+    cursor = skip_all_headers(body)
     try:
-        size = cursor.number(2)
-        name = f"#{cursor.number(2)}" if size == RPC_BY_NUMBER else cursor.text(size)
-        cursor.number(2)
+        size = cursor.read_int(2)
+        name = f"#{cursor.read_int(2)}" if size == RPC_BY_NUMBER else cursor.read_text(size)
+        cursor.read_int(2)
         arguments: dict[str, Any] = {}
-        while cursor.left():
-            if cursor.data[cursor.at] in RPC_BATCH_FLAGS:  # no supported parameter has a name of this length
+        while cursor.remaining():
+            # The first byte is the length of a parameter name; no supported parameter has a name as long as these.
+            if cursor.data[cursor.position] in RPC_BATCH_FLAGS:
                 raise UnsupportedTdsError("several calls in one message")
-            label = cursor.text(cursor.number(1)).lower()
-            cursor.number(1)
+            label = cursor.read_text(cursor.read_int(1)).lower()
+            cursor.read_int(1)
             if label in arguments:
-                raise UnsupportedTdsError(f"the argument {label or 'without a name'} twice")
-            arguments[label] = argument(cursor)
+                raise UnsupportedTdsError(f"repeated argument {label or 'without a name'}")
+            arguments[label] = read_argument(cursor)
     except IncompleteTokenError:
-        raise TdsProtocolError("a call is cut off") from None
+        raise TdsProtocolError("RPC request is truncated") from None
     return RpcCall(name, arguments)
 
 
-# ---- answers
+# ---- responses
 
 
 def encode_token(kind: int, body: bytes) -> bytes:
-    """A token with a two-byte length."""
+    """Encode a token that has a two-byte length."""
     return struct.pack("<BH", kind, len(body)) + body
 
 
 def encode_notice(kind: int, number: int, state: int, severity: int, text: str, server: str) -> bytes:
-    """An ERROR or INFO token."""
+    """Encode an ERROR or INFO token."""
     return encode_token(
         kind,
-        struct.pack("<iBB", number, state, severity) + us_text(text) + b_text(server) + b"\0" + struct.pack("<i", 1),
+        struct.pack("<iBB", number, state, severity)
+        + encode_us_varchar(text)
+        + encode_b_varchar(server)
+        + b"\0"
+        + struct.pack("<i", 1),
     )
 
 
 def encode_done(status: int, rows: int = 0, kind: int = DONE) -> bytes:
-    """A DONE, DONEPROC or DONEINPROC token."""
+    """Encode a DONE, DONEPROC or DONEINPROC token."""
     return struct.pack("<BHHQ", kind, status, 0xC1, rows)
 
 
 def encode_env_change(kind: int, new: str, old: str) -> bytes:
-    """An ENVCHANGE token with text values."""
-    return encode_token(ENVCHANGE, bytes([kind]) + b_text(new) + b_text(old))
+    """Encode an ENVCHANGE token with text values."""
+    return encode_token(ENVCHANGE, bytes([kind]) + encode_b_varchar(new) + encode_b_varchar(old))
 
 
-RESET_DONE = encode_token(ENVCHANGE, b"\x12\0\0")
+RESET_ACKNOWLEDGEMENT = encode_token(ENVCHANGE, b"\x12\0\0")  # type 18: acknowledges a connection reset
 
 
 def encode_login_ack(version: int, program: str) -> bytes:
-    """A LOGINACK token."""
-    return encode_token(LOGINACK, b"\x01" + struct.pack(">I", version) + b_text(program) + b"\x10\0\0\0")
+    """Encode a LOGINACK token."""
+    return encode_token(LOGINACK, b"\x01" + struct.pack(">I", version) + encode_b_varchar(program) + b"\x10\0\0\0")
 
 
 def encode_columns(names: Sequence[str]) -> bytes:
-    """COLMETADATA of nullable nvarchar(max) columns."""
+    """Encode a COLMETADATA token of nullable nvarchar(max) columns."""
     return struct.pack("<BH", COLMETADATA, len(names)) + b"".join(
-        struct.pack("<IHBH", 0, 0x0009, NVARCHAR, MAX) + COLLATION + b_text(name) for name in names
+        struct.pack("<IHBH", 0, 0x0009, NVARCHAR, USHORT_MAX) + COLLATION + encode_b_varchar(name) for name in names
     )
 
 
 def encode_row(values: Sequence[str]) -> bytes:
-    """A ROW token of nvarchar(max) values."""
-    return bytes([ROW]) + b"".join(plp(value.encode("utf-16-le", "surrogatepass")) for value in values)
+    """Encode a ROW token of nvarchar(max) values."""
+    return bytes([ROW]) + b"".join(encode_plp(value.encode("utf-16-le", "surrogatepass")) for value in values)
 
 
 class Notice(NamedTuple):
@@ -572,75 +588,78 @@
     def __init__(self, max_bytes: int):
         self._max_bytes = max_bytes
         self._buffer = bytearray()
-        self._columns: list[tuple[str, int]] = []  # encoding and declared length
+        self._columns: list[tuple[str, int]] = []  # encoding and declared length of each column
 
     def feed(self, data: bytes) -> Iterator[tuple[int, Any]]:
-        """(type, content) of each token that is now complete; the content is None or empty if unused."""
+        """Add received bytes and yield (type, content) of each token that is now complete.
+
+        The content of a token that is not used is None or empty.
+        """
         self._buffer += data
         while self._buffer:
             cursor = ByteCursor(self._buffer)
             try:
-                kind = cursor.number(1)
-                value = self._value(kind, cursor)
+                kind = cursor.read_int(1)
+                value = self._read_value(kind, cursor)
             except IncompleteTokenError:
                 if len(self._buffer) > self._max_bytes:
-                    raise TdsProtocolError("a token over the limit") from None
+                    raise TdsProtocolError(f"token exceeds the limit of {self._max_bytes} bytes") from None
                 return
-            del self._buffer[: cursor.at]
+            del self._buffer[: cursor.position]
             yield kind, value
 
-    def complete(self) -> bool:
-        """Whether no part of a token is buffered."""
+    def at_token_boundary(self) -> bool:
+        """Whether all received tokens are complete."""
         return not self._buffer
 
-    def _value(self, kind: int, cursor: ByteCursor) -> Any:
+    def _read_value(self, kind: int, cursor: ByteCursor) -> Any:
         if kind == ROW:
-            return [self._cell(encoding, declared, cursor) for encoding, declared in self._columns]
+            return [self._read_cell(encoding, declared, cursor) for encoding, declared in self._columns]
         if kind in DONE_TOKENS:
-            status, _, rows = struct.unpack("<HHQ", cursor.take(12))
+            status, _, rows = struct.unpack("<HHQ", cursor.read(12))
             return Done(status, rows)
         if kind in (ERROR, INFO):
-            return self._notice(cursor)
+            return self._read_notice(cursor)
         if kind == COLMETADATA:
-            count = cursor.number(2)
-            self._columns = [] if count == MAX else [self._column(cursor) for _ in range(count)]
+            count = cursor.read_int(2)
+            self._columns = [] if count == USHORT_MAX else [self._read_column(cursor) for _ in range(count)]
             return list(self._columns)
         if kind == RETURNSTATUS:
-            return cursor.number(4, signed=True)
-        if kind == RETURNVALUE:  # no call has output parameters
+            return cursor.read_int(4, signed=True)
+        if kind == RETURNVALUE:  # calls to engines have no output parameters
             raise UnsupportedTdsError("RETURNVALUE")
         if kind in SKIPPED_TOKENS:
-            return self._inner(cursor).take(0)
-        raise TdsProtocolError(f"a token 0x{kind:02x}")
+            return self._nested_cursor(cursor).read(0)
+        raise TdsProtocolError(f"unknown token type 0x{kind:02x}")
 
-    def _notice(self, cursor: ByteCursor) -> Notice:
-        inner = self._inner(cursor)
+    def _read_notice(self, cursor: ByteCursor) -> Notice:
+        inner = self._nested_cursor(cursor)
         try:
-            number, state, severity = struct.unpack("<iBB", inner.take(6))
-            return Notice(number, state, severity, inner.text(inner.number(2)))
+            number, state, severity = struct.unpack("<iBB", inner.read(6))
+            return Notice(number, state, severity, inner.read_text(inner.read_int(2)))
         except IncompleteTokenError:
-            raise TdsProtocolError("a notice is cut off") from None
+            raise TdsProtocolError("ERROR or INFO token is truncated") from None
 
     @staticmethod
-    def _inner(cursor: ByteCursor) -> ByteCursor:
-        size = cursor.number(2)
-        body = cursor.take(size)
+    def _nested_cursor(cursor: ByteCursor) -> ByteCursor:
+        size = cursor.read_int(2)
+        body = cursor.read(size)
         return ByteCursor(body)
 
     @staticmethod
-    def _column(cursor: ByteCursor) -> tuple[str, int]:
-        cursor.take(6)
-        kind = cursor.number(1)
+    def _read_column(cursor: ByteCursor) -> tuple[str, int]:
+        cursor.read(6)
+        kind = cursor.read_int(1)
         if kind not in CHARACTER_ENCODINGS:
             raise UnsupportedTdsError(f"columns of type 0x{kind:02x}")
-        size = cursor.number(2)
-        cursor.take(5)
-        cursor.text(cursor.number(1))
+        size = cursor.read_int(2)
+        cursor.read(5)
+        cursor.read_text(cursor.read_int(1))
         return CHARACTER_ENCODINGS[kind], size
 
-    def _cell(self, encoding: str, declared: int, cursor: ByteCursor) -> str:
-        raw = read_plp(cursor, self._max_bytes) if declared == MAX else _short_value(cursor)
+    def _read_cell(self, encoding: str, declared: int, cursor: ByteCursor) -> str:
+        raw = read_plp(cursor, self._max_bytes) if declared == USHORT_MAX else _read_short_value(cursor)
         try:
             return (raw or b"").decode(encoding)
         except UnicodeDecodeError:
-            raise TdsProtocolError("a cell that is not text") from None
+            raise TdsProtocolError(f"column value is not valid {encoding}") from None
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -1,15 +1,15 @@
-"""Engine connections over TDS, behind the same port as the other protocols.
-
-An attempt is a call of the procedure `rackhub_want` with the parameters @id, @class, @budget_ms, @level,
-@statement and, in classes with idempotency keys, @key. The response is a result set of three text columns. During
-the call the engine may send INFO 51001 (fraction completed), 51002 (missing memory in megabytes) and 51003 (waiting:
-1 for memory, 2 for a load), with the value as text, and INFO 51010 with its load report, for example
-'inflight:7;util:0.61'. ERROR 51503 means that the engine is full and 51504 that the time was over: neither executed
-the call. After any other ERROR it may have been executed.
-
-TDS can't change the priority of a running call, and one connection carries one attempt at a time. An attempt that is
-cancelled is interrupted by Attention, and the connection is used again only after the acknowledgement, so that no
-response can be taken for that of a later attempt.
+"""Connections to engines over TDS, with the same interface as those over RESP.
+
+An attempt is a call of the procedure `rackhub_want` with the parameters @id, @class, @budget_ms, @level, @statement
+and, in classes with idempotency keys, @key. The response is a result set of three text columns. During the call the
+engine may send progress as INFO tokens with the value as text: 51001 (fraction completed), 51002 (missing memory in
+megabytes) and 51003 (waiting: 1 for memory, 2 for a load). INFO 51010 carries its load report, for example
+'inflight:7;util:0.61'. ERROR 51503 means that the engine is full, ERROR 51504 that the time budget was used up; in
+both cases the call was not executed. After any other ERROR it may have been executed.
+
+TDS can't change the priority of a running call, and a connection carries one attempt at a time. A cancelled attempt
+is interrupted by Attention. The connection is reused only after the acknowledgement of the Attention, so that a late
+response is never taken for the response to a later attempt.
 """
 
 import enum
@@ -33,24 +33,24 @@
 
 log = logging.getLogger(__name__)
 PROGRESS_TOPICS = {51001: 1, 51002: 2, 51003: 3}  # INFO number -> topic of a progress report
-MAX_PROGRESS_VALUE = 1e12
+MAX_PROGRESS_VALUE = 1e12  # values of progress reports must be smaller
 LOAD_REPORT_INFO = 51010
-NOT_EXECUTED_REASONS = {51503: "FULL", 51504: "NOP"}  # ERROR number -> reason of the attempt's end
+NOT_EXECUTED_REASONS = {51503: "FULL", 51504: "NOP"}  # ERROR number -> reason with which the attempt ends
 PROCEDURE = "rackhub_want"
 RESULT_COLUMNS = 3
-ENCRYPTION_OPTION = 1  # of PRELOGIN
+ENCRYPTION_OPTION = 1  # option number in PRELOGIN
 ACCEPTED_ENCRYPTION = (b"\x00", b"\x02")  # ENCRYPT_OFF, ENCRYPT_NOT_SUP
 
 
 class EngineConnectionState(enum.Enum):
-    """States of a connection to an engine."""
+    """State of a connection to an engine."""
 
     DIALLING = enum.auto()
     PRELOGIN = enum.auto()
     LOGIN = enum.auto()
     READY = enum.auto()
     BUSY = enum.auto()
-    CANCELLING = enum.auto()  # Attention was sent, its acknowledgement has not been received
+    CANCELLING = enum.auto()  # Attention was sent and is not acknowledged yet
     CLOSED = enum.auto()
 
 
@@ -60,9 +60,9 @@
 
 
 class TdsEngineConnection(TdsStream):
-    """One connection to an engine; up to READY an unsent attempt may wait in `_attempt`."""
+    """One connection to an engine. Before it is READY, `_attempt` may hold an attempt that is not sent yet."""
 
-    _out: SocketWriter  # from `made` on
+    _out: SocketWriter  # set by `connection_made`
 
     def __init__(
         self,
@@ -81,68 +81,69 @@
         self.core = core
         self.state = State.DIALLING
         self.closed = False
-        self.used = clock.now()
+        self.last_used = clock.now()
         self.retired = False
-        self._call_start = 0  # offsets of the call in the bytes sent on this connection
+        # The byte range of the current call in all bytes sent on this connection.
+        self._call_start = 0
         self._call_end = 0
-        self._waiting_since = 0  # for a writable socket
+        self._write_requested_at = 0
         self._retired_at = 0
         self._attempt: Attempt | None = None
-        self._packets = codec.MessageAssembler(limits.tds_message)
-        self._start_answer()
+        self._assembler = codec.MessageAssembler(limits.tds_message)
+        self._reset_response()
 
     def _mark_closed(self) -> None:
         self.state = State.CLOSED
         self.closed = True
 
-    def _start_answer(self) -> None:
+    def _reset_response(self) -> None:
         self._tokens = codec.TokenReader(self.limits.tds_token)
         self._rows: list[str] = []
-        self._result_characters = 0
-        self._error = 0  # the number of the first ERROR
-        self._acknowledged = False
-        self._report: dict[str, float] = {}
+        self._result_length = 0
+        self._first_error = 0  # number of the first ERROR token; 0: none was received
+        self._attention_acknowledged = False
+        self._load_report: dict[str, float] = {}
 
-    # ---- the pool's interface
+    # ---- interface to the pool
 
     def accepts(self, attempt: Attempt) -> bool:
         """Whether the connection can carry another attempt."""
         return self._attempt is None and self.state in IDLE_STATES
 
     def enqueue(self, attempt: Attempt) -> None:
-        """Send an attempt as soon as the login is done and the socket is writable."""
+        """Accept an attempt; it is sent once the login is complete and the socket is writable."""
         attempt.connection = self
         self._attempt = attempt
         attempt.state = AttemptState.QUEUED
         if self.state == State.READY:
-            self._await_socket()
+            self._request_write()
 
-    def _await_socket(self) -> None:
-        self._waiting_since = self.clock.now()
+    def _request_write(self) -> None:
+        self._write_requested_at = self.clock.now()
         self._out.request_write()
 
     def give_up(self, attempt: Attempt) -> None:
-        """Cancel an attempt; its end is not reported."""
+        """Cancel an attempt; its end is not reported to the coordinator."""
         if attempt is not self._attempt:
             return
         self._attempt = None
-        if self.state != State.BUSY:  # not sent yet
+        if self.state != State.BUSY:  # the attempt was not sent yet
             return
-        if not self._out.has_sent(self._call_end):  # the rest of the call would be sent later, and start it
-            self._drop()
+        if not self._out.has_sent(self._call_end):  # the transport would send the rest, and the engine execute the call
+            self._abort()
             return
         self.state = State.CANCELLING
         self.write(codec.encode_message(codec.ATTENTION, b""))
-        # without an acknowledgement the host is unreachable, and the connection only holds a descriptor
-        self.core.timers.at(self.clock.now() + self.limits.silence_timeout, self._check_acknowledged)
+        # If no acknowledgement arrives the host is unreachable, and the connection would only hold a descriptor.
+        self.core.timers.at(self.clock.now() + self.limits.silence_timeout, self._check_attention_acknowledged)
 
-    def _check_acknowledged(self) -> None:
+    def _check_attention_acknowledged(self) -> None:
         if self.state == State.CANCELLING:
             self.counters.add("silent_connections")
-            self._drop()
+            self._abort()
 
     def promote(self, attempt: Attempt) -> None:
-        """Do nothing: TDS can't change the priority of a running call."""
+        """Ignore a change of priority: TDS can't change the priority of a running call."""
 
     def close_if_idle(self) -> None:
         """Close the connection unless it carries an attempt."""
@@ -151,112 +152,115 @@
             self.transport.loseConnection()
 
     def idle_since(self) -> int:
-        """When the connection was last used, on the clock's scale."""
-        return self.used
+        """Return when the connection was used last, in microseconds of the clock."""
+        return self.last_used
 
     def load(self) -> int:
-        """The number of attempts on the connection: 0 or 1."""
+        """Return the number of attempts on the connection: 0 or 1."""
         return int(self._attempt is not None)
 
     def retire(self) -> None:
         """Accept no more attempts; close when the running call has ended."""
         self.retired = True
         self._retired_at = self.clock.now()
-        if self.state in (State.PRELOGIN, State.LOGIN):  # an attempt that waits for the login was not sent
-            self._drop()
-            self._end("NOCONN")
-        elif self.state == State.READY and self._attempt is not None:  # nor one that waits for the socket
-            self._end("NOCONN")
+        if self.state in (State.PRELOGIN, State.LOGIN):  # an attempt that waits for the login is not sent
+            self._abort()
+            self._complete_attempt("NOCONN")
+        elif self.state == State.READY and self._attempt is not None:  # the attempt waits for a writable socket
+            self._complete_attempt("NOCONN")
         else:
             self.close_if_idle()
 
     def check_timeouts(self, now: int) -> None:
-        """Periodic check: end an attempt that the engine does not accept, so that it goes to another engine.
+        """End an attempt that the engine does not accept, so that it is sent to another engine. Called periodically.
 
-        A response that stops half way needs no check: no other attempt waits behind it, and its time-out ends it.
+        An incomplete response needs no check: no other attempt waits behind it, and the attempt's own timeout ends it.
         """
         if self._attempt is None:
             return
-        if self.state == State.READY and now - self._waiting_since >= self.limits.unwritable_timeout:
-            self._end("NOCONN")
-        elif self._is_unsent_on_retired(now):
+        if self.state == State.READY and now - self._write_requested_at >= self.limits.unwritable_timeout:
+            self._complete_attempt("NOCONN")
+        elif self._is_unsent_after_retirement(now):
             self.counters.add("engine_cuts")
-            self._drop()
+            self._abort()
 
-    def _is_unsent_on_retired(self, now: int) -> bool:
-        """Whether the call of a retired connection has stayed in the transport's buffer for the time limit."""
+    def _is_unsent_after_retirement(self, now: int) -> bool:
+        """Whether the time limit after retirement is over and the engine's host has acknowledged no byte of the call."""
         if self.state != State.BUSY or not self.retired or now - self._retired_at < self.limits.retired_send_timeout:
             return False
         return self._call_start >= self._out.bytes_written - self._out.unacknowledged_bytes()
 
     def connect_failed(self) -> None:
-        """The connection could not be established."""
+        """End the attempt that waits for the connection, which could not be established."""
         self._mark_closed()
-        self._end("NOCONN")
+        self._complete_attempt("NOCONN")
 
-    def _drop(self) -> None:
+    def _abort(self) -> None:
         self._mark_closed()
         self.transport.abortConnection()
 
-    # ---- the connection
+    # ---- connection
 
-    def made(self) -> None:
+    def connection_made(self) -> None:
         """Start the login."""
         self.state = State.PRELOGIN
-        self._out = SocketWriter(self.transport, self._writable)
+        self._out = SocketWriter(self.transport, self._on_writable)
         self.write(codec.encode_message(codec.PRELOGIN, codec.encode_prelogin()))
 
     def write(self, pieces: Iterable[bytes]) -> None:
-        """Send byte strings in order, now or behind what the transport buffers."""
+        """Send byte strings in order, now or after what the transport has buffered."""
         self._out.write(pieces)
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        """Twisted: the connection is lost. Ends the attempt, as not sent where nothing was executed."""
+        """End the attempt as the connection is lost (Twisted): NOCONN if it can't have been executed, otherwise RST."""
         self._mark_closed()
         self.pool.connection_closed(self)
         if self._attempt is not None:
             self.counters.add("engine_losses")
-            unread = self._attempt.unsent or not self._out.has_sent(self._call_end)
-            self._end("NOCONN" if unread else "RST")
+            not_executed = self._attempt.unsent or not self._out.has_sent(self._call_end)
+            self._complete_attempt("NOCONN" if not_executed else "RST")
 
-    def malformed(self) -> None:
+    def malformed_data_received(self) -> None:
         """Count a malformed response."""
         self.counters.add("engine_bad_frames")
 
-    def _end(self, reason: str, rows: tuple[bytes, ...] = ()) -> None:
+    def _complete_attempt(self, reason: str, rows: tuple[bytes, ...] = ()) -> None:
         attempt = self._attempt
         self._attempt = None
-        self.used = self.clock.now()
+        self.last_used = self.clock.now()
         if attempt is not None:
-            self.core.complete_attempt(attempt, reason, self._report, rows)
+            self.core.complete_attempt(attempt, reason, self._load_report, rows)
         if self.retired:
             self.close_if_idle()
 
     # ---- messages
 
-    def _writable(self) -> None:
-        """The socket is writable. After a long event-loop iteration a cancel may be unread: read before sending."""
-        late = self.clock.now() - self._waiting_since > self.limits.late_iteration
+    def _on_writable(self) -> None:
+        """Send the call now that the socket is writable.
+
+        After a long event-loop iteration a client's cancel may be unread, so all sockets are read before sending.
+        """
+        late = self.clock.now() - self._write_requested_at > self.limits.late_iteration
         if late:
-            self.core.timers.call_after_reads(self.limits.late_iteration, self._call)
+            self.core.timers.call_after_reads(self.limits.late_iteration, self._send_call)
         else:
-            self._call()
+            self._send_call()
 
-    def _call(self) -> None:
+    def _send_call(self) -> None:
         attempt = self._attempt
-        if attempt is None or self.state != State.READY:  # the attempt was moved meanwhile
+        if attempt is None or self.state != State.READY:  # the attempt was cancelled or ended in the meantime
             return
         now = self.clock.now()
         if reason := attempt.send_blocked_by(now, self.core.lease):
-            self._end(reason)
+            self._complete_attempt(reason)
             return
-        if attempt.query.reply.stale:  # the client's disconnect may be among what is still to be read
-            self.core.timers.call_after_reads(ALWAYS_DEFER, self._call)
+        if attempt.query.reply.stale:  # unread input of the client may contain its disconnect
+            self.core.timers.call_after_reads(ALWAYS_DEFER, self._send_call)
             return
         try:
-            body = codec.encode_rpc(PROCEDURE, self._arguments(attempt.query, now))
-        except UnicodeEncodeError:  # a statement that is not UTF-8 can't be sent as nvarchar
-            self._end("BAD")
+            body = codec.encode_rpc(PROCEDURE, self._call_arguments(attempt.query, now))
+        except UnicodeEncodeError:  # the statement is not UTF-8 and can't be sent as nvarchar
+            self._complete_attempt("BAD")
             return
         self._call_start = self._out.bytes_written
         if not self._out.send(b"".join(codec.encode_message(codec.RPC, body))):
@@ -264,12 +268,12 @@
             return
         self._call_end = self._out.bytes_written
         self.state = State.BUSY
-        self.used = now
+        self.last_used = now
         attempt.state = AttemptState.IN_FLIGHT
-        self._start_answer()
+        self._reset_response()
 
     @staticmethod
-    def _arguments(query: Query, now: int) -> dict[str, str | int | float]:
+    def _call_arguments(query: Query, now: int) -> dict[str, str | int | float]:
         arguments: dict[str, str | int | float] = {
             "@id": query.id,
             "@class": query.cls,
@@ -281,23 +285,23 @@
             arguments["@key"] = query.idempotency_key
         return arguments
 
-    def taken(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Process received packets; raises `TdsProtocolError`."""
-        for kind, status, body in self._packets.feed_packets(data):
+        for kind, status, body in self._assembler.feed_packets(data):
             if self.state == State.CLOSED:
                 return
             if kind != codec.REPLY:
-                raise codec.TdsProtocolError(f"an answer of type {kind}")
+                raise codec.TdsProtocolError(f"packet type {kind} in a response: must be {codec.REPLY}")
             if self.state == State.PRELOGIN:
-                self._logon(codec.parse_prelogin(body))
+                self._send_login(codec.parse_prelogin(body))
             elif self.state in RESPONSE_STATES:
-                self._answer(body, bool(status & codec.EOM))
+                self._process_response(body, bool(status & codec.EOM))
             else:
-                raise codec.TdsProtocolError("an answer to nothing")
+                raise codec.TdsProtocolError(f"response in state {self.state.name}: no request was sent")
 
-    def _logon(self, options: dict[int, bytes]) -> None:
+    def _send_login(self, options: dict[int, bytes]) -> None:
         if options.get(ENCRYPTION_OPTION, b"\x02") not in ACCEPTED_ENCRYPTION:
-            raise codec.TdsProtocolError("the engine insists on encryption")
+            raise codec.TdsProtocolError("engine requires encryption, which is not supported")
         self.state = State.LOGIN
         self.write(
             codec.encode_message(
@@ -308,80 +312,83 @@
             )
         )
 
-    def _answer(self, body: bytes, last: bool) -> None:
+    def _process_response(self, body: bytes, last: bool) -> None:
         try:
             for kind, value in self._tokens.feed(body):
-                self._token(kind, value)
+                self._process_token(kind, value)
         except codec.UnsupportedTdsError as error:
-            raise codec.TdsProtocolError(f"an answer with {error}") from None
+            raise codec.TdsProtocolError(f"unsupported response: {error}") from None
         if not last or self.state == State.CLOSED:
             return
-        if not self._tokens.complete():
-            raise codec.TdsProtocolError("an answer that is cut off")
+        if not self._tokens.at_token_boundary():
+            raise codec.TdsProtocolError("response ends inside a token")
         if self.state == State.LOGIN:
-            self._logged_on()
+            self._complete_login()
         elif self.state == State.CANCELLING:
-            self._end_of_cancelled_answer()
+            self._end_cancelled_response()
         else:
             self.state = State.READY
-            self._end_of_result()
+            self._complete_call()
 
-    def _end_of_cancelled_answer(self) -> None:
-        # a response that crossed the Attention ends first; the acknowledgement follows in a message of its own
-        if self._acknowledged:
+    def _end_cancelled_response(self) -> None:
+        # A response that was sent before the engine read the Attention ends first; the acknowledgement follows as a
+        # separate message.
+        if self._attention_acknowledged:
             self.state = State.READY
-            self.used = self.clock.now()
-        self._start_answer()
+            self.last_used = self.clock.now()
+        self._reset_response()
         if self.retired:
             self.close_if_idle()
 
-    def _end_of_result(self) -> None:
-        if self._error:
-            self._end(NOT_EXECUTED_REASONS.get(self._error, "BAD"))
+    def _complete_call(self) -> None:
+        if self._first_error:
+            self._complete_attempt(NOT_EXECUTED_REASONS.get(self._first_error, "BAD"))
         else:
-            self._end("GOOD", ("".join(self._rows).encode("utf-8", "replace"),))
+            self._complete_attempt("GOOD", ("".join(self._rows).encode("utf-8", "replace"),))
 
-    def _logged_on(self) -> None:
-        if self._error:
-            log.warning("engine %s: login refused", self.pool.name)
-            self._end("NOCONN")
-            self._drop()
+    def _complete_login(self) -> None:
+        if self._first_error:
+            log.warning("engine %s rejected the login with error %d", self.pool.name, self._first_error)
+            self._complete_attempt("NOCONN")
+            self._abort()
             return
         self.state = State.READY
         if self._attempt is not None:
-            self._await_socket()
+            self._request_write()
 
-    def _token(self, kind: int, value: Any) -> None:
+    def _process_token(self, kind: int, value: Any) -> None:
         if kind == codec.ERROR:
-            self._error = self._error or value.number or -1
+            self._first_error = self._first_error or value.number or -1
         elif kind == codec.ROW and self.state == State.BUSY:
-            self._row(self._attempt, value)
+            self._add_row(self._attempt, value)
         elif kind == codec.INFO and self._attempt is not None:
-            self._info(self._attempt, value)
+            self._process_info(self._attempt, value)
         elif kind in (codec.DONE, codec.DONEPROC) and value.status & codec.DONE_ATTN:
-            self._acknowledged = True
+            self._attention_acknowledged = True
 
-    def _row(self, attempt: Attempt | None, values: list[str]) -> None:
+    def _add_row(self, attempt: Attempt | None, values: list[str]) -> None:
         text = "\t".join(values) + "\n"
-        self._result_characters += len(text)
+        self._result_length += len(text)
         valid = len(values) == RESULT_COLUMNS and text.count("\t") == RESULT_COLUMNS - 1 and text.count("\n") == 1
-        if attempt is not None and (not valid or self._result_characters > self.limits.result):
-            # executed, but the result is malformed or too large to be passed on complete
+        if attempt is not None and (not valid or self._result_length > self.limits.result):
+            # The call was executed, but its result is malformed or exceeds the limit, so it is not delivered.
             self.give_up(attempt)
             self.core.complete_attempt(attempt, "BAD")
             return
         self._rows.append(text)
 
-    def _info(self, attempt: Attempt, info: codec.Notice) -> None:
+    def _process_info(self, attempt: Attempt, info: codec.Notice) -> None:
         if info.number == LOAD_REPORT_INFO:
-            self._report = parse_load_report({b"report": info.text.encode("ascii", "replace")})
+            self._load_report = parse_load_report({b"report": info.text.encode("ascii", "replace")})
         elif info.number in PROGRESS_TOPICS:
             try:
                 value = float(info.text)
             except ValueError:
-                raise codec.TdsProtocolError("a note without a figure") from None
+                raise codec.TdsProtocolError(f"INFO {info.number}: progress value is not a number") from None
             if not 0 <= value < MAX_PROGRESS_VALUE:
-                raise codec.TdsProtocolError("a note whose figure is out of range")
+                raise codec.TdsProtocolError(
+                    f"INFO {info.number}: progress value {value} is not in [0, {MAX_PROGRESS_VALUE:.0e})"
+                )
             self.core.report_progress(attempt, PROGRESS_TOPICS[info.number], value)
 
 
@@ -393,10 +400,10 @@
     counters: Counters,
     core: Coordinator,
 ) -> EnginePools:
-    """The engine port over TDS."""
+    """Create the engine port that connects to engines over TDS."""
 
     def connect(pool: EnginePool) -> TdsEngineConnection:
-        """A connection of this pool, not yet established."""
+        """Create a connection for this pool; it is not established yet."""
         return TdsEngineConnection(pool, settings, clock, limits, counters, core)
 
     return EnginePools(
--- a/rackhub/net/tds/stream.py
+++ b/rackhub/net/tds/stream.py
@@ -1,4 +1,7 @@
-"""Base of the TDS connections of clients and engines: LineReceiver in raw mode, as TDS packets have a length field."""
+"""Base class of the TDS connections to clients and engines.
+
+A LineReceiver in raw mode: TDS packets are delimited by a length field, not by line ends.
+"""
 
 import logging
 from collections.abc import Iterable
@@ -12,35 +15,35 @@
 
 
 class TdsStream(LineReceiver):
-    """Passes received bytes to `taken` and aborts the connection when they are malformed."""
+    """Passes received bytes to `data_received` and aborts the connection if they are malformed."""
 
     transport: Any  # a TCP transport; Twisted declares only the common base interface
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Twisted: the connection is established."""
+        """Set up the transport of a new connection (Twisted)."""
         self.setRawMode()  # type: ignore[no-untyped-call]
         self.transport.setTcpNoDelay(True)
-        self.made()
+        self.connection_made()
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Twisted: bytes were received."""
+        """Process received bytes (Twisted)."""
         try:
-            self.taken(data)
+            self.data_received(data)
         except TdsProtocolError as error:
-            log.warning("tds: %s: connection dropped", error)
-            self.malformed()
+            log.warning("tds: connection aborted: %s", error)
+            self.malformed_data_received()
             self.transport.abortConnection()
 
     def write(self, pieces: Iterable[bytes]) -> None:
         """Write byte strings in order, without joining them."""
         self.transport.writeSequence(tuple(pieces))
 
-    def made(self) -> None:
-        """The connection is established."""
+    def connection_made(self) -> None:
+        """Called when the connection is established."""
 
-    def taken(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Process received bytes; raising `TdsProtocolError` aborts the connection."""
         raise NotImplementedError
 
-    def malformed(self) -> None:
-        """The peer sent malformed data; the connection is aborted next."""
+    def malformed_data_received(self) -> None:
+        """Called when the peer has sent malformed data, before the connection is aborted."""
