--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -21,7 +21,7 @@
 
 from rackhub.core.coordinator import Coordinator
 from rackhub.core.request import Attempt, AttemptState, Query
-from rackhub.core.timers import ALWAYS_DEFER, Clock
+from rackhub.core.timers import DEFER_UNCONDITIONALLY, Clock
 from rackhub.counters import Counters
 from rackhub.limits import Limits
 from rackhub.net.outgoing import SocketWriter
@@ -89,7 +89,7 @@
         self._write_requested_at = 0
         self._retired_at = 0
         self._attempt: Attempt | None = None
-        self._assembler = codec.MessageAssembler(limits.tds_message)
+        self._assembler = codec.MessageAssembler(limits.max_tds_message_bytes)
         self._reset_response()
 
     def _mark_closed(self) -> None:
@@ -97,7 +97,7 @@
         self.closed = True
 
     def _reset_response(self) -> None:
-        self._tokens = codec.TokenReader(self.limits.tds_token)
+        self._tokens = codec.TokenReader(self.limits.max_tds_token_bytes)
         self._rows: list[str] = []
         self._result_length = 0
         self._first_error = 0  # number of the first ERROR token; 0: none was received
@@ -135,7 +135,9 @@
         self.state = State.CANCELLING
         self.write(codec.encode_message(codec.ATTENTION, b""))
         # If no acknowledgement arrives the host is unreachable, and the connection would only hold a descriptor.
-        self.core.timers.at(self.clock.now() + self.limits.silence_timeout, self._check_attention_acknowledged)
+        self.core.timers.call_at(
+            self.clock.now() + self.limits.unresponsive_timeout, self._check_attention_acknowledged
+        )
 
     def _check_attention_acknowledged(self) -> None:
         if self.state == State.CANCELLING:
@@ -185,7 +187,7 @@
             self._abort()
 
     def _is_unsent_after_retirement(self, now: int) -> bool:
-        """Whether the time limit after retirement is over and the engine's host has acknowledged no byte of the call."""
+        """Whether the time limit after retirement is over and the engine's host has not acknowledged the call."""
         if self.state != State.BUSY or not self.retired or now - self._retired_at < self.limits.retired_send_timeout:
             return False
         return self._call_start >= self._out.bytes_written - self._out.unacknowledged_bytes()
@@ -240,9 +242,9 @@
 
         After a long event-loop iteration a client's cancel may be unread, so all sockets are read before sending.
         """
-        late = self.clock.now() - self._write_requested_at > self.limits.late_iteration
+        late = self.clock.now() - self._write_requested_at > self.limits.late_iteration_delay
         if late:
-            self.core.timers.call_after_reads(self.limits.late_iteration, self._send_call)
+            self.core.timers.call_after_reads(self.limits.late_iteration_delay, self._send_call)
         else:
             self._send_call()
 
@@ -254,8 +256,8 @@
         if reason := attempt.send_blocked_by(now, self.core.lease):
             self._complete_attempt(reason)
             return
-        if attempt.query.reply.stale:  # unread input of the client may contain its disconnect
-            self.core.timers.call_after_reads(ALWAYS_DEFER, self._send_call)
+        if attempt.query.reply.may_have_unread_input:  # unread input of the client may contain its disconnect
+            self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._send_call)
             return
         try:
             body = codec.encode_rpc(PROCEDURE, self._call_arguments(attempt.query, now))
@@ -370,7 +372,7 @@
         text = "\t".join(values) + "\n"
         self._result_length += len(text)
         valid = len(values) == RESULT_COLUMNS and text.count("\t") == RESULT_COLUMNS - 1 and text.count("\n") == 1
-        if attempt is not None and (not valid or self._result_length > self.limits.result):
+        if attempt is not None and (not valid or self._result_length > self.limits.max_result_size):
             # The call was executed, but its result is malformed or exceeds the limit, so it is not delivered.
             self.give_up(attempt)
             self.core.complete_attempt(attempt, "BAD")
@@ -407,5 +409,5 @@
         return TdsEngineConnection(pool, settings, clock, limits, counters, core)
 
     return EnginePools(
-        EngineDialer(reactor, connect, limits), clock, limits, counters, core, limits.tds_engine_connections
+        EngineDialer(reactor, connect, limits), clock, limits, counters, core, limits.max_tds_connections_per_engine
     )
