--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -182,12 +182,12 @@
             return
         if self.state == State.READY and now - self._write_requested_at >= self.limits.unwritable_timeout:
             self._complete_attempt("NOCONN")
-        elif self._is_unsent_after_retirement(now):
+        elif self._is_unsent_long_after_retirement(now):
             self.counters.add("engine_cuts")
             self._abort()
 
-    def _is_unsent_after_retirement(self, now: int) -> bool:
-        """Whether the time limit after retirement is over and the engine's host has not acknowledged the call."""
+    def _is_unsent_long_after_retirement(self, now: int) -> bool:
+        """Whether the time limit after retirement is over and no byte of the call has been acknowledged."""
         if self.state != State.BUSY or not self.retired or now - self._retired_at < self.limits.retired_send_timeout:
             return False
         return self._call_start >= self._out.bytes_written - self._out.unacknowledged_bytes()
--- a/rackhub/ops/__init__.py
+++ b/rackhub/ops/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' interface: a second address with commands and metrics, manual ejections, and process replacement.
+"""The operators' interface: an address for commands and metrics, manual ejections, and process replacement.
 
-The package is imported only where a second address is configured, or where a predecessor left its lock file.
+The package is imported only if the operators' address is configured or the lock file of an earlier process exists.
 """
--- a/rackhub/ops/component.py
+++ b/rackhub/ops/component.py
@@ -1,4 +1,4 @@
-"""The daemon's operators component: the second address, metrics, and ejections that outlive a process replacement."""
+"""The daemon's operators component: the operators' address, metrics, and ejections that outlive the process."""
 
 import logging
 import os
@@ -22,22 +22,22 @@
 
 
 class OpsComponent(Component):
-    """Serves operators' commands, and shares manual ejections with the predecessor and the successor."""
+    """Serves operators' commands, and shares the manual ejections with the predecessor and the successor process."""
 
     def __init__(self, context: ComponentContext):
         """Take the replacement lock and load the ejections that the previous process handed over."""
         super().__init__(context)
         self._successor_is_running = self._take_lock()
         process_replacement.stop_throttling()
-        self._listed: Sequence[interface.EngineEntry] = ()
+        self._entries: Sequence[interface.EngineEntry] = ()
         self._path = handover_file.file_path(os.environ)
-        self._file_version = handover_file.file_version(self._path)  # as last read or written here
+        self._file_version = handover_file.file_version(self._path)  # the version last read or written by this process
         self.ejections = handover_file.load_ejections(self._path, context.counters.add)
         metrics = MetricsCollector(
             context.core.counts_by_class,
             lambda: len(context.core.queries),
-            lambda: len(self._listed),
-            lambda: self.ejections.count_unavailable(self._listed),
+            lambda: len(self._entries),
+            lambda: self.ejections.count_unavailable(self._entries),
         )
         handler = CommandHandler(
             self.ejections,
@@ -52,42 +52,42 @@
 
     @staticmethod
     def _take_lock() -> Callable[[], bool]:
-        """Take the replacement lock; returns the check for a successor."""
+        """Take the replacement lock and return a function that tells whether a successor is running."""
         try:
             descriptor = process_replacement.hold_lock(os.environ)
         except OSError as error:
-            log.warning("the next process can't detect this one, and will start at full speed: %s", error)
+            log.warning("can't take the replacement lock, so a successor will start without throttling: %s", error)
             return lambda: False
         return partial(process_replacement.successor_is_running, descriptor)
 
     def open(self) -> None:
-        """Listen on the second address until the process ends: HEALTH answers NO while it drains."""
+        """Listen on the operators' address. It stays open while the process drains; HEALTH then answers NO."""
         config = self.context.config
         if config.operator is not None:
             self._port = SharedPort(self.context.reactor, *config.operator, self._listener, LISTEN_BACKLOG)
             LoopingCall(self._refresh).start(config.limits.handover_check_interval / SECOND, now=False)
 
-    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
-        """Note the initial endpoint list."""
-        self._listed = listing.entries
-        return listing
+    def begin(self, snapshot: EndpointSnapshot) -> EndpointSnapshot:
+        """Record the initial endpoint list and return it unchanged."""
+        self._entries = snapshot.entries
+        return snapshot
 
     def visible_endpoints(self, entries: Sequence[interface.EngineEntry]) -> Sequence[interface.EngineEntry]:
-        """The endpoint list with manually ejected engines as draining."""
-        self._listed = entries
-        self._adopt_saved()
-        if self.ejections.add_known(entries):  # the next process must know these ids too
+        """Return the endpoint list with manually ejected engines shown as draining."""
+        self._entries = entries
+        self._adopt_saved_ejections()
+        if self.ejections.add_known(entries):  # a successor has to know these ids too
             self._save()
         return self.ejections.visible_endpoints(entries)
 
     def has_successor(self) -> bool:
-        """Whether a process that replaces this one is running."""
+        """Whether the process that replaces this one is running."""
         return self._successor_is_running()
 
-    def _adopt_saved(self) -> bool:
-        """Adopt the ejections that another process has saved; returns whether they differ.
+    def _adopt_saved_ejections(self) -> bool:
+        """Adopt the ejections that another process has saved. Returns whether they differ from the current ones.
 
-        While one process replaces another, commands reach either of them, and both follow the last saved state.
+        While one process replaces another, a command may reach either of them, so both use the state saved last.
         """
         version = handover_file.file_version(self._path)
         if version is None or version == self._file_version:
@@ -97,14 +97,14 @@
             state = handover_file.read(self._path)
         except handover_file.HandoverFileError as error:
             self.context.counters.add("ops_state_bad")
-            log.error("the state saved by another process is ignored: %s", error)
+            log.error("ignoring the ejections saved by another process: %s", error)
             return False
         if state is None:
             return False
         return self.ejections.adopt(set(state.ejected), set(state.known), state.restored_at)
 
     def _refresh(self) -> None:
-        if self._adopt_saved():
+        if self._adopt_saved_ejections():
             self.context.republish_endpoints()
 
     def _publish_and_save(self) -> None:
@@ -117,5 +117,5 @@
 
 
 def create_component(context: ComponentContext) -> OpsComponent:
-    """Create the component; `rackhub.components` calls it."""
+    """Create the component. Called by `rackhub.components`."""
     return OpsComponent(context)
--- a/rackhub/ops/handover_file.py
+++ b/rackhub/ops/handover_file.py
@@ -1,8 +1,8 @@
-"""The file in `$TMPDIR` through which a process hands its manual ejections over to the one that replaces it.
+"""The file in `$TMPDIR` through which a process hands its manual ejections over to its successor.
 
-The file is JSON of a named format and version. It is written beside its path and renamed, so that a reader sees the
-old file or the new one in full. A file that is damaged, of another format or of a later version raises
-`HandoverFileError`, and callers ignore it: it must not keep a process from serving.
+The file is JSON with a format name and a version. It is written to a temporary file and renamed, so that a reader
+gets either the old or the new content, never a part. Reading a file that is damaged or of another format or version
+raises `HandoverFileError`. Callers ignore such a file, as it must not keep a process from serving.
 """
 
 import logging
@@ -23,7 +23,7 @@
 
 
 class HandoverState(msgspec.Struct, forbid_unknown_fields=True):
-    """The content of the file. The stored names stay when those of the code change; times are Unix microseconds."""
+    """The content of the file. Times are Unix microseconds. The stored names of the fields (`name`) must not change."""
 
     format: str
     version: int
@@ -33,42 +33,42 @@
 
 
 class HandoverFileError(ValueError):
-    """The file exists but can't be used; the text says why."""
+    """The file exists but can't be used; the text gives the reason."""
 
 
 class FileVersion(NamedTuple):
-    """Differs between any two files that were renamed to the same path."""
+    """Identifies one version of the file: it differs between any two files that were renamed to the path."""
 
     inode: int
     modified_ns: int
 
 
 def file_path(environment: Mapping[str, str]) -> Path:
-    """The path of the file, by `TMPDIR` of the environment."""
+    """Return the path of the file, in the directory that `TMPDIR` of the environment names."""
     return Path(environment.get("TMPDIR") or "/tmp") / FILE_NAME
 
 
 def encode(ejected: set[str], known: set[str], restored_at: Mapping[str, int]) -> bytes:
-    """The content of the file, in a fixed order."""
+    """Encode the content of the file, in a fixed order."""
     state = HandoverState(FORMAT, VERSION, sorted(ejected), sorted(known), dict(sorted(restored_at.items())))
     return msgspec.json.encode(state)
 
 
 def decode(data: bytes) -> HandoverState:
-    """Decode a file's content. Raises `HandoverFileError` for anything but a complete file of this version."""
+    """Decode the content of the file. Raises `HandoverFileError` unless it is complete and of this version."""
     try:
         state = msgspec.json.decode(data, type=HandoverState)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError) as error:
         raise HandoverFileError(f"not a state file: {error}") from None
     if state.format != FORMAT:
-        raise HandoverFileError(f"format {state.format!r}, not {FORMAT!r}")
+        raise HandoverFileError(f"unknown format {state.format!r}, expected {FORMAT!r}")
     if state.version != VERSION:
-        raise HandoverFileError(f"version {state.version}, this program reads {VERSION}")
+        raise HandoverFileError(f"unsupported version {state.version}, expected {VERSION}")
     return state
 
 
 def read(path: Path) -> HandoverState | None:
-    """Read the file; None where there is none. Raises `HandoverFileError`."""
+    """Read the file; returns None if it does not exist. Raises `HandoverFileError`."""
     try:
         data = path.read_bytes()
     except FileNotFoundError:
@@ -79,7 +79,7 @@
 
 
 def file_version(path: Path) -> FileVersion | None:
-    """The version of the file; None where there is none."""
+    """Return the version of the file, None if it can't be read."""
     try:
         status = path.stat()
     except OSError:
@@ -90,7 +90,7 @@
 def write(path: Path, data: bytes) -> None:
     """Replace the file atomically. Raises `OSError`.
 
-    It isn't synced: the file has to outlive the process, not the machine, and a sync would block the reactor.
+    The file is not synced to disk: it has to outlive the process but not the machine, and a sync blocks the reactor.
     """
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     temporary.write_bytes(data)
@@ -98,15 +98,16 @@
 
 
 def load_ejections(path: Path, count: Callable[[str], None]) -> ManualEjections:
-    """The ejections that the previous process handed over, or none.
+    """Load the ejections that the previous process handed over.
 
-    A file that can't be used is logged, counted (`ops_state_bad`) and ignored.
+    Starts without ejections if there is no file. A file that can't be used is logged, counted (`ops_state_bad`) and
+    ignored.
     """
     try:
         state = read(path)
     except HandoverFileError as error:
         count("ops_state_bad")
-        log.error("the state left by the previous process is ignored: %s", error)
+        log.error("ignoring the ejections saved by the previous process: %s", error)
         return ManualEjections()
     if state is None:
         return ManualEjections()
@@ -115,9 +116,9 @@
 
 
 def save_ejections(path: Path, ejections: ManualEjections, count: Callable[[str], None]) -> None:
-    """Write the ejections for the next process; a failure is logged and counted (`ops_state_unwritten`)."""
+    """Save the ejections for the next process; a failure is logged and counted (`ops_state_unwritten`)."""
     try:
         write(path, encode(ejections.ejected, ejections.known, ejections.restored_at))
     except OSError as error:
         count("ops_state_unwritten")
-        log.error("the manual ejections can't be saved for the next process: %s", error)
+        log.error("can't save the manual ejections for the next process: %s", error)
--- a/rackhub/ops/manual_ejections.py
+++ b/rackhub/ops/manual_ejections.py
@@ -1,8 +1,8 @@
-"""Engines that operators eject by hand. Pure state, without I/O or a clock of its own.
+"""Engines that operators eject manually. Pure state, without I/O and without a clock.
 
-An engine that is ejected (OFFLINE) is shown to the decision module as draining, whatever the endpoint list says, until
-it is restored (ONLINE). A restored engine is shown as started at that moment, so that it gets a slow start. Ids that
-were never listed are rejected. The state can be handed over to the process that replaces this one.
+An ejected engine (OFFLINE) is shown to the decision module as draining, whatever the endpoint list says, until it is
+restored (ONLINE). A restored engine is shown as started at the time of its restoration, so that it gets a slow start.
+Ids that were never in the endpoint list are rejected. The state can be handed over to a successor process.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,10 +15,10 @@
 
 
 class ManualEjections:
-    """The engines that are ejected by hand, and when others were restored.
+    """The manually ejected engines, and when others were restored.
 
-    `ejected`: ids of ejected engines; `known`: ids that were ever listed; `restored_at`: microseconds of the
-    coordinator's clock, until a list shows a later start of the engine.
+    `ejected` are the ids of the ejected engines, `known` all ids that were ever in the endpoint list. `restored_at`
+    is in microseconds of the coordinator's clock; an entry is kept until the list shows a later start of the engine.
     """
 
     def __init__(
@@ -33,13 +33,13 @@
         self.restored_at: dict[str, int] = dict(restored_at or {})
 
     def add_known(self, entries: Sequence[interface.EngineEntry]) -> bool:
-        """Add the ids of an endpoint list to the known ones. Returns whether any was new."""
+        """Add the ids of an endpoint list to the known ids. Returns whether any of them was new."""
         known_before = len(self.known)
         self.known.update(entry.engine for entry in entries)
         return len(self.known) != known_before
 
     def eject(self, engine: str) -> bool:
-        """Eject an engine; idempotent. Returns False for an id that was never listed."""
+        """Eject an engine; idempotent. Returns False if the id is unknown."""
         if engine not in self.known:
             return False
         self.ejected.add(engine)
@@ -47,9 +47,9 @@
         return True
 
     def restore(self, engine: str, now: int) -> bool:
-        """Restore an ejected engine, with a slow start from `now`; one that isn't ejected stays as it is.
+        """Restore an ejected engine, with a slow start from `now`; an engine that is not ejected stays unchanged.
 
-        Returns False for an id that was never listed.
+        Returns False if the id is unknown.
         """
         if engine not in self.known:
             return False
@@ -59,7 +59,7 @@
         return True
 
     def adopt(self, ejected: set[str], known: set[str], restored_at: Mapping[str, int]) -> bool:
-        """Replace the state by that of another process; known ids are added. Returns whether anything changed."""
+        """Adopt the state of another process; known ids are merged. Returns whether the ejections changed."""
         changed = ejected != self.ejected or restored_at != self.restored_at
         self.ejected = ejected
         self.restored_at = dict(restored_at)
@@ -67,7 +67,7 @@
         return changed
 
     def visible_endpoints(self, entries: Sequence[interface.EngineEntry]) -> tuple[interface.EngineEntry, ...]:
-        """The endpoint list as the decision module is to see it."""
+        """Return the endpoint list as it is shown to the decision module."""
         self.add_known(entries)
         return tuple(self._visible(entry) for entry in entries)
 
@@ -83,5 +83,5 @@
         return replace(entry, started_at=restored_at)
 
     def count_unavailable(self, entries: Sequence[interface.EngineEntry]) -> int:
-        """The number of listed engines that get no new requests: ejected by hand, or draining."""
+        """Count the listed engines that get no new requests: those that are ejected manually or draining."""
         return sum(1 for entry in entries if entry.engine in self.ejected or entry.state != READY_STATE)
--- a/rackhub/ops/metrics.py
+++ b/rackhub/ops/metrics.py
@@ -1,6 +1,6 @@
-"""The metrics of DUMP in the Prometheus text format, collected when DUMP asks for them.
+"""The metrics of the DUMP command in the Prometheus text format, collected on each DUMP.
 
-The request path only increments four integers a class in the coordinator.
+The request path only increments four integers per class in the coordinator.
 """
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
@@ -8,42 +8,46 @@
 from prometheus_client.core import CollectorRegistry, GaugeMetricFamily, Metric, UntypedMetricFamily
 from prometheus_client.exposition import generate_latest
 
-RESULTS = ("ok", "shed", "errors", "tries")  # in the order of the coordinator's counts by class
+RESULTS = ("ok", "shed", "errors", "tries")  # label values, in the order of the coordinator's counts per class
 
 
 class MetricsCollector:
-    """A collector of prometheus_client, with a registry of its own."""
+    """A prometheus_client collector with its own registry."""
 
     def __init__(
         self,
-        by_class: Mapping[str, Sequence[int]],
-        active: Callable[[], int],
+        counts_by_class: Mapping[str, Sequence[int]],
+        active_requests: Callable[[], int],
         pool_size: Callable[[], int],
-        pool_ejected: Callable[[], int],
+        unavailable_engines: Callable[[], int],
     ):
-        """Read from `by_class`, counts in the order of `RESULTS` by class since the start, and from the functions."""
-        self._by_class = by_class
-        self._active = active
+        """Set the sources of the metrics.
+
+        `counts_by_class` are the counts since the start, per class in the order of `RESULTS`; the functions return
+        the current values of the gauges.
+        """
+        self._counts_by_class = counts_by_class
+        self._active_requests = active_requests
         self._pool_size = pool_size
-        self._pool_ejected = pool_ejected
+        self._unavailable_engines = unavailable_engines
         self._registry = CollectorRegistry(auto_describe=False)
         self._registry.register(self)
 
     def collect(self) -> Iterator[Metric]:
-        """The current metrics; prometheus_client calls it."""
+        """Yield the current metrics. Called by prometheus_client."""
         responses = UntypedMetricFamily(
             "balancer_responses", "requests by class and end, and attempts", labels=("kind", "result")
         )
-        for name, counts in sorted(self._by_class.items()):
+        for name, counts in sorted(self._counts_by_class.items()):
             for result, count in zip(RESULTS, counts, strict=True):
                 responses.add_metric((name, result), count)
         yield responses
-        yield GaugeMetricFamily("balancer_active", "requests taken and not ended", value=self._active())
+        yield GaugeMetricFamily("balancer_active", "requests taken and not ended", value=self._active_requests())
         yield GaugeMetricFamily("balancer_pool_size", "engines in the list", value=self._pool_size())
         yield GaugeMetricFamily(
-            "balancer_pool_ejected", "listed engines avoided, by hand or by choice", value=self._pool_ejected()
+            "balancer_pool_ejected", "listed engines avoided, by hand or by choice", value=self._unavailable_engines()
         )
 
     def text(self) -> bytes:
-        """The metrics in the Prometheus text format."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/rackhub/ops/process_replacement.py
+++ b/rackhub/ops/process_replacement.py
@@ -1,8 +1,8 @@
-"""Slows the start of a process that is to replace a running one.
+"""The lock by which a process and its successor detect each other, and the throttled start of the successor.
 
-Both share the CPU quota that they are given. A start computes for long, mostly to import modules, and where the quota
-runs out the serving process gets no CPU time either, so that its requests miss their deadlines. A start that finds its
-predecessor running therefore sleeps at imports, in proportion to the CPU time spent. Nobody waits for it, as the
+Both processes share one CPU quota. A starting process uses much CPU time, mostly to import modules. When it exhausts
+the quota the serving process gets no CPU time either, and its requests miss their deadlines. A process that finds its
+predecessor running therefore sleeps at imports, in proportion to the CPU time spent. The delay does no harm, as the
 predecessor serves until it gets SIGTERM.
 """
 
@@ -12,45 +12,45 @@
 import time
 from collections.abc import Mapping, Sequence
 
-LOCK_NAME = "rackhub-ops.lock"  # in `$TMPDIR`, beside the handover file; rackhub/__main__.py looks for this name
-MINIMUM_WORK_S = 0.002  # CPU seconds after which an import sleeps
-SLEEP_RATIO = 5  # seconds of sleep for each CPU second
-MAXIMUM_TOTAL_SLEEP_S = 2.0
+LOCK_NAME = "rackhub-ops.lock"  # a file in `$TMPDIR`; rackhub/__main__.py contains the same name
+MIN_CPU_TIME_S = 0.002  # imports sleep only after this much CPU time since the last sleep
+SLEEP_RATIO = 5  # seconds of sleep per second of CPU time
+MAX_TOTAL_SLEEP_S = 2.0
 
 
 def lock_path(environment: Mapping[str, str]) -> str:
-    """The path of the lock file, by `TMPDIR` of the environment."""
+    """Return the path of the lock file, in the directory that `TMPDIR` of the environment names."""
     return os.path.join(environment.get("TMPDIR") or "/tmp", LOCK_NAME)
 
 
 def predecessor_is_running(environment: Mapping[str, str]) -> bool:
-    """Whether a process of this coordinator is running: it holds the lock until it ends."""
+    """Whether another process of this coordinator is running, which holds the lock until it ends."""
     try:
         descriptor = os.open(lock_path(environment), os.O_RDWR)
     except OSError:
         return False
     try:
-        return _is_locked_elsewhere(descriptor)
+        return _is_locked_by_others(descriptor)
     finally:
         os.close(descriptor)
 
 
 def hold_lock(environment: Mapping[str, str]) -> int:
-    """Take the shared lock. Returns its descriptor, to be left open until the process ends. Raises `OSError`."""
+    """Take the shared lock. Returns its descriptor, which must stay open until the process ends. Raises `OSError`."""
     descriptor = os.open(lock_path(environment), os.O_RDWR | os.O_CREAT, 0o600)
-    fcntl.flock(descriptor, fcntl.LOCK_SH)  # shared: the predecessor holds it too
+    fcntl.flock(descriptor, fcntl.LOCK_SH)  # shared, as the predecessor holds the lock too
     return descriptor
 
 
 def successor_is_running(descriptor: int) -> bool:
-    """Whether another process holds the lock beside the owner of `descriptor`, which `hold_lock` returned.
+    """Whether another process holds the lock besides the owner of `descriptor`, which `hold_lock` returned.
 
-    Only for a process about to end: it may have lost the lock after this.
+    To be called only by a process that is about to end, as it may lose its own lock by this check.
     """
-    return _is_locked_elsewhere(descriptor)
+    return _is_locked_by_others(descriptor)
 
 
-def _is_locked_elsewhere(descriptor: int) -> bool:
+def _is_locked_by_others(descriptor: int) -> bool:
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
@@ -61,29 +61,29 @@
 class ImportThrottle:
     """Sleeps at imports, in proportion to the CPU time spent since the last sleep.
 
-    It is an import finder that finds nothing, so that imports go on as they would without it.
+    It is an import finder that finds no module, so that imports continue with the other finders.
     """
 
     def __init__(self) -> None:
-        self._cpu_time_s = time.process_time()
-        self._remaining_sleep_s = MAXIMUM_TOTAL_SLEEP_S
+        self._last_cpu_time_s = time.process_time()
+        self._remaining_sleep_s = MAX_TOTAL_SLEEP_S
 
     def find_spec(self, name: str, path: Sequence[str] | None = None, target: object = None) -> None:
-        """Sleep where enough CPU time was spent; the import system calls it before each import."""
-        work_s = time.process_time() - self._cpu_time_s
-        if work_s < MINIMUM_WORK_S or self._remaining_sleep_s <= 0:
+        """Sleep if enough CPU time was spent. Called by the import system before each import."""
+        cpu_time_s = time.process_time() - self._last_cpu_time_s
+        if cpu_time_s < MIN_CPU_TIME_S or self._remaining_sleep_s <= 0:
             return
-        sleep_s = min(SLEEP_RATIO * work_s, self._remaining_sleep_s)
+        sleep_s = min(SLEEP_RATIO * cpu_time_s, self._remaining_sleep_s)
         self._remaining_sleep_s -= sleep_s
         time.sleep(sleep_s)
-        self._cpu_time_s = time.process_time()
+        self._last_cpu_time_s = time.process_time()
 
 
 def throttle_imports() -> None:
-    """Throttle all imports from here on."""
+    """Throttle all imports from now on."""
     sys.meta_path.insert(0, ImportThrottle())
 
 
 def stop_throttling() -> None:
-    """Let imports run at full speed again: the start is complete."""
+    """Stop throttling imports, once the start is complete."""
     sys.meta_path[:] = [finder for finder in sys.meta_path if not isinstance(finder, ImportThrottle)]
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -111,21 +111,21 @@
 def test_the_handler_answers_every_command_and_every_error_with_yes_or_no():
     process = ProcessStub()
     handler = handler_of(process)
-    assert handler.answer(b"HEALTH") == b"YES ready\n"
+    assert handler.execute(b"HEALTH") == b"YES ready\n"
     process.ready = False
-    assert handler.answer(b"HEALTH").startswith(b"NO")
-    assert handler.answer(b"OFFLINE nope").startswith(b"NO") and process.changes == 0
-    assert handler.answer(b"OFFLINE a").startswith(b"YES") and process.changes == 1
-    assert handler.answer(b"ONLINE a").startswith(b"YES") and process.changes == 2
+    assert handler.execute(b"HEALTH").startswith(b"NO")
+    assert handler.execute(b"OFFLINE nope").startswith(b"NO") and process.changes == 0
+    assert handler.execute(b"OFFLINE a").startswith(b"YES") and process.changes == 1
+    assert handler.execute(b"ONLINE a").startswith(b"YES") and process.changes == 2
     for bad in (b"", b"   ", b"FLY", b"HEALTH now", b"OFFLINE", b"OFFLINE a b", b"\xff\xfe", b"HEAL\x00TH"):
-        assert handler.answer(bad).startswith(b"NO "), bad
+        assert handler.execute(bad).startswith(b"NO "), bad
 
 
 def test_metrics_are_the_coordinators_counts_in_the_text_format():
     process = ProcessStub()
     handler = handler_of(process)
-    handler.answer(b"OFFLINE b")
-    text = handler.answer(b"DUMP").decode()
+    handler.execute(b"OFFLINE b")
+    text = handler.execute(b"DUMP").decode()
     lines = text.splitlines()
     assert lines[0].startswith("YES") and lines[-1] == "END"
     values = {line.rsplit(" ", 1)[0]: float(line.rsplit(" ", 1)[1]) for line in lines[1:-1] if not line.startswith("#")}
@@ -232,7 +232,7 @@
     for piece in (0.001, 0.009, 0.0, *[0.1] * 20):
         spent[0] += piece
         assert throttle.find_spec("any") is None
-    assert slept[0] == pytest.approx(0.05) and sum(slept) == pytest.approx(process_replacement.MAXIMUM_TOTAL_SLEEP_S)
+    assert slept[0] == pytest.approx(0.05) and sum(slept) == pytest.approx(process_replacement.MAX_TOTAL_SLEEP_S)
     before = list(sys.meta_path)
     process_replacement.throttle_imports()
     assert len(sys.meta_path) == len(before) + 1
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -107,5 +107,5 @@
         damaged = tmp_path / handover_file.FILE_NAME
         _, new, before = replaced(engines, start, traffic, lambda: damaged.write_bytes(b'{"format": "rackh'))
         wait_until(lambda: len(engines[0].taken) > before)  # the ejection is not known any more
-        assert "the state left by the previous process is ignored: not a state file" in new.log_text()
+        assert "ignoring the ejections saved by the previous process: not a state file" in new.log_text()
         judged(traffic)
