--- a/rackhub/state/component.py
+++ b/rackhub/state/component.py
@@ -11,7 +11,7 @@
     """Runs a `StateWriter` for the coordinator of this process."""
 
     def __init__(self, context: ComponentContext):
-        """Opens the store. Raises `ComponentStartError` where that fails or a required package is missing."""
+        """Open the store. Raises `ComponentStartError` if that fails or a required package is missing."""
         super().__init__(context)
         try:
             from rackhub.state.writer import StateWriter
@@ -32,25 +32,25 @@
             raise ComponentStartError(f"[store]: {fault}") from None
         context.core.request_journal = self.writer
 
-    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
-        """Start writing; returns the stored endpoint list where `listing` is empty."""
-        return self.writer.start(listing)
+    def begin(self, snapshot: EndpointSnapshot) -> EndpointSnapshot:
+        """Start writing. Returns the stored endpoint list if `snapshot` is empty, otherwise `snapshot`."""
+        return self.writer.start(snapshot)
 
-    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
+    def endpoints_changed(self, snapshot: EndpointSnapshot) -> None:
         """Store the new endpoint list."""
-        self.writer.store_endpoints(listing)
+        self.writer.store_endpoints(snapshot)
 
     def stop(self) -> None:
-        """Write what is pending and close the store."""
+        """Write the pending changes and close the store."""
         self.writer.close()
 
     def summary_lines(self) -> Sequence[str]:
-        """The counters over all starts, as one line."""
+        """Return one line with the counters over all starts."""
         totals = self.writer.totals()
-        counted = " ".join(f"{name}={count}" for name, count in totals.counts.items())
-        return [f"counters of {totals.starts} starts: {counted or 'nothing'}"]
+        counts_text = " ".join(f"{name}={count}" for name, count in totals.counts.items())
+        return [f"counters of {totals.starts} starts: {counts_text or 'nothing'}"]
 
 
 def create_component(context: ComponentContext) -> StateComponent:
-    """Create the component; `rackhub.components` calls it."""
+    """Create the component. Called by `rackhub.components`."""
     return StateComponent(context)
--- a/rackhub/state/records.py
+++ b/rackhub/state/records.py
@@ -1,4 +1,4 @@
-"""The records that a coordinator stores, and how long it retains them. Pure: events and times in, keys and values out.
+"""The records that a coordinator stores, and how long it retains them. Without I/O and without a clock.
 
 Keys in the store:
 
@@ -25,7 +25,7 @@
 REQUEST_KEY_PREFIX = b"keyed/"
 SECOND = 1_000_000  # microseconds
 DEFAULT_IDEMPOTENCY_WINDOW = 25 * SECOND
-OPEN_REQUEST_RETENTION_WINDOWS = 4  # how many of the longest windows an unfinished request is retained
+OPEN_REQUEST_RETENTION_WINDOWS = 4  # retention of an open request, as a multiple of the longest idempotency window
 
 
 class RequestState(StrEnum):
@@ -40,12 +40,12 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the request has neither a response nor a client that disconnected."""
+        """Whether the request has no response yet and its client has not disconnected."""
         return self in (RequestState.RECEIVED, RequestState.IN_FLIGHT)
 
 
 class KeyedRequestRecord(msgspec.Struct, kw_only=True):
-    """One request with an idempotency key. The stored names stay when those of the code change."""
+    """One request with an idempotency key. `name` is the stored name of a field and must not change."""
 
     idempotency_key: str = msgspec.field(name="token")
     cls: str
@@ -53,16 +53,18 @@
     state: RequestState
     received_at: int = msgspec.field(name="taken")
     changed_at: int = msgspec.field(name="changed")
-    window_ends_at: int = msgspec.field(name="until")  # counted from the first attempt that possibly executed
-    engine: str = ""  # of the last attempt
-    sent_at: int = msgspec.field(default=0, name="sent")  # of the last attempt
+    # End of the idempotency window, which begins with the first attempt that may have been executed.
+    window_ends_at: int = msgspec.field(name="until")
+    engine: str = ""  # engine of the last attempt
+    sent_at: int = msgspec.field(default=0, name="sent")  # time of the last attempt
     attempts: int = 0
-    client_requests: int = msgspec.field(default=1, name="tries")  # with this key: the first and the client's retries
-    earlier_engines: list[str] = msgspec.field(default_factory=list, name="earlier")  # that possibly executed it
+    client_requests: int = msgspec.field(default=1, name="tries")  # number of client requests with this key
+    # Engines that may have executed an earlier attempt.
+    earlier_engines: list[str] = msgspec.field(default_factory=list, name="earlier")
 
 
 class StoredEngine(msgspec.Struct):
-    """An engine of the endpoint list as it is stored. The stored names stay when those of the code change."""
+    """An engine of the endpoint list as it is stored. `name` is the stored name of a field and must not change."""
 
     engine: str
     zone: str = ""
@@ -73,17 +75,17 @@
     started_at: int = msgspec.field(default=0, name="came_up")
 
     @classmethod
-    def of(cls, entry: interface.EngineEntry) -> "StoredEngine":
-        """The stored form of an entry."""
+    def from_entry(cls, entry: interface.EngineEntry) -> "StoredEngine":
+        """Convert an entry of the endpoint list to its stored form."""
         return cls(entry.engine, entry.zone, entry.kind, entry.cell, entry.state, entry.size, entry.started_at)
 
-    def entry(self) -> interface.EngineEntry:
-        """The entry that is stored here."""
+    def to_entry(self) -> interface.EngineEntry:
+        """Convert the stored form back to an entry of the endpoint list."""
         return interface.EngineEntry(*msgspec.structs.astuple(self))
 
 
 class StoredEndpointList(msgspec.Struct):
-    """The endpoint list as it was received at `received_at`."""
+    """The endpoint list that was received at `received_at`, as it is stored."""
 
     revision: int = msgspec.field(name="rev")
     received_at: int = msgspec.field(name="at")
@@ -92,7 +94,7 @@
 
 
 class StoredCounters(msgspec.Struct):
-    """Totals over all starts, this one included so far."""
+    """Totals over all starts, as they are stored; the current start is included."""
 
     starts: int
     first_started_at: int = msgspec.field(name="first")
@@ -100,49 +102,52 @@
 
 
 class RecordChanges(NamedTuple):
-    """What has to be written to the store: records by their keys, and the keys of those that have expired."""
+    """Changes to be written to the store: the updated records by key, and the keys of the expired ones."""
 
     updated: dict[bytes, bytes]
     expired: list[bytes]
 
 
 class InitialEndpoints(NamedTuple):
-    """The endpoint list to start with; `stored_age` in microseconds where it comes from the store, otherwise None."""
+    """The endpoint list to start with; `stored_age` is its age in microseconds if it was stored, otherwise None."""
 
-    listing: EndpointSnapshot
+    snapshot: EndpointSnapshot
     stored_age: int | None
 
 
 def request_key(cls: str, idempotency_key: str) -> bytes:
-    """The key in the store of a request of class `cls`."""
+    """Return the key of a request in the store."""
     return REQUEST_KEY_PREFIX + cls.encode() + b"/" + idempotency_key.encode("utf-8", "backslashreplace")
 
 
 def decode_request(value: bytes) -> KeyedRequestRecord:
-    """Decode a stored request. Raises `msgspec.MsgspecError` where `value` is none."""
+    """Decode a stored request. Raises `msgspec.MsgspecError` if `value` is malformed."""
     return msgspec.json.decode(value, type=KeyedRequestRecord)
 
 
 class KeyedRequestRecords:
-    """The records of requests within their idempotency windows, and which of them are to be written."""
+    """The records of requests within their idempotency windows; keeps track of those that have to be written."""
 
     def __init__(self, windows: Mapping[str, int], default_window: int = DEFAULT_IDEMPOTENCY_WINDOW):
-        """`windows`: the idempotency window by class, in microseconds; `default_window` for classes that set none."""
+        """Create an empty set of records.
+
+        `windows` are the idempotency windows by class in microseconds, `default_window` is for classes without one.
+        """
         self._windows = windows
         self._default_window = default_window
         self._records: dict[bytes, KeyedRequestRecord] = {}
         self._changed: dict[bytes, None] = {}
-        # (end, key), roughly ordered: windows differ between classes
+        # (end of the window, key). Only roughly in the order of the ends, as windows differ between classes.
         self._expiry_queue: deque[tuple[int, bytes]] = deque()
 
     def __len__(self) -> int:
         return len(self._records)
 
     def restore(self, stored: Iterable[KeyedRequestRecord], now: int) -> list[KeyedRequestRecord]:
-        """Take over the records of an earlier run.
+        """Restore the records of an earlier run.
 
-        Returns those within their windows that it left open: they were possibly executed. Expired ones are reported
-        by the next `take_changes`.
+        Returns the requests that are still open and within their windows: they may have been executed. Expired
+        records are reported by the next `take_changes`.
         """
         open_requests = []
         for record in sorted(stored, key=lambda record: record.window_ends_at):
@@ -154,11 +159,11 @@
         return open_requests
 
     def find(self, cls: str, idempotency_key: str) -> KeyedRequestRecord | None:
-        """The record of a request, None where there is none."""
+        """Return the record of a request, None if there is none."""
         return self._records.get(request_key(cls, idempotency_key))
 
     def received(self, idempotency_key: str, cls: str, tenant: str, now: int) -> None:
-        """Record a request. One with a known key is the client's retry of the same work."""
+        """Record a request. A request with a known key is the client's retry of the same request."""
         key = request_key(cls, idempotency_key)
         window_ends_at = self._window_end(cls, now)
         record = self._records.get(key)
@@ -173,7 +178,7 @@
                 window_ends_at=window_ends_at,
             )
             self._expiry_queue.append((window_ends_at, key))
-        else:  # its earlier attempts stay on record, as they possibly executed
+        else:  # the earlier attempts remain recorded, as they may have been executed
             record.state = RequestState.RECEIVED
             record.changed_at = now
             record.client_requests += 1
@@ -182,14 +187,14 @@
         self._changed[key] = None
 
     def sent(self, idempotency_key: str, cls: str, engine: str, now: int) -> None:
-        """Record an attempt that is sent to `engine`."""
+        """Record an attempt that is being sent to `engine`."""
         key = request_key(cls, idempotency_key)
         record = self._records.get(key)
         if record is None:
             return
         if record.engine and record.engine not in record.earlier_engines:
             record.earlier_engines = [*record.earlier_engines, record.engine]
-        if not record.attempts:  # the window starts with the first attempt that possibly executed
+        if not record.attempts:  # the window starts with the first attempt that may have been executed
             record.window_ends_at = self._window_end(cls, now)
         record.state = RequestState.IN_FLIGHT
         record.engine = engine
@@ -199,7 +204,7 @@
         self._changed[key] = None
 
     def finished(self, idempotency_key: str, cls: str, state: RequestState, now: int) -> None:
-        """Record how a request ended: by its response, or by its client's disconnecting."""
+        """Record how a request ended: by its response, or because its client disconnected."""
         key = request_key(cls, idempotency_key)
         record = self._records.get(key)
         if record is None:
@@ -209,9 +214,9 @@
         self._changed[key] = None
 
     def take_changes(self, now: int) -> RecordChanges:
-        """Return what is to be written since the last call, and forget the records whose windows have passed.
+        """Return the changes since the last call, and remove the records whose windows have passed.
 
-        An open record is retained until it is finished, within bounds.
+        The record of an open request is retained until the request is finished, but only for a limited time.
         """
         expired = self._expire(now)
         updated = {key: msgspec.json.encode(self._records[key]) for key in self._changed}
@@ -245,15 +250,15 @@
         return now + self._windows.get(cls, self._default_window)
 
     def _open_retention(self) -> int:
-        """How long an open record is retained after its last change, in microseconds."""
+        """Return how long the record of an open request is retained after its last change, in microseconds."""
         longest_window = max(self._windows.values(), default=self._default_window)
         return OPEN_REQUEST_RETENTION_WINDOWS * longest_window
 
 
-def encode_endpoint_list(listing: EndpointSnapshot, now: int) -> bytes:
-    """The stored form of an endpoint list received at `now`."""
-    entries = [StoredEngine.of(entry) for entry in listing.entries]
-    return msgspec.json.encode(StoredEndpointList(listing.revision, now, entries, listing.addresses))
+def encode_endpoint_list(snapshot: EndpointSnapshot, now: int) -> bytes:
+    """Encode the stored form of an endpoint list received at `now`."""
+    entries = [StoredEngine.from_entry(entry) for entry in snapshot.entries]
+    return msgspec.json.encode(StoredEndpointList(snapshot.revision, now, entries, snapshot.addresses))
 
 
 def initial_endpoints(
@@ -261,9 +266,9 @@
 ) -> InitialEndpoints:
     """Choose the endpoint list to start with.
 
-    A configured list takes precedence over the stored one, which is used up to `maximum_age` microseconds. A stored
-    list gets the configured revision, 0 where none is configured: revisions start anew with each process, and any list
-    received later must replace this one. Engines that were draining stay so.
+    A configured list takes precedence over the stored one, which is used up to an age of `maximum_age` microseconds.
+    A stored list gets the revision of `configured`, which is 0 if no list is configured: revisions start anew in each
+    process, and any list received later must replace this one. Engines that were draining remain draining.
     """
     stored = None if configured.entries else _decode_endpoint_list(stored_value)
     if stored is None or not stored.entries:
@@ -271,7 +276,7 @@
     age = max(now - stored.received_at, 0)
     if age > maximum_age:
         return InitialEndpoints(configured, None)
-    entries = tuple(engine.entry() for engine in stored.entries)
+    entries = tuple(engine.to_entry() for engine in stored.entries)
     return InitialEndpoints(EndpointSnapshot(configured.revision, entries, dict(stored.addresses)), age)
 
 
@@ -285,7 +290,7 @@
 
 
 def initial_counters(stored_value: bytes | None, now: int) -> StoredCounters:
-    """The totals of all earlier starts, with this start added to `starts`. An unreadable value counts as none."""
+    """Return the totals of all earlier starts, with `starts` incremented. A malformed value is ignored."""
     counters = _decode_counters(stored_value) or StoredCounters(0, now, {})
     counters.starts += 1
     return counters
@@ -301,7 +306,7 @@
 
 
 def add_counters(earlier: StoredCounters, current: Mapping[str, int]) -> StoredCounters:
-    """The totals of `earlier` starts with the `current` counts of this one added."""
+    """Return the totals of the `earlier` starts plus the `current` counts of this one."""
     counts = dict(earlier.counts)
     for name, count in current.items():
         if count:
--- a/rackhub/state/settings.py
+++ b/rackhub/state/settings.py
@@ -1,4 +1,4 @@
-"""The `[store]` table of the operator's file: the directory of the coordinator's store, and the store's own options."""
+"""The `[store]` table of the operator's file: directory and options of the coordinator's store."""
 
 from typing import Any
 
@@ -11,10 +11,10 @@
 
 
 class StoreSettings(Options, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The options of the store and those of the coordinator's state.
+    """The options of the store and of the state that the coordinator keeps in it.
 
-    `path`: the directory; `engines_for_s`: how old, in seconds, a stored endpoint list may be to start with it;
-    `counters_every_s`: the interval in seconds at which counters are written.
+    `path` is the directory of the store. A stored endpoint list is used at a start if it is at most `engines_for_s`
+    seconds old. Counters are written every `counters_every_s` seconds.
     """
 
     path: str
@@ -30,9 +30,9 @@
         for name, maximum in maxima.items():
             value = getattr(self, name)
             if not 1 <= value <= maximum:
-                raise ValueError(f"{name} is {value}: from 1 to {maximum} is needed")
+                raise ValueError(f"{name} is {value}: must be from 1 to {maximum}")
 
 
 def store_settings(table: dict[str, Any]) -> StoreSettings:
-    """Check the table. Raises `msgspec.ValidationError`, which names the key at fault."""
+    """Convert and check the table. Raises `msgspec.ValidationError`, which names the invalid key."""
     return msgspec.convert(table, StoreSettings)
--- a/rackhub/state/writer.py
+++ b/rackhub/state/writer.py
@@ -1,6 +1,6 @@
-"""Writes the records of `rackhub.state.records` to the embedded store, batched into one commit an event-loop iteration.
+"""Writes the records of `rackhub.state.records` to the embedded store, in one commit per event-loop iteration.
 
-A failing disk never holds the coordinator up: changes wait in memory, within bounds, until a commit succeeds.
+A failing disk never blocks the coordinator: changes are kept in memory, up to a limit, until a commit succeeds.
 """
 
 import logging
@@ -20,11 +20,14 @@
 from rackhub.store.files import Files
 
 log = logging.getLogger(__name__)
-MAXIMUM_PENDING_WRITES = 10_000  # while the disk fails; beyond it the oldest are dropped and counted
+MAXIMUM_PENDING_WRITES = 10_000  # kept in memory while the disk fails; the oldest beyond it are dropped and counted
 
 
 class StateWriter:
-    """The coordinator's `RequestJournal`, and the writer of its endpoint list and counters."""
+    """Implements the coordinator's `RequestJournal`, and stores its endpoint list and counters.
+
+    `open_requests` are the requests that were open when the previous run ended.
+    """
 
     def __init__(
         self,
@@ -35,7 +38,7 @@
         counters: Counters,
         files: Files | None = None,
     ):
-        """Opens the store. Raises `StoreError` or `OSError` where it can't be opened."""
+        """Open the store. Raises `StoreError` or `OSError` if it can't be opened."""
         self._reactor = reactor
         self._settings = settings
         self._clock = clock
@@ -44,7 +47,7 @@
         self.store = Store.open(settings.path, settings, files=files, clock=clock.now, wake=self._driver.wake)
         windows = {cls.name: cls.idempotency_window for cls in classes if cls.idempotency_window}
         self._requests = records.KeyedRequestRecords(windows)
-        self._pending: dict[bytes, bytes | None] = {}  # None: delete the key
+        self._pending: dict[bytes, bytes | None] = {}  # values to be written by key; None deletes the key
         self._write_scheduled = False
         self.open_requests = self._restore_requests()
         self._earlier_counters = records.initial_counters(self._stored_value(records.COUNTERS_KEY), clock.now())
@@ -59,9 +62,9 @@
         for item in self.store.scan(records.REQUEST_KEY_PREFIX, records.REQUEST_KEY_PREFIX + b"\xff"):
             try:
                 stored.append(records.decode_request(item.value))
-            except msgspec.MsgspecError as error:  # of a later version, or edited by hand: it stays in the store
+            except msgspec.MsgspecError as error:  # written by a later version or edited manually: keep it in the store
                 self._counters.add("state_unread")
-                log.error("store: key %r can't be decoded: %s", item.key, error)
+                log.error("store: can't decode the value of key %r: %s", item.key, error)
         open_requests = self._requests.restore(stored, self._clock.now())
         for record in open_requests:
             log.warning(
@@ -76,7 +79,7 @@
         return open_requests
 
     def start(self, configured: EndpointSnapshot) -> EndpointSnapshot:
-        """Start writing. Returns the endpoint list to start with: the stored one where none is configured."""
+        """Start writing. Returns the endpoint list to start with: the stored one if none is configured."""
         self._driver.drive(self.store)
         initial = records.initial_endpoints(
             configured,
@@ -86,8 +89,8 @@
         )
         if initial.stored_age is not None:
             log.warning(
-                "no engines are configured: starting with the list of %d stored %.0f s ago",
-                len(initial.listing.entries),
+                "no engines are configured: starting with the stored endpoint list of %d engines, %.0f s old",
+                len(initial.snapshot.entries),
                 initial.stored_age / records.SECOND,
             )
         elif configured.entries:
@@ -95,19 +98,19 @@
         self._counters_timer = LoopingCall(self._store_counters)
         self._counters_timer.clock = self._reactor  # type: ignore[assignment]
         self._counters_timer.start(self._settings.counters_every_s, now=True)
-        return initial.listing
+        return initial.snapshot
 
-    def store_endpoints(self, listing: EndpointSnapshot) -> None:
+    def store_endpoints(self, snapshot: EndpointSnapshot) -> None:
         """Store the current endpoint list."""
-        self._put(records.ENDPOINT_LIST_KEY, records.encode_endpoint_list(listing, self._clock.now()))
+        self._put(records.ENDPOINT_LIST_KEY, records.encode_endpoint_list(snapshot, self._clock.now()))
 
     def request_admitted(self, query: Query) -> None:
-        """Record a request that was received."""
+        """Record that a request was received."""
         self._requests.received(query.idempotency_key, query.cls, query.tenant, self._clock.now())
         self._schedule_write()
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """Record an attempt that is sent."""
+        """Record that an attempt is being sent."""
         query = attempt.query
         self._requests.sent(query.idempotency_key, query.cls, attempt.engine, self._clock.now())
         self._schedule_write()
@@ -119,11 +122,11 @@
         self._schedule_write()
 
     def totals(self) -> records.StoredCounters:
-        """The counters over all starts."""
+        """Return the counters over all starts."""
         return records.add_counters(self._earlier_counters, self._counters)
 
     def close(self) -> None:
-        """Write what is pending and close the store. A failure is logged."""
+        """Write the pending changes and close the store. A failure is logged."""
         if self._counters_timer is not None and self._counters_timer.running:
             self._counters_timer.stop()
         self._store_counters()
@@ -141,7 +144,7 @@
         self._schedule_write()
 
     def _schedule_write(self) -> None:
-        """Write in the next iteration: a request that is received and sent in one iteration is written once."""
+        """Write in the next event-loop iteration, so a request received and sent in one is written once."""
         if not self._write_scheduled:
             self._write_scheduled = True
             self._reactor.callLater(0, self._write)
@@ -173,11 +176,11 @@
         return batch
 
     def _commit_acknowledged(self, error: StoreError | None) -> None:
-        if error is not None:  # the store itself writes the commit again when its disk recovers
+        if error is not None:  # the store itself repeats the commit when the disk recovers
             self._counters.add("state_failures")
 
     def _drop_excess(self) -> None:
-        """Bound what waits for a failing disk."""
+        """Limit the number of writes that wait for a failing disk."""
         excess = max(len(self._pending) - MAXIMUM_PENDING_WRITES, 0)
         for key in list(self._pending)[:excess]:
             del self._pending[key]
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -468,7 +468,7 @@
         first.send_signal(signal.SIGTERM)
         assert first.wait(30) == 0
         second = start(known={"rev": 0, "notices": []})
-        assert "list of 1 stored" in until(second, "no engines are configured")
+        assert "stored endpoint list of 1 engines" in until(second, "no engines are configured")
         assert "1 engines known" in until(second, "serves on")
         for _ in range(5):  # each answer is one more turn of its loop: written in one, committed and synced in the next
             second.send_signal(signal.SIGUSR1)
