--- a/tests/replacement_harness.py
+++ b/tests/replacement_harness.py
@@ -1,8 +1,8 @@
-"""Two processes of the program on one client port, under traffic, while one takes the other's place.
+"""A test harness for the replacement of one coordinator process by another on the same port, under traffic.
 
-Traffic runs in the test's own reactor against stand-in engines; the coordinators are real processes. Every request is
-followed from its last byte to its answer: what a connection closes on before it is answered was turned back, and its
-client sends it again, as PROTOCOL says of clients that find a coordinator going.
+Clients and engine stand-ins run in the reactor of the test; the coordinators are real processes. Each request is
+tracked until it is answered. If a connection is closed before a request on it is answered, the client sends the
+request again, as the protocol demands from clients of a coordinator that shuts down.
 """
 
 import base64
@@ -28,196 +28,212 @@
 
 
 class Request:
-    """One request of one client, and its answers."""
+    """One request of a client and the answers to it."""
 
     def __init__(self, number):
         self.rid, self.answers = f"{number:016x}", []
 
 
-class Caller(LineOnlyReceiver):
-    """One connection of a client. `keeps` it for the next request, or closes it after each answer."""
+class Client(LineOnlyReceiver):
+    """One connection of a client; if `persistent`, it is kept for further requests, otherwise closed after one."""
 
     delimiter, MAX_LENGTH = b"\n", 1 << 20
 
-    def __init__(self, traffic, keeps):
-        self.traffic, self.keeps, self.open, self.ids, self.gone = traffic, keeps, {}, itertools.count(1), False
+    def __init__(self, traffic, persistent):
+        self.traffic, self.persistent, self.open_requests, self.ids, self.is_lost = (
+            traffic,
+            persistent,
+            {},
+            itertools.count(1),
+            False,
+        )
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
         self.traffic.connections.add(self)
-        self.send(self.traffic.next())
+        self.send(self.traffic.next_request())
 
     def send(self, request):
         number = next(self.ids)
-        self.open[number] = request
+        self.open_requests[number] = request
         params = {"rid": request.rid, "budget": 2500, "acct": "acme", "body": self.traffic.body}
         self.sendLine(json.dumps({"jsonrpc": "2.0", "id": number, "method": "lookup", "params": params}).encode())
 
     def lineReceived(self, line):
         message = json.loads(line)
-        request = self.open.pop(message["id"])
+        request = self.open_requests.pop(message["id"])
         request.answers.append(message)
-        if not self.keeps or not self.traffic.on:
+        if not self.persistent or not self.traffic.running:
             return self.transport.loseConnection()
-        self.traffic.later(self.again)
+        self.traffic.call_later(self.send_next)
 
-    def again(self):
-        if not self.gone and self.traffic.on:
-            self.send(self.traffic.next())
+    def send_next(self):
+        if not self.is_lost and self.traffic.running:
+            self.send(self.traffic.next_request())
 
     def connectionLost(self, reason=None):
-        self.gone = True
+        self.is_lost = True
         self.traffic.connections.discard(self)
-        self.traffic.turned_back += [(request, self.traffic.at_engines(request)) for request in self.open.values()]
-        self.traffic.waiting += self.open.values()
-        if self.traffic.on or self.traffic.waiting:
-            self.traffic.later(self.traffic.dial, self.keeps)
+        self.traffic.unanswered += [
+            (request, self.traffic.reached_engine(request)) for request in self.open_requests.values()
+        ]
+        self.traffic.to_resend += self.open_requests.values()
+        if self.traffic.running or self.traffic.to_resend:
+            self.traffic.call_later(self.traffic.connect, self.persistent)
 
 
 class Traffic:
-    """Clients that go on until they are told to stop: `keeping` hold their connections, `passing` dial for each."""
+    """Clients that send requests until they are stopped.
+
+    `persistent_clients` of them keep their connections, `one_request_clients` connect anew for each request. `pause`
+    is the mean time in seconds between an answer and the client's next request.
+    """
 
-    def __init__(self, port, engines, keeping, passing, pause):
-        self.port, self.engines, self.pause, self.on = port, engines, pause, True
-        self.requests, self.waiting, self.turned_back, self.no_way_in = [], [], [], 0
-        self.connections, self.calls = set(), set()
+    def __init__(self, port, engines, persistent_clients, one_request_clients, pause):
+        self.port, self.engines, self.pause, self.running = port, engines, pause, True
+        self.requests, self.to_resend, self.unanswered, self.failed_connects = [], [], [], 0
+        self.connections, self.timers = set(), set()
         self.body = base64.b64encode(b"SELECT 1 FROM r_3.t").decode()
-        self.draw, self.keeping, self.passing = random.Random(7), keeping, passing
+        self.random_source, self.persistent_clients, self.one_request_clients = (
+            random.Random(7),
+            persistent_clients,
+            one_request_clients,
+        )
 
     def begin(self):
-        for number in range(self.keeping + self.passing):
-            self.later(self.dial, number < self.keeping)
+        for number in range(self.persistent_clients + self.one_request_clients):
+            self.call_later(self.connect, number < self.persistent_clients)
 
-    def at_engines(self, request):
-        """Whether a coordinator has taken it up: an engine has heard of it."""
-        return any(request.rid.encode() in engine.taken for engine in self.engines)
+    def reached_engine(self, request):
+        """Whether a coordinator has sent the request to an engine."""
+        return any(request.rid.encode() in engine.received_ids for engine in self.engines)
 
     def lost(self):
-        """Requests that a coordinator had sent to an engine when it closed on their client without an answer."""
-        return [request.rid for request, taken in self.turned_back if taken]
+        """Return the ids of requests that were sent to an engine and whose connection closed without an answer."""
+        return [request.rid for request, reached_engine in self.unanswered if reached_engine]
 
-    def next(self):
-        if self.waiting:
-            return self.waiting.pop()
+    def next_request(self):
+        if self.to_resend:
+            return self.to_resend.pop()
         self.requests.append(Request(len(self.requests) + 1))
         return self.requests[-1]
 
-    def later(self, call, *args):
-        self.calls.add(reactor.callLater(self.pause * self.draw.uniform(0.2, 1.8), call, *args))
-        self.calls = {each for each in self.calls if each.active()}
+    def call_later(self, call, *args):
+        self.timers.add(reactor.callLater(self.pause * self.random_source.uniform(0.2, 1.8), call, *args))
+        self.timers = {timer for timer in self.timers if timer.active()}
 
-    def dial(self, keeps):
+    def connect(self, persistent):
         factory = ClientFactory()
-        factory.noisy, factory.protocol = False, lambda: Caller(self, keeps)
-        factory.clientConnectionFailed = lambda *_: self.failed(keeps)
-        if self.on or self.waiting:
+        factory.noisy, factory.protocol = False, lambda: Client(self, persistent)
+        factory.clientConnectionFailed = lambda *_: self.connect_failed(persistent)
+        if self.running or self.to_resend:
             reactor.connectTCP("127.0.0.1", self.port, factory)
 
-    def failed(self, keeps):
-        self.no_way_in += 1
-        self.later(self.dial, keeps)
+    def connect_failed(self, persistent):
+        self.failed_connects += 1
+        self.call_later(self.connect, persistent)
 
     def stop(self):
-        """No new requests; wait until all that were sent have their answers."""
-        self.on = False
+        """Send no new requests and wait until all sent requests are answered."""
+        self.running = False
         wait_until(lambda: all(request.answers for request in self.requests))
 
-    def abandon(self):
-        self.on = False
-        self.waiting.clear()
+    def abort(self):
+        self.running = False
+        self.to_resend.clear()
         for connection in list(self.connections):
             connection.transport.abortConnection()
         wait_until(lambda: not self.connections)
-        for call in self.calls:
-            if call.active():
-                call.cancel()
+        for timer in self.timers:
+            if timer.active():
+                timer.cancel()
 
 
 class DelayedEngine(EngineServer):
-    """A stand-in that answers each query after a while and notes when it took each."""
+    """An engine stand-in that answers each request after `delay` seconds and records the request ids."""
 
-    def __init__(self, pause):
-        super().__init__(RespEngine, self.answer)
-        self.pause, self.taken = pause, []
+    def __init__(self, delay):
+        super().__init__(RespEngine, self.handle_command)
+        self.delay, self.received_ids = delay, []
 
-    def answer(self, connection, word, id, *rest):
-        if word == b"want":
-            self.taken.append(id)
-            reactor.callLater(self.pause, connection.respond, id, b"200", b"chunks=1", ROWS)
+    def handle_command(self, connection, command, id, *arguments):
+        if command == b"want":
+            self.received_ids.append(id)
+            reactor.callLater(self.delay, connection.respond, id, b"200", b"chunks=1", ROWS)
 
 
 def free_ports(count):
-    held = [socket.socket() for _ in range(count)]
-    for one in held:
-        one.bind(("127.0.0.1", 0))
-    ports = [one.getsockname()[1] for one in held]
-    for one in held:
-        one.close()
+    sockets = [socket.socket() for _ in range(count)]
+    for each in sockets:
+        each.bind(("127.0.0.1", 0))
+    ports = [each.getsockname()[1] for each in sockets]
+    for each in sockets:
+        each.close()
     return ports
 
 
 def start_resolver(engines):
-    """A resolver that tells of these engines: without one, a list is in force for some seconds only."""
+    """Start a resolver that reports these engines; without it an endpoint list is valid for some seconds only."""
     return ResolverStandIn(
         *((f"e{i}", "127.0.0.1", READY, 0, engine.port.getHost().port) for i, engine in enumerate(engines))
     )
 
 
 class CoordinatorProcess:
-    """One process of the program. `send_command` calls its second address."""
+    """A coordinator process."""
 
-    def __init__(self, place, name, listen, engines, nameserver, program=("-m", "rackhub")):
+    def __init__(self, directory, name, listen_port, engines, nameserver, program=("-m", "rackhub")):
         self.operator_port = free_ports(1)[0]
         entries = [
             endpoint(f"e{i}") | {"address": f"127.0.0.1:{engine.port.getHost().port}"}
             for i, engine in enumerate(engines)
         ]
         config = platform_config(
-            listen=f"127.0.0.1:{listen}",
+            listen=f"127.0.0.1:{listen_port}",
             nameserver=nameserver,
             settings=READERS,
             operator=f"127.0.0.1:{self.operator_port}",
             known={"rev": 3, "notices": [watch_notice(3, *entries)]},
         )
-        path = place / f"{name}.json"
+        path = directory / f"{name}.json"
         path.write_text(json.dumps(config))
-        self.log = open(place / f"{name}.log", "w+")
+        self.log = open(directory / f"{name}.log", "w+")
         self.child = subprocess.Popen(
             [sys.executable, *program, "serve", "--config", str(path)],
             stderr=self.log,
             stdout=self.log,
-            env=os.environ | {"TMPDIR": str(place)},
+            env=os.environ | {"TMPDIR": str(directory)},
         )
 
-    def send_command(self, words):
-        """One call at the second address, and its answer; "" where nobody listens."""
-        heard = []
+    def send_command(self, command):
+        """Send a command to the operators' address and return the response, "" if the connection fails."""
+        responses = []
 
-        class Call(LineOnlyReceiver):
+        class CommandConnection(LineOnlyReceiver):
             delimiter = b"\n"
 
             def connectionMade(self):
-                self.sendLine(words.encode())
+                self.sendLine(command.encode())
 
             def lineReceived(self, line):
-                heard.append(line.decode().strip())
+                responses.append(line.decode().strip())
 
             def connectionLost(self, reason=None):
-                heard.append("")
+                responses.append("")
 
         factory = ClientFactory()
-        factory.noisy, factory.protocol = False, Call
-        factory.clientConnectionFailed = lambda *_: heard.append("")
+        factory.noisy, factory.protocol = False, CommandConnection
+        factory.clientConnectionFailed = lambda *_: responses.append("")
         reactor.connectTCP("127.0.0.1", self.operator_port, factory)
-        wait_until(lambda: heard)
-        return heard[0]
+        wait_until(lambda: responses)
+        return responses[0]
 
     def wait_until_serving(self):
-        def serving():
+        def is_serving():
             assert self.child.poll() is None, self.log_text()
             return self.send_command("HEALTH").startswith("YES")
 
-        wait_until(serving)
+        wait_until(is_serving)
         return self
 
     def terminate(self):
@@ -240,16 +256,18 @@
 
 
 def wait_until(condition, seconds=60):
-    """Turn the reactor until the condition holds, however many turns the traffic makes of it; that it never does is a
-    failure. The bound is for a machine that does ten things at once: nothing is judged by it."""
+    """Run the reactor until the condition is true; fails after `seconds`.
+
+    The time limit is generous for a busy machine: it only ends tests that hang.
+    """
     end = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, "it did not come about"
+        assert time.monotonic() < end, f"the condition did not become true within {seconds} s"
         reactor.iterate(0.01)
 
 
 def run_reactor_for(seconds):
-    """Turn the reactor for a while: traffic goes on."""
+    """Run the reactor for a while, so that the traffic continues."""
     done = []
     reactor.callLater(seconds, done.append, 1)
     wait_until(lambda: done)
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -1,5 +1,8 @@
-"""One process of the program takes the place of another under traffic: nothing is lost, doubled or sent where it must
-not be, and each of the parts that this rests on is missed when it is taken out."""
+"""Replacement of a coordinator process under traffic.
+
+Guards against requests that are lost or answered twice and against requests to manually ejected engines. One test
+disables port sharing, graceful shutdown or the handover file, and expects the replacement to fail.
+"""
 
 import contextlib
 
@@ -23,22 +26,22 @@
 
 
 @contextlib.contextmanager
-def rig(place, planted=""):
-    """Three engines, an old process that serves, and a way to start the new one; all are ended in the end."""
-    (listen,) = free_ports(1)
+def replacement_test_bed(directory, injected_fault=""):
+    """Three engines, a function that starts a coordinator process, and traffic; all are stopped at the end."""
+    (listen_port,) = free_ports(1)
     engines, processes = [DelayedEngine(0.2) for _ in range(3)], []
     resolver = start_resolver(engines)
 
     def start(name):
-        program = ("-c", planted + MAIN) if planted else ("-m", "rackhub")
-        processes.append(CoordinatorProcess(place, name, listen, engines, resolver.address, program))
+        program = ("-c", injected_fault + MAIN) if injected_fault else ("-m", "rackhub")
+        processes.append(CoordinatorProcess(directory, name, listen_port, engines, resolver.address, program))
         return processes[-1]
 
-    traffic = Traffic(listen, engines, 12, 6, 0.1)
+    traffic = Traffic(listen_port, engines, 12, 6, 0.1)
     try:
         yield engines, start, traffic
     finally:
-        traffic.abandon()
+        traffic.abort()
         resolver.close()
         for process in processes:
             process.close()
@@ -49,63 +52,68 @@
         run_reactor_for(0.05)
 
 
-def replaced(engines, start, traffic, meanwhile=lambda: None):
-    """The old process is replaced under traffic while e0 is ejected by hand: both, and how much e0 had got by then."""
+def replace_process(engines, start, traffic, before_start=lambda: None):
+    """Replace a process under traffic while e0 is ejected manually.
+
+    Returns the old and the new process and the number of requests that e0 had received before the replacement.
+    """
     old = start("old").wait_until_serving()
     traffic.begin()
-    wait_until(lambda: sum(len(engine.taken) for engine in engines) > 30 and engines[0].taken)
+    wait_until(lambda: sum(len(engine.received_ids) for engine in engines) > 30 and engines[0].received_ids)
     assert old.send_command("OFFLINE e0").startswith("YES")
-    run_reactor_for(0.3)  # what was on its way there when it was told
-    before = len(engines[0].taken)
-    meanwhile()
+    run_reactor_for(0.3)  # so that requests sent to e0 before its ejection arrive
+    sent_before = len(engines[0].received_ids)
+    before_start()
     new = start("new").wait_until_serving()
     old.terminate()
     assert old.wait_for_exit() == 0, old.log_text()
-    served = sum(len(engine.taken) for engine in engines)
-    wait_until(lambda: sum(len(engine.taken) for engine in engines) > served + 30)
-    return old, new, before
+    served = sum(len(engine.received_ids) for engine in engines)
+    wait_until(lambda: sum(len(engine.received_ids) for engine in engines) > served + 30)
+    return old, new, sent_before
 
 
-def judged(traffic):
+def assert_all_answered_once(traffic):
     traffic.stop()
-    assert not traffic.lost(), "taken up and never answered"
-    assert not traffic.no_way_in, "nobody listened"
+    assert not traffic.lost(), "accepted but never answered"
+    assert not traffic.failed_connects, "connection refused: no process listened"
     assert all(len(request.answers) == 1 for request in traffic.requests), "answered twice"
     assert any("result" in request.answers[0] for request in traffic.requests)
 
 
-def whole(place, planted=""):
-    with rig(place, planted) as (engines, start, traffic):
-        old, new, before = replaced(engines, start, traffic)
-        assert len(engines[0].taken) == before, "sent to an ejected engine"
+def run_replacement(directory, injected_fault=""):
+    with replacement_test_bed(directory, injected_fault) as (engines, start, traffic):
+        old, new, sent_before = replace_process(engines, start, traffic)
+        assert len(engines[0].received_ids) == sent_before, "sent to an ejected engine"
         assert new.send_command("ONLINE e0").startswith("YES")
-        wait_until(lambda: len(engines[0].taken) > before)
-        judged(traffic)
+        wait_until(lambda: len(engines[0].received_ids) > sent_before)
+        assert_all_answered_once(traffic)
         assert "receives all new connections" in old.log_text()
 
 
-def test_a_process_is_replaced_under_traffic_and_nothing_is_lost_and_the_ejection_holds(tmp_path):
-    whole(tmp_path)
+def test_a_replacement_under_traffic_loses_no_request_and_no_ejection(tmp_path):
+    run_replacement(tmp_path)
 
 
 @pytest.mark.parametrize(
-    "planted, missed",
+    "injected_fault, expected_failure",
     [
         (NO_SHARING, "Couldn't listen"),
-        (NO_DRAIN, "taken up and never answered"),
+        (NO_DRAIN, "accepted but never answered"),
         (NO_HANDOVER, "sent to an ejected engine"),
     ],
     ids=["no sharing", "no drain", "no handover file"],
 )
-def test_what_a_replacement_rests_on_is_missed_when_it_is_taken_out(tmp_path, planted, missed):
-    with pytest.raises(AssertionError, match=missed):
-        whole(tmp_path, planted)
+def test_a_replacement_without_one_of_its_mechanisms_fails(tmp_path, injected_fault, expected_failure):
+    with pytest.raises(AssertionError, match=expected_failure):
+        run_replacement(tmp_path, injected_fault)
 
 
 def test_a_damaged_handover_file_does_not_prevent_the_replacement(tmp_path):
-    with rig(tmp_path) as (engines, start, traffic):
+    with replacement_test_bed(tmp_path) as (engines, start, traffic):
         damaged = tmp_path / handover_file.FILE_NAME
-        _, new, before = replaced(engines, start, traffic, lambda: damaged.write_bytes(b'{"format": "rackh'))
-        wait_until(lambda: len(engines[0].taken) > before)  # the ejection is not known any more
+        _, new, sent_before = replace_process(
+            engines, start, traffic, lambda: damaged.write_bytes(b'{"format": "rackh')
+        )
+        wait_until(lambda: len(engines[0].received_ids) > sent_before)  # the ejection was lost with the file
         assert "ignoring the ejections saved by the previous process: not a state file" in new.log_text()
-        judged(traffic)
+        assert_all_answered_once(traffic)
