--- a/tests/test_two_fronts.py
+++ b/tests/test_two_fronts.py
@@ -105,7 +105,7 @@
     if command != b"want":
         return
     statement = arguments[1]
-    attempts = engine.stand.attempts[statement] = engine.stand.attempts.get(statement, 0) + 1
+    attempts = engine.server.attempts[statement] = engine.server.attempts.get(statement, 0) + 1
     script = statement.split(b" in ")[0].split(b" ")[1:]
     step = script[min(attempts, len(script)) - 1]
     if step == b"ok":
