--- a/rackhub/net/tds/codec.py
+++ b/rackhub/net/tds/codec.py
@@ -509,7 +509,7 @@
             label = cursor.read_text(cursor.read_int(1)).lower()
             cursor.read_int(1)
             if label in arguments:
-                raise UnsupportedTdsError(f"repeated argument {label or 'without a name'}")
+                raise UnsupportedTdsError(f"repeated argument {label or '(no name)'}")
             arguments[label] = read_argument(cursor)
     except IncompleteTokenError:
         raise TdsProtocolError("RPC request is truncated") from None
--- a/rackhub/net/tds/engine.py
+++ b/rackhub/net/tds/engine.py
@@ -1,11 +1,12 @@
-"""Connections to engines over TDS, with the same interface as those over RESP.
+"""Connections to engines over TDS, which implement `rackhub.net.pool.EngineLink`.
 
-An attempt is a call of the procedure `rackhub_want` with the parameters @id, @class, @budget_ms, @level, @statement
-and, in classes with idempotency keys, @key. The response is a result set of three text columns. During the call the
-engine may send progress as INFO tokens with the value as text: 51001 (fraction completed), 51002 (missing memory in
-megabytes) and 51003 (waiting: 1 for memory, 2 for a load). INFO 51010 carries its load report, for example
-'inflight:7;util:0.61'. ERROR 51503 means that the engine is full, ERROR 51504 that the time budget was used up; in
-both cases the call was not executed. After any other ERROR it may have been executed.
+An attempt is a call of the procedure `rackhub_want` with the parameters @id, @class, @budget_ms, @level (the priority
+of the request), @statement and, in classes with idempotency keys, @key. The response is a result set of three text
+columns. During the call the engine may report progress in INFO tokens with the value as text: 51001 (fraction
+completed, 0 to 1), 51002 (missing memory in MB) and 51003 (the attempt waits: 1 for memory, 2 for a table that a load
+has locked). INFO 51010 carries the engine's load report, for example 'inflight:7;util:0.61'. ERROR 51503 means that
+the engine is full, ERROR 51504 that the time budget was used up; in both cases the call was not executed. After any
+other ERROR it may have been executed.
 
 TDS can't change the priority of a running call, and a connection carries one attempt at a time. A cancelled attempt
 is interrupted by Attention. The connection is reused only after the acknowledgement of the Attention, so that a late
@@ -23,6 +24,7 @@
 from rackhub.core.request import Attempt, AttemptState, Query
 from rackhub.core.timers import DEFER_UNCONDITIONALLY, Clock
 from rackhub.counters import Counters
+from rackhub.interface import Outcome
 from rackhub.limits import Limits
 from rackhub.net.outgoing import SocketWriter
 from rackhub.net.pool import EngineDialer, EnginePool, EnginePools
@@ -32,10 +34,11 @@
 from rackhub.operatorfile import TdsEngineSettings
 
 log = logging.getLogger(__name__)
-PROGRESS_TOPICS = {51001: 1, 51002: 2, 51003: 3}  # INFO number -> topic of a progress report
-MAX_PROGRESS_VALUE = 1e12  # values of progress reports must be smaller
+PROGRESS_TOPICS = {51001: 1, 51002: 2, 51003: 3}  # INFO number -> value of `interface.ProgressTopic`
+MAX_PROGRESS_VALUE = 1e12  # exclusive limit for the values of all topics
 LOAD_REPORT_INFO = 51010
-NOT_EXECUTED_REASONS = {51503: "FULL", 51504: "NOP"}  # ERROR number -> reason with which the attempt ends
+# Outcomes of the ERROR numbers that mean that the call was not executed.
+OUTCOME_BY_ERROR = {51503: Outcome.OVERLOADED, 51504: Outcome.NOT_EXECUTED}
 PROCEDURE = "rackhub_want"
 RESULT_COLUMNS = 3
 ENCRYPTION_OPTION = 1  # option number in PRELOGIN
@@ -49,13 +52,14 @@
     PRELOGIN = enum.auto()
     LOGIN = enum.auto()
     READY = enum.auto()
-    BUSY = enum.auto()
+    BUSY = enum.auto()  # a call was sent and its response is not complete
     CANCELLING = enum.auto()  # Attention was sent and is not acknowledged yet
     CLOSED = enum.auto()
 
 
 State = EngineConnectionState
-IDLE_STATES = frozenset((State.DIALLING, State.PRELOGIN, State.LOGIN, State.READY))
+# States in which an attempt can be enqueued; it is sent in READY.
+ACCEPTING_STATES = frozenset((State.DIALLING, State.PRELOGIN, State.LOGIN, State.READY))
 RESPONSE_STATES = frozenset((State.LOGIN, State.BUSY, State.CANCELLING))
 
 
@@ -82,8 +86,8 @@
         self.state = State.DIALLING
         self.closed = False
         self.last_used = clock.now()
-        self.retired = False
-        # The byte range of the current call in all bytes sent on this connection.
+        self.retired = False  # the pool sends no more attempts to this engine or to this address of it
+        # Offsets of the first byte of the call and of the byte after it, counted from the start of the connection.
         self._call_start = 0
         self._call_end = 0
         self._write_requested_at = 0
@@ -107,8 +111,8 @@
     # ---- interface to the pool
 
     def accepts(self, attempt: Attempt) -> bool:
-        """Whether the connection can carry another attempt."""
-        return self._attempt is None and self.state in IDLE_STATES
+        """Whether the connection can accept an attempt: it has none and none is being cancelled."""
+        return self._attempt is None and self.state in ACCEPTING_STATES
 
     def enqueue(self, attempt: Attempt) -> None:
         """Accept an attempt; it is sent once the login is complete and the socket is writable."""
@@ -123,18 +127,19 @@
         self._out.request_write()
 
     def give_up(self, attempt: Attempt) -> None:
-        """Cancel an attempt; its end is not reported to the coordinator."""
+        """Cancel an attempt if it is on this connection. The caller completes the attempt."""
         if attempt is not self._attempt:
             return
         self._attempt = None
         if self.state != State.BUSY:  # the attempt was not sent yet
             return
-        if not self._out.has_sent(self._call_end):  # the transport would send the rest, and the engine execute the call
+        if not self._out.has_sent(self._call_end):
+            # The transport has buffered a part of the call. It would still be sent, and the engine execute the call.
             self._abort()
             return
         self.state = State.CANCELLING
         self.write(codec.encode_message(codec.ATTENTION, b""))
-        # If no acknowledgement arrives the host is unreachable, and the connection would only hold a descriptor.
+        # Without an acknowledgement the engine's host is probably unreachable: abort, to free the descriptor.
         self.core.timers.call_at(
             self.clock.now() + self.limits.unresponsive_timeout, self._check_attention_acknowledged
         )
@@ -167,27 +172,29 @@
         self._retired_at = self.clock.now()
         if self.state in (State.PRELOGIN, State.LOGIN):  # an attempt that waits for the login is not sent
             self._abort()
-            self._complete_attempt("NOCONN")
+            self._complete_attempt(Outcome.CONNECT_FAILED)
         elif self.state == State.READY and self._attempt is not None:  # the attempt waits for a writable socket
-            self._complete_attempt("NOCONN")
+            self._complete_attempt(Outcome.CONNECT_FAILED)
         else:
             self.close_if_idle()
 
     def check_timeouts(self, now: int) -> None:
-        """End an attempt that the engine does not accept, so that it is sent to another engine. Called periodically.
+        """Periodic check of the attempt on the connection.
 
-        An incomplete response needs no check: no other attempt waits behind it, and the attempt's own timeout ends it.
+        An attempt whose socket has not been writable for `unwritable_timeout` is ended, so that it is sent to another
+        engine. A retired connection is aborted if the engine's host has not acknowledged the call. A slow response
+        needs no check: a TDS connection carries no other attempt, and the attempt's own timeout covers it.
         """
         if self._attempt is None:
             return
         if self.state == State.READY and now - self._write_requested_at >= self.limits.unwritable_timeout:
-            self._complete_attempt("NOCONN")
-        elif self._is_unsent_long_after_retirement(now):
+            self._complete_attempt(Outcome.CONNECT_FAILED)
+        elif self._is_unacknowledged_after_retirement(now):
             self.counters.add("engine_cuts")
             self._abort()
 
-    def _is_unsent_long_after_retirement(self, now: int) -> bool:
-        """Whether the time limit after retirement is over and no byte of the call has been acknowledged."""
+    def _is_unacknowledged_after_retirement(self, now: int) -> bool:
+        """Whether no byte of a sent call was acknowledged (by TCP) within `retired_send_timeout` after retirement."""
         if self.state != State.BUSY or not self.retired or now - self._retired_at < self.limits.retired_send_timeout:
             return False
         return self._call_start >= self._out.bytes_written - self._out.unacknowledged_bytes()
@@ -195,7 +202,7 @@
     def connect_failed(self) -> None:
         """End the attempt that waits for the connection, which could not be established."""
         self._mark_closed()
-        self._complete_attempt("NOCONN")
+        self._complete_attempt(Outcome.CONNECT_FAILED)
 
     def _abort(self) -> None:
         self._mark_closed()
@@ -214,24 +221,27 @@
         self._out.write(pieces)
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        """End the attempt as the connection is lost (Twisted): NOCONN if it can't have been executed, otherwise RST."""
+        """End the attempt as the connection is lost (Twisted).
+
+        CONNECT_FAILED means that the engine can't have received the complete call, RESET that it may have executed it.
+        """
         self._mark_closed()
         self.pool.connection_closed(self)
         if self._attempt is not None:
             self.counters.add("engine_losses")
-            not_executed = self._attempt.unsent or not self._out.has_sent(self._call_end)
-            self._complete_attempt("NOCONN" if not_executed else "RST")
+            not_received = self._attempt.unsent or not self._out.has_sent(self._call_end)
+            self._complete_attempt(Outcome.CONNECT_FAILED if not_received else Outcome.RESET)
 
     def malformed_data_received(self) -> None:
         """Count a malformed response."""
         self.counters.add("engine_bad_frames")
 
-    def _complete_attempt(self, reason: str, rows: tuple[bytes, ...] = ()) -> None:
+    def _complete_attempt(self, outcome: str, rows: tuple[bytes, ...] = ()) -> None:
         attempt = self._attempt
         self._attempt = None
         self.last_used = self.clock.now()
         if attempt is not None:
-            self.core.complete_attempt(attempt, reason, self._load_report, rows)
+            self.core.complete_attempt(attempt, outcome, self._load_report, rows)
         if self.retired:
             self.close_if_idle()
 
@@ -240,7 +250,8 @@
     def _on_writable(self) -> None:
         """Send the call now that the socket is writable.
 
-        After a long event-loop iteration a client's cancel may be unread, so all sockets are read before sending.
+        If that took long, the event loop may be late, and a client's cancel or disconnect may not have been read yet.
+        Then `call_after_reads` sends the call after all sockets have been read.
         """
         late = self.clock.now() - self._write_requested_at > self.limits.late_iteration_delay
         if late:
@@ -249,20 +260,21 @@
             self._send_call()
 
     def _send_call(self) -> None:
+        """Send the call, unless it must not or can't be sent now."""
         attempt = self._attempt
         if attempt is None or self.state != State.READY:  # the attempt was cancelled or ended in the meantime
             return
         now = self.clock.now()
-        if reason := attempt.send_blocked_by(now, self.core.lease):
-            self._complete_attempt(reason)
+        if outcome := attempt.send_blocked_by(now, self.core.lease):
+            self._complete_attempt(outcome)
             return
-        if attempt.query.reply.may_have_unread_input:  # unread input of the client may contain its disconnect
+        if attempt.query.reply.may_have_unread_input:  # the client may have disconnected: read its input first
             self.core.timers.call_after_reads(DEFER_UNCONDITIONALLY, self._send_call)
             return
         try:
             body = codec.encode_rpc(PROCEDURE, self._call_arguments(attempt.query, now))
-        except UnicodeEncodeError:  # the statement is not UTF-8 and can't be sent as nvarchar
-            self._complete_attempt("BAD")
+        except UnicodeEncodeError:  # the statement is not UTF-8 and can't be sent as nvarchar; nothing was sent
+            self._complete_attempt(Outcome.ERROR)
             return
         self._call_start = self._out.bytes_written
         if not self._out.send(b"".join(codec.encode_message(codec.RPC, body))):
@@ -293,13 +305,13 @@
             if self.state == State.CLOSED:
                 return
             if kind != codec.REPLY:
-                raise codec.TdsProtocolError(f"packet type {kind} in a response: must be {codec.REPLY}")
+                raise codec.TdsProtocolError(f"packet type {kind} from an engine: must be {codec.REPLY} (response)")
             if self.state == State.PRELOGIN:
                 self._send_login(codec.parse_prelogin(body))
             elif self.state in RESPONSE_STATES:
                 self._process_response(body, bool(status & codec.EOM))
             else:
-                raise codec.TdsProtocolError(f"response in state {self.state.name}: no request was sent")
+                raise codec.TdsProtocolError(f"response received in state {self.state.name}, in which none is expected")
 
     def _send_login(self, options: dict[int, bytes]) -> None:
         if options.get(ENCRYPTION_OPTION, b"\x02") not in ACCEPTED_ENCRYPTION:
@@ -333,8 +345,8 @@
             self._complete_call()
 
     def _end_cancelled_response(self) -> None:
-        # A response that was sent before the engine read the Attention ends first; the acknowledgement follows as a
-        # separate message.
+        # If the engine had completed its response before it read the Attention, this is the end of that response, and
+        # the acknowledgement follows as a separate message.
         if self._attention_acknowledged:
             self.state = State.READY
             self.last_used = self.clock.now()
@@ -344,14 +356,14 @@
 
     def _complete_call(self) -> None:
         if self._first_error:
-            self._complete_attempt(NOT_EXECUTED_REASONS.get(self._first_error, "BAD"))
+            self._complete_attempt(OUTCOME_BY_ERROR.get(self._first_error, Outcome.ERROR))
         else:
-            self._complete_attempt("GOOD", ("".join(self._rows).encode("utf-8", "replace"),))
+            self._complete_attempt(Outcome.SUCCESS, ("".join(self._rows).encode("utf-8", "replace"),))
 
     def _complete_login(self) -> None:
         if self._first_error:
             log.warning("engine %s rejected the login with error %d", self.pool.name, self._first_error)
-            self._complete_attempt("NOCONN")
+            self._complete_attempt(Outcome.CONNECT_FAILED)
             self._abort()
             return
         self.state = State.READY
@@ -360,7 +372,7 @@
 
     def _process_token(self, kind: int, value: Any) -> None:
         if kind == codec.ERROR:
-            self._first_error = self._first_error or value.number or -1
+            self._first_error = self._first_error or value.number or -1  # -1: an ERROR with the number 0
         elif kind == codec.ROW and self.state == State.BUSY:
             self._add_row(self._attempt, value)
         elif kind == codec.INFO and self._attempt is not None:
@@ -371,16 +383,18 @@
     def _add_row(self, attempt: Attempt | None, values: list[str]) -> None:
         text = "\t".join(values) + "\n"
         self._result_length += len(text)
+        # A value that contains a tab or a line end would corrupt the page.
         valid = len(values) == RESULT_COLUMNS and text.count("\t") == RESULT_COLUMNS - 1 and text.count("\n") == 1
         if attempt is not None and (not valid or self._result_length > self.limits.max_result_size):
             # The call was executed, but its result is malformed or exceeds the limit, so it is not delivered.
             self.give_up(attempt)
-            self.core.complete_attempt(attempt, "BAD")
+            self.core.complete_attempt(attempt, Outcome.ERROR)
             return
         self._rows.append(text)
 
     def _process_info(self, attempt: Attempt, info: codec.Notice) -> None:
         if info.number == LOAD_REPORT_INFO:
+            # The text has the format of the field `report` in RESP.
             self._load_report = parse_load_report({b"report": info.text.encode("ascii", "replace")})
         elif info.number in PROGRESS_TOPICS:
             try:
@@ -402,7 +416,7 @@
     counters: Counters,
     core: Coordinator,
 ) -> EnginePools:
-    """Create the engine port that connects to engines over TDS."""
+    """Create the `EnginePort` that connects to engines over TDS."""
 
     def connect(pool: EnginePool) -> TdsEngineConnection:
         """Create a connection for this pool; it is not established yet."""
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -10,8 +10,8 @@
     @key              the idempotency key; required in classes that use one
     @est_ms, @ram_mb  the estimated execution time in ms and memory in MB
 
-A result set has three text columns. Errors have the numbers below. The text of a rejection contains the backoff as
-'retry after N ms'. Attention stops the running request, also while its rows are being written.
+A result set has three text columns. Errors have the numbers below. The text of a rejection ('refused: ...') contains
+the backoff as 'retry after N ms'. Attention stops the running request, also while its rows are being written.
 """
 
 import enum
@@ -36,27 +36,29 @@
 
 # Error numbers.
 LOGIN_FAILED = 18456  # the number that SQL Server uses, as drivers recognise it
-REJECTED = 50001
-FAILED = 50002
-DEADLINE = 50003
-BAD_REQUEST = 50004
-UNSUPPORTED = 50005
+REJECTED = 50001  # a retry is safe
+FAILED = 50002  # the request may have been executed, or its result is malformed
+DEADLINE = 50003  # the time budget was used up; the error state says whether a retry is safe
+BAD_REQUEST = 50004  # a parameter is missing or invalid
+UNSUPPORTED = 50005  # valid TDS, but neither a batch nor a call of the supported procedure
 
-# States of the error DEADLINE.
+# Error states of REJECTED and DEADLINE.
 SAFE_TO_RETRY = 1
 POSSIBLY_EXECUTED = 2
-DEFAULT_ERROR_STATE = 1  # the state of all other errors
+DEFAULT_ERROR_STATE = 1  # all other errors have this state, which carries no information
 ERROR_SEVERITY = 16
 LOGIN_SEVERITY = 14
 
 # Types of ENVCHANGE.
 ENV_DATABASE = 1
 ENV_PACKET_SIZE = 4
-ENV_COLLATION = codec.encode_token(codec.ENVCHANGE, b"\x07\x05" + codec.COLLATION + b"\0")
+
+# Encoded tokens.
+COLLATION_TOKEN = codec.encode_token(codec.ENVCHANGE, b"\x07\x05" + codec.COLLATION + b"\0")
 RETURN_STATUS_ZERO = bytes([codec.RETURNSTATUS, 0, 0, 0, 0])
 
 SERVER_NAME = "rackhub"
-WELCOME_INFO = 5701
+DATABASE_INFO = 5701  # the number with which SQL Server reports the database after a login
 COLUMN_NAMES = ("c1", "c2", "c3")
 PROCEDURE = "rackhub_query"
 TEXT_PARAMETERS = ("@statement", "@class", "@tenant", "@key")
@@ -64,8 +66,11 @@
 MAX_QUOTED_NAME_CHARACTERS = 100  # longer names that a client has sent are truncated in error texts
 
 
-def parse_rows(pages: Sequence[bytes]) -> list[list[list[str]]]:
-    """Parse each page of a result into its rows; raises `ValueError` unless all rows have three columns."""
+def parse_pages(pages: Sequence[bytes]) -> list[list[list[str]]]:
+    """Parse the pages of a result into rows; raises `ValueError` unless all rows have three columns.
+
+    A page is UTF-8 text with one row per line and tabs between the columns.
+    """
     result = []
     for page in pages:
         lines = page.decode("utf-8").split("\n")
@@ -95,19 +100,19 @@
 class TdsConnection(Client, TdsStream):
     """One client's connection. While `ending` is true it accepts no new request and closes as soon as it is READY."""
 
-    def __init__(self, front: Front, settings: TdsFrontSettings, ids: Callable[[], str]):
+    def __init__(self, front: Front, settings: TdsFrontSettings, generate_id: Callable[[], str]):
         super().__init__(front)
         self.settings = settings
         self.state = State.PRELOGIN
         self.login: TdsLogin | None = None
-        self._generate_id = ids
+        self._generate_id = generate_id
         self._packet_bytes = codec.DEFAULT_PACKET_BYTES
         self._assembler = codec.MessageAssembler(front.limits.max_tds_message_bytes)
         self._query: Query | None = None
         self._packetizer = self._new_packetizer()
         self._unsent_pages: list[list[list[str]]] = []
         self._sent_rows = 0
-        self._done_token = codec.DONE  # the DONE token that ends the current response
+        self._done_token_type = codec.DONE  # the DONE token that ends the current response
         self._reset_pending = False  # the next response has to acknowledge a connection reset
 
     def _new_packetizer(self) -> codec.Packetizer:
@@ -134,7 +139,7 @@
             self.core.disconnect_client(query)
 
     def should_stop_reading(self) -> bool:
-        """Whether reading from the client has to be paused now.
+        """Whether reading has to be paused: while the client is penalised for invalid messages.
 
         Unlike in other protocols reading goes on while rows are written, to detect Attention and disconnects.
         """
@@ -145,9 +150,12 @@
         return self.state in (State.BUSY, State.ROWS)
 
     def end_with_error(self, why: str) -> None:
-        """Abort the connection of a client that has exceeded a time limit."""
+        """Abort the connection of a client that has exceeded a time limit.
+
+        `why` is not sent: TDS allows no response before the client's message is complete.
+        """
         self.state = State.CLOSED
-        self.abort()  # TDS can't send an error inside a message
+        self.abort()
 
     def malformed_data_received(self) -> None:
         """Count malformed data."""
@@ -197,14 +205,14 @@
 
     def _process_prelogin(self, kind: int, body: bytes) -> None:
         if kind != codec.PRELOGIN:
-            raise codec.TdsProtocolError(f"expected PRELOGIN, got packet type {kind}")
+            raise codec.TdsProtocolError(f"packet type {kind} before the login: must be {codec.PRELOGIN} (PRELOGIN)")
         codec.parse_prelogin(body)
         self.state = State.LOGIN
         self.write(codec.encode_message(codec.REPLY, codec.encode_prelogin()))
 
     def _process_login(self, kind: int, body: bytes) -> None:
-        if kind != codec.LOGIN7:  # a client that requires encryption sends something else
-            raise codec.TdsProtocolError(f"expected LOGIN7, got packet type {kind}")
+        if kind != codec.LOGIN7:  # a client that requires encryption starts a TLS handshake here
+            raise codec.TdsProtocolError(f"packet type {kind} after PRELOGIN: must be {codec.LOGIN7} (LOGIN7)")
         requested = codec.parse_login7(body)
         login = self._authenticate(requested)
         if login is None:
@@ -221,6 +229,7 @@
         self._acknowledge_login(min(requested.version, codec.VERSION_74))
 
     def _authenticate(self, requested: codec.Login) -> TdsLogin | None:
+        """Return the login, or None if the credentials, the database or the TDS version is not accepted."""
         login = (
             None if requested.integrated_security else self.settings.authenticate(requested.user, requested.password)
         )
@@ -231,10 +240,10 @@
     def _acknowledge_login(self, version: int) -> None:
         tokens = (
             codec.encode_env_change(ENV_DATABASE, self.settings.database, ""),
-            ENV_COLLATION,
+            COLLATION_TOKEN,
             codec.encode_login_ack(version, SERVER_NAME),
             codec.encode_env_change(ENV_PACKET_SIZE, str(self._packet_bytes), str(codec.DEFAULT_PACKET_BYTES)),
-            codec.encode_notice(codec.INFO, WELCOME_INFO, 2, 0, f"rackhub {VERSION}", SERVER_NAME),
+            codec.encode_notice(codec.INFO, DATABASE_INFO, 2, 0, f"rackhub {VERSION}", SERVER_NAME),
             codec.encode_done(0),
         )
         self.write(codec.encode_message(codec.REPLY, b"".join(tokens)))
@@ -242,7 +251,7 @@
     def _process_request(self, kind: int, body: bytes, reset: bool) -> None:
         self.counters.add("tds_requests")
         self._reset_pending = reset
-        self._done_token = codec.DONEPROC if kind == codec.RPC else codec.DONE
+        self._done_token_type = codec.DONEPROC if kind == codec.RPC else codec.DONE
         if self.ending:
             self._close()
             return
@@ -262,7 +271,9 @@
             return {"@statement": codec.parse_sql_batch(body)}
         if kind == codec.RPC:
             return self._arguments(codec.parse_rpc(body))
-        raise codec.UnsupportedTdsError(f"requests of packet type {kind}")
+        raise codec.UnsupportedTdsError(
+            f"requests of packet type {kind}; use {codec.SQL_BATCH} (SQL batch) or {codec.RPC} (RPC)"
+        )
 
     def _arguments(self, call: codec.RpcCall) -> dict[str, Any]:
         if call.name.lower().removeprefix("dbo.") != PROCEDURE:
@@ -275,7 +286,7 @@
             elif name in NUMBER_PARAMETERS:
                 valid = isinstance(value, int | float)
             else:
-                raise InvalidRequestError(f"unknown parameter {name[:MAX_QUOTED_NAME_CHARACTERS] or 'without a name'}")
+                raise InvalidRequestError(f"unknown parameter {name[:MAX_QUOTED_NAME_CHARACTERS] or '(no name)'}")
             if value is not None and not valid:
                 raise InvalidRequestError(
                     f"the parameter {name} must be {'a text' if name in TEXT_PARAMETERS else 'a number'}"
@@ -288,7 +299,7 @@
         cls = parameters.get("@class", login.cls)
         tenant = parameters.get("@tenant", login.tenants[0] if login.tenants else "")
         if not parameters.get("@statement", "").strip():
-            raise InvalidRequestError("the parameter @statement is missing")
+            raise InvalidRequestError("the parameter @statement is missing or blank")
         if cls not in self.core.classes:
             raise InvalidRequestError(f"unknown class {cls[:MAX_QUOTED_NAME_CHARACTERS]!r}")
         if tenant and tenant not in login.tenants:
@@ -311,7 +322,7 @@
         self.core.submit(query)
 
     def _process_attention(self) -> None:
-        """Stop the running request or its result and acknowledge; the connection is then READY."""
+        """Stop the running request or its result, if there is one, and acknowledge the Attention."""
         self.counters.add("tds_attentions")
         if self.state in (State.PRELOGIN, State.LOGIN):
             raise codec.TdsProtocolError("Attention received before the login")
@@ -332,9 +343,9 @@
             return
         self._query = None
         try:
-            self._unsent_pages = parse_rows(rows)
+            self._unsent_pages = parse_pages(rows)
         except ValueError as error:  # a malformed result must not look complete
-            log.warning("tds: malformed result from an engine: %s", error)
+            log.warning("tds: malformed result of request %s: %s", query.id, error)
             text = "failed: malformed result from the engine"
             self._send_error(FAILED, DEFAULT_ERROR_STATE, ERROR_SEVERITY, text)
             return
@@ -342,23 +353,25 @@
         self._sent_rows = 0
         self._packetizer = self._new_packetizer()
         self.write(self._packetizer.add((self._reset_acknowledgement(), codec.encode_columns(COLUMN_NAMES))))
-        self.transport.registerProducer(self, False)  # a pull producer: one page each time the client has read the last
+        # As a pull producer: Twisted calls `resumeProducing` now, and then each time its buffer is empty.
+        self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:  # noqa: N802
         """Write the next page, or the end of the result, as the transport's buffer is empty (Twisted)."""
         self.write_blocked_since = 0
         if self.state != State.ROWS:
             return
-        while self._unsent_pages:  # a page may not fill a packet, and the transport calls again only after a write
+        while self._unsent_pages:  # add pages until a packet is full, as Twisted calls again only after a write
             page = self._unsent_pages.pop(0)
             self._sent_rows += len(page)
             if packets := self._packetizer.add(codec.encode_row(row) for row in page):
-                self.write_blocked_since = self.core.clock.now()  # reset when the transport requests more
+                # The client counts as not reading until Twisted calls again; `tds_write_timeout` limits that time.
+                self.write_blocked_since = self.core.clock.now()
                 self.write(packets)
                 return
         self.transport.unregisterProducer()
         self._end_response(
-            (self._return_status(), codec.encode_done(codec.DONE_COUNT, self._sent_rows, self._done_token))
+            (self._return_status(), codec.encode_done(codec.DONE_COUNT, self._sent_rows, self._done_token_type))
         )
 
     def stopProducing(self) -> None:  # noqa: N802
@@ -391,12 +404,12 @@
             (
                 codec.encode_notice(codec.ERROR, number, state, severity, text, SERVER_NAME),
                 self._return_status(),
-                codec.encode_done(codec.DONE_ERROR, 0, self._done_token),
+                codec.encode_done(codec.DONE_ERROR, 0, self._done_token_type),
             )
         )
 
     def _return_status(self) -> bytes:
-        return RETURN_STATUS_ZERO if self._done_token == codec.DONEPROC else b""
+        return RETURN_STATUS_ZERO if self._done_token_type == codec.DONEPROC else b""
 
     def _reset_acknowledgement(self) -> bytes:
         reset = self._reset_pending
@@ -412,7 +425,7 @@
         self.write(self._packetizer.finish(pieces))
         self.write_blocked_since = 0
         self.last_used = self.core.clock.now()
-        self._done_token = codec.DONE
+        self._done_token_type = codec.DONE
         if self.state in (State.BUSY, State.ROWS):
             self.state = State.READY
         if self.ending and self.state == State.READY:
@@ -430,12 +443,12 @@
     core: Coordinator,
     limits: Limits,
     counters: Counters,
-    ids: Callable[[], str] | None = None,
+    generate_id: Callable[[], str] | None = None,
 ) -> Front:
-    """Create the front for TDS clients; `ids` generates request ids, random ones by default."""
-    ids = ids or random_id_generator()
+    """Create the front for TDS clients; `generate_id` returns request ids, random ones by default."""
+    generate_id = generate_id or random_id_generator()
     return Front(
-        lambda front: TdsConnection(front, settings, ids),
+        lambda front: TdsConnection(front, settings, generate_id),
         core,
         limits,
         counters,
--- a/rackhub/state/component.py
+++ b/rackhub/state/component.py
@@ -45,7 +45,7 @@
         self.writer.close()
 
     def summary_lines(self) -> Sequence[str]:
-        """Return one line with the counters over all starts."""
+        """Return one line with the counters over all runs."""
         totals = self.writer.totals()
         counts_text = " ".join(f"{name}={count}" for name, count in totals.counts.items())
         return [f"counters of {totals.starts} starts: {counts_text or 'nothing'}"]
--- a/rackhub/state/records.py
+++ b/rackhub/state/records.py
@@ -1,11 +1,15 @@
-"""The records that a coordinator stores, and how long it retains them. Without I/O and without a clock.
+"""The records that a coordinator stores, and how long it retains them. Does no I/O; callers pass the time.
 
 Keys in the store:
 
 - `engines`: the endpoint list as last received;
-- `counters`: totals over all starts;
-- `keyed/CLASS/KEY`: one request with an idempotency key, from its receipt until the idempotency window of its class
-  has passed. Within that window an engine recognises a repeated request by its key.
+- `counters`: totals over all runs;
+- `keyed/CLASS/KEY`: one request with an idempotency key.
+
+Engines recognise a repeated request by its idempotency key, for a time that is set by class, the idempotency window.
+The record of a request is retained until that window ends. The window starts with the first attempt; before that it is
+counted from the latest receipt of the request. The record of an open request is retained longer: until 4 of the longest
+windows have passed since its last change.
 
 Times are Unix microseconds, durations are microseconds.
 """
@@ -29,14 +33,14 @@
 
 
 class RequestState(StrEnum):
-    """The progress of a recorded request. The values are stored."""
+    """The state of a recorded request. The values are stored; the last four equal those of `RequestOutcome`."""
 
-    RECEIVED = "taken"
-    IN_FLIGHT = "out"
+    RECEIVED = "taken"  # the request was received and no attempt was started since
+    IN_FLIGHT = "out"  # an attempt was started
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
-    ABANDONED = "left"
+    DISCONNECTED = "left"
 
     @property
     def is_open(self) -> bool:
@@ -45,7 +49,7 @@
 
 
 class KeyedRequestRecord(msgspec.Struct, kw_only=True):
-    """One request with an idempotency key. `name` is the stored name of a field and must not change."""
+    """One request with an idempotency key. The stored names (`name=`) of its fields must not change."""
 
     idempotency_key: str = msgspec.field(name="token")
     cls: str
@@ -53,18 +57,17 @@
     state: RequestState
     received_at: int = msgspec.field(name="taken")
     changed_at: int = msgspec.field(name="changed")
-    # End of the idempotency window, which begins with the first attempt that may have been executed.
     window_ends_at: int = msgspec.field(name="until")
     engine: str = ""  # engine of the last attempt
     sent_at: int = msgspec.field(default=0, name="sent")  # time of the last attempt
     attempts: int = 0
     client_requests: int = msgspec.field(default=1, name="tries")  # number of client requests with this key
-    # Engines that may have executed an earlier attempt.
+    # The engines of the attempts before the last one, each once; any of them may have executed the request.
     earlier_engines: list[str] = msgspec.field(default_factory=list, name="earlier")
 
 
 class StoredEngine(msgspec.Struct):
-    """An engine of the endpoint list as it is stored. `name` is the stored name of a field and must not change."""
+    """An engine of the endpoint list as it is stored. The stored names (`name=`) of its fields must not change."""
 
     engine: str
     zone: str = ""
@@ -94,7 +97,10 @@
 
 
 class StoredCounters(msgspec.Struct):
-    """Totals over all starts, as they are stored; the current start is included."""
+    """Totals over all runs, as they are stored.
+
+    `starts` includes the current run; `counts` includes it only in the result of `add_counters`.
+    """
 
     starts: int
     first_started_at: int = msgspec.field(name="first")
@@ -109,14 +115,14 @@
 
 
 class InitialEndpoints(NamedTuple):
-    """The endpoint list to start with; `stored_age` is its age in microseconds if it was stored, otherwise None."""
+    """The endpoint list to start with; `stored_age` is the age in microseconds of a stored list, otherwise None."""
 
     snapshot: EndpointSnapshot
     stored_age: int | None
 
 
 def request_key(cls: str, idempotency_key: str) -> bytes:
-    """Return the key of a request in the store."""
+    """Return the key in the store of the record of a request."""
     return REQUEST_KEY_PREFIX + cls.encode() + b"/" + idempotency_key.encode("utf-8", "backslashreplace")
 
 
@@ -136,8 +142,9 @@
         self._windows = windows
         self._default_window = default_window
         self._records: dict[bytes, KeyedRequestRecord] = {}
-        self._changed: dict[bytes, None] = {}
-        # (end of the window, key). Only roughly in the order of the ends, as windows differ between classes.
+        self._changed: dict[bytes, None] = {}  # store keys of the changed records; used as an ordered set
+        # (end of the window, store key), only roughly in the order of the ends: windows differ between classes, and
+        # retained records are appended again. A record may therefore expire late, but never early.
         self._expiry_queue: deque[tuple[int, bytes]] = deque()
 
     def __len__(self) -> int:
@@ -146,8 +153,8 @@
     def restore(self, stored: Iterable[KeyedRequestRecord], now: int) -> list[KeyedRequestRecord]:
         """Restore the records of an earlier run.
 
-        Returns the requests that are still open and within their windows: they may have been executed. Expired
-        records are reported by the next `take_changes`.
+        Returns the requests that are still open and within their windows: they may have been executed. The next
+        `take_changes` removes expired records.
         """
         open_requests = []
         for record in sorted(stored, key=lambda record: record.window_ends_at):
@@ -187,14 +194,14 @@
         self._changed[key] = None
 
     def sent(self, idempotency_key: str, cls: str, engine: str, now: int) -> None:
-        """Record an attempt that is being sent to `engine`."""
+        """Record an attempt that is about to be sent to `engine`."""
         key = request_key(cls, idempotency_key)
         record = self._records.get(key)
         if record is None:
             return
         if record.engine and record.engine not in record.earlier_engines:
             record.earlier_engines = [*record.earlier_engines, record.engine]
-        if not record.attempts:  # the window starts with the first attempt that may have been executed
+        if not record.attempts:  # the window starts with the first attempt, whether or not the engine executed it
             record.window_ends_at = self._window_end(cls, now)
         record.state = RequestState.IN_FLIGHT
         record.engine = engine
@@ -214,10 +221,7 @@
         self._changed[key] = None
 
     def take_changes(self, now: int) -> RecordChanges:
-        """Return the changes since the last call, and remove the records whose windows have passed.
-
-        The record of an open request is retained until the request is finished, but only for a limited time.
-        """
+        """Return the changes since the last call, and remove the records that are no longer retained."""
         expired = self._expire(now)
         updated = {key: msgspec.json.encode(self._records[key]) for key in self._changed}
         self._changed.clear()
@@ -225,6 +229,7 @@
 
     def _expire(self, now: int) -> list[bytes]:
         expired: list[bytes] = []
+        # Bounded by the present length, as retained records are appended again.
         for _ in range(len(self._expiry_queue)):
             ends_at, key = self._expiry_queue[0]
             record = self._records.get(key)
@@ -268,7 +273,8 @@
 
     A configured list takes precedence over the stored one, which is used up to an age of `maximum_age` microseconds.
     A stored list gets the revision of `configured`, which is 0 if no list is configured: revisions start anew in each
-    process, and any list received later must replace this one. Engines that were draining remain draining.
+    process, and any list received later must replace this one. A malformed stored list is ignored. Engines that were
+    draining remain draining.
     """
     stored = None if configured.entries else _decode_endpoint_list(stored_value)
     if stored is None or not stored.entries:
@@ -290,7 +296,10 @@
 
 
 def initial_counters(stored_value: bytes | None, now: int) -> StoredCounters:
-    """Return the totals of all earlier starts, with `starts` incremented. A malformed value is ignored."""
+    """Return the totals of all earlier runs, with `starts` incremented.
+
+    If the value is missing or malformed the totals begin at 0.
+    """
     counters = _decode_counters(stored_value) or StoredCounters(0, now, {})
     counters.starts += 1
     return counters
@@ -306,7 +315,7 @@
 
 
 def add_counters(earlier: StoredCounters, current: Mapping[str, int]) -> StoredCounters:
-    """Return the totals of the `earlier` starts plus the `current` counts of this one."""
+    """Return the totals of the `earlier` runs plus the `current` counts of this one."""
     counts = dict(earlier.counts)
     for name, count in current.items():
         if count:
--- a/rackhub/state/writer.py
+++ b/rackhub/state/writer.py
@@ -122,7 +122,7 @@
         self._schedule_write()
 
     def totals(self) -> records.StoredCounters:
-        """Return the counters over all starts."""
+        """Return the counters over all runs."""
         return records.add_counters(self._earlier_counters, self._counters)
 
     def close(self) -> None:
