--- a/rackhub/fleet/distribution/messages.py
+++ b/rackhub/fleet/distribution/messages.py
@@ -11,7 +11,14 @@
 import msgspec
 from msgspec import Meta
 
-from rackhub.fleet.distribution.limits import FAULT_KEYS, FAULT_LETTERS, KEY_BYTES, SCOPES, VALUE_BYTES, WORST
+from rackhub.fleet.distribution.limits import (
+    FAULT_KEYS,
+    FAULT_LETTERS,
+    MAX_KEY_BYTES,
+    MAX_SCOPE_PREFIXES,
+    VALUE_BYTES,
+    WORST,
+)
 
 KIND = "distribution"  # of the mail that carries these messages
 
@@ -20,10 +27,10 @@
 Revision = Annotated[int, Meta(ge=0, le=1 << 53)]
 Number = Annotated[int, Meta(ge=0, le=1 << 53)]
 Duration = Annotated[int, Meta(ge=0, le=1 << 40)]  # milliseconds
-Key = Annotated[str, Meta(min_length=1, max_length=KEY_BYTES)]
+Key = Annotated[str, Meta(min_length=1, max_length=MAX_KEY_BYTES)]
 Value = Annotated[bytes, Meta(max_length=VALUE_BYTES)]
-Prefix = Annotated[str, Meta(max_length=KEY_BYTES)]
-Scope = Annotated[tuple[Prefix, ...], Meta(max_length=SCOPES)]  # prefixes of keys; ("",) is all of them
+Prefix = Annotated[str, Meta(max_length=MAX_KEY_BYTES)]
+Scope = Annotated[tuple[Prefix, ...], Meta(max_length=MAX_SCOPE_PREFIXES)]  # prefixes of keys; ("",) is all of them
 Reason = Annotated[str, Meta(max_length=FAULT_LETTERS)]
 
 
@@ -52,7 +59,7 @@
     reason: Reason
 
 
-class Lagging(msgspec.Struct, frozen=True, array_like=True):
+class LaggingWatcher(msgspec.Struct, frozen=True, array_like=True):
     """A watcher behind its relay: what it holds, and for how long its relay has been ahead of it, in milliseconds."""
 
     name: Name
@@ -156,7 +163,7 @@
     watchers: Number
     members: Number
     in_force: Annotated[tuple[RevisionCount, ...], Meta(max_length=16)]
-    worst: Annotated[tuple[Lagging, ...], Meta(max_length=WORST)] = ()
+    worst: Annotated[tuple[LaggingWatcher, ...], Meta(max_length=WORST)] = ()
     faults: Annotated[tuple[KeyFault, ...], Meta(max_length=FAULT_KEYS)] = ()
     fault_count: Number = 0
 
--- a/rackhub/net/tds/front.py
+++ b/rackhub/net/tds/front.py
@@ -139,11 +139,11 @@
             self.core.disconnect_client(query)
 
     def should_stop_reading(self) -> bool:
-        """Whether reading has to be paused: while the client is penalised for invalid messages.
+        """Whether reading has to be paused: for a time after invalid messages.
 
         Unlike in other protocols reading goes on while rows are written, to detect Attention and disconnects.
         """
-        return not self.ending and self.is_penalised()
+        return not self.ending and self.is_paused_for_faults()
 
     def has_open_request(self) -> bool:
         """Whether a request is running or its result is being written."""
--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -965,8 +965,8 @@
     def matches_model(self):
         assert len(self.core.open_requests) == (self.state == "busy")
         if self.state in LOGGED_IN:  # Attention and disconnects must be detected, also while rows are written
-            penalised = self.core.clock.now() < self.connection.penalty_until
-            assert self.connection.reading_stopped == (self.wire.producerState == "paused") == penalised
+            paused_for_faults = self.core.clock.now() < self.connection.fault_pause_until
+            assert self.connection.reading_stopped == (self.wire.producerState == "paused") == paused_for_faults
         assert self.state not in LOGGED_IN or self.connection.state is tds.ClientConnectionState[self.state.upper()]
 
 
@@ -992,8 +992,8 @@
     assert not model.accepting, "an incomplete message must end the connection"
 
 
-# Guards against a TDS client that is never read from again because its penalty ended while its rows were written.
-def test_reading_resumes_when_a_penalty_ends_while_rows_are_written():
+# Guards against a TDS client that is never read from again because its fault pause ended while its rows were written.
+def test_reading_resumes_when_a_fault_pause_ends_while_rows_are_written():
     model = TdsModel()
     model.begin(logged_in=True, busy=False)
     for _ in range(LIMITS.faults_before_pause + 1):
@@ -1001,7 +1001,7 @@
     model.request(split_sizes=[], batch=True)
     model.answered(outcome="big", near_deadline=False)
     assert model.state == "rows" and model.connection.reading_stopped
-    model.core.clock.advance(model.connection.penalty_until - model.core.clock.now())
+    model.core.clock.advance(model.connection.fault_pause_until - model.core.clock.now())
     model.matches_model()
     while model.state == "rows":
         model.read_rows()
