--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -1013,7 +1013,7 @@
 TestTds = coverage_test(
     TdsModel, settings(STEPS, max_examples=80), ["prelogin", "login", "ready", "busy", "rows", "closed", "lost"]
 )
-assert LOGIN.accepts("open sesame") and not LOGIN.accepts("wrong")
+assert LOGIN.has_password("open sesame") and not LOGIN.has_password("wrong")
 
 
 class SmallFront:
