--- a/tests/test_wire_models.py
+++ b/tests/test_wire_models.py
@@ -283,7 +283,7 @@
 
     @precondition(lambda self: self.can_send and self.open_requests)
     @rule(split_sizes=SPLIT_SIZES, data=st.data())
-    def duplicate_request(self, split_sizes, data):
+    def repeat_request(self, split_sizes, data):
         id = data.draw(st.sampled_from(sorted(self.open_requests)))
         (response,) = self.send(self.request_message(id, "00000000000000fe"), split_sizes)
         # With its own id the error would be taken for the answer to the first request.
@@ -323,7 +323,7 @@
 
     @precondition(lambda self: self.accepting)
     @rule(split_sizes=SPLIT_SIZES)
-    def partial_line(self, split_sizes):
+    def incomplete_line(self, split_sizes):
         """Send the first part of a line, or the rest. A line that never ended once held its descriptor forever."""
         if self.partial_since:
             self.partial_since = 0
@@ -336,7 +336,7 @@
 
     @precondition(lambda self: not self.is_lost and not self.wire.disconnecting)
     @rule(blocked=st.booleans())
-    def block_writes(self, blocked):
+    def change_client_reading(self, blocked):
         """The transport reports that the client has stopped or resumed reading its answers."""
         if blocked and not self.write_blocked_since:
             self.write_blocked_since = self.now
@@ -346,7 +346,7 @@
             self.connection.resumeProducing()
 
     @rule(span=st.sampled_from([100 * MS, S, 2 * S, 6 * S]))
-    def advance_time(self, span):
+    def wait(self, span):
         self.core.clock.advance(span)
         self.track_reading()
         if self.is_reading:
@@ -398,7 +398,7 @@
 
     @precondition(lambda self: not self.accepting and not self.partial_since)
     @rule()
-    def ignored_request(self):
+    def discarded_request(self):
         assert self.send(self.request_message(990, "00000000000000fd"), []) == []
 
     @precondition(lambda self: not self.accepting and not self.partial_since and not self.is_lost)
@@ -471,7 +471,7 @@
 
     @precondition(lambda self: self.state in ("dialling", "up") and len(self.attempts) < 15)
     @rule()
-    def enqueue_attempt(self):
+    def create_attempt(self):
         id = f"{next(self.ids):016x}"
         query = Query(id, "depot-load", b"INSERT", self.core.clock.now() + 9 * S, READ_REPLY, idempotency_key="key")
         attempt = self.attempts[id] = Attempt(query, 0, "e0", self.core.clock.now())
@@ -564,7 +564,7 @@
 
     @precondition(lambda self: self.state == "up" and self.sent_ids())
     @rule(data=st.data(), split_sizes=SPLIT_SIZES, word=st.sampled_from([b"503", b"500", b"504"]))
-    def failed(self, data, split_sizes, word):
+    def error_response(self, data, split_sizes, word):
         id = self.draw_id(data, self.sent_ids())
         reason = "BAD" if id in self.pages else {b"503": "FULL", b"500": "BAD", b"504": "NOP"}[word]
         attempt = self.attempts[id]
@@ -575,7 +575,7 @@
 
     @precondition(lambda self: self.state == "up" and self.pages)
     @rule(data=st.data(), split_sizes=SPLIT_SIZES, page=st.booleans())
-    def duplicate_frame(self, data, split_sizes, page):
+    def send_duplicate_frame(self, data, split_sizes, page):
         """A duplicate page must not end the connection: that once ended 16 attempts which shared it."""
         id = self.draw_id(data, self.pages)
         received = [number for number, text in self.pages[id].items() if number and text]
@@ -608,7 +608,7 @@
             ]
         ),
     )
-    def malformed_result(self, data, split_sizes, skip, body):
+    def send_malformed_result(self, data, split_sizes, skip, body):
         if skip:  # this rule ends the connection, so it rarely acts
             return
         id = self.draw_id(data, self.sent_ids())
@@ -639,7 +639,7 @@
 
     @precondition(lambda self: self.state == "up")
     @rule(skip=st.integers(0, 5), split_sizes=SPLIT_SIZES, first_part_bytes=st.integers(1, 30), completed=st.booleans())
-    def incomplete_frame(self, skip, split_sizes, first_part_bytes, completed):
+    def send_partial_frame(self, skip, split_sizes, first_part_bytes, completed):
         """An incomplete frame must end the connection: responses behind it once waited until their deadlines."""
         if skip:
             return
@@ -660,7 +660,7 @@
 
     @precondition(lambda self: self.state == "up" and self.sent_ids())
     @rule(data=st.data(), split_sizes=SPLIT_SIZES)
-    def progress_report(self, data, split_sizes):
+    def notify_progress(self, data, split_sizes):
         id, before = self.draw_id(data, self.sent_ids()), len(self.core.progress_reports)
         self.send(id.encode(), b"status", b"remark=stall,amount=2", b"", split_sizes=split_sizes)
         assert self.core.progress_reports[before:] == [(id, 3, 2.0)]
@@ -690,7 +690,7 @@
 
     @precondition(lambda self: self.state == "up" and self.failed_ids)
     @rule(data=st.data(), split_sizes=SPLIT_SIZES, word=st.sampled_from([b"200", b"500", b"chunk", b"status"]))
-    def late_frame(self, data, split_sizes, word):
+    def crossing_frame(self, data, split_sizes, word):
         self.send(
             self.draw_id(data, self.failed_ids).encode(), word, b"chunks=3,at=1", b"old\n", split_sizes=split_sizes
         )
@@ -734,7 +734,7 @@
         self.lose_connection()
 
     @rule(span=st.sampled_from([MS, S, 31 * S]))
-    def advance_time(self, span):
+    def wait(self, span):
         self.core.clock.advance(span)
         if span > LIMITS.failed_id_retention:
             self.failed_ids.clear()
@@ -773,7 +773,7 @@
 
     @precondition(lambda self: self.state in ("closed", "lost"))
     @rule(logged_in=st.booleans())
-    def reconnect(self, logged_in):
+    def connect_again(self, logged_in):
         if self.state == "closed":
             self.connection.connectionLost()
         self.connect()
@@ -884,7 +884,7 @@
 
     @precondition(lambda self: self.state == "rows")
     @rule()
-    def read_rows(self):
+    def rows_read(self):
         """The client has read what was written, and the transport requests more."""
         self.rows_requested_at = self.core.clock.now()
         self.connection.resumeProducing()
@@ -912,7 +912,7 @@
 
     @precondition(lambda self: self.state == "ready")
     @rule(split_sizes=SPLIT_SIZES)
-    def ignored_message(self, split_sizes):
+    def cancelled_message(self, split_sizes):
         packet = codec.HEADER.pack(codec.SQL_BATCH, codec.EOM | codec.IGNORE, 12, 0, 1, 0) + b"abcd"
         feed(self.connection, packet, split_sizes)
         assert self.receive() == [] and not self.core.open_requests
@@ -930,7 +930,7 @@
             ]
         ),
     )
-    def connection_ends(self, choice, malformed):
+    def end_connection(self, choice, malformed):
         if choice == 0:
             count_before = self.counters["tds_bad"]
             feed(self.connection, malformed, ())
@@ -951,7 +951,7 @@
             self.state = "lost"
 
     @rule()
-    def advance_time(self):
+    def wait(self):
         self.core.clock.advance(11 * S)
         if self.state in ("prelogin", "login"):
             assert self.wire.aborted  # a client that does not log in must not hold a descriptor
@@ -980,14 +980,14 @@
     if has_sent_message:
         model.alive(split_sizes=[])
     for span in [2 * S, 2 * S] if has_sent_message else [S]:
-        model.advance_time(span=span)
-    model.partial_line(split_sizes=[])
-    model.advance_time(span=S)  # the idle timeout, or that for a first message, passes in the meantime
+        model.wait(span=span)
+    model.incomplete_line(split_sizes=[])
+    model.wait(span=S)  # the idle timeout, or that for a first message, passes in the meantime
     assert model.accepting
-    model.partial_line(split_sizes=[])  # completes the line
+    model.incomplete_line(split_sizes=[])  # completes the line
     model.matches_model()
-    model.partial_line(split_sizes=[])
-    model.advance_time(span=2 * S)
+    model.incomplete_line(split_sizes=[])
+    model.wait(span=2 * S)
     model.matches_model()
     assert not model.accepting, "an incomplete message must end the connection"
 
@@ -1004,7 +1004,7 @@
     model.core.clock.advance(model.connection.fault_pause_until - model.core.clock.now())
     model.matches_model()
     while model.state == "rows":
-        model.read_rows()
+        model.rows_read()
     model.matches_model()
 
 
