--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -28,8 +28,8 @@
 from rackhub.state.writer import StateWriter
 from rackhub.store import Batch, Options, Store, kill
 from rackhub.store.driver import Driver
-from rackhub.store.faulty import MemoryFiles
-from rackhub.store.pace import Pace
+from rackhub.store.driver_policy import DriverPolicy
+from rackhub.store.memory_files import MemoryFiles
 
 TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 LIST = EndpointSnapshot(
@@ -191,7 +191,7 @@
 def test_a_failing_disk_blocks_nothing_and_pending_writes_follow_its_recovery():
     coordinator = StoredCoordinator()
     coordinator.run_iterations()
-    coordinator.files.fault, coordinator.files.fail_at, coordinator.files.lasting = (
+    coordinator.files.fault, coordinator.files.fail_at, coordinator.files.keep_failing = (
         OSError(28, "No space left"),
         coordinator.files.steps + 1,
         True,
@@ -212,7 +212,7 @@
 def test_pending_writes_for_a_failed_disk_are_bounded():
     coordinator = StoredCoordinator()
     coordinator.run_iterations()
-    coordinator.files.fault, coordinator.files.fail_at, coordinator.files.lasting = (
+    coordinator.files.fault, coordinator.files.fail_at, coordinator.files.keep_failing = (
         OSError(5, "I/O error"),
         coordinator.files.steps + 1,
         True,
@@ -240,17 +240,17 @@
 
 
 def test_slow_syncs_move_to_another_thread_until_the_disk_is_fast_again():
-    pace = Pace()
-    pace.synced(200, 0)
-    assert not pace.elsewhere(0)
-    pace.synced(500_000, 0)
-    assert pace.elsewhere(1) and pace.elsewhere(59 * S)
+    policy = DriverPolicy()
+    policy.sync_finished(200, 0)
+    assert not policy.use_thread(0)
+    policy.sync_finished(500_000, 0)
+    assert policy.use_thread(1) and policy.use_thread(59 * S)
     for _ in range(60):
-        pace.synced(200, 0)
-    assert pace.elsewhere(59 * S) and not pace.elsewhere(61 * S)
-    assert [pace.retry_in() for _ in range(8)] == [S, 2 * S, 4 * S, 8 * S, 16 * S, 32 * S, 60 * S, 60 * S]
-    pace.mended()
-    assert pace.retry_in() == S and pace.rest(2_000) == 8_000
+        policy.sync_finished(200, 0)
+    assert policy.use_thread(59 * S) and not policy.use_thread(61 * S)
+    assert [policy.next_retry_delay() for _ in range(8)] == [S, 2 * S, 4 * S, 8 * S, 16 * S, 32 * S, 60 * S, 60 * S]
+    policy.disk_recovered()
+    assert policy.next_retry_delay() == S and policy.work_pause(2_000) == 8_000
 
 
 @pytest.fixture
@@ -268,9 +268,9 @@
 def test_the_driver_syncs_once_per_iteration_in_the_reactor_or_a_thread(slow, threads):
     driver, files, acknowledgements = Driver(threads, now=lambda: 0), MemoryFiles(), []
     store = Store.open("memory", Options(memtable_bytes=4_096, block_bytes=256, runs=2), files=files, wake=driver.wake)
-    driver.drive(store)
+    driver.start(store)
     if slow:
-        driver.pace.synced(10 * S, 0)
+        driver.policy.sync_finished(10 * S, 0)
     for i in range(300):
         store.commit(Batch().put(b"%04d" % i, b"x" * 40), acknowledged=acknowledgements.append)
         if not i % 50:
@@ -279,8 +279,8 @@
         if len(acknowledgements) == 300 and not store.needs_work:
             break
         reactor.iterate(0.01)
-    assert acknowledgements == [None] * 300 and store.info().tables and (driver.threaded > 0) is slow
-    driver.end()
+    assert acknowledgements == [None] * 300 and store.info().tables and (driver.threaded_syncs > 0) is slow
+    driver.close()
     with Store.open("memory", files=files.after_power_cut(1)) as reopened:
         assert reopened.revision == 300
 
@@ -312,7 +312,7 @@
         for i in range(400):
             store.commit(Batch().put(b"key%02d" % (i % 40), b"%d" % i * 20))
         store.commit(Batch().put(b"\xff\\odd", b"text"))
-        store.settle()
+        store.finish_work()
     return path
 
 
@@ -404,11 +404,11 @@
 
 
 def test_the_kill_test_detects_a_missing_write(tmp_path):
-    acknowledged, sent, result = {}, set(), kill.Killed()
+    acknowledged, sent, result = {}, set(), kill.KillResults()
     with Store.open(tmp_path / "s", kill.OPTIONS) as store:
         store.commit(Batch().put(b"a", b"1"))
     acknowledged[1], acknowledged[2] = (b"a", b"2"), (b"b", b"1")
-    kill._check(tmp_path / "s", acknowledged, sent, result)
+    kill._check_store(tmp_path / "s", acknowledged, sent, result)
     assert result.lost and result.changed == 1 and result.found_unsent == 1 and len(result.violations) >= 3
 
 
