--- a/rackhub/timings/budget.py
+++ b/rackhub/timings/budget.py
@@ -1,66 +1,73 @@
-"""Counts over a sliding time: how many further attempts or copies there may be for the requests served. Pure.
+"""Budgets of retries and hedges: how many may be sent for the requests that were served within a sliding time. Pure.
 
-A bucket that fills with each request would let a long calm pay for a burst of repeats at the worst moment; so what is
-counted is what happened within the last `over` microseconds, in PARTS steps, and what is older pays for nothing.
+A token bucket that fills with each request would let a long calm pay for a burst of retries at the worst moment. So
+only events within the last `span` microseconds count, in `STEPS` steps; older ones pay for nothing.
 
-Only a request that was served pays in, and one that was turned away with nothing sent takes back twice as much: where
-the module turns away a third of what comes, or nothing gets through, there is no room for repeats, which would only
-take the place of requests that can still be served in time. (docs/design/timings.md has what it costs otherwise.)
+Only a served request adds to the budget, and one that was shed with nothing sent takes back twice as much: where the
+decision module sheds a third of the requests, or none is served, retries would only displace requests that can still be
+served in time. docs/design/timings.md has the measurements.
 """
 
-PARTS = 20
+STEPS = 20
 SERVED, SPENT, SHED = range(3)
-SHED_PART = 10  # turned away in this step and the last, against served: more than one in so many is an overload
+# Overload: more than one request in this many was shed, compared with those served, in the current and the last step.
+MIN_SERVED_PER_SHED = 10
 
 
-class Window:
-    """How many were served, spent and turned away within the last `over` microseconds, give or take a step."""
+class SlidingBudget:
+    """Counts of served, spent and shed within the last `span` microseconds, to the accuracy of one step."""
 
-    __slots__ = ("over", "_step", "_now", "_steps", "sums")
+    __slots__ = ("span", "_step_length", "_current_step", "_steps", "totals")
 
-    def __init__(self, over: int):
-        self.over = over
-        self._step = max(over // PARTS, 1)
-        self._now = -1
-        self._steps = [[0] * PARTS for _ in range(3)]
-        self.sums = [0, 0, 0]
+    def __init__(self, span: int):
+        self.span = span
+        self._step_length = max(span // STEPS, 1)
+        self._current_step = -1
+        self._steps = [[0] * STEPS for _ in range(3)]
+        self.totals = [0, 0, 0]
 
     def _advance(self, now: int) -> int:
-        """Drop what is too old; the place of this moment. A clock that goes back counts in the newest step."""
-        at = now // self._step
-        if at <= self._now:  # most calls
-            return self._now % PARTS
-        for old in range(max(self._now + 1, at - PARTS + 1), at + 1):
-            i = old % PARTS
-            for what, steps in enumerate(self._steps):
-                self.sums[what] -= steps[i]
-                steps[i] = 0
-        self._now = at
-        return at % PARTS
+        """Drop expired steps and return the index of the current one.
 
-    def count(self, what: int, now: int) -> None:
-        """One more of SERVED, SPENT or SHED."""
-        at = now // self._step
-        self._steps[what][at % PARTS if at == self._now else self._advance(now)] += 1
-        self.sums[what] += 1
+        While the clock is behind its latest time, the newest step counts as the current one.
+        """
+        step = now // self._step_length
+        if step <= self._current_step:  # the usual case
+            return self._current_step % STEPS
+        for expired in range(max(self._current_step + 1, step - STEPS + 1), step + 1):
+            index = expired % STEPS
+            for event, counts in enumerate(self._steps):
+                self.totals[event] -= counts[index]
+                counts[index] = 0
+        self._current_step = step
+        return step % STEPS
 
-    def may(self, now: int, share: float, floor: int) -> bool:
-        """Whether one more may be spent: `floor` always, beyond that `share` of what there is room for."""
-        if self.sums[SPENT] < floor:  # as a rule; what is too old to count makes it more, never less
+    def count(self, event: int, now: int) -> None:
+        """Count one event: SERVED, SPENT or SHED."""
+        step = now // self._step_length
+        self._steps[event][step % STEPS if step == self._current_step else self._advance(now)] += 1
+        self.totals[event] += 1
+
+    def may_spend(self, now: int, share: float, floor: int) -> bool:
+        """Return whether one more may be spent: `floor` are always allowed, beyond them `share` of the requests served.
+
+        Requests shed reduce the share, and none beyond the floor is allowed during an overload.
+        """
+        if self.totals[SPENT] < floor:  # the usual case; dropping expired steps could only lower the total
             return True
-        at = self._advance(now)
-        served, spent, shed = self.sums
+        index = self._advance(now)
+        served, spent, shed = self.totals
         if spent < floor:
             return True
-        lately = [steps[at] + steps[at - 1] for steps in self._steps]
-        # what a calm paid in must not pay for the first seconds of an overload
-        return spent < share * (served - 2 * shed) and lately[SHED] * SHED_PART <= lately[SERVED]
+        recent = [counts[index] + counts[index - 1] for counts in self._steps]
+        # Requests served during a calm must not pay for retries in the first seconds of an overload.
+        return spent < share * (served - 2 * shed) and recent[SHED] * MIN_SERVED_PER_SHED <= recent[SERVED]
 
-    def room_in(self, now: int) -> int:
-        """Microseconds until the oldest that was spent counts no more: when to come back."""
+    def time_until_refill(self, now: int) -> int:
+        """Return the microseconds until the oldest spending expires, as a Retry-After; 0 if nothing was spent."""
         self._advance(now)
         spent = self._steps[SPENT]
-        for back in range(PARTS - 1, -1, -1):
-            if spent[(self._now - back) % PARTS]:
-                return (PARTS - back) * self._step
+        for age in range(STEPS - 1, -1, -1):
+            if spent[(self._current_step - age) % STEPS]:
+                return (STEPS - age) * self._step_length
         return 0
--- a/rackhub/timings/explain.py
+++ b/rackhub/timings/explain.py
@@ -1,5 +1,5 @@
-"""The routes in words: which one a request meets and why, what holds and where it came from, the worst that can
-happen when, and what a new file changes for whom. Pure."""
+"""Explanations of routes for operators: the routes that a request matches, its terms and their sources, its worst case
+in time, and the differences between two files. Pure."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -7,127 +7,134 @@
 import msgspec
 
 from rackhub import interface
-from rackhub.timings.check import edges, meets, names
-from rackhub.timings.routes import REASONS, WORDS, Route
+from rackhub.timings.check import as_names, estimate_bounds, matches
+from rackhub.timings.routes import FILE_KEYS, RETRY_REASONS, Route
 from rackhub.timings.table import EngineTerms, Table, Terms
 
-MS = 1_000
+MS = 1_000  # microseconds
 
 
-class Asked(msgspec.Struct, frozen=True):
-    """Whether one route fits a request, and if not, which of its matches does not."""
+class RouteMatch(msgspec.Struct, frozen=True):
+    """Whether a route matches a request, and if not, the first key that differs."""
 
     route: int
     fits: bool
     reason: str = msgspec.field(name="why")
 
 
-class Term(msgspec.Struct, frozen=True):
-    """One term in force and where it came from."""
+class SourcedTerm(msgspec.Struct, frozen=True):
+    """One active term and its source: a route, a setting or a default."""
 
     name: str
     value: Any
     source: str
 
 
-class Moment(msgspec.Struct, frozen=True):
-    """One moment of the worst case, in milliseconds after the request came."""
+class TimelineEvent(msgspec.Struct, frozen=True):
+    """One event of the worst case, in milliseconds after the request was admitted."""
 
     at_ms: float
     what: str
 
 
-class Explained(msgspec.Struct, frozen=True):
-    """All of it for one request on one kind of engine."""
+class Explanation(msgspec.Struct, frozen=True):
+    """The explanation of one request on one kind of engine."""
 
     cls: str = msgspec.field(name="class")
     tenant: str
     engine_kind: str
     estimate_ms: float
-    route_matches: list[Asked] = msgspec.field(name="asked")
-    terms: list[Term]
-    timeline: list[Moment]
+    route_matches: list[RouteMatch] = msgspec.field(name="asked")
+    terms: list[SourcedTerm]
+    timeline: list[TimelineEvent]
 
 
 def explain(
     routes: Sequence[Route], settings: interface.Settings, cls: str, tenant: str, kind: str, estimate: float
-) -> Explained:
-    """`estimate` in milliseconds; `kind` "" for any that no route names."""
+) -> Explanation:
+    """Explain the terms of one request.
+
+    `estimate` is in milliseconds. A `kind` of "" stands for any kind of engine that no route names.
+    """
     table = Table(routes, settings)
     terms = table.find(cls, tenant, int(estimate * MS))
-    told = next(one for one in settings.classes if one.name == cls)
-    asked = [_asked(i, route, cls, tenant, kind, estimate) for i, route in enumerate(routes)]
-    return Explained(
+    class_settings = next(configured for configured in settings.classes if configured.name == cls)
+    route_matches = [_match(index, route, cls, tenant, kind, estimate) for index, route in enumerate(routes)]
+    return Explanation(
         cls,
         tenant,
         kind,
         estimate,
-        asked,
-        _terms(terms, terms.on(kind), settings, told),
-        timeline(terms, terms.on(kind), told),
+        route_matches,
+        _terms(terms, terms.for_kind(kind), settings, class_settings),
+        timeline(terms, terms.for_kind(kind), class_settings),
     )
 
 
-def _asked(i: int, route: Route, cls: str, tenant: str, kind: str, estimate: float) -> Asked:
+def _match(index: int, route: Route, cls: str, tenant: str, kind: str, estimate: float) -> RouteMatch:
     for name, value in (("cls", cls), ("tenant", tenant), ("engine_kind", kind)):
-        wanted = names(getattr(route, name))
-        if wanted is not None and value not in wanted:
-            return Asked(i, False, f"{WORDS[name]} is {value or 'any other'!r}, it asks for {', '.join(wanted)}")
-    if not meets(route, cls, tenant, estimate):
+        selected = as_names(getattr(route, name))
+        if selected is not None and value not in selected:
+            return RouteMatch(
+                index, False, f"{FILE_KEYS[name]} is {value or 'any other'!r}, the route matches {', '.join(selected)}"
+            )
+    if not matches(route, cls, tenant, estimate):
         low, high = route.estimate_ms or (0.0, 0.0)
-        return Asked(i, False, f"estimate_ms is {estimate:g}, it asks for {low:g} to before {high:g}")
-    return Asked(i, True, "by engine_kind, for what depends on the engine" if route.engine_kind is not None else "")
+        return RouteMatch(index, False, f"estimate_ms is {estimate:g}, the route matches {low:g} to before {high:g}")
+    return RouteMatch(
+        index, True, "by engine_kind, for terms that depend on the engine" if route.engine_kind is not None else ""
+    )
 
 
-def _source(route: int | None, own: bool, default: str) -> str:
-    return f"timings.route[{route}]" if own and route is not None else default
+def _source(route: int | None, is_set: bool, default: str) -> str:
+    return f"timings.route[{route}]" if is_set and route is not None else default
 
 
 def _terms(
-    terms: Terms, engine: EngineTerms, settings: interface.Settings, told: interface.ClassSettings
-) -> list[Term]:
-    request, here = terms.route, engine.route
+    terms: Terms, engine: EngineTerms, settings: interface.Settings, class_settings: interface.ClassSettings
+) -> list[SourcedTerm]:
+    request_route, attempt_route = terms.route, engine.route
     rows = [
-        Term(
+        SourcedTerm(
             "attempts",
             terms.attempts,
-            _source(request, terms.attempts != settings.max_attempts, "settings.Permissions.MaxAttempts"),
+            _source(request_route, terms.attempts != settings.max_attempts, "settings.Permissions.MaxAttempts"),
         ),
-        Term(
+        SourcedTerm(
             "retry_on",
             sorted(terms.retry_on),
-            _source(request, terms.retry_on != frozenset(REASONS), "the decision module"),
+            _source(request_route, terms.retry_on != frozenset(RETRY_REASONS), "the decision module"),
         ),
-        Term("backoff_ms", terms.backoff, _source(request, terms.backoff is not None, "none")),
+        SourcedTerm("backoff_ms", terms.backoff, _source(request_route, terms.backoff is not None, "none")),
     ]
     if terms.share is None:
-        rows.append(Term("retry_share", None, "no budget"))
+        rows.append(SourcedTerm("retry_share", None, "no budget"))
     else:
-        told_of = f"{terms.share:g} of what is served in {terms.over / MS:g} ms, {terms.floor} at least"
-        rows.append(Term("retry_share", told_of, _source(request, True, "")))
-    if told.idempotency == "dedup":
+        budget = f"{terms.share:g} of the requests served in {terms.over / MS:g} ms, at least {terms.floor}"
+        rows.append(SourcedTerm("retry_share", budget, _source(request_route, True, "")))
+    if class_settings.idempotency == "dedup":
         rows.append(
-            Term(
+            SourcedTerm(
                 "repeat_within_ms",
-                (terms.repeat_within or told.idempotency_window) / MS,
-                _source(request, bool(terms.repeat_within), f"settings.Services {told.name}.Window"),
+                (terms.repeat_within or class_settings.idempotency_window) / MS,
+                _source(request_route, bool(terms.repeat_within), f"settings.Services {class_settings.name}.Window"),
             )
         )
     if engine.learned is not None:
         rows.append(
-            Term(
+            SourcedTerm(
                 "attempt_timeout",
                 f"p{engine.learned.percent:g}*{engine.learned.factor:g}, from "
                 f"{engine.learned_least:g} to {engine.learned_most or 'any'} ms",
-                _source(here, True, ""),
+                _source(attempt_route, True, ""),
             )
         )
     else:
         rows.append(
-            Term(
+            SourcedTerm(
                 "attempt_timeout_ms",
                 engine.timeout / MS or None,
-                _source(here, bool(engine.timeout), "what is left of the request's time"),
+                _source(attempt_route, bool(engine.timeout), "the time left until the request's deadline"),
             )
         )
     if engine.copy_share:
@@ -137,54 +144,68 @@
             else engine.copy_after / MS
         )
         rows.append(
-            Term(
+            SourcedTerm(
                 "second_copy",
                 f"after {after} ms, at most {engine.copy_share:g} of the requests",
-                _source(here, True, ""),
+                _source(attempt_route, True, ""),
             )
         )
     else:
-        rows.append(Term("second_copy", None, "none"))
-    rows.append(Term("priority", engine.priority, _source(here, engine.priority is not None, "the decision module")))
+        rows.append(SourcedTerm("second_copy", None, "none"))
+    rows.append(
+        SourcedTerm(
+            "priority", engine.priority, _source(attempt_route, engine.priority is not None, "the decision module")
+        )
+    )
     return rows
 
 
-def timeline(terms: Terms, engine: EngineTerms, told: interface.ClassSettings) -> list[Moment]:
-    """The worst case: every attempt takes all its time, every wait is the longest. Learned times count by their
-    ceilings; where there is none, an attempt may take all that is left."""
-    end = told.deadline / MS
+def timeline(terms: Terms, engine: EngineTerms, class_settings: interface.ClassSettings) -> list[TimelineEvent]:
+    """Return the worst case: every attempt times out and every delay is the longest.
+
+    A learned time-out counts with its ceiling; without one, an attempt may take all the time until the deadline.
+    """
+    end = class_settings.deadline / MS
     limit = engine.timeout / MS or (engine.learned_most if engine.learned is not None else 0.0)
-    window = (terms.repeat_within or told.idempotency_window) / MS if told.idempotency == "dedup" else 0.0
-    now, rows = 0.0, [Moment(0.0, "taken; attempt 1 goes out")]
+    window = (
+        (terms.repeat_within or class_settings.idempotency_window) / MS
+        if class_settings.idempotency == "dedup"
+        else 0.0
+    )
+    now, rows = 0.0, [TimelineEvent(0.0, "admitted; attempt 1 is sent")]
     copy = engine.copy_after / MS
     if engine.copy_share and terms.attempts > 1:
         rows.append(
-            Moment(copy, "a second copy goes out") if copy else Moment(0.0, "a second copy goes out at a learned time")
+            TimelineEvent(copy, "a second copy is sent")
+            if copy
+            else TimelineEvent(0.0, "a second copy is sent after a learned time")
         )
     for attempt in range(1, terms.attempts + 1):
         stop = now + limit if limit else end
         if stop >= end:
             break
-        rows.append(Moment(stop, f"attempt {attempt} is timed out"))
+        rows.append(TimelineEvent(stop, f"attempt {attempt} times out"))
         if attempt == terms.attempts or "late" not in terms.retry_on:
-            rows.append(Moment(stop, "the final answer, with a back-off where the site allows one"))
+            rows.append(TimelineEvent(stop, "the final answer, with a back-off where the site allows one"))
             return sorted(rows, key=lambda row: row.at_ms)
-        now = stop + (terms.backoff.longest(attempt) if terms.backoff else 0.0)
+        now = stop + (terms.backoff.max_delay_ms(attempt) if terms.backoff else 0.0)
         if window and now >= window:
-            rows.append(Moment(stop, f"no further attempt: repeats are dropped until {window:g} ms; the final answer"))
+            rows.append(
+                TimelineEvent(stop, f"no retry: engines drop repeats until {window:g} ms only; the final answer")
+            )
             return sorted(rows, key=lambda row: row.at_ms)
         if now >= end:
             break
-        rows.append(Moment(now, f"attempt {attempt + 1} goes out at the latest"))
-    rows.append(Moment(end, "the client gives up; the final answer comes before that"))
+        rows.append(TimelineEvent(now, f"attempt {attempt + 1} is sent at the latest"))
+    rows.append(TimelineEvent(end, "the deadline of the client; the final answer comes before it"))
     return sorted(rows, key=lambda row: row.at_ms)
 
 
-# ---- what a new file changes
+# ---- differences between two files
 
 
-class Changed(msgspec.Struct, frozen=True):
-    """What a new file changes for one kind of request."""
+class TermsChange(msgspec.Struct, frozen=True):
+    """The terms that a new file changes for one kind of request: for each, the old and the new value."""
 
     cls: str = msgspec.field(name="class")
     tenant: str
@@ -193,25 +214,26 @@
     changes: dict[str, tuple[Any, Any]]
 
 
-def diff(old: Sequence[Route], new: Sequence[Route], settings: interface.Settings) -> list[Changed]:
-    """For every kind of request that the two treat differently, which terms and from what to what."""
+def diff(old: Sequence[Route], new: Sequence[Route], settings: interface.Settings) -> list[TermsChange]:
+    """Return the changed terms for every kind of request that the two files treat differently."""
     before, after = Table(old, settings), Table(new, settings)
-    bounds = sorted({*edges(old), *edges(new)})
-    found: list[Changed] = []
-    for told in settings.classes:
-        for tenant in [one.name for one in settings.tenants] or [""]:
-            for i, low in enumerate(bounds):
-                high = bounds[i + 1] if i + 1 < len(bounds) else None
-                was, now = (table.find(told.name, tenant, int(low * MS)) for table in (before, after))
+    bounds = sorted({*estimate_bounds(old), *estimate_bounds(new)})
+    found: list[TermsChange] = []
+    for cls in settings.classes:
+        for tenant in [configured.name for configured in settings.tenants] or [""]:
+            for index, low in enumerate(bounds):
+                high = bounds[index + 1] if index + 1 < len(bounds) else None
+                old_terms, new_terms = (table.find(cls.name, tenant, int(low * MS)) for table in (before, after))
                 for kind in (*settings.kind_cores, ""):
-                    changes = _changes(_flat(was, kind), _flat(now, kind))
+                    changes = _changes(_flat(old_terms, kind), _flat(new_terms, kind))
                     if changes:
-                        found.append(Changed(told.name, tenant, kind, (low, high), changes))
-    return _joined(found)
+                        found.append(TermsChange(cls.name, tenant, kind, (low, high), changes))
+    return _merge_kinds(found)
 
 
 def _flat(terms: Terms, kind: str) -> dict[str, Any]:
-    engine = terms.on(kind)
+    """Return the terms on one kind of engine by attribute name; `rackhub config diff` prints these names."""
+    engine = terms.for_kind(kind)
     flat = {name: getattr(terms, name) for name in ("attempts", "backoff", "repeat_within", "share", "over", "floor")}
     flat["retry_on"] = sorted(terms.retry_on)
     flat |= {
@@ -234,15 +256,15 @@
     return {name: (value, new[name]) for name, value in old.items() if value != new[name]}
 
 
-def _joined(found: list[Changed]) -> list[Changed]:
-    """Rows that differ in the kind of engine alone are one row, where they are there for all kinds."""
-    joined: list[Changed] = []
-    groups: dict[tuple[Any, ...], list[Changed]] = {}
+def _merge_kinds(found: list[TermsChange]) -> list[TermsChange]:
+    """Merge rows that differ only in the kind of engine, if one of them is for kinds that no route names."""
+    merged: list[TermsChange] = []
+    groups: dict[tuple[Any, ...], list[TermsChange]] = {}
     for row in found:
         groups.setdefault((row.cls, row.tenant, row.estimate_ms, msgspec.json.encode(row.changes)), []).append(row)
     for rows in groups.values():
         if len(rows) > 1 and any(row.engine_kind == "" for row in rows):
-            joined.append(msgspec.structs.replace(rows[0], engine_kind="all"))
+            merged.append(msgspec.structs.replace(rows[0], engine_kind="all"))
         else:
-            joined += rows
-    return joined
+            merged += rows
+    return merged
--- a/rackhub/timings/table.py
+++ b/rackhub/timings/table.py
@@ -1,4 +1,4 @@
-"""Which route a request meets, with what it sets filled in. Pure; looked up for every request, so laid out for that."""
+"""Lookup of the route that a request matches, with defaults filled in. Pure. Cached, as each request needs it."""
 
 from bisect import bisect_right
 from collections.abc import Sequence
@@ -8,29 +8,45 @@
 
 from rackhub import interface
 from rackhub.core.request_policy import AttemptTerms
-from rackhub.timings.check import check, edges, meets, names
-from rackhub.timings.routes import REASONS, Backoff, Learned, Reason, Route, learned, read_routes
+from rackhub.timings.check import as_names, check, estimate_bounds, matches
+from rackhub.timings.routes import (
+    RETRY_REASONS,
+    Backoff,
+    LearnedLimit,
+    Reason,
+    Route,
+    parse_learned_limit,
+    read_routes,
+)
 
-MS = 1_000
+MS = 1_000  # microseconds
 
 
 class EngineTerms(msgspec.Struct, frozen=True, gc=False):
-    """What holds for one attempt, on one kind of engine. Times in microseconds, 0: none."""
+    """The terms of an attempt on one kind of engine. Times are microseconds; 0 stands for none.
 
-    route: int | None = None  # where in the file each came from; None: no route
+    `route`: the index of the route that they come from; None: no route matches. `fixed`: all terms in the form that the
+    core takes, where none of them is learned or a hedge.
+    """
+
+    route: int | None = None
     timeout: int = 0
-    learned: Learned | None = None
+    learned: LearnedLimit | None = None
     learned_least: float = 0.0  # milliseconds
-    learned_most: float = 0.0
+    learned_most: float = 0.0  # milliseconds
     copy_after: int = 0
-    copy_learned: Learned | None = None
+    copy_learned: LearnedLimit | None = None
     copy_share: float = 0.0
     priority: int | None = None
-    fixed: AttemptTerms | None = None  # all of it, where nothing of it is learned or a copy
+    fixed: AttemptTerms | None = None
 
 
 class Terms(msgspec.Struct, frozen=True):
-    """What holds for one request. Times in microseconds, 0: as without a route."""
+    """The terms of one request. Times are microseconds; 0 stands for the default.
+
+    `kinds`: the terms of attempts by kind of engine, and under "" those for kinds that the site does not define.
+    `copies`: whether any of them has hedges.
+    """
 
     route: int | None
     attempts: int
@@ -40,17 +56,18 @@
     share: float | None
     over: int
     floor: int
-    kinds: dict[str, EngineTerms]  # by kind of engine; "" for kinds that the site does not tell
-    copies: bool  # on any kind
+    kinds: dict[str, EngineTerms]
+    copies: bool
 
-    def on(self, kind: str) -> EngineTerms:
+    def for_kind(self, kind: str) -> EngineTerms:
+        """Return the terms of attempts on one kind of engine."""
         found = self.kinds.get(kind)
         return found if found is not None else self.kinds[""]
 
 
-def read_table(part: dict[str, Any], settings: interface.Settings) -> "Table":
-    """The `[timings]` part as a table, checked against the site's settings; `ValueError` with all its faults."""
-    routes, faults = read_routes(part)
+def read_table(table: dict[str, Any], settings: interface.Settings) -> "Table":
+    """Parse the `[timings]` table and check it against the site's settings. Raises `ValueError` with all faults."""
+    routes, faults = read_routes(table)
     faults = faults + check(routes, settings).faults
     if faults:
         raise ValueError("; ".join(map(str, faults)))
@@ -58,45 +75,50 @@
 
 
 class Table:
-    """The routes of one file, by class, tenant and estimate."""
+    """The routes of one file, found by class, tenant and estimate."""
 
     def __init__(self, routes: Sequence[Route], settings: interface.Settings):
         self.routes, self._settings = tuple(routes), settings
-        self._edges = [int(edge * MS) for edge in edges(routes)]
-        self._cells: dict[tuple[str, str], list[Terms]] = {}
-        self._none = self._terms("", "", 0.0)
+        self._estimate_bounds = [int(bound * MS) for bound in estimate_bounds(routes)]
+        # by class and tenant: the terms for each range of estimates
+        self._terms_by_request: dict[tuple[str, str], list[Terms]] = {}
+        self._unknown_class_terms = self._terms("", "", 0.0)
 
     def find(self, cls: str, tenant: str, estimate: int) -> Terms:
-        """The terms of a request; `estimate` in microseconds."""
-        row = self._cells.get((cls, tenant))
+        """Return the terms of a request; `estimate` is in microseconds."""
+        row = self._terms_by_request.get((cls, tenant))
         if row is None:
-            known = any(told.name == cls for told in self._settings.classes)
-            if not known:  # a bound on what is kept: clients name classes, the site tells them
-                return self._none
-            row = self._cells[cls, tenant] = [self._terms(cls, tenant, edge / MS) for edge in self._edges]
-        return row[bisect_right(self._edges, estimate) - 1] if estimate > 0 else row[0]
+            known = any(configured.name == cls for configured in self._settings.classes)
+            if not known:  # classes come from clients: caching unknown ones would have no bound
+                return self._unknown_class_terms
+            row = self._terms_by_request[cls, tenant] = [
+                self._terms(cls, tenant, bound / MS) for bound in self._estimate_bounds
+            ]
+        return row[bisect_right(self._estimate_bounds, estimate) - 1] if estimate > 0 else row[0]
 
     def _terms(self, cls: str, tenant: str, estimate: float) -> Terms:
-        able = [(i, route) for i, route in enumerate(self.routes) if meets(route, cls, tenant, estimate)]
-        plain = next(((i, route) for i, route in able if route.engine_kind is None), (None, Route()))
+        matching = [(index, route) for index, route in enumerate(self.routes) if matches(route, cls, tenant, estimate)]
+        request_route = next(
+            ((index, route) for index, route in matching if route.engine_kind is None), (None, Route())
+        )
         kinds = {}
         for kind in (*self._settings.kind_cores, ""):
-            first = next(
+            attempt_route = next(
                 (
-                    (i, route)
-                    for i, route in able
-                    if route.engine_kind is None or kind in (names(route.engine_kind) or ())
+                    (index, route)
+                    for index, route in matching
+                    if route.engine_kind is None or kind in (as_names(route.engine_kind) or ())
                 ),
-                plain,
+                request_route,
             )
-            kinds[kind] = _engine_terms(first, plain)
-        i, route = plain
-        most = route.attempts if route.attempts is not None else self._settings.max_attempts
+            kinds[kind] = _engine_terms(attempt_route, request_route)
+        index, route = request_route
+        attempt_limit = route.attempts if route.attempts is not None else self._settings.max_attempts
         return Terms(
-            i,
-            most,
+            index,
+            attempt_limit,
             route.backoff_ms,
-            frozenset(REASONS if route.retry_on is None else route.retry_on),
+            frozenset(RETRY_REASONS if route.retry_on is None else route.retry_on),
             int((route.repeat_within_ms or 0) * MS),
             route.retry_share,
             int(route.retry_over_ms * MS),
@@ -106,22 +128,22 @@
         )
 
 
-def _engine_terms(first: tuple[int | None, Route], plain: tuple[int | None, Route]) -> EngineTerms:
-    """Of the first route that fits with its kind; what that leaves out, of the request's route."""
-    route, under = first[1], plain[1]
-    own = route.attempt_timeout_ms is not None or route.attempt_timeout is not None
-    timed = route if own else under
-    copy = route.second_copy if route.second_copy is not None else under.second_copy
+def _engine_terms(attempt_route: tuple[int | None, Route], request_route: tuple[int | None, Route]) -> EngineTerms:
+    """Return the terms of the first route that matches an attempt; the request's route sets what that leaves out."""
+    route, fallback = attempt_route[1], request_route[1]
+    sets_timeout = route.attempt_timeout_ms is not None or route.attempt_timeout is not None
+    timeout_route = route if sets_timeout else fallback
+    copy = route.second_copy if route.second_copy is not None else fallback.second_copy
     terms = EngineTerms(
-        first[0],
-        int((timed.attempt_timeout_ms or 0) * MS),
-        learned(timed.attempt_timeout) if timed.attempt_timeout else None,
-        timed.attempt_timeout_least_ms or 0.0,
-        timed.attempt_timeout_most_ms or 0.0,
+        attempt_route[0],
+        int((timeout_route.attempt_timeout_ms or 0) * MS),
+        parse_learned_limit(timeout_route.attempt_timeout) if timeout_route.attempt_timeout else None,
+        timeout_route.attempt_timeout_least_ms or 0.0,
+        timeout_route.attempt_timeout_most_ms or 0.0,
         int((copy.after_ms or 0) * MS) if copy else 0,
-        learned(copy.after) if copy and copy.after else None,
+        parse_learned_limit(copy.after) if copy and copy.after else None,
         copy.most_share if copy else 0.0,
-        route.priority if route.priority is not None else under.priority,
+        route.priority if route.priority is not None else fallback.priority,
     )
     if terms.learned is not None or terms.copy_share:
         return terms
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -32,12 +32,12 @@
 from rackhub.core.timers import Timers
 from rackhub.counters import Counters
 from rackhub.timings import explain
-from rackhub.timings.budget import SERVED, SHED, SPENT, Window
+from rackhub.timings.budget import SERVED, SHED, SPENT, SlidingBudget
 from rackhub.timings.check import check
-from rackhub.timings.latency_quantiles import FALL, LEAST, SPAN, Quantiles
+from rackhub.timings.latency_quantiles import HISTOGRAM_SPAN, MAX_FALL, MIN_SAMPLES, LatencyQuantiles
 from rackhub.timings.route_policy import RoutePolicy
-from rackhub.timings.routes import Backoff, Learned, Route, SecondCopy, read_routes
-from rackhub.timings.simulation import Rig, Scene
+from rackhub.timings.routes import Backoff, LearnedLimit, Route, SecondCopy, read_routes
+from rackhub.timings.simulation import Scenario, Simulation
 from rackhub.timings.table import Table
 
 S, MS = 1_000_000, 1_000
@@ -72,10 +72,10 @@
     table = timings_table(part(GOOD), SITE)
     terms = table.find("lookup", "nyarugenge-bikes", 0)
     assert (terms.route, terms.attempts, terms.over) == (2, 2, 5 * S)
-    assert terms.on("std-16").learned == Learned(99.0, 1.5) and terms.on("std-16").priority == 2
-    assert terms.on("std-8").fixed is not None and terms.on("std-8").priority is None
+    assert terms.for_kind("std-16").learned == LearnedLimit(99.0, 1.5) and terms.for_kind("std-16").priority == 2
+    assert terms.for_kind("std-8").fixed is not None and terms.for_kind("std-8").priority is None
     first = table.find("lookup", "huye-cycle", 499_999)
-    assert (first.route, first.on("std-16").timeout) == (0, 700 * MS)
+    assert (first.route, first.for_kind("std-16").timeout) == (0, 700 * MS)
     assert table.find("lookup", "huye-cycle", 500_000).route == 2
     assert table.find("report", "huye-cycle", 0).route is None and table.find("dance", "x", 0).attempts == 3
 
@@ -119,61 +119,61 @@
 
 
 def test_a_budget_is_a_share_of_what_came_lately_and_older_requests_pay_for_nothing():
-    window = Window(10 * S)
+    budget = SlidingBudget(10 * S)
     for i in range(1_000):
-        window.count(SERVED, i * 10 * MS)
+        budget.count(SERVED, i * 10 * MS)
     spent = 0
-    while window.may(10 * S, 0.1, 3):
-        window.count(SPENT, 10 * S)
+    while budget.may_spend(10 * S, 0.1, 3):
+        budget.count(SPENT, 10 * S)
         spent += 1
-    assert 95 <= spent <= 101 and 0 < window.room_in(10 * S) <= 10 * S
-    assert not window.may(12 * S, 0.1, 3)  # calm before does not help: what was spent counts, what came fades
-    assert window.may(21 * S, 0.1, 3) and window.sums == [0, 0, 0]
+    assert 95 <= spent <= 101 and 0 < budget.time_until_refill(10 * S) <= 10 * S
+    assert not budget.may_spend(12 * S, 0.1, 3)  # calm before does not help: what was spent counts, what came fades
+    assert budget.may_spend(21 * S, 0.1, 3) and budget.totals == [0, 0, 0]
     for _ in range(3):
-        window.count(SPENT, 21 * S)
-    assert not window.may(21 * S, 0.1, 3)  # the floor, and no more
+        budget.count(SPENT, 21 * S)
+    assert not budget.may_spend(21 * S, 0.1, 3)  # the floor, and no more
 
 
 def test_a_clock_that_jumps_loses_the_window_and_breaks_nothing():
-    window = Window(10 * S)
-    window.count(SERVED, 100 * S)
-    window.count(SPENT, 100 * S)
-    window.count(SERVED, 50 * S)  # back: counted in the newest step
-    assert window.sums == [2, 1, 0]
-    window.count(SERVED, 10_000 * S)
-    assert window.sums == [1, 0, 0]
+    budget = SlidingBudget(10 * S)
+    budget.count(SERVED, 100 * S)
+    budget.count(SPENT, 100 * S)
+    budget.count(SERVED, 50 * S)  # back: counted in the newest step
+    assert budget.totals == [2, 1, 0]
+    budget.count(SERVED, 10_000 * S)
+    assert budget.totals == [1, 0, 0]
 
 
 def test_requests_that_are_turned_away_take_the_room_for_repeats():
-    window = Window(10 * S)
+    budget = SlidingBudget(10 * S)
     for i in range(1_000):
-        window.count(SHED if i % 2 else SERVED, i * MS)
-    assert [window.may(S, 0.1, floor) for floor in (0, 1)] == [False, True]
+        budget.count(SHED if i % 2 else SERVED, i * MS)
+    assert [budget.may_spend(S, 0.1, floor) for floor in (0, 1)] == [False, True]
     for i in range(1_000):
-        window.count(SERVED, S + i * MS)
-    assert window.may(2 * S, 0.1, 0)
+        budget.count(SERVED, S + i * MS)
+    assert budget.may_spend(2 * S, 0.1, 0)
 
 
 def test_a_request_that_is_turned_away_is_counted_so_and_one_that_was_sent_is_not():
     here = Core(Route(cls="lookup", retry_share=0.5, retry_floor=0))
     here.ask()
     here.end(here.port.sent[0], "GOOD")
-    (window,) = here.policy._retries.values()
-    assert window.sums == [1, 0, 0]
+    (budget,) = here.policy._retry_budgets.values()
+    assert budget.totals == [1, 0, 0]
     here.core.update_endpoints([], 2)
     here.ask()
-    assert here.port.answers[-1][1] == "refused" and window.sums == [1, 0, 1]
+    assert here.port.answers[-1][1] == "refused" and budget.totals == [1, 0, 1]
 
 
 @pytest.mark.parametrize("share, floor", [(0.1, 3), (0.5, 0), (0.0, 5)])
 def test_in_any_window_no_more_is_spent_than_its_share(share, floor):
-    chance, window, events, now = random.Random(floor), Window(10 * S), [], 0
+    chance, budget, events, now = random.Random(floor), SlidingBudget(10 * S), [], 0
     for _ in range(5_000):
         now += int(chance.expovariate(1 / 20_000))
-        window.count(SERVED, now)
+        budget.count(SERVED, now)
         events.append((now, 0))
-        if chance.random() < 0.6 and window.may(now, share, floor):
-            window.count(SPENT, now)
+        if chance.random() < 0.6 and budget.may_spend(now, share, floor):
+            budget.count(SPENT, now)
             events.append((now, 1))
     for at in range(10 * S, now, 3 * S):
         lately = [spent for when, spent in events if at - 10 * S < when <= at]
@@ -185,14 +185,14 @@
 # ---- learned time-outs
 
 
-P99 = Learned(99.0, 1.5)
+P99 = LearnedLimit(99.0, 1.5)
 
 
-def feed(quantiles, chance, now, count, mean_ms=100.0, engine=None, span=SPAN):
+def feed(quantiles, chance, now, count, mean_ms=100.0, engine=None, span=HISTOGRAM_SPAN):
     for i in range(count):
         name = engine or f"e{i % 8}"
         took = int(mean_ms * MS * math.exp(chance.gauss(0, 0.3)))
-        quantiles.saw("lookup", "std", name, took, now + i * span // count)
+        quantiles.record("lookup", "std", name, took, now + i * span // count)
     return now + span
 
 
@@ -201,8 +201,8 @@
 
 
 def test_nothing_is_learned_from_the_first_samples():
-    quantiles, chance = Quantiles(), random.Random(1)
-    feed(quantiles, chance, 0, LEAST - 1, span=S)
+    quantiles, chance = LatencyQuantiles(), random.Random(1)
+    feed(quantiles, chance, 0, MIN_SAMPLES - 1, span=S)
     assert limit(quantiles, S) is None and limit(quantiles, S, most=900.0) == 900.0
     feed(quantiles, chance, S, 200, span=S)
     found = limit(quantiles, 2 * S)
@@ -211,20 +211,20 @@
 
 
 def test_one_slow_engine_does_not_raise_the_limit_that_is_to_cut_it():
-    quantiles, chance, now = Quantiles(), random.Random(2), 0
+    quantiles, chance, now = LatencyQuantiles(), random.Random(2), 0
     for _ in range(4):
         now = feed(quantiles, chance, now, 400)
     before = limit(quantiles, now)
     for _ in range(4):
         for i in range(400):
             took = int((100.0 if i % 8 else 600.0) * MS * math.exp(chance.gauss(0, 0.3)))
-            quantiles.saw("lookup", "std", f"e{i % 8}", took, now + i * SPAN // 400)
-        now += SPAN
+            quantiles.record("lookup", "std", f"e{i % 8}", took, now + i * HISTOGRAM_SPAN // 400)
+        now += HISTOGRAM_SPAN
     assert limit(quantiles, now) < 1.3 * before
 
 
 def test_all_engines_slow_raise_it_at_once():
-    quantiles, chance, now = Quantiles(), random.Random(3), 0
+    quantiles, chance, now = LatencyQuantiles(), random.Random(3), 0
     for _ in range(3):
         now = feed(quantiles, chance, now, 400)
     before = limit(quantiles, now)
@@ -234,22 +234,22 @@
 
 def test_its_own_cuts_do_not_drive_it_down():
     """Closed loop: what would take longer than the limit is cut there. Without counting cuts it falls to nothing."""
-    quantiles, chance, now, cuts, total = Quantiles(), random.Random(4), 0, 0, 0
+    quantiles, chance, now, cuts, total = LatencyQuantiles(), random.Random(4), 0, 0, 0
     now = feed(quantiles, chance, now, 400)
     for step in range(60):
         for i in range(200):
-            at = now + i * SPAN // 200
+            at = now + i * HISTOGRAM_SPAN // 200
             would, most = 100 * MS * math.exp(chance.gauss(0, 0.5)), (limit(quantiles, at) or 1e9) * MS
             cut = would > most
-            quantiles.saw("lookup", "std", f"e{i % 8}", int(min(would, most)), at, cut)
+            quantiles.record("lookup", "std", f"e{i % 8}", int(min(would, most)), at, cut)
             if step >= 30:
                 cuts, total = cuts + cut, total + 1
-        now += SPAN
+        now += HISTOGRAM_SPAN
     assert cuts / total < 0.02 and 200 < limit(quantiles, now) < 1_000
 
 
 def test_it_falls_slowly_and_forgets_what_is_old():
-    quantiles, chance, now = Quantiles(), random.Random(5), 0
+    quantiles, chance, now = LatencyQuantiles(), random.Random(5), 0
     for _ in range(3):
         now = feed(quantiles, chance, now, 400, mean_ms=1_000.0)
     high = limit(quantiles, now)
@@ -257,8 +257,8 @@
     for _ in range(12):
         now = feed(quantiles, chance, now, 400)
         fell.append(limit(quantiles, now))
-    assert fell[0] >= FALL * high * 0.999 and fell[-1] < 0.3 * high
-    assert limit(quantiles, now + 100 * SPAN, most=5_000.0) == 5_000.0  # after a long idle nothing is known
+    assert fell[0] >= MAX_FALL * high * 0.999 and fell[-1] < 0.3 * high
+    assert limit(quantiles, now + 100 * HISTOGRAM_SPAN, most=5_000.0) == 5_000.0  # after a long idle nothing is known
 
 
 # ---- the core under them
@@ -774,12 +774,13 @@
 # ---- what they are for
 
 
-SLOW = Scene(slow_turns=3.0, seconds=15, spread=0.3)
+SLOW = Scenario(slow_period=3.0, seconds=15, work_sigma=0.3)
 
 
 def test_copies_cut_the_tail_of_one_slow_engine_for_little_more_work():
     without, fixed = (
-        Rig(SLOW, routes, 1).run() for routes in (None, [Route(cls="lookup", second_copy=SecondCopy(after_ms=200.0))])
+        Simulation(SLOW, routes, 1).run()
+        for routes in (None, [Route(cls="lookup", second_copy=SecondCopy(after_ms=200.0))])
     )
     assert fixed.p99_ms < 0.7 * without.p99_ms and fixed.engine_work_ms < 1.05 * without.engine_work_ms
     assert fixed.copies > 0 and fixed.doubled == without.doubled == fixed.unanswered == 0
@@ -787,8 +788,8 @@
 
 def test_the_rig_is_the_same_every_time():
     assert (
-        Rig(SLOW, [Route(cls="lookup", second_copy=SecondCopy(after="p95"))], 3).run()
-        == Rig(SLOW, [Route(cls="lookup", second_copy=SecondCopy(after="p95"))], 3).run()
+        Simulation(SLOW, [Route(cls="lookup", second_copy=SecondCopy(after="p95"))], 3).run()
+        == Simulation(SLOW, [Route(cls="lookup", second_copy=SecondCopy(after="p95"))], 3).run()
     )
 
 
@@ -975,7 +976,7 @@
         files(ROUTE.replace("700", "800"))
         daemon.send_signal(signal.SIGHUP)
         ask(8)
-        assert "as generation 2" in until("1 routes hold")
+        assert "as generation 2" in until("applied 1 routes")
         # what the platform's file now forbids is refused by the keys of both
         files(ROUTE + "priority = 1\n")
         site_["settings"]["Permissions"]["MaxAttempts"] = 1
