--- a/rackhub/gather/component.py
+++ b/rackhub/gather/component.py
@@ -1,4 +1,4 @@
-"""Gathering as a component of the daemon: rules from the operator's file, or from the rule set of the fleet."""
+"""The gather component of the daemon. Its rules come from the operator's file or from the fleet's rule set."""
 
 import logging
 from collections.abc import Mapping, Sequence
@@ -17,7 +17,7 @@
 
 
 class GatherComponent(Component):
-    """Hands the core a `GatherDispatcher`, and keeps its rules and the endpoint list current."""
+    """Gives the core a `GatherDispatcher`, and keeps its rules and endpoint list current."""
 
     def __init__(self, context: ComponentContext):
         super().__init__(context)
@@ -37,7 +37,7 @@
         context.core.gather_port = self.dispatcher
 
     def join_fleet(self, fleet: Fleet, level: OverloadStatus | None) -> None:
-        """Use the fleet's membership for reachability, its overload level, and its budget of retries."""
+        """Use the fleet's membership for reachability, and its overload level and retry budget."""
         self._fleet = fleet
         self.dispatcher.level = level
         fleet.members.follow(self._member_changed)
@@ -46,21 +46,22 @@
         self.dispatcher.cancel_unreachable()
 
     def _gateways_unreachable(self, site: Site) -> bool:
-        """Whether all coordinators of another installation are members of this fleet and none can be reached.
+        """Return whether all coordinators of another installation are members of this fleet and none is reachable.
 
-        Nothing is known of one that is no member; it is asked.
+        The reachability of a coordinator that is not a member is unknown; the site then counts as reachable.
         """
         if self._fleet is None:
             return False
         members = self._fleet.members
-        heard = members.reachable()
+        reachable = members.reachable()
         names_by_address = {member.client_address: name for name, member in members.all().items()}
         names = [names_by_address.get(address) for address in site.addresses]
-        return all(name is not None and name not in heard for name in names)
+        return all(name is not None and name not in reachable for name in names)
 
     def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
-        """Join the fleet and its rule set where they are on."""
-        fleet: Any = self.context.components.get("fleet")  # not by its type: where it is off it is not imported
+        """Join the fleet and its rule set, if they are enabled."""
+        # Typed as Any: the fleet is not imported where it is disabled.
+        fleet: Any = self.context.components.get("fleet")
         if fleet is not None:
             self.join_fleet(fleet.fleet, fleet.overload)
             if fleet.rules is not None:
@@ -73,27 +74,27 @@
         self.dispatcher.update_endpoints(listing)
 
     def reload(self, operator: Operator) -> None:
-        """Apply the file's rules, unless those of the rule set are in force."""
+        """Apply the file's rules, unless those of the rule set are active."""
         version = self.dispatcher.active.version
         if version:
-            log.info("reload: the rule book's version %d holds, not the file's [gather]", version)
+            log.info("reload: [gather] of the file is not applied, version %d of the rule set is active", version)
             return
         try:
             self._file_rules = gather_rules(operator.gather or {}, self.context.source.settings)
-        except ValueError as bad:
-            log.error("reload: bad gather rules, the old ones hold: %s", bad)
+        except ValueError as error:
+            log.error("reload: bad gather rules, keeping the active ones: %s", error)
             return
         self.dispatcher.apply_rules(self._file_rules, 0)
 
-    # ---- as `fleet.ports.RuleSection`
+    # ---- fleet.ports.RuleSection
 
-    def check(self, part: Mapping[str, Any] | None) -> None:
-        """Raise `ValueError` for rules that can't be used."""
-        gather_rules(dict(part or {}), self.context.source.settings)
+    def check(self, section: Mapping[str, Any] | None) -> None:
+        """Raise `ValueError` with all faults of the rules."""
+        gather_rules(dict(section or {}), self.context.source.settings)
 
-    def apply(self, part: Mapping[str, Any] | None, version: int) -> None:
-        """Apply the rules of a version of the rule set; None: those of the file."""
-        rules = self._file_rules if part is None else gather_rules(dict(part), self.context.source.settings)
+    def apply(self, section: Mapping[str, Any] | None, version: int) -> None:
+        """Apply the rules of a version of the rule set, or those of the file where it has no such section."""
+        rules = self._file_rules if section is None else gather_rules(dict(section), self.context.source.settings)
         self.dispatcher.apply_rules(rules, version)
 
     def stop(self) -> None:
@@ -105,7 +106,7 @@
         return self.dispatcher.metrics()
 
     def summary_lines(self) -> Sequence[str]:
-        """One line with all values above zero."""
+        """One line with all values except zero."""
         values = " ".join(f"{name}={value}" for name, value in self.metrics().items() if value)
         return [f"gather: {values or 'none'}"]
 
--- a/rackhub/gather/dispatcher.py
+++ b/rackhub/gather/dispatcher.py
@@ -1,6 +1,6 @@
-"""Gathered requests of one coordinator: a state machine for each, its subrequests here and at other installations.
+"""Gathered requests of one coordinator: a state machine for each, and its local and remote subrequests.
 
-Implements `core.gather.GatherPort`. All decisions are in `state`; here its effects are carried out.
+Implements `core.gather.GatherPort`. All decisions are made in `state`; this module carries out its effects.
 """
 
 import random
@@ -22,19 +22,19 @@
 
 MS = 1_000  # microseconds
 MEBIBYTE = 1_048_576
-JOIN_TIME_US = 20 * MS  # of the client's time, reserved for joining the rows and writing them
-DEFAULT_BACKOFF_US = 200 * MS  # for a refusal for which no site gave one
+JOIN_TIME_US = 20 * MS  # reserved before the client's deadline for joining and writing the rows
+DEFAULT_BACKOFF_US = 200 * MS  # the backoff of a refusal if no site gave one
 
 
 class Call(Protocol):
     """A subrequest in flight."""
 
     def cancel(self) -> None:
-        """Its result is not wanted any longer."""
+        """Cancel the subrequest, as its result is no longer needed."""
 
 
 class LocalCall(Reply):
-    """A subrequest to engines of this coordinator's list: a request of the core's own, whose answer arrives here."""
+    """A subrequest to engines of this coordinator: the reply of a request that is submitted to the core."""
 
     __slots__ = ("dispatcher", "request", "site", "attempt", "query", "done")
     marks = False
@@ -49,22 +49,22 @@
 
     @property
     def reading_paused(self) -> bool:  # type: ignore[override]
-        """Whether a disconnect of the gathered request's client can't be seen."""
+        """Whether reading from the client of the gathered request is paused, so its disconnect can't be seen."""
         return self.request.query.reply.reading_paused
 
     @property
     def may_have_unread_input(self) -> bool:  # type: ignore[override]
-        """Whether what is read of the gathered request's client has waited in the socket."""
+        """Whether bytes of the gathered request's client may still be unread in the socket."""
         return self.request.query.reply.may_have_unread_input
 
     def cancel(self) -> None:
-        """Disconnect from the core's request."""
+        """Cancel the core's request by disconnecting its client."""
         if not self.done and self.query is not None:
             self.done = True
             self.dispatcher.core.disconnect_client(self.query)
 
     def served(self, query: Query, rows: Sequence[bytes]) -> None:
-        """The subrequest has its rows."""
+        """The subrequest succeeded."""
         if not self.done:
             self.done = True
             self.dispatcher.complete_with_rows(self.request, self.site, self.attempt, rows)
@@ -88,7 +88,10 @@
 
 
 class GatheredRequest:
-    """One request that is being gathered, under the rules and sites that were in force when it began."""
+    """One open gathered request, with the rule and sites that were active when it began.
+
+    `calls` and `sent_at` are by site and attempt.
+    """
 
     __slots__ = ("query", "rule", "sites", "state", "hops", "calls", "sent_at", "attempted_addresses")
 
@@ -98,13 +101,13 @@
         self.sites = sites
         self.hops = hops
         self.state: Gather
-        self.calls: dict[tuple[str, int], Call] = {}  # by site and attempt
+        self.calls: dict[tuple[str, int], Call] = {}
         self.sent_at: dict[tuple[str, int], int] = {}
         self.attempted_addresses: dict[str, set[Address]] = {}
 
 
 class ActiveRules(NamedTuple):
-    """The rules in force and their version; 0: those of the operator's file."""
+    """The active rules and their version; 0: those of the operator's file."""
 
     rules: GatherRules
     version: int
@@ -113,8 +116,8 @@
 class GatherDispatcher:
     """Carries out the effects of all gathered requests.
 
-    `gateways_unreachable(site)`: whether members report all coordinators of another installation as unreachable.
-    `level`: the fleet's overload level, where there is a fleet.
+    `gateways_unreachable(site)` returns whether all coordinators of another installation are unreachable by the fleet's
+    membership. `level` is the fleet's overload level, None without a fleet.
     """
 
     def __init__(
@@ -145,7 +148,7 @@
     # ---- rules and endpoints
 
     def apply_rules(self, rules: GatherRules, version: int) -> None:
-        """Use other rules for requests from now on; those in flight end under theirs."""
+        """Apply rules to requests from now on; open requests keep theirs."""
         self.active = ActiveRules(rules, version)
         self.count("gather_rules_held")
 
@@ -155,7 +158,7 @@
         self.cancel_unreachable()
 
     def cancel_unreachable(self) -> None:
-        """Reachability has changed: don't wait for unreachable sites any longer."""
+        """Cancel subrequests to sites that have become unreachable."""
         for request in list(self.requests.values()):
             for site in [site for site in request.state.in_flight if self._is_unreachable(request.sites[site])]:
                 self._apply(request, request.state.mark_unreachable(self.core.clock.now(), site))
@@ -174,7 +177,7 @@
         if rule is None:
             return False
         hops = hop_count.hop_count_of(query.id)
-        if hops >= rules.file.hops:  # sites that gather from one another: here it runs as an ordinary request
+        if hops >= rules.file.hops:  # ends a loop of sites that gather from one another: it runs as an ordinary request
             self.count("gather_hops_ended")
             return False
         self.count("gathers")
@@ -203,7 +206,7 @@
         )
 
     def client_disconnected(self, query: Query) -> None:
-        """The client is gone, or the core has answered the request: cancel its subrequests."""
+        """Cancel the subrequests of a request whose client has disconnected, or that the core has answered."""
         request = self.requests.pop(query.id, None)
         if request is not None:
             self._apply(request, request.state.cancel())
@@ -226,7 +229,7 @@
     def complete_without_rows(
         self, request: GatheredRequest, site: str, attempt: int, reason: MissingReason, backoff: int, may_retry: bool
     ) -> None:
-        """A subrequest ended without rows. `may_retry`: another coordinator of the site could be asked."""
+        """A subrequest ended without rows. `may_retry`: another coordinator of the site may be tried."""
         now = self.core.clock.now()
         request.calls.pop((site, attempt), None)
         request.sent_at.pop((site, attempt), None)
@@ -245,7 +248,7 @@
         for effect in effects:
             match effect:
                 case SendSubrequest():
-                    if not request.state.done:  # an earlier effect may have led to the answer
+                    if not request.state.done:  # carrying out an earlier effect may have led to the answer
                         self._send_subrequest(request, effect)
                 case CancelSubrequest(site, attempt):
                     self._cancel_call(request, site, attempt)
@@ -293,7 +296,7 @@
     def _send_to_gateway(
         self, request: GatheredRequest, effect: SendSubrequest, site: Site, request_id: str, budget: int
     ) -> None:
-        if request.query.reply.reading_paused:  # its client may be gone
+        if request.query.reply.reading_paused:  # the client may have disconnected unseen
             self.complete_without_rows(request, effect.site, effect.attempt, "refused", 0, False)
             return
         attempted = request.attempted_addresses.setdefault(site.name, set())
@@ -319,7 +322,7 @@
         call = request.calls.pop((site, attempt), None)
         sent_at = request.sent_at.pop((site, attempt), None)
         self.count("gather_parts_called_off")
-        if sent_at is not None:  # it would have taken longer
+        if sent_at is not None:  # a lower bound of its latency
             self.latencies.add(site, request.query.cls, self.core.clock.now() - sent_at)
         if call is not None:
             call.cancel()
--- a/rackhub/gather/latency.py
+++ b/rackhub/gather/latency.py
@@ -1,17 +1,17 @@
-"""Latency of each site by class of request, from its last results. Pure."""
+"""Quantiles of the latency of sites, by class of request. Pure."""
 
 from collections import OrderedDict, deque
 
-MAX_SAMPLES = 64  # latest results of one site and class that count
-MIN_SAMPLES = 8  # results from which a quantile is given
-MAX_SERIES = 512  # pairs of site and class; the oldest makes way
+MAX_SAMPLES = 64  # number of latest results kept for a site and class
+MIN_SAMPLES = 8  # minimum number of results for a quantile
+MAX_SERIES = 512  # maximum number of pairs of site and class; the oldest is dropped
 
 
 class SiteLatencies:
     """Quantiles of latency over the last results, by site and class.
 
-    A cancelled subrequest counts with the time until its cancellation. It would have taken longer, so quantiles err on
-    the short side, and only by what was cancelled.
+    A cancelled subrequest counts with the time until its cancellation. It would have taken longer, so quantiles may be
+    too short where subrequests are cancelled.
     """
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self._latencies.setdefault(series, deque(maxlen=MAX_SAMPLES)).append(latency)
 
     def quantile(self, site: str, cls: str, fraction: float) -> int:
-        """The quantile in microseconds, or 0 where there are too few results."""
+        """Return a quantile in microseconds, or 0 with fewer than `MIN_SAMPLES` results."""
         latencies = self._latencies.get((site, cls))
         if latencies is None or len(latencies) < MIN_SAMPLES:
             return 0
--- a/rackhub/gather/remote_gateways.py
+++ b/rackhub/gather/remote_gateways.py
@@ -1,7 +1,7 @@
-"""Subrequests to other installations: their coordinators over the clients' protocol, JSON-RPC 2.0, a message a line.
+"""Subrequests to coordinators of other installations over the clients' protocol: JSON-RPC 2.0, one message per line.
 
-One connection to each coordinator, dialled when a subrequest needs it. Everything received is bounded and checked:
-what answers no pending call, or holds no complete rows, is counted and ends the connection.
+There is one connection to each coordinator, dialled when a subrequest needs it. Everything received is bounded and
+checked. A response to no pending call is counted and ignored; a malformed one is counted and ends the connection.
 """
 
 import itertools
@@ -18,15 +18,15 @@
 from rackhub.net.dial import SingleConnectionFactory
 
 log = logging.getLogger(__name__)
-REJECTED_CODE = -32008  # of a JSON-RPC error: retrying is harmless
-MAX_LINE_BYTES = 131_072  # 48,000 bytes of rows in base64, and what surrounds them
-MAX_PENDING_CALLS = 32  # on one connection, by the protocol
+REJECTED_CODE = -32008  # the JSON-RPC error code of a rejected request, which may be retried
+MAX_LINE_BYTES = 131_072  # 48,000 bytes of rows in base64, and the rest of the message
+MAX_PENDING_CALLS = 32  # the protocol's limit for one connection
 COLUMNS = 3
 MAX_BACKOFF_MS = 1e6
 MS = 1_000  # microseconds
 SECOND = 1_000_000  # microseconds
 Completion = Callable[[bytes | None, MissingReason, int, bool], None]
-"""The end of a call: its rows, or None with the reason, a backoff in microseconds, and whether it may be retried."""
+"""Called when a call ends: its rows, or None with the reason, a backoff in microseconds, and whether to retry it."""
 
 
 class ErrorObject(msgspec.Struct):
@@ -37,7 +37,7 @@
 
     @property
     def backoff(self) -> int:
-        """The backoff that the error asks for in microseconds, 0 where it asks for none that is sensible."""
+        """The requested backoff in microseconds; 0 if there is none from 0 to `MAX_BACKOFF_MS`."""
         backoff = self.data.get("backoff", 0)
         if not isinstance(backoff, int | float) or not 0 <= backoff <= MAX_BACKOFF_MS:
             return 0
@@ -45,7 +45,7 @@
 
 
 class GatherResult(msgspec.Struct):
-    """What a gathered result says of itself. `whole`: it is complete."""
+    """The `gather` status of a result. `whole`: it has the rows of all sites."""
 
     whole: bool
 
@@ -58,7 +58,7 @@
 
 
 class Response(msgspec.Struct):
-    """One response of another coordinator."""
+    """A JSON-RPC response of another coordinator."""
 
     id: int
     result: Result | None = None
@@ -69,7 +69,7 @@
 
 
 def are_complete_rows(body: bytes, max_bytes: int) -> bool:
-    """Whether this is a result: rows of three text columns, the last one terminated, within the size of a result."""
+    """Return whether a body is complete: UTF-8 rows of three columns, each terminated, within `max_bytes`."""
     if len(body) > max_bytes or body and not body.endswith(b"\n"):
         return False
     try:
@@ -96,7 +96,7 @@
         self._call_ids = itertools.count(1)
 
     def call(self, params: dict[str, Any], method: str, completed: Completion) -> int:
-        """Send a call and return its id; `completed` is called once unless it is cancelled."""
+        """Send a call and return its id; `completed` is called once, unless the call is cancelled."""
         call_id = next(self._call_ids)
         self.pending_calls[call_id] = completed
         self._send({"jsonrpc": "2.0", "id": call_id, "method": method, "params": params})
@@ -115,7 +115,7 @@
             self._unsent_lines.append(line)
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's names
-        """Send what was called while the connection was being dialled."""
+        """Send the calls that were made while the connection was being dialled."""
         if self.closed:
             self.transport.abortConnection()
             return
@@ -130,10 +130,10 @@
         try:
             response = RESPONSE_DECODER.decode(line)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-            self._abort("an answer that can't be read")
+            self._abort("a response that can't be decoded")
             return
         completed = self.pending_calls.pop(response.id, None)
-        if completed is None:  # it crossed a cancellation, or was sent twice
+        if completed is None:  # a response that crossed a cancellation, or a duplicate
             self.remotes.count("gather_strays")
         elif response.error is not None:
             rejected = response.error.code == REJECTED_CODE
@@ -144,15 +144,16 @@
     def _complete(self, result: Result | None, completed: Completion) -> None:
         if result is None or not are_complete_rows(result.body, self.remotes.max_result_bytes):
             completed(None, "failed", 0, True)
-            self._abort("an answer that is no rows")
-        elif result.gather is not None and not result.gather.whole:  # it gathered the request itself
+            self._abort("a result without complete rows")
+        elif result.gather is not None and not result.gather.whole:
+            # The other gateway gathered the request itself, and some of its sites are missing.
             self.remotes.count("gather_partial_parts")
             completed(None, "failed", 0, False)
         else:
             completed(result.body, "failed", 0, False)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        """End a connection that sends a line without end."""
+        """Abort a connection that sends a line that is too long."""
         self._abort(f"a line of more than {MAX_LINE_BYTES} bytes")
 
     def _abort(self, what: str) -> None:
@@ -161,11 +162,14 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        """Fail what was pending."""
+        """Fail the pending calls."""
         self.connection_closed()
 
     def connection_closed(self) -> None:
-        """The connection is lost or was never made: pending calls may be retried elsewhere, as they are idempotent."""
+        """Fail pending calls of a connection that is lost or was never made.
+
+        They may be retried at another coordinator, as gathered requests are idempotent.
+        """
         self.closed = True
         self.is_open = False
         self.remotes.forget(self)
@@ -176,7 +180,7 @@
 
 
 class RemoteCall:
-    """One call that can be cancelled."""
+    """A pending call."""
 
     __slots__ = ("_connection", "_call_id")
 
@@ -185,14 +189,14 @@
         self._call_id = call_id
 
     def cancel(self) -> None:
-        """The result is not wanted any longer."""
+        """Cancel the call, as its result is no longer needed."""
         self._connection.cancel(self._call_id)
 
 
 class RemoteGateways:
     """Connections to the coordinators of other installations.
 
-    `count(name)` adds one to a counter. `dial_timeout`: microseconds. `max_result_bytes`: of one result.
+    `count(name)` adds one to a counter. `dial_timeout` is in microseconds; `max_result_bytes` limits each result.
     """
 
     def __init__(self, reactor: Any, dial_timeout: int, max_result_bytes: int, count: Callable[[str], None]):
@@ -207,7 +211,7 @@
     ) -> RemoteCall | None:
         """Send a subrequest to one coordinator, with a time budget in microseconds.
 
-        None: it can take no further call now, and `completed` is not called.
+        Returns None if it has `MAX_PENDING_CALLS` pending; `completed` is not called then.
         """
         connection = self._connections.get(address)
         if connection is None:
@@ -226,7 +230,7 @@
         return RemoteCall(connection, connection.call(params, query.cls, completed))
 
     def forget(self, connection: Connection) -> None:
-        """Use another connection from now on."""
+        """Remove a closed connection; the next call dials a new one."""
         if self._connections.get(connection.address) is connection:
             del self._connections[connection.address]
 
--- a/rackhub/gather/result_cache.py
+++ b/rackhub/gather/result_cache.py
@@ -1,15 +1,15 @@
-"""The last complete result of each site for each request, within a bound of memory. Pure."""
+"""A cache of the last complete result of each site for each request, limited in memory. Pure."""
 
 from collections import OrderedDict
 from collections.abc import Hashable
 
 from rackhub.gather.state import CachedResult, Rows
 
-ENTRY_OVERHEAD_BYTES = 200  # of one cached result, beside its rows
+ENTRY_OVERHEAD_BYTES = 200  # estimated memory of a cached result in addition to its rows
 
 
 class ResultCache:
-    """Results by site and request; the least recently used ones are evicted. `max_bytes` bounds all of them."""
+    """Results by site and request; evicts the least recently used ones beyond `max_bytes` in total."""
 
     def __init__(self, max_bytes: int):
         self._max_bytes = max_bytes
@@ -17,7 +17,7 @@
         self.size_bytes = 0
 
     def put(self, site: str, request: Hashable, rows: Rows, now: int) -> None:
-        """Cache a result that was read at `now` (microseconds); one that can't fit is not cached."""
+        """Cache a result that was read at `now` (microseconds), unless it is larger than the cache."""
         self._drop((site, request))
         if rows.size + ENTRY_OVERHEAD_BYTES > self._max_bytes:
             return
@@ -27,7 +27,7 @@
             self._drop(next(iter(self._results)))
 
     def get(self, site: str, request: Hashable) -> CachedResult | None:
-        """The cached result, which counts as used now, or None."""
+        """Return the cached result, which then counts as used, or None."""
         found = self._results.get((site, request))
         if found is not None:
             self._results.move_to_end((site, request))
--- a/rackhub/gather/rules.py
+++ b/rackhub/gather/rules.py
@@ -1,4 +1,4 @@
-"""Which requests are gathered, from which sites, and what suffices: the `[gather]` table of the operator's file.
+"""The `[gather]` table of the operator's file: which requests are gathered, from which sites, and when that suffices.
 
 Times are milliseconds. Pure; docs/operators/gather.md has every key.
 """
@@ -16,12 +16,12 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}\Z")
 MAX_SITES = 16
 MAX_RULES = 100
-MAX_GATEWAYS = 16  # of one site
+MAX_GATEWAYS = 16  # gateway addresses of one site
 DAY_MS = 86_400_000
 
 
 class Site(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Where a part runs: engines of these zones of this list, or another installation by its gateways' addresses."""
+    """Where a subrequest runs: engines of these zones, or another installation by its gateways' addresses."""
 
     name: str
     zones: tuple[str, ...] = ()
@@ -30,18 +30,19 @@
 
     @property
     def addresses(self) -> tuple[tuple[str, int], ...]:
-        """Addresses of the other installation's coordinators; none for a site of zones."""
+        """The addresses of the other installation's coordinators; empty for a site of zones."""
         return tuple(parse_ipv4_address(text, "gateways") for text in self.gateways)
 
 
 class Rule(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One rule; the first that a request meets holds. What it matches, left out: all.
-
-    `needs`: what must be in the answer; `weight`: a part of the weight of all sites instead. `wait`: once the need is
-    met, until the budget's end, not at all, or as long as the missing sites usually take (`worth` of their learned
-    times). `fill_ms`: how old a site's last whole answer may be to stand in for it; 0: none does. `spare`: sites that
-    are left out while the fleet is over its level. `partial`: clients of these classes take an answer that is not
-    whole, which says so; without it every site has to be in, fresh.
+    """One rule; the first that matches a request applies. A match key that is left out matches all requests.
+
+    `needs`: the sites that an answer must have; `weight`: instead, a fraction of the weight of all sites. `wait`: how
+    long to wait for further sites once the answer suffices: until the end of the time budget, not at all, or for the
+    quantile `worth` of their learned latencies. `patience_ms`: that wait while a latency is unknown. `fill_ms`: the
+    greatest age of a cached result that may replace a missing one; 0: none may. `spare`: sites that are left out while
+    the fleet is overloaded. `partial`: clients of these classes accept a partial answer, which is marked as such;
+    without it every site must return fresh rows. `tries`: attempts at another installation, one after the other.
     """
 
     cls: Names = msgspec.field(name="class")
@@ -52,12 +53,10 @@
     weight: Annotated[float, Meta(gt=0, le=1)] | None = None
     wait: Literal["budget", "need", "learned"] = "budget"
     latency_quantile: Annotated[float, Meta(gt=0, lt=1)] = msgspec.field(name="worth", default=0.9)
-    # where the latency of a site is not known yet
     default_wait_ms: Annotated[float, Meta(ge=0, le=DAY_MS)] = msgspec.field(name="patience_ms", default=200.0)
     fill_ms: Annotated[float, Meta(ge=0, le=DAY_MS)] = 0.0
     spare: tuple[str, ...] = ()
     partial: bool = False
-    # at another installation, one after the other
     max_attempts: Annotated[int, Meta(ge=1, le=4)] = msgspec.field(name="tries", default=2)
 
 
@@ -66,12 +65,12 @@
 
     site: tuple[Site, ...] = ()
     rule: tuple[Rule, ...] = ()
-    hops: Annotated[int, Meta(ge=1, le=4)] = 1  # a subrequest that has passed so many coordinators is not gathered
+    hops: Annotated[int, Meta(ge=1, le=4)] = 1  # a subrequest that has passed this many coordinators is not gathered
     cache_mb: Annotated[float, Meta(ge=0, le=1024)] = msgspec.field(name="kept_mb", default=8.0)
 
 
 class Fault(NamedTuple):
-    """A value that can't be used: its key, the value as JSON and the reason."""
+    """An invalid value, its key and the reason; as text with the value in JSON."""
 
     key: str
     value: Any
@@ -82,7 +81,7 @@
 
 
 class GatherRules:
-    """The rules in force, found by class, tenant and table group."""
+    """The rules of one file, found by class, tenant and table group."""
 
     def __init__(self, file: GatherFile):
         self.file = file
@@ -90,19 +89,19 @@
         self.weights = {site.name: site.weight for site in file.site}
 
     def find(self, cls: str, tenant: str, tables: int | None) -> Rule | None:
-        """The first rule that matches, or None."""
+        """Return the first rule that matches, or None."""
         return next((rule for rule in self.file.rule if matches(rule, cls, tenant, tables)), None)
 
 
 def names(configured: Names | None) -> tuple[str, ...] | None:
-    """Names as a tuple, or None where the key was left out and all names match."""
+    """Return names as a tuple, or None if the key was left out and all names match."""
     if configured is None:
         return None
     return (configured,) if isinstance(configured, str) else tuple(configured)
 
 
 def matches(rule: Rule, cls: str, tenant: str, tables: int | None) -> bool:
-    """Whether a rule is for requests of this class, tenant and table group."""
+    """Return whether a rule matches requests of this class, tenant and table group."""
     classes = names(rule.cls)
     tenants = names(rule.tenant)
     return (
@@ -113,7 +112,7 @@
 
 
 def gather_rules(table: dict[str, Any], settings: interface.Settings) -> GatherRules:
-    """The checked rules of a table. Raises `ValueError` with all faults, each with key, value and reason."""
+    """Parse and check a `[gather]` table. Raises `ValueError` with all faults: key, value and reason of each."""
     try:
         file = msgspec.convert(table, GatherFile, strict=False)
     except msgspec.ValidationError as bad:
@@ -138,7 +137,7 @@
         if not NAME.match(site.name):
             faults.append(Fault(f"{key}.name", site.name, "not 1 to 63 letters, digits, dots, dashes or underscores"))
         if site.name in seen:
-            faults.append(Fault(f"{key}.name", site.name, "a site of that name is there already"))
+            faults.append(Fault(f"{key}.name", site.name, "another site has that name already"))
         seen.add(site.name)
         if bool(site.zones) == bool(site.gateways):
             faults.append(Fault(f"{key}.zones", site.zones, "a site has either zones or gateways"))
@@ -174,7 +173,7 @@
         if name not in classes:
             faults.append(Fault(f"{key}.class", name, "the site has no such class"))
         elif classes[name].idempotency != interface.Idempotency.IDEMPOTENT:
-            # a subrequest may have run although its site did not answer
+            # A subrequest may have run although its site did not answer.
             effect = classes[name].idempotency
             reason = f"may not simply be repeated (effect {effect}), so it is never gathered"
             faults.append(Fault(f"{key}.class", name, reason))
@@ -204,12 +203,12 @@
         elif name in needed:
             faults.append(Fault(f"{key}.spare", name, "needed, so it can't be spared"))
     if rule.needs != "all" and rule.weight is not None:
-        faults.append(Fault(f"{key}.weight", rule.weight, "needs names the sites already"))
+        faults.append(Fault(f"{key}.weight", rule.weight, "can't be set together with a list of needs"))
     return faults
 
 
 def _partial_faults(key: str, rule: Rule) -> list[Fault]:
-    """Keys that only a partial answer could use, in a rule that allows none."""
+    """Return a fault for each key that only applies to partial answers, if the rule allows none."""
     if rule.partial:
         return []
     configured = (
@@ -219,5 +218,5 @@
         ("spare", rule.spare, bool(rule.spare)),
         ("wait", rule.wait, rule.wait != "budget"),
     )
-    reason = "without partial = true no answer that is not whole is given"
+    reason = "applies to partial answers only: set partial = true"
     return [Fault(f"{key}.{name}", value, reason) for name, value, is_set in configured if is_set]
--- a/rackhub/gather/state.py
+++ b/rackhub/gather/state.py
@@ -1,7 +1,7 @@
-"""One gathered request as a state machine: events of its subrequests in, effects out. No I/O, no clock of its own.
+"""The state machine of one gathered request: it takes events of subrequests and returns effects. No I/O, no clock.
 
-Times are microseconds of the gathering coordinator's clock. A site has at most one subrequest in flight; what arrives
-after its end, or twice, changes nothing.
+Times are microseconds of the gathering coordinator's clock. A site has at most one subrequest in flight; late and
+duplicate events are ignored.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -11,18 +11,18 @@
 from rackhub.gather.rules import Rule
 
 MS = 1_000  # microseconds
-WEIGHT_TOLERANCE = 1e-9  # for sums of weights as floating-point numbers
+WEIGHT_TOLERANCE = 1e-9  # tolerance for the rounding of floating-point sums of weights
 
 
 class Rows(NamedTuple):
-    """All rows of one site, in pages, and their age in microseconds; 0: read just now."""
+    """All rows of one site, in pages, and their age in microseconds; 0 for fresh rows."""
 
     pages: Sequence[bytes]
     age: int = 0
 
     @property
     def size(self) -> int:
-        """Bytes of all pages."""
+        """The size of all pages in bytes."""
         return sum(map(len, self.pages))
 
 
@@ -51,14 +51,14 @@
 
 
 class Answer(NamedTuple):
-    """The final answer: served, with the sites' rows in order and their status (None: complete), or refused.
+    """The final answer: served, with the rows in the order of the sites and their status, or refused.
 
-    `backoff`: microseconds for which a refused client should stay away. `reason`: for the log alone.
+    `backoff`: the Retry-After of a refusal in microseconds. `reason`: for diagnostics only.
     """
 
     outcome: Literal["served", "refused"]
     pages: Sequence[bytes] = ()
-    status: GatherStatus | None = None
+    status: GatherStatus | None = None  # None if refused
     backoff: int = 0
     reason: str = ""
 
@@ -67,7 +67,7 @@
 
 
 class CachedResult(NamedTuple):
-    """An earlier result of a site, which may stand in for a missing one, and when it was read."""
+    """An earlier result of a site, which may replace a missing one, and the time at which it was read."""
 
     rows: Rows
     read_at: int
@@ -76,9 +76,10 @@
 class Gather:
     """A gathered request from its start to its answer.
 
-    `weights`: by site. `usual_latency(site)`: the latency at the rule's quantile, 0 where it is unknown.
-    `cached_result(site)`: the last complete result of this request. `take_retry_token()`: takes one retry from the
-    fleet's budget, False where none is left. `partial_accepted`: the client's protocol can mark an answer as partial.
+    `weights`: by site. `usual_latency(site)`: the latency at the rule's quantile, 0 if it is unknown.
+    `cached_result(site)`: the last complete result for this request. `take_retry_token()`: takes one retry from the
+    fleet's budget and returns False if none is left. `backoff`: the minimum Retry-After of a refusal.
+    `partial_accepted`: the client's protocol can mark an answer as partial.
     """
 
     def __init__(
@@ -116,8 +117,8 @@
     def start(self, now: int, is_unreachable: Callable[[str], bool], overloaded: bool) -> list[Effect]:
         """Admit or refuse the request as a whole.
 
-        Unreachable sites are not waited for. While the fleet is overloaded, sites that the rule can spare are left out
-        as far as the others can still suffice.
+        No subrequest is sent to unreachable sites. While the fleet is overloaded, spare sites are left out too, as long
+        as the other sites can still suffice.
         """
         for site in self.rule.sites:
             if is_unreachable(site):
@@ -146,7 +147,7 @@
     def fail_site(
         self, now: int, site: str, attempt: int, reason: MissingReason, backoff: int = 0, may_retry: bool = False
     ) -> list[Effect]:
-        """A subrequest ended without rows. `may_retry`: another coordinator of the site could be asked."""
+        """A subrequest ended without rows. `may_retry`: another coordinator of the site may be tried."""
         if self.done or self.in_flight.get(site) != attempt:
             return []
         del self.in_flight[site]
@@ -160,7 +161,7 @@
         return self.attempts[site] < self.rule.max_attempts and now < self.deadline and self._take_retry_token()
 
     def mark_unreachable(self, now: int, site: str) -> list[Effect]:
-        """The members report a site as unreachable: its subrequest is not waited for any longer."""
+        """Cancel the subrequest to a site that has become unreachable."""
         if self.done or site not in self.in_flight:
             return []
         attempt = self.in_flight.pop(site)
@@ -168,7 +169,7 @@
         return [CancelSubrequest(site, attempt), *self._evaluate(now)]
 
     def timer_fired(self, now: int) -> list[Effect]:
-        """A timer that `StartTimer` asked for is due."""
+        """The timer of a `StartTimer` is due."""
         if self.done:
             return []
         if now >= self.deadline:
@@ -176,7 +177,7 @@
         return self._evaluate(now)
 
     def cancel(self) -> list[Effect]:
-        """The client has disconnected, or was answered from elsewhere."""
+        """Cancel all subrequests: the client has disconnected, or the core has answered it."""
         self.done = True
         return self._cancel_calls()
 
@@ -189,7 +190,7 @@
         return SendSubrequest(site, attempt, self.deadline)
 
     def _evaluate(self, now: int) -> list[Effect]:
-        """Finish if nothing is in flight, if the answer can't suffice any more, or if the wait is over."""
+        """Finish if no subrequest is in flight, if the answer can no longer suffice, or if the wait is over."""
         if not self.in_flight or not self._can_succeed(frozenset(self.missing), now):
             return self._finish(now)
         if not self._partial_allowed or self.rule.wait == "budget" or not self._is_sufficient(frozenset(self.fresh)):
@@ -198,7 +199,7 @@
         return self._finish(now) if now >= wait_limit else [StartTimer(wait_limit)]
 
     def _wait_limit(self, now: int) -> int:
-        """Until when missing sites are waited for once the others suffice."""
+        """Return the time until which to wait for further sites, now that the others suffice."""
         self._sufficient_at = self._sufficient_at or now
         if self.rule.wait == "need":
             return self._sufficient_at
@@ -212,14 +213,14 @@
         return self._sufficient_at + int(self.rule.default_wait_ms * MS)
 
     def _stand_in(self, site: str, now: int) -> Rows | None:
-        """The cached rows of a site where the rule allows them and they are recent enough."""
+        """Return the cached rows of a site, if the rule allows them and they are recent enough."""
         cached = self._cached_result(site) if self._partial_allowed and self.rule.fill_ms else None
         if cached is None or now - cached.read_at > self.rule.fill_ms * MS:
             return None
         return Rows(cached.rows.pages, max(now - cached.read_at, 1))
 
     def _is_sufficient(self, present: frozenset[str]) -> bool:
-        """Whether these sites are enough for an answer."""
+        """Return whether the rows of these sites suffice for an answer."""
         if not self._partial_allowed:
             return present.issuperset(self.rule.sites)
         if self.rule.weight is not None:
@@ -228,7 +229,10 @@
         return present.issuperset(self.rule.sites if self.rule.needs == "all" else self.rule.needs)
 
     def _can_succeed(self, missing: frozenset[str], now: int) -> bool:
-        """Whether the answer can still suffice without these sites: one site fresh, cached results for others."""
+        """Return whether the answer can still suffice without fresh rows of the missing sites.
+
+        Cached results may replace them, but at least one site must return fresh rows.
+        """
         present = {site for site in self.rule.sites if site not in missing}
         stood_in = {site for site in missing if self._stand_in(site, now) is not None}
         return bool(present) and self._is_sufficient(frozenset(present | stood_in))
@@ -236,7 +240,7 @@
     # ---- the answer
 
     def _finish(self, now: int) -> list[Effect]:
-        """The final answer, from what is here."""
+        """Return the final answer from the available rows, after cancelling all subrequests."""
         absent: dict[str, MissingReason] = {**self.missing, **dict.fromkeys(self.in_flight, "late")}
         rows = dict(self.fresh)
         for site in absent:
@@ -254,7 +258,7 @@
         return [*self._cancel_calls(), Answer("served", pages, self._status(rows, absent))]
 
     def _drop_oversized(self, rows: dict[str, Rows], absent: dict[str, MissingReason]) -> None:
-        """Leave out sites from the end of the rule while the rows are too large and the others still suffice."""
+        """While the rows are too large, leave out sites, from the rule's last one, without which the others suffice."""
         for site in reversed(self.rule.sites):
             if (
                 site in rows
--- a/rackhub/timings/latency_quantiles.py
+++ b/rackhub/timings/latency_quantiles.py
@@ -28,7 +28,7 @@
 MAX_FALL = 0.8
 MAX_LATENCY_MS = 3_600_000
 MEAN_SMOOTHING = 16  # number of answers over which the mean of an engine is smoothed
-MAX_ENGINE_MEANS = 4_096  # beyond this number the oldest mean is dropped
+MAX_ENGINE_MEANS = 4_096  # maximum number of pairs of class and engine; the oldest is dropped
 
 
 class _Histograms:
@@ -43,7 +43,8 @@
 
 
 def _empty() -> HdrHistogram:
-    return HdrHistogram(1, MAX_LATENCY_MS * 10, 2)  # in tenths of a millisecond, with two significant digits
+    """Return an empty histogram of tenths of a millisecond with two significant digits."""
+    return HdrHistogram(1, MAX_LATENCY_MS * 10, 2)
 
 
 class LatencyQuantiles:
@@ -51,8 +52,9 @@
 
     def __init__(self) -> None:
         self._histograms: dict[tuple[str, str], _Histograms] = {}
-        self._log_means: dict[tuple[str, str], float] = {}  # the mean of the logarithms, by class and engine
-        self._medians: dict[str, tuple[int, float]] = {}  # by class: when computed, and the median of the log means
+        self._log_means: dict[tuple[str, str], float] = {}  # smoothed logarithm of the latency, by class and engine
+        # the time of the computation and the median of the log means, by class
+        self._medians: dict[str, tuple[int, float]] = {}
 
     def record(self, cls: str, kind: str, engine: str, elapsed: int, now: int, timed_out: bool = False) -> None:
         """Record an attempt that succeeded after `elapsed`, or was ended then by its own time-out."""
--- a/rackhub/timings/route_policy.py
+++ b/rackhub/timings/route_policy.py
@@ -136,7 +136,7 @@
 
     def end_request(self, request: TrackedRequest, now: int) -> None:
         """Note that a request was answered or its client has disconnected."""
-        if not request.was_sent:  # most of these were shed
+        if not request.was_sent:  # counts as shed, also in the rare case that the client has disconnected
             for budget in (request.retry_budget, request.hedge_budget):
                 if budget is not None:
                     budget.count(SHED, now)
--- a/rackhub/timings/routes.py
+++ b/rackhub/timings/routes.py
@@ -9,7 +9,7 @@
 Names = str | list[str]
 Reason = Literal["full", "noconn", "reset", "error", "late"]
 RETRY_REASONS: tuple[Reason, ...] = ("full", "noconn", "reset", "error", "late")
-NOT_EXECUTED_REASONS: frozenset[Reason] = frozenset(("full", "noconn"))  # these prove that an attempt did not run
+NOT_EXECUTED_REASONS: frozenset[Reason] = frozenset(("full", "noconn"))  # outcomes of attempts that surely did not run
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 Quantile = Annotated[str, Meta(pattern=r"^p\d{1,2}(\.\d{1,3})?(\*\d+(\.\d+)?)?$")]
 DAY_MS = 86_400_000
@@ -56,7 +56,7 @@
     cls: Names | None = msgspec.field(default=None, name="class")
     tenant: Names | None = None
     engine_kind: Names | None = None
-    estimate_ms: tuple[float, float] | None = None  # from the first to before the second
+    estimate_ms: tuple[float, float] | None = None  # lower bound (inclusive) and upper bound (exclusive)
 
     attempt_timeout_ms: float | None = None
     attempt_timeout: Quantile | None = None
--- a/rackhub/timings/table.py
+++ b/rackhub/timings/table.py
@@ -80,7 +80,7 @@
     def __init__(self, routes: Sequence[Route], settings: interface.Settings):
         self.routes, self._settings = tuple(routes), settings
         self._estimate_bounds = [int(bound * MS) for bound in estimate_bounds(routes)]
-        # by class and tenant: the terms for each range of estimates
+        # The terms for each range of estimates, by class and tenant.
         self._terms_by_request: dict[tuple[str, str], list[Terms]] = {}
         self._unknown_class_terms = self._terms("", "", 0.0)
 
