--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -1,4 +1,4 @@
-"""Timings by route: the table of bad files, the modules that decide, the core under them, reloads, both fronts."""
+"""Tests of the timings: invalid files, budgets, learned limits, the core with a route policy, reloads, both fronts."""
 
 import json
 import math
@@ -13,9 +13,8 @@
 
 import msgspec
 import pytest
-from bad_timings import BAD, COPIES, GOOD, SITE, part
-from harness import CLASSES, LIMITS, EngineServer, FakeClock, RespEngine, TdsEngine, dial, spin
-from harness import CoordinatorTestBed as Loopback
+from bad_timings import BAD_FILES, GOOD_FILE, SITE, SITE_WITH_HEDGING, timings_section
+from harness import CLASSES, LIMITS, CoordinatorTestBed, EngineServer, FakeClock, RespEngine, TdsEngine, dial, spin
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
@@ -46,30 +45,30 @@
 
 
 def faults(text, settings):
-    routes, wrong = read_routes(part(text))
+    routes, wrong = read_routes(timings_section(text))
     return wrong + check(routes, settings).faults
 
 
 # ---- the file
 
 
-@pytest.mark.parametrize("text, keys, settings", [row[1:] for row in BAD], ids=[row[0] for row in BAD])
-def test_a_bad_file_is_refused_by_exactly_its_keys(text, keys, settings):
+@pytest.mark.parametrize("text, keys, settings", [row[1:] for row in BAD_FILES], ids=[row[0] for row in BAD_FILES])
+def test_bad_file_is_rejected_with_exactly_the_keys_at_fault(text, keys, settings):
     found = faults(text, settings)
     assert sorted(fault.key for fault in found) == sorted(keys)
     assert all(fault.reason and "\n" not in str(fault) for fault in found)
 
 
-def test_the_table_of_bad_files_is_long_and_stands_in_the_docs():
-    assert len(BAD) >= 60
+def test_all_bad_files_are_listed_in_the_docs():
+    assert len(BAD_FILES) >= 60
     page = (DOCS / "timings.md").read_text()
-    assert [what for what, *_ in BAD if f"| {what} |" not in page] == []
+    assert [what for what, *_ in BAD_FILES if f"| {what} |" not in page] == []
 
 
-def test_a_good_file_is_taken_and_a_route_without_a_kind_is_met_beside_one_with():
-    assert faults(GOOD, SITE) == []
+def test_routes_with_and_without_engine_kind_apply_together():
+    assert faults(GOOD_FILE, SITE) == []
     assert faults('[[timings.route]]\nengine_kind = "std-8"\npriority = 2\n[[timings.route]]\nattempts = 2', SITE) == []
-    table = timings_table(part(GOOD), SITE)
+    table = timings_table(timings_section(GOOD_FILE), SITE)
     terms = table.find("lookup", "nyarugenge-bikes", 0)
     assert (terms.route, terms.attempts, terms.over) == (2, 2, 5 * S)
     assert terms.for_kind("std-16").learned == LearnedLimit(99.0, 1.5) and terms.for_kind("std-16").priority == 2
@@ -80,7 +79,7 @@
     assert table.find("report", "huye-cycle", 0).route is None and table.find("dance", "x", 0).attempts == 3
 
 
-def test_what_is_legal_and_unwise_is_told_apart_from_faults():
+def test_unwise_values_are_warnings_and_not_faults():
     unwise = {
         'class = "lookup"': "sets nothing",
         "retry_on = []": "is empty",
@@ -91,15 +90,15 @@
         'class = "lookup"\nattempts = 2\nattempt_timeout_ms = 2000': "less than its time-out",
     }
     for text, why in unwise.items():
-        checked = check(read_routes(part(f"[[timings.route]]\n{text}"))[0], SITE)
+        checked = check(read_routes(timings_section(f"[[timings.route]]\n{text}"))[0], SITE)
         assert not checked.faults and any(why in warning.reason for warning in checked.warnings), text
-    site = msgspec.convert(msgspec.to_builtins(COPIES) | {"cancel": False, "priorities": False}, t.Settings)
+    site = msgspec.convert(msgspec.to_builtins(SITE_WITH_HEDGING) | {"cancel": False, "priorities": False}, t.Settings)
     text = '[[timings.route]]\nclass = "lookup"\npriority = 2\nsecond_copy = { after_ms = 300, most_share = 0.5 }'
-    keys = [warning.key for warning in check(read_routes(part(text))[0], site).warnings]
+    keys = [warning.key for warning in check(read_routes(timings_section(text))[0], site).warnings]
     assert [key.rpartition("]")[2] for key in keys] == [".priority", ".second_copy", ".second_copy.most_share"]
 
 
-def test_a_fault_names_the_key_of_the_other_file_too():
+def test_fault_names_the_related_key_of_the_platform_file():
     found = faults('[[timings.route]]\nclass = "lookup"\nsecond_copy = { after_ms = 250 }', SITE)
     assert "settings.Permissions.SecondCopies" in str(found[0])
     with pytest.raises(ConfigError) as refused:
@@ -110,7 +109,7 @@
     )
 
 
-def test_the_schema_in_the_docs_is_that_of_the_types(capsys):
+def test_schema_in_the_docs_is_current(capsys):
     assert main(["config", "schema"]) == 0
     assert capsys.readouterr().out == (DOCS / "operator.schema.json").read_text()
 
@@ -118,7 +117,7 @@
 # ---- budgets
 
 
-def test_a_budget_is_a_share_of_what_came_lately_and_older_requests_pay_for_nothing():
+def test_budget_is_a_share_of_recently_served_requests():
     budget = SlidingBudget(10 * S)
     for i in range(1_000):
         budget.count(SERVED, i * 10 * MS)
@@ -127,24 +126,24 @@
         budget.count(SPENT, 10 * S)
         spent += 1
     assert 95 <= spent <= 101 and 0 < budget.time_until_refill(10 * S) <= 10 * S
-    assert not budget.may_spend(12 * S, 0.1, 3)  # calm before does not help: what was spent counts, what came fades
+    assert not budget.may_spend(12 * S, 0.1, 3)  # spending still counts, while older served requests expire
     assert budget.may_spend(21 * S, 0.1, 3) and budget.totals == [0, 0, 0]
     for _ in range(3):
         budget.count(SPENT, 21 * S)
-    assert not budget.may_spend(21 * S, 0.1, 3)  # the floor, and no more
+    assert not budget.may_spend(21 * S, 0.1, 3)  # the floor is spent
 
 
-def test_a_clock_that_jumps_loses_the_window_and_breaks_nothing():
+def test_budget_counts_correctly_after_clock_jumps():
     budget = SlidingBudget(10 * S)
     budget.count(SERVED, 100 * S)
     budget.count(SPENT, 100 * S)
-    budget.count(SERVED, 50 * S)  # back: counted in the newest step
+    budget.count(SERVED, 50 * S)  # the clock went back: counts in the newest step
     assert budget.totals == [2, 1, 0]
     budget.count(SERVED, 10_000 * S)
     assert budget.totals == [1, 0, 0]
 
 
-def test_requests_that_are_turned_away_take_the_room_for_repeats():
+def test_shed_requests_reduce_the_budget():
     budget = SlidingBudget(10 * S)
     for i in range(1_000):
         budget.count(SHED if i % 2 else SERVED, i * MS)
@@ -154,31 +153,31 @@
     assert budget.may_spend(2 * S, 0.1, 0)
 
 
-def test_a_request_that_is_turned_away_is_counted_so_and_one_that_was_sent_is_not():
-    here = Core(Route(cls="lookup", retry_share=0.5, retry_floor=0))
-    here.ask()
-    here.end(here.port.sent[0], "GOOD")
-    (budget,) = here.policy._retry_budgets.values()
+def test_only_requests_without_an_attempt_count_as_shed():
+    bed = PolicyTestBed(Route(cls="lookup", retry_share=0.5, retry_floor=0))
+    bed.submit()
+    bed.end(bed.port.sent[0], "GOOD")
+    (budget,) = bed.policy._retry_budgets.values()
     assert budget.totals == [1, 0, 0]
-    here.core.update_endpoints([], 2)
-    here.ask()
-    assert here.port.answers[-1][1] == "refused" and budget.totals == [1, 0, 1]
+    bed.core.update_endpoints([], 2)
+    bed.submit()
+    assert bed.port.answers[-1][1] == "refused" and budget.totals == [1, 0, 1]
 
 
 @pytest.mark.parametrize("share, floor", [(0.1, 3), (0.5, 0), (0.0, 5)])
-def test_in_any_window_no_more_is_spent_than_its_share(share, floor):
-    chance, budget, events, now = random.Random(floor), SlidingBudget(10 * S), [], 0
+def test_spending_never_exceeds_the_share_in_any_window(share, floor):
+    generator, budget, events, now = random.Random(floor), SlidingBudget(10 * S), [], 0
     for _ in range(5_000):
-        now += int(chance.expovariate(1 / 20_000))
+        now += int(generator.expovariate(1 / 20_000))
         budget.count(SERVED, now)
         events.append((now, 0))
-        if chance.random() < 0.6 and budget.may_spend(now, share, floor):
+        if generator.random() < 0.6 and budget.may_spend(now, share, floor):
             budget.count(SPENT, now)
             events.append((now, 1))
     for at in range(10 * S, now, 3 * S):
         lately = [spent for when, spent in events if at - 10 * S < when <= at]
         spent = sum(lately)
-        # steps are a twentieth of the window: so much, and one, is the most that it can be off by
+        # A step is a twentieth of the window, which bounds the error.
         assert spent <= max(floor, share * (len(lately) - spent) * 1.12) + 1
 
 
@@ -188,10 +187,10 @@
 P99 = LearnedLimit(99.0, 1.5)
 
 
-def feed(quantiles, chance, now, count, mean_ms=100.0, engine=None, span=HISTOGRAM_SPAN):
+def feed(quantiles, generator, now, count, mean_ms=100.0, engine=None, span=HISTOGRAM_SPAN):
     for i in range(count):
         name = engine or f"e{i % 8}"
-        took = int(mean_ms * MS * math.exp(chance.gauss(0, 0.3)))
+        took = int(mean_ms * MS * math.exp(generator.gauss(0, 0.3)))
         quantiles.record("lookup", "std", name, took, now + i * span // count)
     return now + span
 
@@ -200,46 +199,46 @@
     return quantiles.limit("lookup", "std", P99, least, most, now)
 
 
-def test_nothing_is_learned_from_the_first_samples():
-    quantiles, chance = LatencyQuantiles(), random.Random(1)
-    feed(quantiles, chance, 0, MIN_SAMPLES - 1, span=S)
+def test_limit_needs_a_minimum_of_samples():
+    quantiles, generator = LatencyQuantiles(), random.Random(1)
+    feed(quantiles, generator, 0, MIN_SAMPLES - 1, span=S)
     assert limit(quantiles, S) is None and limit(quantiles, S, most=900.0) == 900.0
-    feed(quantiles, chance, S, 200, span=S)
+    feed(quantiles, generator, S, 200, span=S)
     found = limit(quantiles, 2 * S)
-    assert 200 < found < 450  # p99 of these is some 200 ms
+    assert 200 < found < 450  # the p99 of these samples is about 200 ms
     assert limit(quantiles, 2 * S, least=800.0) == 800.0 and limit(quantiles, 2 * S, most=150.0) == 150.0
 
 
-def test_one_slow_engine_does_not_raise_the_limit_that_is_to_cut_it():
-    quantiles, chance, now = LatencyQuantiles(), random.Random(2), 0
+def test_one_slow_engine_does_not_raise_the_limit():
+    quantiles, generator, now = LatencyQuantiles(), random.Random(2), 0
     for _ in range(4):
-        now = feed(quantiles, chance, now, 400)
+        now = feed(quantiles, generator, now, 400)
     before = limit(quantiles, now)
     for _ in range(4):
         for i in range(400):
-            took = int((100.0 if i % 8 else 600.0) * MS * math.exp(chance.gauss(0, 0.3)))
+            took = int((100.0 if i % 8 else 600.0) * MS * math.exp(generator.gauss(0, 0.3)))
             quantiles.record("lookup", "std", f"e{i % 8}", took, now + i * HISTOGRAM_SPAN // 400)
         now += HISTOGRAM_SPAN
     assert limit(quantiles, now) < 1.3 * before
 
 
-def test_all_engines_slow_raise_it_at_once():
-    quantiles, chance, now = LatencyQuantiles(), random.Random(3), 0
+def test_limit_rises_at_once_when_all_engines_are_slow():
+    quantiles, generator, now = LatencyQuantiles(), random.Random(3), 0
     for _ in range(3):
-        now = feed(quantiles, chance, now, 400)
+        now = feed(quantiles, generator, now, 400)
     before = limit(quantiles, now)
-    now = feed(quantiles, chance, now, 400, mean_ms=300.0)
+    now = feed(quantiles, generator, now, 400, mean_ms=300.0)
     assert limit(quantiles, now) > 2 * before
 
 
-def test_its_own_cuts_do_not_drive_it_down():
-    """Closed loop: what would take longer than the limit is cut there. Without counting cuts it falls to nothing."""
-    quantiles, chance, now, cuts, total = LatencyQuantiles(), random.Random(4), 0, 0, 0
-    now = feed(quantiles, chance, now, 400)
+def test_time_outs_do_not_drive_the_limit_down():
+    """The limit ends the attempts that it is learned from. If time-outs did not count, it would fall to nothing."""
+    quantiles, generator, now, cuts, total = LatencyQuantiles(), random.Random(4), 0, 0, 0
+    now = feed(quantiles, generator, now, 400)
     for step in range(60):
         for i in range(200):
             at = now + i * HISTOGRAM_SPAN // 200
-            would, most = 100 * MS * math.exp(chance.gauss(0, 0.5)), (limit(quantiles, at) or 1e9) * MS
+            would, most = 100 * MS * math.exp(generator.gauss(0, 0.5)), (limit(quantiles, at) or 1e9) * MS
             cut = would > most
             quantiles.record("lookup", "std", f"e{i % 8}", int(min(would, most)), at, cut)
             if step >= 30:
@@ -248,35 +247,35 @@
     assert cuts / total < 0.02 and 200 < limit(quantiles, now) < 1_000
 
 
-def test_it_falls_slowly_and_forgets_what_is_old():
-    quantiles, chance, now = LatencyQuantiles(), random.Random(5), 0
+def test_limit_falls_slowly_and_is_dropped_after_an_idle_time():
+    quantiles, generator, now = LatencyQuantiles(), random.Random(5), 0
     for _ in range(3):
-        now = feed(quantiles, chance, now, 400, mean_ms=1_000.0)
+        now = feed(quantiles, generator, now, 400, mean_ms=1_000.0)
     high = limit(quantiles, now)
     fell = []
     for _ in range(12):
-        now = feed(quantiles, chance, now, 400)
+        now = feed(quantiles, generator, now, 400)
         fell.append(limit(quantiles, now))
     assert fell[0] >= MAX_FALL * high * 0.999 and fell[-1] < 0.3 * high
-    assert limit(quantiles, now + 100 * HISTOGRAM_SPAN, most=5_000.0) == 5_000.0  # after a long idle nothing is known
+    assert limit(quantiles, now + 100 * HISTOGRAM_SPAN, most=5_000.0) == 5_000.0  # all samples have expired
 
 
-# ---- the core under them
+# ---- the core with a route policy
 
 
-class Port:
-    """Engines and client: what was sent, given up, answered."""
+class RecordingPort:
+    """Engines and client: records sent and cancelled attempts, and answers."""
 
     reading_paused = may_have_unread_input = False
 
     def __init__(self):
-        self.sent, self.given_up, self.answers = [], [], []
+        self.sent, self.cancelled, self.answers = [], [], []
 
     def send(self, attempt):
         self.sent.append(attempt)
 
     def give_up(self, attempt):
-        self.given_up.append(attempt)
+        self.cancelled.append(attempt)
 
     def promote(self, attempt): ...
     def close_idle(self, engine): ...
@@ -291,7 +290,7 @@
         self.answers.append((query.id, "failed"))
 
 
-def site(second_copies=True, engines=4):
+def site(hedging=True, engines=4):
     return t.Settings(
         classes=CLASSES,
         tenants=(t.TenantSettings("acme"),),
@@ -302,16 +301,16 @@
         cancel=True,
         max_attempts=3,
         max_retry_after=500 * MS,
-        hedging=second_copies,
+        hedging=hedging,
     )
 
 
-class Core:
-    """A coordinator under routes, with a clock that the test moves."""
+class PolicyTestBed:
+    """A coordinator with routes and a fake clock."""
 
-    def __init__(self, *routes, second_copies=True, module=None, engines=4):
-        self.clock, self.counters, self.port, self.made = FakeClock(), Counters(), Port(), 0
-        self.settings = site(second_copies)
+    def __init__(self, *routes, hedging=True, module=None, engines=4):
+        self.clock, self.counters, self.port, self.request_count = FakeClock(), Counters(), RecordingPort(), 0
+        self.settings = site(hedging)
         self.core = Coordinator(self.settings, 7, self.clock, Timers(self.clock, self.clock), LIMITS, self.counters)
         self.policy = self.core.request_policy = RoutePolicy(
             self.table(*routes), {"depot-load": 25 * S}, 3, self.counters.add
@@ -325,10 +324,16 @@
         assert check(routes, self.settings).faults == []
         return Table(routes, self.settings)
 
-    def ask(self, cls="lookup", budget=3 * S, token=""):
-        self.made += 1
+    def submit(self, cls="lookup", budget=3 * S, token=""):
+        self.request_count += 1
         query = Query(
-            f"{self.made:016x}", cls, b"x", self.clock.now() + budget, self.port, tenant="acme", idempotency_key=token
+            f"{self.request_count:016x}",
+            cls,
+            b"x",
+            self.clock.now() + budget,
+            self.port,
+            tenant="acme",
+            idempotency_key=token,
         )
         self.core.submit(query)
         return query
@@ -337,324 +342,333 @@
         self.core.complete_attempt(attempt, reason, {"busy_reqs": 1.0}, (b"a\tb\tc\n",) if reason == "GOOD" else ())
 
 
-def test_an_attempt_is_timed_out_by_its_route_and_the_next_goes_elsewhere():
-    here = Core(Route(cls="lookup", attempt_timeout_ms=400.0))
-    here.ask()
-    here.clock.advance(390 * MS)
-    assert len(here.port.sent) == 1
-    here.clock.advance(60 * MS)
-    assert here.port.given_up == here.port.sent[:1] and len(here.port.sent) == 2
-    assert here.port.sent[1].engine != here.port.sent[0].engine
-    here.end(here.port.sent[1], "GOOD")
-    assert here.port.answers == [(f"{1:016x}", "served")] and here.policy.open_requests == {1: 0}
-
-
-def test_a_time_out_as_the_answer_is_being_read_gives_one_answer():
-    here = Core(Route(cls="lookup", attempt_timeout_ms=400.0))
-    here.ask()
-    while not here.port.given_up:
-        here.clock.advance(MS)
-    assert here.port.given_up == here.port.sent
-    here.end(here.port.sent[0], "GOOD")  # in the same turn: it is given up already, and counts for nothing
-    here.clock.advance(50 * MS)
-    here.end(here.port.sent[1], "GOOD")
-    assert here.port.answers == [(f"{1:016x}", "served")]
-
-
-def test_attempts_of_a_route_are_not_exceeded_and_the_answer_comes_at_once():
-    here = Core(Route(cls="lookup", attempts=1))
-    here.ask()
-    here.end(here.port.sent[0], "BAD")
-    assert len(here.port.sent) == 1 and here.port.answers == [(f"{1:016x}", "refused")]
-
-
-def test_what_a_route_does_not_try_again_is_answered_at_once():
-    here = Core(Route(cls="lookup", retry_on=["full", "noconn"]))
-    here.ask(), here.ask()
-    here.end(here.port.sent[0], "RST")
-    here.end(here.port.sent[1], "NOCONN")
-    assert here.port.answers == [(f"{1:016x}", "refused")] and len(here.port.sent) == 3
-    assert here.counters["retries_not_on"] == 1
-
-
-def test_a_further_attempt_waits_for_its_back_off_and_goes_where_the_list_then_says():
-    here = Core(Route(cls="lookup", backoff_ms=Backoff(100.0, 2.0, 400.0, "none")))
-    here.ask()
-    here.end(here.port.sent[0], "BAD")
-    here.clock.advance(90 * MS)
-    assert len(here.port.sent) == 1
-    left = here.port.sent[0].engine
-    stays = next(entry for entry in here.entries if entry.engine != left)
+def test_attempt_times_out_by_its_route_and_is_retried_on_another_engine():
+    bed = PolicyTestBed(Route(cls="lookup", attempt_timeout_ms=400.0))
+    bed.submit()
+    bed.clock.advance(390 * MS)
+    assert len(bed.port.sent) == 1
+    bed.clock.advance(60 * MS)
+    assert bed.port.cancelled == bed.port.sent[:1] and len(bed.port.sent) == 2
+    assert bed.port.sent[1].engine != bed.port.sent[0].engine
+    bed.end(bed.port.sent[1], "GOOD")
+    assert bed.port.answers == [(f"{1:016x}", "served")] and bed.policy.open_requests == {1: 0}
+
+
+def test_result_after_a_time_out_is_ignored():
+    bed = PolicyTestBed(Route(cls="lookup", attempt_timeout_ms=400.0))
+    bed.submit()
+    while not bed.port.cancelled:
+        bed.clock.advance(MS)
+    assert bed.port.cancelled == bed.port.sent
+    bed.end(bed.port.sent[0], "GOOD")  # the attempt is cancelled already, so its result is ignored
+    bed.clock.advance(50 * MS)
+    bed.end(bed.port.sent[1], "GOOD")
+    assert bed.port.answers == [(f"{1:016x}", "served")]
+
+
+def test_request_is_rejected_at_once_after_the_last_attempt_of_its_route():
+    bed = PolicyTestBed(Route(cls="lookup", attempts=1))
+    bed.submit()
+    bed.end(bed.port.sent[0], "BAD")
+    assert len(bed.port.sent) == 1 and bed.port.answers == [(f"{1:016x}", "refused")]
+
+
+def test_outcome_that_is_not_in_retry_on_is_rejected_at_once():
+    bed = PolicyTestBed(Route(cls="lookup", retry_on=["full", "noconn"]))
+    bed.submit(), bed.submit()
+    bed.end(bed.port.sent[0], "RST")
+    bed.end(bed.port.sent[1], "NOCONN")
+    assert bed.port.answers == [(f"{1:016x}", "refused")] and len(bed.port.sent) == 3
+    assert bed.counters["retries_not_on"] == 1
+
+
+def test_retry_waits_for_its_backoff_and_uses_the_endpoint_list_of_that_time():
+    bed = PolicyTestBed(Route(cls="lookup", backoff_ms=Backoff(100.0, 2.0, 400.0, "none")))
+    bed.submit()
+    bed.end(bed.port.sent[0], "BAD")
+    bed.clock.advance(90 * MS)
+    assert len(bed.port.sent) == 1
+    left = bed.port.sent[0].engine
+    stays = next(entry for entry in bed.entries if entry.engine != left)
     drained = [
         entry if entry is stays else t.EngineEntry(entry.engine, "z", "std", state="Terminating")
-        for entry in here.entries
+        for entry in bed.entries
     ]
-    here.core.update_endpoints(drained, 2)  # all but one drain while it waits
-    here.clock.advance(20 * MS)
-    assert [attempt.engine for attempt in here.port.sent[1:]] == [stays.engine]
+    # All engines but one drain during the backoff.
+    bed.core.update_endpoints(drained, 2)
+    bed.clock.advance(20 * MS)
+    assert [attempt.engine for attempt in bed.port.sent[1:]] == [stays.engine]
 
 
-def test_a_client_that_leaves_during_a_back_off_gets_no_further_attempt():
-    here = Core(Route(cls="lookup", backoff_ms=Backoff(100.0, jitter="none")))
-    query = here.ask()
-    here.end(here.port.sent[0], "BAD")
-    here.core.disconnect_client(query)
-    here.clock.advance(S)
-    assert len(here.port.sent) == 1 and here.port.answers == [] and here.policy.open_requests == {1: 0}
+def test_disconnect_during_a_backoff_prevents_the_retry():
+    bed = PolicyTestBed(Route(cls="lookup", backoff_ms=Backoff(100.0, jitter="none")))
+    query = bed.submit()
+    bed.end(bed.port.sent[0], "BAD")
+    bed.core.disconnect_client(query)
+    bed.clock.advance(S)
+    assert len(bed.port.sent) == 1 and bed.port.answers == [] and bed.policy.open_requests == {1: 0}
 
 
-def test_a_deadline_during_a_back_off_is_kept():
-    here = Core(Route(cls="lookup", backoff_ms=Backoff(2_000.0, jitter="none"), attempts=2))
-    here.ask(budget=S)
-    here.end(here.port.sent[0], "BAD")
-    here.clock.advance(S)
-    assert len(here.port.answers) == 1 and len(here.port.sent) == 1
+def test_deadline_during_a_backoff_is_met():
+    bed = PolicyTestBed(Route(cls="lookup", backoff_ms=Backoff(2_000.0, jitter="none"), attempts=2))
+    bed.submit(budget=S)
+    bed.end(bed.port.sent[0], "BAD")
+    bed.clock.advance(S)
+    assert len(bed.port.answers) == 1 and len(bed.port.sent) == 1
 
 
-def test_a_budget_that_is_spent_means_the_final_answer_at_once():
-    here = Core(Route(cls="lookup", retry_share=0.1, retry_floor=2))
+def test_request_is_rejected_at_once_when_the_retry_budget_is_spent():
+    bed = PolicyTestBed(Route(cls="lookup", retry_share=0.1, retry_floor=2))
     for _ in range(10):
-        here.ask()
-    for attempt in here.port.sent[:10]:
-        here.end(attempt, "BAD")
-    assert len(here.port.sent) == 12 and len(here.port.answers) == 8
-    assert here.counters["retries_over_budget"] == 8
+        bed.submit()
+    for attempt in bed.port.sent[:10]:
+        bed.end(attempt, "BAD")
+    assert len(bed.port.sent) == 12 and len(bed.port.answers) == 8
+    assert bed.counters["retries_over_budget"] == 8
 
 
-def test_waiting_retries_pay_when_they_go_so_a_burst_can_not_pass_together():
-    here = Core(Route(cls="lookup", retry_share=0.1, retry_floor=2, backoff_ms=Backoff(50.0, jitter="none")))
+def test_delayed_retries_are_charged_when_they_are_sent():
+    bed = PolicyTestBed(Route(cls="lookup", retry_share=0.1, retry_floor=2, backoff_ms=Backoff(50.0, jitter="none")))
     for _ in range(10):
-        here.ask()
-    for attempt in here.port.sent[:10]:
-        here.end(attempt, "BAD")
-    here.clock.advance(60 * MS)
-    assert len(here.port.sent) == 12 and len(here.port.answers) == 8
+        bed.submit()
+    for attempt in bed.port.sent[:10]:
+        bed.end(attempt, "BAD")
+    bed.clock.advance(60 * MS)
+    assert len(bed.port.sent) == 12 and len(bed.port.answers) == 8
 
 
-COPY = Route(cls="lookup", second_copy=SecondCopy(after_ms=250.0, most_share=0.5))
+HEDGE_ROUTE = Route(cls="lookup", second_copy=SecondCopy(after_ms=250.0, most_share=0.5))
 
 
-def copied(*routes, **more):
-    """A core with a request that is out twice."""
-    here = Core(*(routes or (COPY,)), **more)
-    query = here.ask()
-    here.clock.advance(250 * MS)
-    assert len(here.port.sent) == 2 and len(query.in_flight) == 2 and here.counters["copies"] == 1
-    assert here.port.sent[0].engine != here.port.sent[1].engine
-    return here, query, *here.port.sent
+def hedged_request(*routes, **more):
+    """A test bed with one request that has two attempts in flight."""
+    bed = PolicyTestBed(*(routes or (HEDGE_ROUTE,)), **more)
+    query = bed.submit()
+    bed.clock.advance(250 * MS)
+    assert len(bed.port.sent) == 2 and len(query.in_flight) == 2 and bed.counters["copies"] == 1
+    assert bed.port.sent[0].engine != bed.port.sent[1].engine
+    return bed, query, *bed.port.sent
 
 
 @pytest.mark.parametrize("winner", [0, 1])
-def test_the_first_good_answer_wins_and_the_other_copy_is_given_up(winner):
-    here, query, *both = copied()
-    here.end(both[winner], "GOOD")
-    assert here.port.answers == [(query.id, "served")] and here.port.given_up == [both[1 - winner]]
-    here.end(both[1 - winner], "GOOD")  # late, or in the same turn
-    here.clock.advance(5 * S)
-    assert here.port.answers == [(query.id, "served")] and not here.core.in_flight and not here.core.queries
-
-
-def test_both_copies_good_in_one_turn_are_one_answer():
-    here, query, first, second = copied()
-    here.end(first, "GOOD")
-    here.end(second, "GOOD")
-    assert here.port.answers == [(query.id, "served")] and here.counters["served"] == 1
-
-
-def test_a_copy_that_is_cut_short_leaves_the_other():
-    here, query, first, second = copied()
-    here.end(second, "RST")
-    assert here.port.answers == [] and list(query.in_flight.values()) == [first] and len(here.port.sent) == 2
-    here.end(first, "GOOD")
-    assert here.port.answers == [(query.id, "served")]
-
-
-def test_when_both_copies_fail_the_last_attempt_is_made_and_no_more():
-    here, query, first, second = copied()
-    here.end(first, "BAD")
-    here.end(second, "RST")
-    assert len(here.port.sent) == 3
-    here.end(here.port.sent[2], "RST")
-    here.clock.advance(5 * S)
-    assert len(here.port.sent) == 3 and here.port.answers == [(query.id, "refused")]
-
-
-def test_a_request_is_copied_once_and_not_where_one_copy_is_all_it_may_have():
-    here, query, first, second = copied()
-    here.clock.advance(S)
-    assert len(here.port.sent) == 2
-    two = Core(msgspec.structs.replace(COPY, attempts=2))
-    query = two.ask()
+def test_first_result_wins_and_the_other_attempt_is_cancelled(winner):
+    bed, query, *both = hedged_request()
+    bed.end(both[winner], "GOOD")
+    assert bed.port.answers == [(query.id, "served")] and bed.port.cancelled == [both[1 - winner]]
+    bed.end(both[1 - winner], "GOOD")  # late, or in the same event-loop iteration
+    bed.clock.advance(5 * S)
+    assert bed.port.answers == [(query.id, "served")] and not bed.core.in_flight and not bed.core.queries
+
+
+def test_two_results_in_one_event_loop_iteration_give_one_answer():
+    bed, query, first, second = hedged_request()
+    bed.end(first, "GOOD")
+    bed.end(second, "GOOD")
+    assert bed.port.answers == [(query.id, "served")] and bed.counters["served"] == 1
+
+
+def test_reset_of_the_hedge_leaves_the_first_attempt_in_flight():
+    bed, query, first, second = hedged_request()
+    bed.end(second, "RST")
+    assert bed.port.answers == [] and list(query.in_flight.values()) == [first] and len(bed.port.sent) == 2
+    bed.end(first, "GOOD")
+    assert bed.port.answers == [(query.id, "served")]
+
+
+def test_last_attempt_is_sent_after_both_hedged_attempts_fail():
+    bed, query, first, second = hedged_request()
+    bed.end(first, "BAD")
+    bed.end(second, "RST")
+    assert len(bed.port.sent) == 3
+    bed.end(bed.port.sent[2], "RST")
+    bed.clock.advance(5 * S)
+    assert len(bed.port.sent) == 3 and bed.port.answers == [(query.id, "refused")]
+
+
+def test_request_is_hedged_once_and_the_hedge_counts_as_an_attempt():
+    bed, query, first, second = hedged_request()
+    bed.clock.advance(S)
+    assert len(bed.port.sent) == 2
+    two = PolicyTestBed(msgspec.structs.replace(HEDGE_ROUTE, attempts=2))
+    query = two.submit()
     two.clock.advance(300 * MS)
     two.end(two.port.sent[0], "BAD"), two.end(two.port.sent[1], "BAD")
     assert len(two.port.sent) == 2 and two.port.answers == [(query.id, "refused")]
 
 
-def test_copies_are_rationed_by_their_share():
-    here = Core(Route(cls="lookup", second_copy=SecondCopy(after_ms=250.0, most_share=0.05)))
+def test_hedges_are_limited_by_their_share():
+    bed = PolicyTestBed(Route(cls="lookup", second_copy=SecondCopy(after_ms=250.0, most_share=0.05)))
     for _ in range(40):
-        here.ask()
-    for attempt in here.port.sent[:40]:
-        here.end(attempt, "GOOD")
+        bed.submit()
+    for attempt in bed.port.sent[:40]:
+        bed.end(attempt, "GOOD")
     for _ in range(20):
-        here.ask()
-    here.clock.advance(300 * MS)
-    assert here.counters["copies"] == 2 and here.counters["copies_over_share"] == 18
-
-
-def test_no_copy_follows_a_full_answer_a_drain_or_pressure():
-    here = Core(COPY)
-    here.ask()
-    here.end(here.port.sent[0], "FULL")
-    here.clock.advance(300 * MS)
-    assert len(here.port.sent) == 2 and here.counters["copies"] == 0
-    here = Core(COPY)
-    here.ask()
-    here.core.update_endpoints(
+        bed.submit()
+    bed.clock.advance(300 * MS)
+    assert bed.counters["copies"] == 2 and bed.counters["copies_over_share"] == 18
+
+
+def test_no_hedge_after_a_full_engine_during_a_drain_or_under_load():
+    bed = PolicyTestBed(HEDGE_ROUTE)
+    bed.submit()
+    bed.end(bed.port.sent[0], "FULL")
+    bed.clock.advance(300 * MS)
+    assert len(bed.port.sent) == 2 and bed.counters["copies"] == 0
+    bed = PolicyTestBed(HEDGE_ROUTE)
+    bed.submit()
+    bed.core.update_endpoints(
         [
             t.EngineEntry(
-                entry.engine, "z", "std", state="Terminating" if entry.engine == here.port.sent[0].engine else "Ready"
+                entry.engine, "z", "std", state="Terminating" if entry.engine == bed.port.sent[0].engine else "Ready"
             )
-            for entry in here.entries
+            for entry in bed.entries
         ],
         2,
     )
-    here.clock.advance(300 * MS)
-    assert here.counters["copies"] == 0
-    here = Core(COPY)
+    bed.clock.advance(300 * MS)
+    assert bed.counters["copies"] == 0
+    bed = PolicyTestBed(HEDGE_ROUTE)
     for _ in range(20):
-        here.ask()
-    for attempt in here.port.sent[:10]:
-        here.core.complete_attempt(attempt, "GOOD", {"busy_reqs": 400.0}, (b"",))  # engines told full of work
-    here.clock.advance(300 * MS)
-    assert here.counters["copies"] == 0
+        bed.submit()
+    for attempt in bed.port.sent[:10]:
+        bed.core.complete_attempt(attempt, "GOOD", {"busy_reqs": 400.0}, (b"",))  # the engines report a high load
+    bed.clock.advance(300 * MS)
+    assert bed.counters["copies"] == 0
 
 
-def test_a_keyed_request_is_copied_only_within_its_window_and_no_copy_goes_where_the_site_forbids_it():
+def test_hedge_is_limited_by_the_dedup_window_and_by_the_site():
     route = Route(cls="depot-load", second_copy=SecondCopy(after_ms=3_000.0), repeat_within_ms=2_000.0)
-    here = Core(route)
-    here.ask("depot-load", 20 * S, TOKEN)
-    here.clock.advance(4 * S)
-    assert len(here.port.sent) == 1
-    here = Core(msgspec.structs.replace(route, repeat_within_ms=None))
-    here.ask("depot-load", 20 * S, TOKEN)
-    here.clock.advance(4 * S)
-    assert len(here.port.sent) == 2
+    bed = PolicyTestBed(route)
+    bed.submit("depot-load", 20 * S, TOKEN)
+    bed.clock.advance(4 * S)
+    assert len(bed.port.sent) == 1
+    bed = PolicyTestBed(msgspec.structs.replace(route, repeat_within_ms=None))
+    bed.submit("depot-load", 20 * S, TOKEN)
+    bed.clock.advance(4 * S)
+    assert len(bed.port.sent) == 2
     module = ScriptedPolicy()
-    here = Core(second_copies=False, module=module)
+    bed = PolicyTestBed(hedging=False, module=module)
     module.acts = {t.QueryReceived: lambda event: [t.Send(event.query, "e0"), t.Send(event.query, "e1")]}
-    here.ask()
-    assert len(here.port.sent) == 1  # whatever the module says
+    bed.submit()
+    assert len(bed.port.sent) == 1  # although the module sends two
 
 
-def test_a_priority_of_the_route_stands_against_the_modules():
-    here = Core(Route(cls="lookup", priority=3))
-    query = here.ask()
+def test_priority_of_the_route_overrides_that_of_the_decision_module():
+    bed = PolicyTestBed(Route(cls="lookup", priority=3))
+    query = bed.submit()
     assert query.priority == 3
-    here.core.attempts.apply_hints(t.ExecutionHints(query.id, 0.0, 1))
+    bed.core.attempts.apply_hints(t.ExecutionHints(query.id, 0.0, 1))
     assert query.priority == 3
 
 
-# ---- keyed windows
+# ---- dedup windows
 
 
-def test_a_repeat_whose_window_ends_while_it_waits_is_not_sent():
-    """Waiting for its back-off: refused, as every engine drops its repeats and so a new try is harmless."""
-    here = Core(Route(cls="depot-load", repeat_within_ms=1_000.0, backoff_ms=Backoff(800.0, jitter="none"), attempts=2))
-    query = here.ask("depot-load", 20 * S, TOKEN)
-    here.clock.advance(300 * MS)
-    here.end(here.port.sent[0], "RST")
-    here.clock.advance(790 * MS)
-    assert here.port.answers == []
-    here.clock.advance(20 * MS)
-    assert len(here.port.sent) == 1 and here.port.answers == [(query.id, "refused")]
+def test_retry_is_not_sent_if_the_dedup_window_ends_during_its_backoff():
+    """The request is rejected: as all engines drop its repeats, the client may safely retry it."""
+    bed = PolicyTestBed(
+        Route(cls="depot-load", repeat_within_ms=1_000.0, backoff_ms=Backoff(800.0, jitter="none"), attempts=2)
+    )
+    query = bed.submit("depot-load", 20 * S, TOKEN)
+    bed.clock.advance(300 * MS)
+    bed.end(bed.port.sent[0], "RST")
+    bed.clock.advance(790 * MS)
+    assert bed.port.answers == []
+    bed.clock.advance(20 * MS)
+    assert len(bed.port.sent) == 1 and bed.port.answers == [(query.id, "refused")]
 
 
 @pytest.mark.parametrize("tds", [False, True])
-def test_a_repeat_whose_window_ends_while_its_connection_is_made_is_not_sent(tds):
-    stands = [EngineServer(TdsEngine if tds else RespEngine) for _ in range(2)]
-    here = Loopback(*stands, tds_engines=tds)
+def test_retry_is_not_sent_if_the_dedup_window_ends_while_its_connection_is_dialled(tds):
+    servers = [EngineServer(TdsEngine if tds else RespEngine) for _ in range(2)]
+    bed = CoordinatorTestBed(*servers, tds_engines=tds)
     try:
-        here.core.request_policy = RoutePolicy(
-            Table([Route(cls="depot-load", repeat_within_ms=1_000.0)], here.core.settings),
+        bed.core.request_policy = RoutePolicy(
+            Table([Route(cls="depot-load", repeat_within_ms=1_000.0)], bed.core.settings),
             {"depot-load": 25 * S},
             3,
-            here.counters.add,
+            bed.counters.add,
         )
         query = Query(
-            f"{1:016x}", "depot-load", b"x", here.clock.now() + 20 * S, Port(), tenant="acme", idempotency_key=TOKEN
+            f"{1:016x}",
+            "depot-load",
+            b"x",
+            bed.clock.now() + 20 * S,
+            RecordingPort(),
+            tenant="acme",
+            idempotency_key=TOKEN,
         )
-        here.core.submit(query)
-        spin(lambda: sum(len(stand.wants()) for stand in stands) == 1)
+        bed.core.submit(query)
+        spin(lambda: sum(len(server.wants()) for server in servers) == 1)
         (first,) = query.in_flight.values()
-        here.core.complete_attempt(first, "RST")  # the second one begins to dial
+        bed.core.complete_attempt(first, "RST")  # the retry begins to dial
         (second,) = query.in_flight.values()
         assert second.send_by == first.sent_at + S and second.engine != first.engine
-        here.clock.time += 2 * S  # its window ends before it is through
+        bed.clock.time += 2 * S  # the window ends before the connection is made
         spin(lambda: query.closed)
-        assert sum(len(stand.wants()) for stand in stands) == 1 and query.reply.answers == [(query.id, "refused")]
+        assert sum(len(server.wants()) for server in servers) == 1 and query.reply.answers == [(query.id, "refused")]
     finally:
-        here.close()
+        bed.close()
 
 
 # ---- reloads
 
 
-def test_a_request_ends_under_the_terms_that_it_began_with():
-    here = Core(Route(cls="lookup", attempts=3, backoff_ms=Backoff(100.0, jitter="none")))
-    before = here.ask()
-    here.end(here.port.sent[0], "BAD")
-    here.policy.reload(here.table(Route(cls="lookup", attempts=1)))  # the route that it came by is gone
-    after = here.ask()
-    assert here.policy.open_requests == {1: 1, 2: 1} and here.policy.generation == 2
-    here.end(here.port.sent[1], "BAD")
-    assert here.port.answers == [(after.id, "refused")]
-    here.clock.advance(110 * MS)
-    assert len(here.port.sent) == 3 and here.port.sent[2].query is before
-    here.end(here.port.sent[2], "GOOD")
-    assert here.port.answers[-1] == (before.id, "served") and here.policy.open_requests == {2: 0}
-
-
-def test_a_reload_while_a_second_copy_is_out():
-    here, query, first, second = copied()
-    here.policy.reload(here.table())
-    here.end(second, "GOOD")
+def test_open_request_keeps_its_terms_after_a_reload():
+    bed = PolicyTestBed(Route(cls="lookup", attempts=3, backoff_ms=Backoff(100.0, jitter="none")))
+    before = bed.submit()
+    bed.end(bed.port.sent[0], "BAD")
+    bed.policy.reload(bed.table(Route(cls="lookup", attempts=1)))  # the route of the first request is removed
+    after = bed.submit()
+    assert bed.policy.open_requests == {1: 1, 2: 1} and bed.policy.generation == 2
+    bed.end(bed.port.sent[1], "BAD")
+    assert bed.port.answers == [(after.id, "refused")]
+    bed.clock.advance(110 * MS)
+    assert len(bed.port.sent) == 3 and bed.port.sent[2].query is before
+    bed.end(bed.port.sent[2], "GOOD")
+    assert bed.port.answers[-1] == (before.id, "served") and bed.policy.open_requests == {2: 0}
+
+
+def test_reload_while_a_hedge_is_in_flight():
+    bed, query, first, second = hedged_request()
+    bed.policy.reload(bed.table())
+    bed.end(second, "GOOD")
     assert (
-        here.port.answers == [(query.id, "served")]
-        and here.port.given_up == [first]
-        and here.policy.open_requests == {2: 0}
+        bed.port.answers == [(query.id, "served")]
+        and bed.port.cancelled == [first]
+        and bed.policy.open_requests == {2: 0}
     )
 
 
 def test_budgets_outlive_a_reload():
     route = Route(cls="lookup", retry_share=0.1, retry_floor=1)
-    here = Core(route)
-    here.ask()
-    here.end(here.port.sent[0], "BAD")
-    here.policy.reload(here.table(route))
-    here.ask()
-    assert here.port.sent[2].query.terms.max_attempts == 1  # what was spent before counts
-    here.end(here.port.sent[2], "BAD")
-    assert len(here.port.sent) == 3 and here.port.answers[-1][1] == "refused"
+    bed = PolicyTestBed(route)
+    bed.submit()
+    bed.end(bed.port.sent[0], "BAD")
+    bed.policy.reload(bed.table(route))
+    bed.submit()
+    assert bed.port.sent[2].query.terms.max_attempts == 1  # spending before the reload counts
+    bed.end(bed.port.sent[2], "BAD")
+    assert len(bed.port.sent) == 3 and bed.port.answers[-1][1] == "refused"
 
 
 @pytest.mark.parametrize("jump", [10 * S, -10 * S])
-def test_a_clock_that_jumps_answers_everything_once(jump):
-    here = Core(COPY, Route(cls="report", backoff_ms=Backoff(500.0), attempt_timeout_ms=3_000.0))
-    queries = [here.ask("lookup" if i % 2 else "report", 3 * S) for i in range(10)]
-    here.clock.advance(260 * MS)
-    here.end(here.port.sent[0], "BAD")
-    here.clock.time += max(jump, 0)
-    here.clock.advance(15 * S)
-    assert sorted(id for id, _ in here.port.answers) == sorted(query.id for query in queries)
-    assert not here.core.in_flight and all(count <= 3 for count in (query.attempts for query in queries))
+def test_each_request_gets_one_answer_after_a_clock_jump(jump):
+    bed = PolicyTestBed(HEDGE_ROUTE, Route(cls="report", backoff_ms=Backoff(500.0), attempt_timeout_ms=3_000.0))
+    queries = [bed.submit("lookup" if i % 2 else "report", 3 * S) for i in range(10)]
+    bed.clock.advance(260 * MS)
+    bed.end(bed.port.sent[0], "BAD")
+    bed.clock.time += max(jump, 0)
+    bed.clock.advance(15 * S)
+    assert sorted(id for id, _ in bed.port.answers) == sorted(query.id for query in queries)
+    assert not bed.core.in_flight and all(count <= 3 for count in (query.attempts for query in queries))
 
 
-# ---- one request's life against the rules
+# ---- model of requests
 
 
 class RequestModel(RuleBasedStateMachine):
-    """Requests under random routes, ends, reloads, drains and steps of the clock, against what must hold."""
+    """Requests with random routes, outcomes, reloads, drains and clock steps; checks the invariants of each."""
 
     ROUTES = st.lists(
         st.builds(
@@ -672,121 +686,121 @@
         unique_by=lambda route: route.cls,
     )
 
-    @initialize(routes=ROUTES, copies=st.booleans())
-    def begin(self, routes, copies):
-        self.copies = copies
-        self.here = Core(*self.allowed(routes), second_copies=copies)
-        self.drained, self.told_at, self.asked = set(), {}, []
-        self.seen, self.first = 0, {}
+    @initialize(routes=ROUTES, hedging=st.booleans())
+    def begin(self, routes, hedging):
+        self.hedging = hedging
+        self.bed = PolicyTestBed(*self.allowed(routes), hedging=hedging)
+        self.drained, self.requests = set(), []
+        self.checked_attempts, self.first_sent_at = 0, {}
         self.terms = {}
 
     def allowed(self, routes):
-        """The routes, without what the site forbids."""
-        mended = []
+        """Return the routes that the site allows, without second copies where it forbids them."""
+        valid = []
         for route in routes:
-            if not self.copies or route.attempts == 1:
+            if not self.hedging or route.attempts == 1:
                 route = msgspec.structs.replace(route, second_copy=None)
-            if not check([route], site(self.copies)).faults:
-                mended.append(route)
-        return mended
+            if not check([route], site(self.hedging)).faults:
+                valid.append(route)
+        return valid
 
     @rule(cls=st.sampled_from(["lookup", "report", "depot-load"]), budget=st.sampled_from([400 * MS, 3 * S, 24 * S]))
     def ask(self, cls, budget):
-        query = self.here.ask(cls, budget, TOKEN if cls == "depot-load" else "")
-        self.asked.append(query)
+        query = self.bed.submit(cls, budget, TOKEN if cls == "depot-load" else "")
+        self.requests.append(query)
         if query.terms is not None:
             self.terms[query.id] = query.terms.terms
-        self.watch()
+        self.check_sent()
 
-    @precondition(lambda self: self.here.core.in_flight)
+    @precondition(lambda self: self.bed.core.in_flight)
     @rule(data=st.data(), reason=st.sampled_from(["GOOD", "GOOD", "BAD", "FULL", "NOCONN", "RST"]))
     def end(self, data, reason):
-        out = sorted(self.here.core.in_flight.values(), key=lambda one: (one.query.id, one.number))
-        self.here.end(data.draw(st.sampled_from(out)), reason)
-        self.watch()
+        in_flight = sorted(self.bed.core.in_flight.values(), key=lambda attempt: (attempt.query.id, attempt.number))
+        self.bed.end(data.draw(st.sampled_from(in_flight)), reason)
+        self.check_sent()
 
     @rule(step=st.sampled_from([1 * MS, 20 * MS, 130 * MS, 400 * MS, 2 * S, 10 * S]))
     def wait(self, step):
         for _ in range(10):
-            self.here.clock.advance(step // 10)
-            self.watch()
+            self.bed.clock.advance(step // 10)
+            self.check_sent()
 
     @rule(routes=ROUTES)
     def reload(self, routes):
-        self.here.policy.reload(self.here.table(*self.allowed(routes)))
+        self.bed.policy.reload(self.bed.table(*self.allowed(routes)))
 
     @rule(drained=st.sets(st.sampled_from(["e0", "e1", "e2", "e3"]), max_size=3))
     def drain(self, drained):
         self.drained = drained
-        self.here.core.update_endpoints(
+        self.bed.core.update_endpoints(
             [
                 t.EngineEntry(entry.engine, "z", "std", state="Terminating" if entry.engine in drained else "Ready")
-                for entry in self.here.entries
+                for entry in self.bed.entries
             ],
-            self.seen + 2,
+            self.checked_attempts + 2,
         )
 
-    @precondition(lambda self: self.here.core.queries)
+    @precondition(lambda self: self.bed.core.queries)
     @rule(data=st.data())
-    def leave(self, data):
-        self.here.core.disconnect_client(
-            data.draw(st.sampled_from(sorted(self.here.core.queries.values(), key=lambda q: q.id)))
+    def disconnect(self, data):
+        self.bed.core.disconnect_client(
+            data.draw(st.sampled_from(sorted(self.bed.core.queries.values(), key=lambda q: q.id)))
         )
 
-    def watch(self):
-        """What has gone out since, one by one."""
-        sent = self.here.port.sent
-        for attempt in sent[self.seen :]:
+    def check_sent(self):
+        """Check each attempt that was sent since the last call."""
+        sent = self.bed.port.sent
+        for attempt in sent[self.checked_attempts :]:
             query = attempt.query
             assert attempt.engine not in self.drained
-            assert attempt.number < min(self.here.settings.max_attempts, query.terms.terms.attempts)
+            assert attempt.number < min(self.bed.settings.max_attempts, query.terms.terms.attempts)
             if query.idempotency_key:
-                first = self.first.setdefault(query.id, attempt.sent_at)
+                first = self.first_sent_at.setdefault(query.id, attempt.sent_at)
                 within = query.terms.terms.repeat_within or 25 * S
                 assert attempt.sent_at - first < within
-        self.seen = len(sent)
+        self.checked_attempts = len(sent)
 
     @invariant()
-    def holds(self):
-        if not hasattr(self, "here"):
+    def invariants_hold(self):
+        if not hasattr(self, "bed"):
             return
-        answered = [id for id, _ in self.here.port.answers]
+        answered = [id for id, _ in self.bed.port.answers]
         assert len(answered) == len(set(answered))
-        now = self.here.clock.now()
-        for query in self.asked:
-            assert len(query.in_flight) <= (2 if self.copies else 1)
+        now = self.bed.clock.now()
+        for query in self.requests:
+            assert len(query.in_flight) <= (2 if self.hedging else 1)
             assert query.closed or now <= query.deadline + LIMITS.deadline_grace + LIMITS.deadline_check_interval
             if query.terms is not None:
                 assert query.terms.terms is self.terms[query.id]
-        live = sum(not query.closed for query in self.asked)
-        assert sum(self.here.policy.open_requests.values()) == live == len(self.here.core.queries)
+        live = sum(not query.closed for query in self.requests)
+        assert sum(self.bed.policy.open_requests.values()) == live == len(self.bed.core.queries)
 
     def teardown(self):
-        if hasattr(self, "here"):
-            self.here.clock.advance(40 * S)
-            assert not self.here.core.queries and not self.here.core.in_flight
+        if hasattr(self, "bed"):
+            self.bed.clock.advance(40 * S)
+            assert not self.bed.core.queries and not self.bed.core.in_flight
 
 
-LIVES = hypothesis_settings(max_examples=80, stateful_step_count=40, deadline=None, derandomize=True)
-test_a_request_keeps_to_the_rules_whatever_happens = coverage_test(RequestModel, LIVES)
+MODEL_SETTINGS = hypothesis_settings(max_examples=80, stateful_step_count=40, deadline=None, derandomize=True)
+test_request_model = coverage_test(RequestModel, MODEL_SETTINGS)
 
 
-# ---- what they are for
+# ---- simulations
 
 
 SLOW = Scenario(slow_period=3.0, seconds=15, work_sigma=0.3)
 
 
-def test_copies_cut_the_tail_of_one_slow_engine_for_little_more_work():
-    without, fixed = (
+def test_hedges_reduce_the_tail_latency_of_a_slow_engine_for_little_extra_work():
+    without, hedged = (
         Simulation(SLOW, routes, 1).run()
         for routes in (None, [Route(cls="lookup", second_copy=SecondCopy(after_ms=200.0))])
     )
-    assert fixed.p99_ms < 0.7 * without.p99_ms and fixed.engine_work_ms < 1.05 * without.engine_work_ms
-    assert fixed.copies > 0 and fixed.doubled == without.doubled == fixed.unanswered == 0
+    assert hedged.p99_ms < 0.7 * without.p99_ms and hedged.engine_work_ms < 1.05 * without.engine_work_ms
+    assert hedged.copies > 0 and hedged.doubled == without.doubled == hedged.unanswered == 0
 
 
-def test_the_rig_is_the_same_every_time():
+def test_simulation_is_deterministic():
     assert (
         Simulation(SLOW, [Route(cls="lookup", second_copy=SecondCopy(after="p95"))], 3).run()
         == Simulation(SLOW, [Route(cls="lookup", second_copy=SecondCopy(after="p95"))], 3).run()
@@ -796,24 +810,24 @@
 # ---- both fronts
 
 
-def test_both_fronts_get_the_same_terms():
+def test_routes_apply_to_both_fronts():
     outcomes = []
     for tds in (False, True):
-        here = Loopback(
+        bed = CoordinatorTestBed(
             EngineServer(
                 on_command=lambda engine, word, id, *rest: engine.respond(id, b"500") if word == b"want" else None
             )
         )
         try:
-            here.core.request_policy = RoutePolicy(
-                Table([Route(cls="lookup", attempts=1, priority=3)], here.core.settings), {}, 3, here.counters.add
+            bed.core.request_policy = RoutePolicy(
+                Table([Route(cls="lookup", attempts=1, priority=3)], bed.core.settings), {}, 3, bed.counters.add
             )
             if tds:
-                client = here.tds_client()
+                client = bed.tds_client()
                 client.call("SELECT 1 FROM r_3.t")
-                spin(lambda h=here: h.counters["refused"] == 1)
+                spin(lambda h=bed: h.counters["refused"] == 1)
             else:
-                client = here.json_client()
+                client = bed.json_client()
                 client.sendLine(
                     json.dumps(
                         {
@@ -825,10 +839,10 @@
                     ).encode()
                 )
                 spin(lambda c=client: len(c.lines) == 1)
-            (want,) = here.engines[0].wants()
-            outcomes.append((here.counters["attempts"], here.counters["refused"], b"level=3" in want[2]))
+            (want,) = bed.engines[0].wants()
+            outcomes.append((bed.counters["attempts"], bed.counters["refused"], b"level=3" in want[2]))
         finally:
-            here.close()
+            bed.close()
     assert outcomes == [(1, 1, True)] * 2
 
 
@@ -837,7 +851,7 @@
 
 @pytest.fixture
 def files(tmp_path, monkeypatch):
-    """A platform's file and a function that writes operator's files."""
+    """Write a platform configuration; return a function that writes operator's files."""
     services = [
         {"Name": "lookup", "Deadline": 3_000_000, "Objective": 600_000, "Effect": "retryable"},
         {"Name": "depot-load", "Deadline": 25_000_000, "Effect": "dedup", "DedupScope": "all", "Window": 25_000_000},
@@ -855,7 +869,7 @@
 ROUTE = '[[timings.route]]\nclass = "lookup"\nattempt_timeout_ms = 700\nattempts = 2\n'
 
 
-def test_config_check_tells_faults_and_warnings(files, capsys):
+def test_config_check_prints_faults_and_warnings(files, capsys):
     assert main(["config", "check", files(ROUTE)]) == 0 and "1 routes, 0 faults, 0 warnings" in capsys.readouterr().out
     assert main(["config", "check", files("[[timings.route]]\nattempts = 4\npriority = 9\n"), "--json"]) == 1
     found = json.loads(capsys.readouterr().out)
@@ -866,19 +880,19 @@
     assert main(["config", "check", "/none"]) == 2 and main(["config", "check"]) == 2
 
 
-def test_config_explain_says_which_route_and_the_worst_case(files, capsys):
+def test_config_explain_prints_the_route_and_the_worst_case(files, capsys):
     path = files(
         '[[timings.route]]\ntenant = "acme"\nclass = "depot-load"\nattempts = 1\n'
         + ROUTE
         + 'backoff_ms = { first = 100, jitter = "none" }\n'
     )
     assert main(["config", "explain", path, "--class", "lookup", "--json"]) == 0
-    told_ = json.loads(capsys.readouterr().out)
-    assert [one["fits"] for one in told_["asked"]] == [False, True] and "depot-load" in told_["asked"][0]["why"]
-    terms = {term["name"]: (term["value"], term["source"]) for term in told_["terms"]}
+    report = json.loads(capsys.readouterr().out)
+    assert [match["fits"] for match in report["asked"]] == [False, True] and "depot-load" in report["asked"][0]["why"]
+    terms = {term["name"]: (term["value"], term["source"]) for term in report["terms"]}
     assert terms["attempts"] == (2, "timings.route[1]") and terms["attempt_timeout_ms"] == (700, "timings.route[1]")
     assert terms["priority"] == (None, "the decision module")
-    assert [moment["at_ms"] for moment in told_["timeline"]] == [0, 700, 800, 1500, 1500]
+    assert [moment["at_ms"] for moment in report["timeline"]] == [0, 700, 800, 1500, 1500]
     assert main(["config", "explain", path, "--class", "depot-load", "--kind", "std-8"]) == 0
     assert "25000" in capsys.readouterr().out
     assert main(["config", "explain", path, "--class", "dance"]) == 2 and "'dance'" in capsys.readouterr().err
@@ -886,7 +900,7 @@
     assert main(["config", "explain", bad, "--class", "lookup"]) == 2 and "attempts = 4" in capsys.readouterr().err
 
 
-def test_config_diff_says_what_changes_for_whom(files, capsys):
+def test_config_diff_prints_the_changed_terms(files, capsys):
     old, new = (
         files(ROUTE, "old.toml"),
         files(ROUTE.replace("attempts = 2", "estimate_ms = [0, 500]\nattempts = 3"), "new.toml"),
@@ -902,8 +916,8 @@
     assert main(["config", "diff", old, new]) == 1 and "attempts: 2 -> 3" in capsys.readouterr().out
 
 
-def test_the_worst_case_of_a_learned_time_out_goes_by_its_ceiling():
-    told_ = explain.explain(
+def test_worst_case_of_a_learned_time_out_uses_its_ceiling():
+    explanation = explain.explain(
         [Route(cls="lookup", attempt_timeout="p99*2", attempt_timeout_most_ms=500.0, attempts=2)],
         SITE,
         "lookup",
@@ -911,25 +925,25 @@
         "std-8",
         0.0,
     )
-    assert [moment.at_ms for moment in told_.timeline] == [0, 500, 500, 1000, 1000]
+    assert [moment.at_ms for moment in explanation.timeline] == [0, 500, 500, 1000, 1000]
 
 
 # ---- the daemon
 
 
-def test_a_good_file_loads_by_sighup_under_traffic_and_a_bad_one_changes_nothing(files, tmp_path):
-    stand = EngineServer(
+def test_sighup_applies_a_valid_file_under_traffic_and_ignores_an_invalid_one(files, tmp_path):
+    server = EngineServer(
         on_command=lambda engine, word, id, *rest: (
             engine.respond(id, b"200", b"chunks=1", b"a\tb\tc\n") if word == b"want" else None
         )
     )
-    with socket.socket() as one:
-        one.bind(("127.0.0.1", 0))
-        listen = one.getsockname()[1]
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listen = listener.getsockname()[1]
     site_ = json.loads((tmp_path / "site.json").read_text())
     site_ |= {"listen": f"127.0.0.1:{listen}"}
     site_["known"]["notices"][0]["pool"]["endpoints"][0] |= {
-        "address": f"127.0.0.1:{stand.port.getHost().port}",
+        "address": f"127.0.0.1:{server.port.getHost().port}",
         "type": "std-8",
     }
     (tmp_path / "site.json").write_text(json.dumps(site_))
@@ -945,7 +959,7 @@
         for line in daemon.stderr:
             if what in line:
                 return line
-        raise AssertionError(f"it never said {what!r}")
+        raise AssertionError(f"the daemon ended without logging {what!r}")
 
     from harness import JsonClient
 
@@ -977,7 +991,7 @@
         daemon.send_signal(signal.SIGHUP)
         ask(8)
         assert "as generation 2" in until("applied 1 routes")
-        # what the platform's file now forbids is refused by the keys of both
+        # The platform's new settings forbid the routes: the fault names the keys of both files.
         files(ROUTE + "priority = 1\n")
         site_["settings"]["Permissions"]["MaxAttempts"] = 1
         (tmp_path / "site.json").write_text(json.dumps(site_))
@@ -985,7 +999,7 @@
         line = until("bad timings")
         assert "timings.route[0].attempts = 2: the site allows 1 (settings.Permissions.MaxAttempts)" in line
         wanted, refused = asked, 0
-        for _ in range(100):  # a loop that is behind its time refuses, as it is to: then it is asked anew
+        for _ in range(100):  # an overloaded event loop rejects requests, which are then sent again
             spin(lambda: len(client.lines) == asked)
             answers = [json.loads(line) for line in client.lines]
             assert sorted(answer["id"] for answer in answers) == list(range(1, asked + 1))
@@ -999,11 +1013,11 @@
         counters = until("counters:")
         assert "timings_reloads=3 timings_reloads_bad=2" in counters
         behind = re.search(r"over_behind=(\d+)", counters)
-        assert refused == (int(behind[1]) if behind else 0)  # no other refusal is borne
+        assert refused == (int(behind[1]) if behind else 0)  # all rejections are due to the overloaded event loop
         assert "generation2=0" in until("open under timings")
         assert daemon.wait(30) == 0
     finally:
         daemon.kill()
         daemon.wait(30)
         daemon.stderr.close()
-        stand.port.stopListening()
+        server.port.stopListening()
