--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -1,4 +1,4 @@
-"""Gathers: what is enough, when to answer, what an answer says; rules by key; parts here and at other installations."""
+"""Tests of gathers: the rules, the state machine, local subrequests, and those to other installations."""
 
 import json
 from base64 import b64decode, b64encode
@@ -71,7 +71,7 @@
         ({"fill_ms": -1}, "fill_ms"),
     ],
 )
-def test_each_bad_key_of_a_rule_is_named_with_its_value(change, named):
+def test_fault_of_a_rule_names_the_key_and_its_value(change, named):
     with pytest.raises(ValueError, match=named):
         gather_rules({"site": SITES, "rule": [RULE | change]}, SETTINGS)
 
@@ -86,217 +86,220 @@
         ({"name": "a b", "zones": ["z"]}, r"gather.site\[3\].name"),
     ],
 )
-def test_each_bad_key_of_a_site_is_named(site, named):
+def test_fault_of_a_site_names_the_key(site, named):
     with pytest.raises(ValueError, match=named):
         gather_rules({"site": [*SITES, site], "rule": [RULE]}, SETTINGS)
 
 
-def test_the_first_rule_that_a_request_meets_holds():
+def test_first_matching_rule_applies():
     rules = gather_rules({"site": SITES, "rule": [RULE | {"tables": [3]}, RULE | {"tenant": "acme"}]}, SETTINGS)
     first, second = rules.file.rule
     assert rules.find("report", "acme", 3) is first and rules.find("report", "acme", 4) is second
     assert rules.find("report", "other", 4) is None and rules.find("odd", "acme", 3) is None
 
 
-# ---- one gather
+# ---- state machine
 
 
-def gather(marks=True, learned=None, kept=None, tokens=9, most=48_000, **rule):
-    told = msgspec.convert(PARTIAL | rule, Rule)
-    left = [tokens]
+def gather(partial_accepted=True, latencies=None, cached=None, tokens=9, max_bytes=48_000, **rule):
+    parsed_rule = msgspec.convert(PARTIAL | rule, Rule)
+    tokens_left = [tokens]
 
-    def token():
-        left[0] -= 1
-        return left[0] >= 0
+    def take_retry_token():
+        tokens_left[0] -= 1
+        return tokens_left[0] >= 0
 
     weights = {"a": 1.0, "b": 2.0, "c": 1.0}
     return Gather(
-        told,
+        parsed_rule,
         weights,
         0,
         1_000 * MS,
-        most,
-        (learned or {}).get if learned else lambda site: 0,
-        (kept or {}).get,
-        token,
+        max_bytes,
+        (latencies or {}).get if latencies else lambda site: 0,
+        (cached or {}).get,
+        take_retry_token,
         200 * MS,
-        marks,
+        partial_accepted,
     )
 
 
-def begin(machine, cut=(), over=False, now=0):
-    return machine.start(now, lambda site: site in cut, over)
+def begin(machine, unreachable=(), overloaded=False, now=0):
+    return machine.start(now, lambda site: site in unreachable, overloaded)
 
 
 def rows(text):
     return Rows((text.encode(),))
 
 
-def of(effects, kind):
+def effects_of(effects, kind):
     return [effect for effect in effects if isinstance(effect, kind)]
 
 
-def only(effects, kind):
-    found = of(effects, kind)
+def only_effect(effects, kind):
+    found = effects_of(effects, kind)
     assert len(found) == 1, effects
     return found[0]
 
 
-def test_a_whole_answer_has_the_rows_in_the_order_of_the_sites():
+def test_complete_answer_has_the_rows_in_the_order_of_the_sites():
     machine = gather()
-    assert [part.site for part in of(begin(machine), SendSubrequest)] == ["a", "b", "c"]
+    assert [part.site for part in effects_of(begin(machine), SendSubrequest)] == ["a", "b", "c"]
     assert not machine.receive_rows(10, "c", 0, rows("c")) and not machine.receive_rows(20, "a", 0, rows("a"))
-    answer = only(machine.receive_rows(30, "b", 0, rows("b")), Answer)
+    answer = only_effect(machine.receive_rows(30, "b", 0, rows("b")), Answer)
     assert (answer.outcome, answer.pages, answer.status.complete) == ("served", [b"a", b"b", b"c"], True)
 
 
-def test_as_soon_as_the_need_cannot_be_met_it_is_refused_and_the_rest_called_off():
+def test_request_is_refused_and_subrequests_cancelled_once_a_needed_site_fails():
     machine = gather()
     begin(machine)
     effects = machine.fail_site(50 * MS, "a", 0, "refused", backoff=700 * MS)
-    assert {(call.site, call.attempt) for call in of(effects, CancelSubrequest)} == {("b", 0), ("c", 0)}
-    answer = only(effects, Answer)
+    assert {(call.site, call.attempt) for call in effects_of(effects, CancelSubrequest)} == {("b", 0), ("c", 0)}
+    answer = only_effect(effects, Answer)
     assert (answer.outcome, answer.backoff) == ("refused", 700 * MS) and "a refused" in answer.reason
 
 
-def test_a_partial_answer_says_which_sites_are_in_and_why_the_others_are_not():
+def test_partial_answer_states_the_reason_for_each_missing_site():
     machine = gather()
-    begin(machine, cut=("c",))
+    begin(machine, unreachable=("c",))
     machine.receive_rows(10, "a", 0, rows("a"))
-    answer = only(machine.fail_site(20, "b", 0, "failed"), Answer)
+    answer = only_effect(machine.fail_site(20, "b", 0, "failed"), Answer)
     assert answer.pages == [b"a"] and answer.status == GatherStatus(
         complete=False,
         sites=[SiteStatus(site="a"), SiteStatus(site="b", missing="failed"), SiteStatus(site="c", missing="cut")],
     )
 
 
-def test_what_a_class_or_a_front_does_not_allow_is_never_partial():
-    for machine in (gather(marks=False), gather(partial=False, needs="all")):
+def test_no_partial_answer_where_the_rule_or_the_client_does_not_allow_it():
+    for machine in (gather(partial_accepted=False), gather(partial=False, needs="all")):
         begin(machine)
         machine.receive_rows(10, "a", 0, rows("a"))
-        assert only(machine.fail_site(20, "b", 0, "failed"), Answer).outcome == "refused"
+        assert only_effect(machine.fail_site(20, "b", 0, "failed"), Answer).outcome == "refused"
 
 
-def test_the_need_may_be_a_part_by_weight():
+def test_need_may_be_a_fraction_of_the_weight():
     machine = gather(needs="all", weight=0.75, wait="need")
     begin(machine)
     assert not machine.receive_rows(10, "a", 0, rows("a"))
-    assert only(machine.receive_rows(20, "b", 0, rows("b")), Answer).status.sites[2].missing == "late"
-
-
-def test_once_the_need_is_met_it_waits_to_the_budget_not_at_all_or_as_long_as_sites_usually_take():
-    patient = gather(wait="budget")
-    begin(patient)
-    assert not of(patient.receive_rows(10, "a", 0, rows("a")), Answer)
-    assert only(patient.timer_fired(1_000 * MS), Answer).status.sites[1].missing == "late"
-    hasty = gather(wait="need")
-    begin(hasty)
-    assert only(hasty.receive_rows(10, "a", 0, rows("a")), Answer)
-    knowing = gather(wait="learned", learned={"b": 80 * MS, "c": 300 * MS})
-    begin(knowing)
-    assert only(knowing.receive_rows(10 * MS, "a", 0, rows("a")), StartTimer).at == 300 * MS
-    assert not of(knowing.timer_fired(299 * MS), Answer)
-    assert not of(knowing.receive_rows(299 * MS, "b", 0, rows("b")), Answer)  # c is still worth its lateness
-    assert only(knowing.timer_fired(300 * MS), Answer).status.sites[2].missing == "late"
-
-
-def test_a_last_answer_fills_in_marked_with_its_age_and_not_when_it_is_too_old_nor_alone():
-    kept = {"a": CachedResult(rows("old"), 0), "b": CachedResult(rows("older"), 0)}
-    machine = gather(needs="all", fill_ms=60.0, kept=kept)
+    assert only_effect(machine.receive_rows(20, "b", 0, rows("b")), Answer).status.sites[2].missing == "late"
+
+
+def test_wait_for_further_sites_once_the_answer_suffices():
+    until_deadline = gather(wait="budget")
+    begin(until_deadline)
+    assert not effects_of(until_deadline.receive_rows(10, "a", 0, rows("a")), Answer)
+    assert only_effect(until_deadline.timer_fired(1_000 * MS), Answer).status.sites[1].missing == "late"
+    at_once = gather(wait="need")
+    begin(at_once)
+    assert only_effect(at_once.receive_rows(10, "a", 0, rows("a")), Answer)
+    by_latency = gather(wait="learned", latencies={"b": 80 * MS, "c": 300 * MS})
+    begin(by_latency)
+    assert only_effect(by_latency.receive_rows(10 * MS, "a", 0, rows("a")), StartTimer).at == 300 * MS
+    assert not effects_of(by_latency.timer_fired(299 * MS), Answer)
+    assert not effects_of(by_latency.receive_rows(299 * MS, "b", 0, rows("b")), Answer)  # site c is still waited for
+    assert only_effect(by_latency.timer_fired(300 * MS), Answer).status.sites[2].missing == "late"
+
+
+def test_cached_result_replaces_a_missing_one_if_recent_and_not_alone():
+    cached = {"a": CachedResult(rows("old"), 0), "b": CachedResult(rows("older"), 0)}
+    machine = gather(needs="all", fill_ms=60.0, cached=cached)
     begin(machine, now=50 * MS)
     machine.receive_rows(51 * MS, "c", 0, rows("c"))
     machine.fail_site(52 * MS, "a", 0, "late")
-    answer = only(machine.fail_site(55 * MS, "b", 0, "cut"), Answer)
+    answer = only_effect(machine.fail_site(55 * MS, "b", 0, "cut"), Answer)
     assert answer.pages == [b"old", b"older", b"c"] and [site.age_ms for site in answer.status.sites] == [55, 55, 0]
     assert not answer.status.complete
-    late = gather(needs="all", fill_ms=60.0, kept=kept)
+    late = gather(needs="all", fill_ms=60.0, cached=cached)
     begin(late, now=50 * MS)
-    assert only(late.fail_site(61 * MS, "a", 0, "late"), Answer).outcome == "refused"
-    alone = gather(needs="all", fill_ms=60.0, kept=kept | {"c": CachedResult(rows("c"), 0)})
-    assert only(begin(alone, cut=("a", "b", "c"), now=10 * MS), Answer).outcome == "refused"
+    assert only_effect(late.fail_site(61 * MS, "a", 0, "late"), Answer).outcome == "refused"
+    alone = gather(needs="all", fill_ms=60.0, cached=cached | {"c": CachedResult(rows("c"), 0)})
+    assert only_effect(begin(alone, unreachable=("a", "b", "c"), now=10 * MS), Answer).outcome == "refused"
 
 
-def test_over_the_level_spare_parts_are_left_out_before_anything_goes_out():
+def test_spare_sites_are_left_out_while_the_fleet_is_overloaded():
     machine = gather(spare=("b", "c"))
-    assert [part.site for part in of(begin(machine, over=True), SendSubrequest)] == ["a"]
-    assert only(machine.receive_rows(10, "a", 0, rows("a")), Answer).status.sites[1].missing == "spared"
-    weighed = gather(needs="all", weight=0.75, spare=("a", "b", "c"))  # b can't be spared: the need would not be met
-    assert [part.site for part in of(begin(weighed, over=True), SendSubrequest)] == ["b", "c"]
+    assert [part.site for part in effects_of(begin(machine, overloaded=True), SendSubrequest)] == ["a"]
+    assert only_effect(machine.receive_rows(10, "a", 0, rows("a")), Answer).status.sites[1].missing == "spared"
+    weighted = gather(needs="all", weight=0.75, spare=("a", "b", "c"))  # without b the answer would not suffice
+    assert [part.site for part in effects_of(begin(weighted, overloaded=True), SendSubrequest)] == ["b", "c"]
 
 
-def test_a_second_try_is_paid_for_and_never_beside_the_first():
+def test_retry_takes_a_token_and_never_runs_beside_the_first_attempt():
     machine = gather(tokens=1)
     begin(machine)
-    assert only(machine.fail_site(5, "c", 0, "cut", may_retry=True), SendSubrequest) == SendSubrequest(
+    assert only_effect(machine.fail_site(5, "c", 0, "cut", may_retry=True), SendSubrequest) == SendSubrequest(
         "c", 1, 1_000 * MS
     )
-    assert not machine.fail_site(6, "c", 0, "cut", may_retry=True)  # the end of the first try, told twice
-    assert not of(machine.fail_site(7, "c", 1, "cut", may_retry=True), SendSubrequest) and machine.missing["c"] == "cut"
-    broke = gather(tokens=0)
-    begin(broke)
-    assert not of(broke.fail_site(5, "b", 0, "refused", may_retry=True), SendSubrequest)
+    assert not machine.fail_site(6, "c", 0, "cut", may_retry=True)  # a duplicate event of the first attempt
+    assert (
+        not effects_of(machine.fail_site(7, "c", 1, "cut", may_retry=True), SendSubrequest)
+        and machine.missing["c"] == "cut"
+    )
+    without_tokens = gather(tokens=0)
+    begin(without_tokens)
+    assert not effects_of(without_tokens.fail_site(5, "b", 0, "refused", may_retry=True), SendSubrequest)
 
 
-def test_what_all_sites_hold_together_stays_within_the_most_of_a_result():
-    machine = gather(most=5)
+def test_total_size_stays_within_the_maximum_of_a_result():
+    machine = gather(max_bytes=5)
     begin(machine)
     for site, text in (("a", "aaa"), ("b", "bb")):
         machine.receive_rows(10, site, 0, rows(text))
-    answer = only(machine.receive_rows(11, "c", 0, rows("c")), Answer)
+    answer = only_effect(machine.receive_rows(11, "c", 0, rows("c")), Answer)
     assert answer.pages == [b"aaa", b"bb"] and answer.status.sites[2].missing == "failed"
-    strict = gather(most=5, needs="all", partial=False)
+    strict = gather(max_bytes=5, needs="all", partial=False)
     begin(strict)
     for site, text in (("a", "aaa"), ("b", "bb")):
         strict.receive_rows(10, site, 0, rows(text))
-    assert only(strict.receive_rows(11, "c", 0, rows("c")), Answer).outcome == "refused"
+    assert only_effect(strict.receive_rows(11, "c", 0, rows("c")), Answer).outcome == "refused"
 
 
-class Checked:
-    """Watches one gather from outside: what must hold whatever happens."""
+class InvariantChecker:
+    """Checks the effects of one gathered request against invariants that hold after any event."""
 
     def __init__(self, machine):
-        self.machine, self.answers, self.out, self.came, self.gone = machine, [], {}, {}, set()
+        self.machine, self.answers, self.in_flight, self.received, self.gone = machine, [], {}, {}, set()
 
-    def see(self, effects, now):
+    def check_effects(self, effects, now):
         for effect in effects:
             match effect:
                 case SendSubrequest(site, number):
-                    assert site not in self.out, "two attempts of one part"
+                    assert site not in self.in_flight, "two attempts at one site"
                     assert not self.answers
-                    self.out[site] = number
+                    self.in_flight[site] = number
                 case CancelSubrequest(site, number):
-                    assert self.out.pop(site) == number
+                    assert self.in_flight.pop(site) == number
                 case Answer():
                     assert not self.answers, "answered twice"
                     self.answers.append(effect)
-                    self.judge(effect, now)
+                    self.check_answer(effect, now)
         if self.answers:
-            assert not self.out, "a part goes on after the answer"
-        assert self.answers or self.out, "held with nothing to wait for"
+            assert not self.in_flight, "a subrequest is in flight after the answer"
+        assert self.answers or self.in_flight, "open with no subrequest in flight"
 
-    def judge(self, answer, now):
+    def check_answer(self, answer, now):
         rule = self.machine.rule
         if answer.outcome == "refused":
             return
-        said = {site.site: site for site in answer.status.sites}
-        assert list(said) == list(rule.sites)
-        inside = [site for site in rule.sites if said[site].missing is None]
+        statuses = {site.site: site for site in answer.status.sites}
+        assert list(statuses) == list(rule.sites)
+        present = [site for site in rule.sites if statuses[site].missing is None]
         pages = []
-        for site in inside:
-            if said[site].age_ms:
-                assert rule.fill_ms and said[site].age_ms <= rule.fill_ms + 1
+        for site in present:
+            if statuses[site].age_ms:
+                assert rule.fill_ms and statuses[site].age_ms <= rule.fill_ms + 1
                 pages.append(b"old " + site.encode())
             else:
-                pages.append(self.came.get(site))
-        assert list(answer.pages) == pages, "rows not of the sites named"
-        whole = len(inside) == len(rule.sites) and not any(site.age_ms for site in said.values())
-        assert answer.status.complete == whole, "partial passed as whole"
-        assert whole or rule.partial, "partial to who does not allow it"
+                pages.append(self.received.get(site))
+        assert list(answer.pages) == pages, "rows do not match the sites of the status"
+        complete = len(present) == len(rule.sites) and not any(site.age_ms for site in statuses.values())
+        assert answer.status.complete == complete, "partial answer marked as complete"
+        assert complete or rule.partial, "partial answer against the rule"
         if rule.weight is not None:
             weights = self.machine.weights
-            assert sum(weights[s] for s in inside) >= rule.weight * sum(weights[s] for s in rule.sites) - 1e-6
+            assert sum(weights[s] for s in present) >= rule.weight * sum(weights[s] for s in rule.sites) - 1e-6
         else:
-            assert set(inside) >= set(rule.sites if rule.needs == "all" else rule.needs)
+            assert set(present) >= set(rule.sites if rule.needs == "all" else rule.needs)
 
 
 RULES = st.fixed_dictionaries(
@@ -326,12 +329,13 @@
 )
 
 
-def follow(rule, need, steps, cut, over, make=Gather):
-    told = rule | need
-    told["spare"] = tuple(s for s in told["spare"] if s not in (told["needs"] if told["needs"] != "all" else ()))
-    kept = {"a": CachedResult(rows("old a"), 0), "b": CachedResult(rows("old b"), -30 * MS)}
-    plain = gather(learned={"a": 100 * MS, "b": 200 * MS}, kept=kept, **told)
-    machine = make(
+def run_steps(rule, need, steps, unreachable, overloaded, gather_class=Gather):
+    """Run a gathered request through events, check all effects, and end it at its deadline."""
+    rule = rule | need
+    rule["spare"] = tuple(s for s in rule["spare"] if s not in (rule["needs"] if rule["needs"] != "all" else ()))
+    cached = {"a": CachedResult(rows("old a"), 0), "b": CachedResult(rows("old b"), -30 * MS)}
+    plain = gather(latencies={"a": 100 * MS, "b": 200 * MS}, cached=cached, **rule)
+    machine = gather_class(
         plain.rule,
         plain.weights,
         0,
@@ -342,40 +346,40 @@
         plain._take_retry_token,
         9,
     )
-    seen, now = Checked(machine), 0
-    seen.see(begin(machine, cut, over), now)
-    for what, site, later in steps:
-        now += later * MS
+    checker, now = InvariantChecker(machine), 0
+    checker.check_effects(begin(machine, unreachable, overloaded), now)
+    for event, site, delay_ms in steps:
+        now += delay_ms * MS
         number = machine.in_flight.get(site, 0)
-        if what in ("came", "twice") and site in seen.out:
+        if event in ("came", "twice") and site in checker.in_flight:
             text = f"{site} {number}"
-            seen.came[site] = text.encode()
-            del seen.out[site]
-            seen.see(machine.receive_rows(now, site, number, rows(text)), now)
-            if what == "twice":
-                seen.see(machine.receive_rows(now, site, number, rows("late")), now)
-        elif what in ("failed", "again") and site in seen.out:
-            del seen.out[site]
-            seen.see(machine.fail_site(now, site, number, "failed", may_retry=what == "again"), now)
-        elif what == "cut":
-            seen.see(machine.mark_unreachable(now, site), now)
-        elif what == "woke":
-            seen.see(machine.timer_fired(now), now)
-        elif what == "came":  # one that was given up, or is over: it must count for nothing
-            seen.see(machine.receive_rows(now, site, number, rows("late")), now)
-    seen.see(machine.timer_fired(max(now, 1_000 * MS)), now)
-    assert len(seen.answers) == 1
-    return seen
+            checker.received[site] = text.encode()
+            del checker.in_flight[site]
+            checker.check_effects(machine.receive_rows(now, site, number, rows(text)), now)
+            if event == "twice":
+                checker.check_effects(machine.receive_rows(now, site, number, rows("late")), now)
+        elif event in ("failed", "again") and site in checker.in_flight:
+            del checker.in_flight[site]
+            checker.check_effects(machine.fail_site(now, site, number, "failed", may_retry=event == "again"), now)
+        elif event == "cut":
+            checker.check_effects(machine.mark_unreachable(now, site), now)
+        elif event == "woke":
+            checker.check_effects(machine.timer_fired(now), now)
+        elif event == "came":  # late rows after a cancellation or the answer must be ignored
+            checker.check_effects(machine.receive_rows(now, site, number, rows("late")), now)
+    checker.check_effects(machine.timer_fired(max(now, 1_000 * MS)), now)
+    assert len(checker.answers) == 1
+    return checker
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(RULES, NEEDS, STEPS, st.sets(st.sampled_from("abc")), st.booleans())
-def test_any_events_give_one_answer_that_states_its_sites(rule, need, steps, cut, over):
-    follow(rule, need, steps, cut, over)
+def test_any_events_give_one_answer_that_states_its_sites(rule, need, steps, unreachable, overloaded):
+    run_steps(rule, need, steps, unreachable, overloaded)
 
 
-class LateCounted(Gather):
-    """Planted: what comes after its end still counts."""
+class AcceptsLateRows(Gather):
+    """Injected bug: late rows are accepted."""
 
     def receive_rows(self, now, site, number, rows):
         self.in_flight.setdefault(site, number)
@@ -383,8 +387,8 @@
         return super().receive_rows(now, site, number, rows) if not self.done else []
 
 
-class Unmarked(Gather):
-    """Planted: a partial answer is told as whole."""
+class MarksPartialComplete(Gather):
+    """Injected bug: a partial answer is marked as complete."""
 
     def _finish(self, now):
         return [
@@ -395,8 +399,8 @@
         ]
 
 
-class Twice(Gather):
-    """Planted: the second try goes out while the first is."""
+class RetriesInFlight(Gather):
+    """Injected bug: a retry is sent while the first attempt is in flight."""
 
     def timer_fired(self, now):
         return [
@@ -405,82 +409,86 @@
         ]
 
 
-class Waiting(Gather):
-    """Planted: held to the end although the need can't be met any more."""
+class NeverGivesUp(Gather):
+    """Injected bug: waits to the deadline although the answer can no longer suffice."""
 
     def _can_succeed(self, missing, now):
         return bool(self.in_flight) or super()._can_succeed(missing, now)
 
 
-PLAIN = {"wait": "budget", "fill_ms": 0.0, "spare": (), "tries": 2}
-PLANTED = {
-    LateCounted: ({"needs": ("a",)}, [("failed", "b", 1), ("came", "b", 1), ("came", "a", 1), ("came", "c", 1)]),
-    Unmarked: ({"needs": ("a",)}, [("came", "a", 1), ("failed", "b", 1), ("failed", "c", 1)]),
-    Twice: ({"needs": ("a",)}, [("woke", "a", 1), ("came", "a", 1)]),
+PLAIN_RULE = {"wait": "budget", "fill_ms": 0.0, "spare": (), "tries": 2}
+INJECTED_BUGS = {
+    AcceptsLateRows: ({"needs": ("a",)}, [("failed", "b", 1), ("came", "b", 1), ("came", "a", 1), ("came", "c", 1)]),
+    MarksPartialComplete: ({"needs": ("a",)}, [("came", "a", 1), ("failed", "b", 1), ("failed", "c", 1)]),
+    RetriesInFlight: ({"needs": ("a",)}, [("woke", "a", 1), ("came", "a", 1)]),
 }
 
 
-@pytest.mark.parametrize("planted", PLANTED)
-def test_planted_mistakes_are_found(planted):
-    need, steps = PLANTED[planted]
-    follow(PLAIN, need, steps, (), False)
+@pytest.mark.parametrize("buggy_class", INJECTED_BUGS)
+def test_injected_bugs_are_found(buggy_class):
+    need, steps = INJECTED_BUGS[buggy_class]
+    run_steps(PLAIN_RULE, need, steps, (), False)
     with pytest.raises(AssertionError):
-        follow(PLAIN, need, steps, (), False, planted)
+        run_steps(PLAIN_RULE, need, steps, (), False, buggy_class)
 
 
-def test_one_that_is_held_although_it_is_lost_is_found():
+def test_request_that_waits_although_it_cannot_succeed_is_found():
     machine = gather()
     begin(machine)
-    assert of(machine.fail_site(5, "a", 0, "cut"), Answer)
-    held = gather()
-    held.__class__ = Waiting
-    begin(held)
-    assert not of(held.fail_site(5, "a", 0, "cut"), Answer)
+    assert effects_of(machine.fail_site(5, "a", 0, "cut"), Answer)
+    waiting = gather()
+    waiting.__class__ = NeverGivesUp
+    begin(waiting)
+    assert not effects_of(waiting.fail_site(5, "a", 0, "cut"), Answer)
 
 
-# ---- what is learned and kept, how far a part has come
+# ---- latencies, cached results and hop counts
 
 
-def test_times_tell_a_quantile_once_there_are_enough_and_forget_old_ones():
-    times = SiteLatencies()
-    for took in range(7):
-        times.add("a", "report", took)
-    assert not times.quantile("a", "report", 0.9)
+def test_latency_quantile_needs_enough_samples_and_drops_old_ones():
+    latencies = SiteLatencies()
+    for latency in range(7):
+        latencies.add("a", "report", latency)
+    assert not latencies.quantile("a", "report", 0.9)
     for _ in range(64):
-        times.add("a", "report", 50)
-    assert times.quantile("a", "report", 0.1) == 50
+        latencies.add("a", "report", 50)
+    assert latencies.quantile("a", "report", 0.1) == 50
 
 
-def test_the_shelf_keeps_within_its_bytes_and_lets_the_least_lately_used_go():
-    shelf = ResultCache(3 * (ENTRY_OVERHEAD_BYTES + 10))
+def test_result_cache_evicts_the_least_recently_used_results():
+    cache = ResultCache(3 * (ENTRY_OVERHEAD_BYTES + 10))
     for number in range(3):
-        shelf.put("a", number, Rows((b"x" * 10,)), number)
-    assert shelf.get("a", 0).read_at == 0
-    shelf.put("a", 3, Rows((b"x" * 10,)), 3)
+        cache.put("a", number, Rows((b"x" * 10,)), number)
+    assert cache.get("a", 0).read_at == 0
+    cache.put("a", 3, Rows((b"x" * 10,)), 3)
     assert (
-        shelf.get("a", 1) is None
-        and shelf.get("a", 0) is not None
-        and shelf.size_bytes <= 3 * (ENTRY_OVERHEAD_BYTES + 10)
+        cache.get("a", 1) is None
+        and cache.get("a", 0) is not None
+        and cache.size_bytes <= 3 * (ENTRY_OVERHEAD_BYTES + 10)
     )
-    shelf.put("a", 9, Rows((b"x" * 9_999,)), 3)
-    assert shelf.get("a", 9) is None
+    cache.put("a", 9, Rows((b"x" * 9_999,)), 3)
+    assert cache.get("a", 9) is None
 
 
-def test_hops_are_told_in_the_id_and_a_client_s_own_has_none():
+def test_request_id_encodes_the_hop_count():
     import random
 
-    draw = random.Random(3)
-    for told in range(1, hop_count.MAX_HOPS + 1):
-        id = hop_count.subrequest_id(draw, told)
-        assert len(id) == 16 and hop_count.hop_count_of(id) == told and id != hop_count.subrequest_id(draw, told)
-    assert not any(hop_count.hop_count_of(f"{draw.getrandbits(64):016x}") for _ in range(2_000))
+    generator = random.Random(3)
+    for hops in range(1, hop_count.MAX_HOPS + 1):
+        request_id = hop_count.subrequest_id(generator, hops)
+        assert (
+            len(request_id) == 16
+            and hop_count.hop_count_of(request_id) == hops
+            and request_id != hop_count.subrequest_id(generator, hops)
+        )
+    assert not any(hop_count.hop_count_of(f"{generator.getrandbits(64):016x}") for _ in range(2_000))
 
 
-# ---- at one gateway
+# ---- local subrequests
 
 
 class Engines:
-    """Keeps attempts until the test ends them."""
+    """An engine port that keeps attempts until the test completes them."""
 
     def __init__(self):
         self.out, self.given_up = [], []
@@ -545,7 +553,7 @@
         self.core.complete_attempt(attempt, reason, rows=[text] if reason == "GOOD" else ())
 
 
-def test_parts_run_in_their_zones_alone_and_the_answer_is_joined_and_marked():
+def test_subrequests_run_in_the_zones_of_their_sites_and_rows_are_joined():
     gateway = Gateway(sites=["a", "b"])
     query, client = gateway.ask()
     assert sorted(attempt.engine for attempt in gateway.engines.out) == ["eza", "ezb"]
@@ -565,7 +573,7 @@
     assert not gateway.core.queries and not gateway.dispatcher.requests
 
 
-def test_at_the_deadline_what_is_here_is_answered_in_time_and_what_runs_is_called_off():
+def test_deadline_gives_a_partial_answer_and_cancels_running_subrequests():
     gateway = Gateway(sites=["a", "b"])
     query, client = gateway.ask()
     gateway.end("za", text=b"a\t1\t2\n")
@@ -577,7 +585,7 @@
     assert deadline <= gateway.clock.now()
 
 
-def test_a_zone_without_an_engine_is_cut_and_one_that_goes_is_waited_for_no_more():
+def test_zone_without_ready_engines_is_not_waited_for():
     gateway = Gateway(sites=["a", "b"])
     _, client = gateway.ask()
     gateway.end("za", text=b"a\t1\t2\n")
@@ -589,7 +597,7 @@
     assert second.said[0][2].sites[1].missing == "cut"
 
 
-def test_a_client_that_leaves_takes_its_parts_along_and_open_gathers_end_under_their_rules():
+def test_disconnect_cancels_subrequests_and_open_requests_keep_their_rules():
     gateway = Gateway(sites=["a", "b"])
     query, client = gateway.ask()
     gateway.core.disconnect_client(query)
@@ -600,10 +608,10 @@
     gateway.end("za", text=b"a\t1\t2\n")
     assert client.said[0][1] == b"a\t1\t2\nb\t1\t2\n"
     _, plain = gateway.ask(number=3)
-    assert len(gateway.engines.out) == 1  # it is no gather any more
+    assert len(gateway.engines.out) == 1  # an ordinary request, as the new rules have no gathers
 
 
-def test_a_part_from_another_gateway_is_gathered_no_further():
+def test_subrequest_of_another_gateway_is_not_gathered():
     import random
 
     gateway = Gateway(sites=["a", "b"])
@@ -611,31 +619,31 @@
     assert len(gateway.engines.out) == 1 and gateway.dispatcher.counts["gather_hops_ended"] == 1
 
 
-class Changing(GatherDispatcher):
-    """Planted: an open gather goes by the rules that hold by now."""
+class ChangesOpenRules(GatherDispatcher):
+    """Injected bug: an open request changes to the active rules."""
 
     def apply_rules(self, rules, version):
         super().apply_rules(rules, version)
-        for open in self.requests.values():
-            open.state.rule = rules.file.rule[0] if rules.file.rule else open.rule
+        for request in self.requests.values():
+            request.state.rule = rules.file.rule[0] if rules.file.rule else request.rule
 
 
-def test_an_open_request_that_changes_its_version_is_found():
-    """The open one needs all; the version that comes meanwhile would let it be partial."""
+def test_change_of_the_rules_of_an_open_request_is_found():
+    """The rules of the open request need all sites; the new version allows a partial answer."""
     lax = gather_rules({"site": SITES, "rule": [PARTIAL | {"sites": ["a", "b"]}]}, SETTINGS)
-    said = {}
-    for kind in (GatherDispatcher, Changing):
+    outcomes = {}
+    for kind in (GatherDispatcher, ChangesOpenRules):
         gateway = Gateway(sites=["a", "b"], needs="all")
         gateway.dispatcher.__class__ = kind
         _, client = gateway.ask()
         gateway.dispatcher.apply_rules(lax, 2)
         gateway.end("za", text=b"a\t1\t2\n")
         gateway.clock.advance(3 * S)
-        said[kind] = client.said[0][0]
-    assert said == {GatherDispatcher: "refused", Changing: "served"}
+        outcomes[kind] = client.said[0][0]
+    assert outcomes == {GatherDispatcher: "refused", ChangesOpenRules: "served"}
 
 
-# ---- at another installation
+# ---- subrequests to other installations
 
 
 class Wire(StringTransport):
@@ -643,7 +651,7 @@
 
 
 class Remote:
-    """What the gathering gateway wrote to one of another installation's, and how that answers."""
+    """A gateway of another installation: what it received, and its responses."""
 
     def __init__(self, reactor, number):
         *_, self.factory, _, _ = reactor.tcpClients[number]
@@ -651,13 +659,13 @@
         self.protocol, self.transport = self.factory.buildProtocol(None), Wire()
         self.protocol.makeConnection(self.transport)
 
-    def heard(self):
-        told = [json.loads(line) for line in self.transport.value().splitlines()]
+    def received(self):
+        messages = [json.loads(line) for line in self.transport.value().splitlines()]
         self.transport.clear()
-        return told
+        return messages
 
-    def say(self, **words):
-        self.protocol.dataReceived(json.dumps({"jsonrpc": "2.0", **words}).encode() + b"\n")
+    def respond(self, **message):
+        self.protocol.dataReceived(json.dumps({"jsonrpc": "2.0", **message}).encode() + b"\n")
 
 
 def body(text):
@@ -671,16 +679,16 @@
     return gateway, client, reactor, Remote(reactor, 0)
 
 
-def test_a_part_goes_to_another_installation_by_the_clients_protocol_and_its_rows_are_joined():
+def test_subrequest_to_another_installation_uses_the_clients_protocol():
     gateway, client, _, remote = remote_gather()
-    [asked] = remote.heard()
-    params = asked["params"]
+    [call] = remote.received()
+    params = call["params"]
     assert set(params) == {"rid", "budget", "acct", "body"} and b64decode(params["body"]) == b"SELECT 1"
-    assert hop_count.hop_count_of(params["rid"]) == 1 and 0 < params["budget"] < 3_000 and asked["method"] == "report"
+    assert hop_count.hop_count_of(params["rid"]) == 1 and 0 < params["budget"] < 3_000 and call["method"] == "report"
     gateway.end("za", text=b"a\t1\t2\n")
-    remote.say(id=asked["id"], result=body(b"c\t1\t2\n"))
+    remote.respond(id=call["id"], result=body(b"c\t1\t2\n"))
     assert client.said[0][:2] == ("served", b"a\t1\t2\nc\t1\t2\n")
-    remote.say(id=asked["id"], result=body(b"c\t1\t2\n"))  # twice: it counts once
+    remote.respond(id=call["id"], result=body(b"c\t1\t2\n"))  # a duplicate is ignored
     assert len(client.said) == 1
 
 
@@ -695,39 +703,39 @@
         {"result": {**body(b"c\t1\t2\n"), "gather": {"whole": False, "sites": []}}},
     ],
 )
-def test_what_is_no_whole_answer_is_none(answer):
+def test_response_without_complete_rows_fails_the_subrequest(answer):
     gateway, client, reactor, remote = remote_gather(tries=1)
-    remote.say(id=remote.heard()[0]["id"], **answer)
+    remote.respond(id=remote.received()[0]["id"], **answer)
     if not client.said:
         remote.protocol.connectionLost()
     assert [said[0] for said in client.said] == ["refused"]
 
 
-def test_the_second_try_goes_to_another_gateway_of_the_site_and_a_refusal_tells_its_back_off():
+def test_retry_uses_another_gateway_and_the_longest_backoff_is_reported():
     gateway, client, reactor, remote = remote_gather()
-    remote.say(id=remote.heard()[0]["id"], error={"code": -32008, "message": "x", "data": {"backoff": 900}})
+    remote.respond(id=remote.received()[0]["id"], error={"code": -32008, "message": "x", "data": {"backoff": 900}})
     assert not client.said and len(reactor.tcpClients) == 2
     other = Remote(reactor, 1)
     assert other.address != remote.address
-    other.say(id=other.heard()[0]["id"], error={"code": -32008, "message": "x", "data": {"backoff": 400}})
+    other.respond(id=other.received()[0]["id"], error={"code": -32008, "message": "x", "data": {"backoff": 400}})
     assert client.said == [("refused", 900 * MS)] and gateway.dispatcher.counts["gather_further_tries"] == 1
 
 
-def test_a_gateway_that_goes_is_cut_and_what_is_called_off_is_withdrawn_there():
+def test_lost_gateway_is_unreachable_and_cancellations_are_sent():
     gateway, client, reactor, remote = remote_gather(tries=1)
     remote.protocol.connectionLost()
     assert client.said[0][0] == "refused"
     gateway, client, reactor, remote = remote_gather()
-    [asked] = remote.heard()
+    [call] = remote.received()
     gateway.end("za", "BAD")
     gateway.clock.advance(100 * MS)
     while gateway.engines.out:
         gateway.end("za", "BAD")
         gateway.clock.advance(100 * MS)
     assert client.said[0][0] == "refused"
-    assert remote.heard() == [{"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": asked["id"]}}]
+    assert remote.received() == [{"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": call["id"]}}]
 
 
-def test_rows_are_whole_or_none():
+def test_only_terminated_rows_of_three_columns_are_complete():
     assert are_complete_rows(b"", 9) and are_complete_rows(b"a\tb\tc\n", 9)
     assert not any(are_complete_rows(text, 9) for text in (b"a\tb\n", b"a\tb\tc", b"a\tb\tc\n" * 2, b"\xff\t\t\n"))
--- a/tests/test_gather_processes.py
+++ b/tests/test_gather_processes.py
@@ -1,4 +1,4 @@
-"""Gathers on real processes: sites that fall silent, gateways that gather from one another, drains under gathers."""
+"""Gathers on real processes: unresponsive sites, gateways that gather from one another, and drains during gathers."""
 
 import base64
 import json
@@ -25,7 +25,7 @@
 name = "s1"
 zones = ["s1"]
 """
-NEED = """
+PARTIAL_RULE = """
 [[gather.rule]]
 class = "report"
 sites = ["s0", "s1"]
@@ -33,7 +33,7 @@
 partial = true
 wait = "learned"
 """
-ALL = """
+COMPLETE_RULE = """
 [[gather.rule]]
 class = "report"
 sites = ["s0", "s1"]
@@ -44,8 +44,8 @@
     return judge(("s0", "s1"), "report", partial, seen)
 
 
-def play(rules, steps, partial, seconds=5, sites=SITES, audit=sites_fresh):
-    """`sites` may name the gateways' addresses, which are known once the rig is made."""
+def run_trial(rules, steps, partial, seconds=5, sites=SITES, audit=sites_fresh):
+    """Run a trial and return its verdict. `sites` may contain `{g0}` and `{g1}` for the addresses of the gateways."""
     seen = Seen()
     with Rig(Plan(gateways=2, sites=2, engines=2, seed=3, fleet=True), reactor) as rig:
         addresses = {name: json.dumps(text(each.listen)) for name, each in rig.gateways.items()}
@@ -65,9 +65,9 @@
     return verdict
 
 
-def test_one_silent_site_leaves_partial_answers_that_say_so_and_whole_ones_before_and_after():
-    verdict = play(
-        NEED,
+def test_unresponsive_site_gives_marked_partial_answers_until_it_recovers():
+    verdict = run_trial(
+        PARTIAL_RULE,
         [
             Step(at_ms=1_500, do="mood", whom=("e1",), more={"silent": True}),
             Step(at_ms=3_500, do="mood", whom=("e1",), more={"silent": False}),
@@ -88,28 +88,28 @@
 
 
 def one_hop(partial, seen):
-    """The first part is of this list's zone, the second a whole answer of a gateway that gathers no further."""
+    """Return a check that rows come from the local zone first, then from a gateway that does not gather again."""
 
-    def wrong(request, result):
-        body, made = base64.b64decode(result["body"]), None
+    def fault(request, result):
+        body, makers = base64.b64decode(result["body"]), None
         if request.arrival.kind.name != "report":
             return rows.fault(body, request.arrival.statement)
-        made = rows.makers(body, request.arrival.statement)
+        makers = rows.makers(body, request.arrival.statement)
         seen.whole += 1
-        return None if made and len(made) == 2 and made[0][1] == "s0" else f"rows of {made}"
+        return None if makers and len(makers) == 2 and makers[0][1] == "s0" else f"rows of {makers}"
 
-    return wrong
+    return fault
 
 
 def test_gateways_that_gather_from_one_another_do_so_once():
-    verdict = play(ALL.replace("s1", "far"), [], False, 3, MUTUAL, one_hop)
+    verdict = run_trial(COMPLETE_RULE.replace("s1", "far"), [], False, 3, MUTUAL, one_hop)
     assert verdict.figures["seen"].whole > 2
 
 
 @pytest.mark.parametrize(
-    "deed",
+    "fault_step",
     [Step(at_ms=2_000, do="term", whom=("g0",)), Step(at_ms=2_000, do="mood", whom=("e1",), more={"resets": 1.0})],
 )
-def test_where_all_is_needed_nothing_partial_is_given_whatever_ends(deed):
-    verdict = play(ALL, [deed], False)
+def test_no_partial_answer_where_all_sites_are_needed(fault_step):
+    verdict = run_trial(COMPLETE_RULE, [fault_step], False)
     assert verdict.figures["seen"].whole and not verdict.figures["seen"].partial
