--- a/rackhub/gather/component.py
+++ b/rackhub/gather/component.py
@@ -58,7 +58,7 @@
         names = [names_by_address.get(address) for address in site.addresses]
         return all(name is not None and name not in reachable for name in names)
 
-    def begin(self, listing: EndpointSnapshot) -> EndpointSnapshot:
+    def begin(self, snapshot: EndpointSnapshot) -> EndpointSnapshot:
         """Join the fleet and its rule set, if they are enabled."""
         # Typed as Any: the fleet is not imported where it is disabled.
         fleet: Any = self.context.components.get("fleet")
@@ -66,12 +66,12 @@
             self.join_fleet(fleet.fleet, fleet.overload)
             if fleet.rules is not None:
                 fleet.rules.add_section("gather", self)
-        self.dispatcher.update_endpoints(listing)
-        return listing
+        self.dispatcher.update_endpoints(snapshot)
+        return snapshot
 
-    def endpoints_changed(self, listing: EndpointSnapshot) -> None:
-        """Take a new endpoint list."""
-        self.dispatcher.update_endpoints(listing)
+    def endpoints_changed(self, snapshot: EndpointSnapshot) -> None:
+        """Apply a new endpoint list."""
+        self.dispatcher.update_endpoints(snapshot)
 
     def reload(self, operator: Operator) -> None:
         """Apply the file's rules, unless those of the rule set are active."""
--- a/rackhub/gather/dispatcher.py
+++ b/rackhub/gather/dispatcher.py
@@ -152,9 +152,9 @@
         self.active = ActiveRules(rules, version)
         self.count("gather_rules_held")
 
-    def update_endpoints(self, endpoints: EndpointSnapshot) -> None:
-        """Take a new endpoint list."""
-        self._ready_zones = frozenset(entry.zone for entry in endpoints.entries if entry.state == "Ready")
+    def update_endpoints(self, snapshot: EndpointSnapshot) -> None:
+        """Apply a new endpoint list."""
+        self._ready_zones = frozenset(entry.zone for entry in snapshot.entries if entry.state == "Ready")
         self.cancel_unreachable()
 
     def cancel_unreachable(self) -> None:
--- a/rackhub/timings/explain.py
+++ b/rackhub/timings/explain.py
@@ -173,11 +173,11 @@
         else 0.0
     )
     now, rows = 0.0, [TimelineEvent(0.0, "admitted; attempt 1 is sent")]
-    copy = engine.copy_after / MS
+    hedge_after = engine.copy_after / MS
     if engine.copy_share and terms.attempts > 1:
         rows.append(
-            TimelineEvent(copy, "a second copy is sent")
-            if copy
+            TimelineEvent(hedge_after, "a second copy is sent")
+            if hedge_after
             else TimelineEvent(0.0, "a second copy is sent after a learned time")
         )
     for attempt in range(1, terms.attempts + 1):
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -220,7 +220,7 @@
     machine = gather(spare=("b", "c"))
     assert [part.site for part in effects_of(begin(machine, overloaded=True), SendSubrequest)] == ["a"]
     assert only_effect(machine.receive_rows(10, "a", 0, rows("a")), Answer).status.sites[1].missing == "spared"
-    weighted = gather(needs="all", weight=0.75, spare=("a", "b", "c"))  # without b the answer would not suffice
+    weighted = gather(needs="all", weight=0.75, spare=("a", "b", "c"))  # the weight needs b
     assert [part.site for part in effects_of(begin(weighted, overloaded=True), SendSubrequest)] == ["b", "c"]
 
 
@@ -534,12 +534,12 @@
 
     def list(self, *zones):
         entries = tuple(t.EngineEntry(f"e{zone}", zone, "std") for zone in zones)
-        listing = EndpointSnapshot(1, entries, {entry.engine: ("127.0.0.1", 1) for entry in entries})
+        snapshot = EndpointSnapshot(1, entries, {entry.engine: ("127.0.0.1", 1) for entry in entries})
         if self.core.engines is None:
             self.core.start(self.engines, entries, 1)
         else:
             self.core.update_endpoints(entries, 2)
-        self.dispatcher.update_endpoints(listing)
+        self.dispatcher.update_endpoints(snapshot)
 
     def ask(self, marks=True, number=1, within=3 * S, id=None):
         client = Client(marks)
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -257,7 +257,7 @@
         now = feed(quantiles, generator, now, 400)
         fell.append(limit(quantiles, now))
     assert fell[0] >= MAX_FALL * high * 0.999 and fell[-1] < 0.3 * high
-    assert limit(quantiles, now + 100 * HISTOGRAM_SPAN, most=5_000.0) == 5_000.0  # all samples have expired
+    assert limit(quantiles, now + 100 * HISTOGRAM_SPAN, most=5_000.0) == 5_000.0  # all samples expired
 
 
 # ---- the core with a route policy
@@ -1013,7 +1013,7 @@
         counters = until("counters:")
         assert "timings_reloads=3 timings_reloads_bad=2" in counters
         behind = re.search(r"over_behind=(\d+)", counters)
-        assert refused == (int(behind[1]) if behind else 0)  # all rejections are due to the overloaded event loop
+        assert refused == (int(behind[1]) if behind else 0)  # the event loop was behind
         assert "generation2=0" in until("open under timings")
         assert daemon.wait(30) == 0
     finally:
