--- a/rackhub/gather/state.py
+++ b/rackhub/gather/state.py
@@ -2,6 +2,9 @@
 
 Times are microseconds of the gathering coordinator's clock. A site has at most one subrequest in flight; late and
 duplicate events are ignored.
+
+Reasons for a missing site: "late" returned no rows in time, "cut" is unreachable, "refused" rejected the subrequest,
+"failed" returned an error or rows that did not fit, and "spared" was left out because of an overload.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -53,7 +56,7 @@
 class Answer(NamedTuple):
     """The final answer: served, with the rows in the order of the sites and their status, or refused.
 
-    `backoff`: the Retry-After of a refusal in microseconds. `reason`: for diagnostics only.
+    `backoff`: the Retry-After of a refusal in microseconds. `reason`: why it was refused; not sent to the client.
     """
 
     outcome: Literal["served", "refused"]
@@ -79,7 +82,8 @@
     `weights`: by site. `usual_latency(site)`: the latency at the rule's quantile, 0 if it is unknown.
     `cached_result(site)`: the last complete result for this request. `take_retry_token()`: takes one retry from the
     fleet's budget and returns False if none is left. `backoff`: the minimum Retry-After of a refusal.
-    `partial_accepted`: the client's protocol can mark an answer as partial.
+    `partial_accepted`: the client's protocol can mark an answer as partial. Unless it can and the rule has `partial`,
+    every site must return fresh rows.
     """
 
     def __init__(
@@ -110,28 +114,28 @@
         self._take_retry_token = take_retry_token
         self._partial_allowed = rule.partial and partial_accepted
         self._backoff = backoff
-        self._sufficient_at = 0
+        self._sufficient_at = 0  # the time at which the fresh rows became sufficient; 0: not yet
 
     # ---- events
 
     def start(self, now: int, is_unreachable: Callable[[str], bool], overloaded: bool) -> list[Effect]:
-        """Admit or refuse the request as a whole.
+        """Send a subrequest to each reachable site, or refuse the request if the answer can't become sufficient.
 
-        No subrequest is sent to unreachable sites. While the fleet is overloaded, spare sites are left out too, as long
-        as the other sites can still suffice.
+        While the fleet is overloaded, the rule's `spare` sites are left out too, as long as the other sites can suffice
+        and a partial answer is allowed.
         """
         for site in self.rule.sites:
             if is_unreachable(site):
                 self.missing[site] = "cut"
         if overloaded and self._partial_allowed:
-            self._spare_sites(now)
+            self._leave_out_spare_sites(now)
         if not self._can_succeed(frozenset(self.missing), now):
             return self._finish(now)
         targets = [site for site in self.rule.sites if site not in self.missing]
         sends: list[Effect] = [self._send_subrequest(site) for site in targets]
         return [*sends, StartTimer(self.deadline), *self._evaluate(now)]
 
-    def _spare_sites(self, now: int) -> None:
+    def _leave_out_spare_sites(self, now: int) -> None:
         for site in self.rule.spare:
             if site not in self.missing and self._can_succeed(frozenset(self.missing) | {site}, now):
                 self.missing[site] = "spared"
@@ -147,7 +151,11 @@
     def fail_site(
         self, now: int, site: str, attempt: int, reason: MissingReason, backoff: int = 0, may_retry: bool = False
     ) -> list[Effect]:
-        """A subrequest ended without rows. `may_retry`: another coordinator of the site may be tried."""
+        """A subrequest ended without rows.
+
+        `backoff`: the Retry-After that the site gave, in microseconds; a refusal has the longest one. `may_retry`:
+        another coordinator of the site may be tried.
+        """
         if self.done or self.in_flight.get(site) != attempt:
             return []
         del self.in_flight[site]
@@ -177,9 +185,9 @@
         return self._evaluate(now)
 
     def cancel(self) -> list[Effect]:
-        """Cancel all subrequests: the client has disconnected, or the core has answered it."""
+        """Cancel all subrequests: the client has disconnected, or the core has answered the request."""
         self.done = True
-        return self._cancel_calls()
+        return self._cancel_subrequests()
 
     # ---- decisions
 
@@ -199,7 +207,10 @@
         return self._finish(now) if now >= wait_limit else [StartTimer(wait_limit)]
 
     def _wait_limit(self, now: int) -> int:
-        """Return the time until which to wait for further sites, now that the others suffice."""
+        """Return until when to wait for sites in flight, now that the fresh rows are sufficient.
+
+        With `wait` = "need" that is no time at all, with "learned" the latest limit of these sites.
+        """
         self._sufficient_at = self._sufficient_at or now
         if self.rule.wait == "need":
             return self._sufficient_at
@@ -207,20 +218,24 @@
         return min(max(limits, default=now), self.deadline)
 
     def _wait_limit_of(self, site: str) -> int:
+        """Return the usual latency of a site after the start, or its default after the rows became sufficient."""
         latency = self._usual_latency(site)
         if latency:
             return self.started_at + latency
         return self._sufficient_at + int(self.rule.default_wait_ms * MS)
 
-    def _stand_in(self, site: str, now: int) -> Rows | None:
+    def _usable_cached_rows(self, site: str, now: int) -> Rows | None:
         """Return the cached rows of a site, if the rule allows them and they are recent enough."""
         cached = self._cached_result(site) if self._partial_allowed and self.rule.fill_ms else None
         if cached is None or now - cached.read_at > self.rule.fill_ms * MS:
             return None
-        return Rows(cached.rows.pages, max(now - cached.read_at, 1))
+        return Rows(cached.rows.pages, max(now - cached.read_at, 1))  # an age of 0 is for fresh rows
 
     def _is_sufficient(self, present: frozenset[str]) -> bool:
-        """Return whether the rows of these sites suffice for an answer."""
+        """Return whether the rows of these sites suffice for an answer.
+
+        Needed are all sites of the rule if no partial answer is allowed, else its `weight` if set, else its `needs`.
+        """
         if not self._partial_allowed:
             return present.issuperset(self.rule.sites)
         if self.rule.weight is not None:
@@ -234,8 +249,8 @@
         Cached results may replace them, but at least one site must return fresh rows.
         """
         present = {site for site in self.rule.sites if site not in missing}
-        stood_in = {site for site in missing if self._stand_in(site, now) is not None}
-        return bool(present) and self._is_sufficient(frozenset(present | stood_in))
+        replaceable = {site for site in missing if self._usable_cached_rows(site, now) is not None}
+        return bool(present) and self._is_sufficient(frozenset(present | replaceable))
 
     # ---- the answer
 
@@ -244,28 +259,34 @@
         absent: dict[str, MissingReason] = {**self.missing, **dict.fromkeys(self.in_flight, "late")}
         rows = dict(self.fresh)
         for site in absent:
-            stand_in = self._stand_in(site, now)
-            if stand_in is not None:
-                rows[site] = stand_in
+            cached_rows = self._usable_cached_rows(site, now)
+            if cached_rows is not None:
+                rows[site] = cached_rows
         self.done = True
         if not self.fresh or not self._is_sufficient(frozenset(rows)):
             reasons = ", ".join(f"{site} {reason}" for site, reason in absent.items())
-            return [*self._cancel_calls(), self._refusal(reasons)]
-        self._drop_oversized(rows, absent)
+            return [*self._cancel_subrequests(), self._refusal(reasons)]
+        self._drop_sites_until_size_fits(rows, absent)
         if self._total_size(rows) > self._max_bytes:
-            return [*self._cancel_calls(), self._refusal(f"the sites' rows are more than {self._max_bytes} bytes")]
+            return [
+                *self._cancel_subrequests(),
+                self._refusal(f"the rows of all sites are over the maximum of {self._max_bytes} bytes"),
+            ]
         pages = [page for site in self.rule.sites if site in rows for page in rows[site].pages]
-        return [*self._cancel_calls(), Answer("served", pages, self._status(rows, absent))]
+        return [*self._cancel_subrequests(), Answer("served", pages, self._status(rows, absent))]
 
-    def _drop_oversized(self, rows: dict[str, Rows], absent: dict[str, MissingReason]) -> None:
-        """While the rows are too large, leave out sites, from the rule's last one, without which the others suffice."""
+    def _drop_sites_until_size_fits(self, rows: dict[str, Rows], absent: dict[str, MissingReason]) -> None:
+        """Leave out sites, the rule's last one first, until the rows fit into the maximum size.
+
+        A site is only left out if the remaining ones are sufficient and at least one of them is fresh.
+        """
         for site in reversed(self.rule.sites):
             if (
                 site in rows
                 and self._total_size(rows) > self._max_bytes
                 and self._partial_allowed
                 and self._is_sufficient(frozenset(rows) - {site})
-                and set(rows) & set(self.fresh) - {site}
+                and set(rows) & (set(self.fresh) - {site})
             ):
                 del rows[site]
                 absent[site] = "failed"
@@ -287,7 +308,7 @@
     def _total_size(rows: Mapping[str, Rows]) -> int:
         return sum(result.size for result in rows.values())
 
-    def _cancel_calls(self) -> list[Effect]:
+    def _cancel_subrequests(self) -> list[Effect]:
         effects: list[Effect] = [CancelSubrequest(site, attempt) for site, attempt in self.in_flight.items()]
         self.in_flight.clear()
         return effects
--- a/rackhub/timings/explain.py
+++ b/rackhub/timings/explain.py
@@ -15,7 +15,10 @@
 
 
 class RouteMatch(msgspec.Struct, frozen=True):
-    """Whether a route matches a request, and if not, the first key that differs."""
+    """Whether a route matches a request; the first match applies.
+
+    `reason`: the first key that does not match, or a note on a match.
+    """
 
     route: int
     fits: bool
@@ -23,7 +26,11 @@
 
 
 class SourcedTerm(msgspec.Struct, frozen=True):
-    """One active term and its source: a route, a setting or a default."""
+    """One active term and its source: a route, a setting or a default.
+
+    A value equal to the default is shown with the source of the default. A term of an attempt is shown with the first
+    route that matches the attempt, also where the request's route sets it.
+    """
 
     name: str
     value: Any
@@ -54,7 +61,7 @@
 ) -> Explanation:
     """Explain the terms of one request.
 
-    `estimate` is in milliseconds. A `kind` of "" stands for any kind of engine that no route names.
+    `estimate` is in milliseconds. A `kind` of "" stands for engines whose kind the site does not define.
     """
     table = Table(routes, settings)
     terms = table.find(cls, tenant, int(estimate * MS))
@@ -82,11 +89,12 @@
         low, high = route.estimate_ms or (0.0, 0.0)
         return RouteMatch(index, False, f"estimate_ms is {estimate:g}, the route matches {low:g} to before {high:g}")
     return RouteMatch(
-        index, True, "by engine_kind, for terms that depend on the engine" if route.engine_kind is not None else ""
+        index, True, "for the terms of attempts on these engines only" if route.engine_kind is not None else ""
     )
 
 
 def _source(route: int | None, is_set: bool, default: str) -> str:
+    """Return the key of the route if it sets the term, otherwise `default`."""
     return f"timings.route[{route}]" if is_set and route is not None else default
 
 
@@ -110,7 +118,7 @@
     if terms.share is None:
         rows.append(SourcedTerm("retry_share", None, "no budget"))
     else:
-        budget = f"{terms.share:g} of the requests served in {terms.over / MS:g} ms, at least {terms.floor}"
+        budget = f"{terms.share:g} of the requests served in {terms.over / MS:g} ms, {terms.floor} are always allowed"
         rows.append(SourcedTerm("retry_share", budget, _source(request_route, True, "")))
     if class_settings.idempotency == "dedup":
         rows.append(
@@ -124,8 +132,8 @@
         rows.append(
             SourcedTerm(
                 "attempt_timeout",
-                f"p{engine.learned.percent:g}*{engine.learned.factor:g}, from "
-                f"{engine.learned_least:g} to {engine.learned_most or 'any'} ms",
+                f"p{engine.learned.percent:g}*{engine.learned.factor:g} of the latencies, from "
+                f"{engine.learned_least:g} to {engine.learned_most or 'unlimited'} ms",
                 _source(attempt_route, True, ""),
             )
         )
@@ -138,15 +146,15 @@
             )
         )
     if engine.copy_share:
-        after: Any = (
-            f"p{engine.copy_learned.percent:g}*{engine.copy_learned.factor:g}"
+        after = (
+            f"p{engine.copy_learned.percent:g}*{engine.copy_learned.factor:g} of the latencies"
             if engine.copy_learned
-            else engine.copy_after / MS
+            else f"{engine.copy_after / MS} ms"
         )
         rows.append(
             SourcedTerm(
                 "second_copy",
-                f"after {after} ms, at most {engine.copy_share:g} of the requests",
+                f"after {after}, at most {engine.copy_share:g} of the requests served",
                 _source(attempt_route, True, ""),
             )
         )
@@ -161,43 +169,49 @@
 
 
 def timeline(terms: Terms, engine: EngineTerms, class_settings: interface.ClassSettings) -> list[TimelineEvent]:
-    """Return the worst case: every attempt times out and every delay is the longest.
+    """Return the worst case: every attempt times out, every retry has the longest delay, and budgets allow all retries.
 
-    A learned time-out counts with its ceiling; without one, an attempt may take all the time until the deadline.
+    A learned time-out is taken as `attempt_timeout_most_ms`; without that, an attempt may take all the time until the
+    deadline. A second copy is listed when it is due, but not counted as an attempt.
     """
-    end = class_settings.deadline / MS
-    limit = engine.timeout / MS or (engine.learned_most if engine.learned is not None else 0.0)
-    window = (
+    deadline_ms = class_settings.deadline / MS
+    timeout_ms = engine.timeout / MS or (engine.learned_most if engine.learned is not None else 0.0)
+    dedup_window_ms = (
         (terms.repeat_within or class_settings.idempotency_window) / MS
         if class_settings.idempotency == "dedup"
         else 0.0
     )
-    now, rows = 0.0, [TimelineEvent(0.0, "admitted; attempt 1 is sent")]
-    hedge_after = engine.copy_after / MS
+    sent_ms, rows = 0.0, [TimelineEvent(0.0, "admitted; attempt 1 is sent")]
+    hedge_after_ms = engine.copy_after / MS
     if engine.copy_share and terms.attempts > 1:
         rows.append(
-            TimelineEvent(hedge_after, "a second copy is sent")
-            if hedge_after
-            else TimelineEvent(0.0, "a second copy is sent after a learned time")
+            TimelineEvent(hedge_after_ms, "a second copy is sent")
+            if hedge_after_ms
+            else TimelineEvent(0.0, "a second copy is sent later, after a learned time")
         )
     for attempt in range(1, terms.attempts + 1):
-        stop = now + limit if limit else end
-        if stop >= end:
+        ended_ms = sent_ms + timeout_ms if timeout_ms else deadline_ms
+        if ended_ms >= deadline_ms:
             break
-        rows.append(TimelineEvent(stop, f"attempt {attempt} times out"))
+        rows.append(TimelineEvent(ended_ms, f"attempt {attempt} times out"))
         if attempt == terms.attempts or "late" not in terms.retry_on:
-            rows.append(TimelineEvent(stop, "the final answer, with a back-off where the site allows one"))
+            rows.append(
+                TimelineEvent(ended_ms, "the request is rejected, with a Retry-After where the site allows one")
+            )
             return sorted(rows, key=lambda row: row.at_ms)
-        now = stop + (terms.backoff.max_delay_ms(attempt) if terms.backoff else 0.0)
-        if window and now >= window:
+        sent_ms = ended_ms + (terms.backoff.max_delay_ms(attempt) if terms.backoff else 0.0)
+        if dedup_window_ms and sent_ms >= dedup_window_ms:
             rows.append(
-                TimelineEvent(stop, f"no retry: engines drop repeats until {window:g} ms only; the final answer")
+                TimelineEvent(
+                    ended_ms,
+                    f"no retry: engines drop repeats until {dedup_window_ms:g} ms only; the request is rejected",
+                )
             )
             return sorted(rows, key=lambda row: row.at_ms)
-        if now >= end:
+        if sent_ms >= deadline_ms:
             break
-        rows.append(TimelineEvent(now, f"attempt {attempt + 1} is sent at the latest"))
-    rows.append(TimelineEvent(end, "the deadline of the client; the final answer comes before it"))
+        rows.append(TimelineEvent(sent_ms, f"latest time at which attempt {attempt + 1} is sent"))
+    rows.append(TimelineEvent(deadline_ms, "the deadline of the request; it has been answered by then"))
     return sorted(rows, key=lambda row: row.at_ms)
 
 
@@ -205,7 +219,11 @@
 
 
 class TermsChange(msgspec.Struct, frozen=True):
-    """The terms that a new file changes for one kind of request: for each, the old and the new value."""
+    """The terms that a new file changes for one kind of request: for each, the old and the new value.
+
+    `engine_kind`: "" stands for engines whose kind the site does not define; for "all" see `_merge_kinds`.
+    `estimate_ms`: the lower bound (inclusive) and the upper bound (exclusive), None if there is none.
+    """
 
     cls: str = msgspec.field(name="class")
     tenant: str
@@ -232,7 +250,10 @@
 
 
 def _flat(terms: Terms, kind: str) -> dict[str, Any]:
-    """Return the terms on one kind of engine by attribute name; `rackhub config diff` prints these names."""
+    """Return the terms on one kind of engine by attribute name; `rackhub config diff` prints these names.
+
+    Times are microseconds, except `learned_least`, `learned_most` and the back-off, which are milliseconds.
+    """
     engine = terms.for_kind(kind)
     flat = {name: getattr(terms, name) for name in ("attempts", "backoff", "repeat_within", "share", "over", "floor")}
     flat["retry_on"] = sorted(terms.retry_on)
@@ -257,7 +278,10 @@
 
 
 def _merge_kinds(found: list[TermsChange]) -> list[TermsChange]:
-    """Merge rows that differ only in the kind of engine, if one of them is for kinds that no route names."""
+    """Replace rows with equal changes by one with the engine kind "all", if one of them is for the kind "".
+
+    "all" does not cover kinds of engines with other changes, or with none.
+    """
     merged: list[TermsChange] = []
     groups: dict[tuple[Any, ...], list[TermsChange]] = {}
     for row in found:
--- a/rackhub/timings/route_policy.py
+++ b/rackhub/timings/route_policy.py
@@ -1,7 +1,8 @@
-"""The operator's routes as `core.request_policy.RequestPolicy`.
+"""Implements `core.request_policy.RequestPolicy` by the routes of the operator's file.
 
-Pure: it takes events, the time and a random stream. The terms of a request are fixed when it is admitted; a reload
-applies to later requests. Budgets and learned latencies outlive a reload, as the engines do.
+No I/O and no clock: the caller passes the time, and a seed for the jitter. A request keeps the terms with which it was
+admitted; a reload applies to later requests. Learned latencies and budgets are kept across reloads, except a budget
+whose span changes.
 """
 
 import random
@@ -17,8 +18,9 @@
     from rackhub.timings.latency_quantiles import LatencyQuantiles
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
-HEDGE_BUDGET_SPAN, HEDGE_BUDGET_FLOOR = 10 * SECOND, 1
-# The core's outcome of an attempt -> its name in `retry_on`, which does not restrict retries after other outcomes.
+HEDGE_BUDGET_SPAN = 10 * SECOND
+HEDGE_BUDGET_FLOOR = 1  # number of hedges that are always allowed within the span
+# Maps an outcome of the core to its name in `retry_on`. Outcomes that are not listed may always be retried.
 REASONS_BY_OUTCOME: dict[str, Reason] = {
     "FULL": "full",
     "NOCONN": "noconn",
@@ -31,10 +33,12 @@
 class TrackedRequest:
     """One open request with its terms.
 
-    `retry_window`: from its terms, as the core reads it. `dedup_window`: the time within which engines drop repeats of
-    its key, by its terms or its class; 0: it has no key. `possibly_executed`: when each attempt that may have run was
-    sent, by number, for a request with a key. `was_sent`: an attempt was sent. `hedged`: its hedge was sent.
-    `engine_was_full`: an engine rejected an attempt as full. A budget of None is unlimited.
+    `retry_window`: `repeat_within` of the terms, 0 if they set none; the core passes it to the decision module.
+    `dedup_window`: how long engines drop repeats of the request's idempotency key, from its terms or else its class; 0
+    if the class has no idempotency key. `possibly_executed`: the time at which each attempt that an engine may have
+    executed was sent, by its number; only for requests with an idempotency key. `was_sent`: an attempt was sent.
+    `hedged`: the hedge was sent. `engine_was_full`: an engine rejected an attempt as full. `retry_budget`: None if
+    retries are not limited by a budget. `hedge_budget`: None if the terms have no hedges, so none is sent.
     """
 
     __slots__ = (
@@ -76,7 +80,8 @@
 class RoutePolicy:
     """All active routes, with budgets and learned latencies. Times are microseconds.
 
-    `dedup_windows`: the time within which engines drop a repeat, by class with a key. `count` adds one to a counter.
+    `dedup_windows`: how long engines drop repeats, by class, for classes with an idempotency key. `count` adds one to a
+    counter. `generation`: the number of tables applied, from 1.
     """
 
     def __init__(
@@ -92,15 +97,14 @@
         self._hedge_budgets: dict[tuple[str, str], SlidingBudget] = {}
         self.open_requests: dict[int, int] = {1: 0}  # number of requests by the generation of their terms
         self._quantiles: LatencyQuantiles | None = None
-        self._learns = False
         self._load_quantiles()
 
     def _load_quantiles(self) -> None:
-        """Import the histogram library only where a route has a learned limit."""
-        self._learns = any(
-            route.attempt_timeout or route.second_copy and route.second_copy.after for route in self._table.routes
+        """Create the quantiles if a route has a learned limit; only then is the histogram library imported."""
+        has_learned_limits = any(
+            route.attempt_timeout or (route.second_copy and route.second_copy.after) for route in self._table.routes
         )
-        if self._learns and self._quantiles is None:
+        if has_learned_limits and self._quantiles is None:
             from rackhub.timings import latency_quantiles
 
             self._quantiles = latency_quantiles.LatencyQuantiles()
@@ -111,21 +115,23 @@
         self.generation += 1
         self.open_requests[self.generation] = 0
         self.open_requests = {
-            number: count for number, count in self.open_requests.items() if count or number == self.generation
+            generation: requests
+            for generation, requests in self.open_requests.items()
+            if requests or generation == self.generation
         }
         self._load_quantiles()
 
     # ---- core.request_policy.RequestPolicy
 
     def begin_request(self, cls: str, tenant: str, estimate: int, now: int) -> TrackedRequest:
-        """Return the terms of a request that was admitted.
+        """Start to track an admitted request and return its terms.
 
-        While its retry budget is spent it is limited to one attempt, and the decision module is told so: otherwise the
-        module might cancel the first attempt for another engine, and only then learn that no retry is allowed.
+        While its retry budget is spent, `max_attempts` is 1, which the core passes to the decision module. Otherwise
+        the module might cancel the first attempt for another engine, and only then learn that no retry is allowed.
         """
         terms = self._table.find(cls, tenant, estimate)
         retry_budget = self._budget(self._retry_budgets, cls, tenant, terms.over) if terms.share is not None else None
-        hedge_budget = self._budget(self._hedge_budgets, cls, tenant, HEDGE_BUDGET_SPAN) if terms.copies else None
+        hedge_budget = self._budget(self._hedge_budgets, cls, tenant, HEDGE_BUDGET_SPAN) if terms.has_hedges else None
         request = TrackedRequest(
             terms, self.generation, cls, self._dedup_windows.get(cls, 0), retry_budget, hedge_budget
         )
@@ -146,6 +152,7 @@
 
     @staticmethod
     def _budget(budgets: dict[tuple[str, str], SlidingBudget], cls: str, tenant: str, span: int) -> SlidingBudget:
+        """Return the budget of a class and tenant; a new, empty one if its span differs."""
         found = budgets.get((cls, tenant))
         if found is None or found.span != span:
             found = budgets[cls, tenant] = SlidingBudget(span)
@@ -154,7 +161,8 @@
     def may_send(self, request: TrackedRequest, attempts: int, is_hedge: bool, now: int) -> bool:
         """Return whether a retry or a hedge may be sent; the first attempt always may.
 
-        Called again when a delayed attempt is sent: its window may have ended and others may have spent the budget.
+        Checks the number of attempts, the dedup window and, for a retry, the retry budget. The core calls it right
+        before it sends: since `retry_decision` the window may have ended and other requests may have spent the budget.
         """
         if not attempts:
             return True
@@ -173,14 +181,15 @@
         return request.retry_budget is None or request.retry_budget.may_spend(now, terms.share or 0.0, terms.floor)
 
     def attempt_terms(self, request: TrackedRequest, number: int, kind: str, is_hedge: bool, now: int) -> AttemptTerms:
-        """Return the terms of an attempt that is sent now; a retry or a hedge is charged to its budget."""
+        """Return the terms of attempt `number` (from 0), which is sent now; charge a retry or hedge to its budget."""
         kinds = request.terms.kinds
         engine_terms = kinds[kind] if kind in kinds else kinds[""]
         request.was_sent = True
-        if not number and engine_terms.fixed is not None and not request.dedup_window:  # the usual case
+        if not number and engine_terms.fixed is not None and not request.dedup_window:  # usual
             return engine_terms.fixed
         send_by = 0
         if request.dedup_window:
+            # Computed before this attempt is added, as it is not a repeat of itself.
             send_by = request.send_by()
             request.possibly_executed = {**(request.possibly_executed or {}), number: now}
         if is_hedge and request.hedge_budget is not None:
@@ -214,7 +223,7 @@
     def may_hedge(self, request: TrackedRequest, kind: str, attempts: int, now: int) -> bool:
         """Return whether a hedge that is due may be sent, by its budget and the request's attempts.
 
-        None is sent where an engine rejected the request as full: hedges would add to the load.
+        No hedge is sent once an engine has rejected the request as full: it would add to the load.
         """
         if request.hedged or request.engine_was_full or not self.may_send(request, attempts, True, now):
             return False
@@ -231,29 +240,35 @@
         number: int,
         kind: str,
         engine: str,
-        reason: str,
+        outcome: str,
         elapsed: int,
         timed_out: bool,
         now: int,
     ) -> None:
-        """Record the outcome and latency of an attempt; `timed_out`: by the time-out of its terms."""
-        if reason == "GOOD":
+        """Record the outcome of an attempt.
+
+        `elapsed`: the time since it was sent. `timed_out`: the time-out of its terms ended it, not the deadline.
+        """
+        if outcome == "GOOD":
             if request.retry_budget is not None:
                 request.retry_budget.count(SERVED, now)
             if request.hedge_budget is not None:
                 request.hedge_budget.count(SERVED, now)
             if self._quantiles is None:
                 return
-        if REASONS_BY_OUTCOME.get(reason) in NOT_EXECUTED_REASONS:
+        if REASONS_BY_OUTCOME.get(outcome) in NOT_EXECUTED_REASONS:
             if request.possibly_executed:
                 request.possibly_executed.pop(number, None)
-            request.engine_was_full = request.engine_was_full or reason == "FULL"
-        if self._quantiles is not None and (reason == "GOOD" or timed_out):
+            request.engine_was_full = request.engine_was_full or outcome == "FULL"
+        if self._quantiles is not None and (outcome == "GOOD" or timed_out):
             self._quantiles.record(request.cls, kind, engine, elapsed, now, timed_out)
 
-    def retry_decision(self, request: TrackedRequest, reason: str, attempts: int, now: int) -> RetryDecision:
-        """Return whether to retry after a failed attempt, when no other attempt of the request is in flight."""
-        retry_reason = REASONS_BY_OUTCOME.get(reason)
+    def retry_decision(self, request: TrackedRequest, outcome: str, attempts: int, now: int) -> RetryDecision:
+        """Return whether to retry after a failed attempt, when no other attempt of the request is in flight.
+
+        If no retry is allowed, the `backoff` of the result is the Retry-After of the rejection.
+        """
+        retry_reason = REASONS_BY_OUTCOME.get(outcome)
         if retry_reason is not None and retry_reason not in request.terms.retry_on:
             self._count("retries_not_on")
             return RetryDecision(False)
@@ -268,10 +283,10 @@
         return RetryDecision(True, self._retry_delay(request, attempts))
 
     def _retry_delay(self, request: TrackedRequest, attempts: int) -> int:
-        backoff = request.terms.backoff
-        if backoff is None:
+        retry_backoff = request.terms.backoff
+        if retry_backoff is None:
             return 0
-        longest = backoff.max_delay_ms(max(attempts, 1)) * MS
-        if backoff.jitter == "none":
+        longest = retry_backoff.max_delay_ms(max(attempts, 1)) * MS
+        if retry_backoff.jitter == "none":
             return int(longest)
-        return int(longest * self._random.uniform(0.5 if backoff.jitter == "half" else 0.0, 1.0))
+        return int(longest * self._random.uniform(0.5 if retry_backoff.jitter == "half" else 0.0, 1.0))
--- a/rackhub/timings/table.py
+++ b/rackhub/timings/table.py
@@ -25,8 +25,8 @@
 class EngineTerms(msgspec.Struct, frozen=True, gc=False):
     """The terms of an attempt on one kind of engine. Times are microseconds; 0 stands for none.
 
-    `route`: the index of the route that they come from; None: no route matches. `fixed`: all terms in the form that the
-    core takes, where none of them is learned or a hedge.
+    `route`: the index of the first route that matches, None if none does. `copy_...`: the terms of the hedge. `fixed`:
+    all terms in the form that the core takes, where none of them is learned or a hedge.
     """
 
     route: int | None = None
@@ -44,8 +44,9 @@
 class Terms(msgspec.Struct, frozen=True):
     """The terms of one request. Times are microseconds; 0 stands for the default.
 
-    `kinds`: the terms of attempts by kind of engine, and under "" those for kinds that the site does not define.
-    `copies`: whether any of them has hedges.
+    `share`, `over`, `floor`: the retry budget, its time span and the retries that are always allowed; a share of None
+    sets no budget. `kinds`: the terms of attempts by kind of engine, and under "" those on engines whose kind the site
+    does not define. `has_hedges`: whether any of them has hedges.
     """
 
     route: int | None
@@ -57,7 +58,7 @@
     over: int
     floor: int
     kinds: dict[str, EngineTerms]
-    copies: bool
+    has_hedges: bool
 
     def for_kind(self, kind: str) -> EngineTerms:
         """Return the terms of attempts on one kind of engine."""
--- a/tests/test_timings.py
+++ b/tests/test_timings.py
@@ -257,7 +257,7 @@
         now = feed(quantiles, generator, now, 400)
         fell.append(limit(quantiles, now))
     assert fell[0] >= MAX_FALL * high * 0.999 and fell[-1] < 0.3 * high
-    assert limit(quantiles, now + 100 * HISTOGRAM_SPAN, most=5_000.0) == 5_000.0  # all samples expired
+    assert limit(quantiles, now + 100 * HISTOGRAM_SPAN, most=5_000.0) == 5_000.0  # expired
 
 
 # ---- the core with a route policy
