--- a/rackhub/fleet/link/association.py
+++ b/rackhub/fleet/link/association.py
@@ -1,9 +1,9 @@
 """Messages between processes that are not members of one zone, on the link's frames and pages. Pure.
 
-Peers of the directory are reached at their configured address, others at the address that they claim. Pages carry the
-receiver's generation, which is learned from its packets: a sender that does not know it yet sends a greeting with its
-own claim, and the waiting messages once the answer arrives. The association does not judge which processes are alive;
-the caller has to notice missing answers.
+Peers of the directory are reached at their configured address, others at the address that they claim. A page carries
+the generation of its receiver, which the receiver's packets reveal. While it is unknown, messages wait, and the sender
+sends greetings (its claim and a `Hello`) until a packet answers. The association does not judge which processes are
+alive; the caller has to notice missing answers.
 """
 
 import random
@@ -23,8 +23,8 @@
 from rackhub.fleet.ports import MAX_MESSAGE_BYTES, Address, Name
 
 MINIMUM_TICK_INTERVAL = 1_000  # microseconds; keeps a fault from causing a busy loop
-MAX_KIND_BYTES = 32  # limit of a message kind
-UNKNOWN_SENDER = ""  # sender of faults whose sender is not a known process
+MAX_KIND_BYTES = 32  # largest size of a message kind in UTF-8
+UNKNOWN_SENDER = ""  # key in `faults` for all senders that are not known processes
 
 
 class DatagramReceivedFrom(NamedTuple):
@@ -42,7 +42,7 @@
     """Exchanges messages with other processes: events go in, effects come out.
 
     `directory` holds the peers with a configured address; `address` is where other processes reach this one. `counts`
-    has all counters, `faults` the dropped datagrams by counter and sender.
+    has all counters, `faults` those of faulty datagrams and frames by counter and sender.
     """
 
     def __init__(
@@ -67,12 +67,12 @@
         self._outbox = Outbox(limits, self._count)
         self._admission = Admission(cluster, name, generation, self._remotes, limits, now, self._count_fault)
         self._started_stamp = now // 1_000
-        self._awaiting_greeting: set[Name] = set()  # processes that messages wait for
+        self._awaiting_answer: set[Name] = set()  # processes of unknown generation with waiting messages
         self._idle_check_at = now + limits.idle_check_interval
         self._effects: list[Effect] = []
 
     def step(self, now: int, event: Event) -> list[Effect]:
-        """Handle an event and return its effects. Raises `ValueError`, without effect, for an invalid message."""
+        """Handle an event and return its effects. Raises `ValueError`, changing nothing, for an invalid message."""
         self._now = max(self._now, now)
         match event:
             case DatagramReceived(data):
@@ -81,6 +81,7 @@
                 self._handle_datagram(data, source)
             case SendMessage(to, kind, body):
                 self._send_message(to, kind, body)
+        # `due()` is always after `now`, so only a `Tick` handles the timers.
         if isinstance(event, Tick) or now >= self.due():
             self._tick()
         effects, self._effects = self._effects, []
@@ -92,13 +93,13 @@
         resend_due = self._outbox.due()
         if resend_due is not None:
             dues.append(resend_due)
-        for name in self._awaiting_greeting:
+        for name in self._awaiting_answer:
             remote = self._remotes.get(name)
             if remote is not None and remote.waiting:
                 dues.append(min(remote.next_greeting_at, remote.waiting[0].expires_at))
         return max(self._now + MINIMUM_TICK_INTERVAL, min(dues))
 
-    def knows(self, name: Name) -> bool:
+    def knows_generation(self, name: Name) -> bool:
         """True if the generation of that process is known, so that messages are sent at once."""
         remote = self._remotes.get(name)
         return remote is not None and remote.generation > 0
@@ -119,7 +120,7 @@
         elif remote.generation:
             self._send_pages(remote, kind, body)
         elif remote.queue_message(WaitingMessage(kind, body, self._now + self._limits.message_lifetime), self._limits):
-            self._awaiting_greeting.add(to)
+            self._awaiting_answer.add(to)
             if self._now >= remote.next_greeting_at:
                 self._greet(remote)
         else:
@@ -138,7 +139,11 @@
         self._send_frame(remote, f.Hello())
 
     def _send_frame(self, remote: Remote, frame: f.AnyFrame) -> None:
-        """Send one frame, after the local claim where the receiver may not know this process."""
+        """Send one frame.
+
+        The local claim goes before it, in a datagram of its own if need be, while the receiver has not echoed a stamp
+        of this process or has sent no packet for `introduce_after`.
+        """
         body = f.encode(frame)
         builder = DatagramBuilder(self._cluster, self.name, remote.name)
         if not remote.knows_local_process or self._now - remote.last_received >= self._limits.introduce_after:
@@ -165,9 +170,12 @@
         self._handle_packet(admitted.remote, admitted.packet)
 
     def _handle_new_process(self, remote: Remote) -> None:
-        """Drop messages in transit to the earlier process of that name, and send the waiting ones to the new one."""
+        """Handle the first packet of a process, or of one that was forgotten while idle.
+
+        Messages in transit to the earlier one are lost. Waiting messages are sent, unless they have expired.
+        """
         self._outbox.drop_recipient(remote.name)
-        self._awaiting_greeting.discard(remote.name)
+        self._awaiting_answer.discard(remote.name)
         for message in remote.take_waiting():
             if self._now < message.expires_at:
                 self._send_pages(remote, message.kind, message.body)
@@ -183,7 +191,7 @@
             try:
                 frame = f.decode_frame(encoded)
             except f.FrameError as error:
-                self._count_fault(str(error), remote.name)
+                self._count_fault(str(error), remote.name)  # the text of a FrameError is the name of a counter
                 continue
             self._dispatch(remote, frame)
 
@@ -201,6 +209,7 @@
                 for _, page in self._outbox.handle_page_ack(self._now, remote.name, frame):
                     self._send_frame(remote, page)
             case f.Claim():
+                # A claim about another name is counted here, too.
                 if frame.name != remote.name or (frame.host, frame.port) != remote.address:
                     self._count_fault("address_clashes", remote.name)
             case f.Hello():
@@ -229,7 +238,7 @@
             remote = self._remotes.get(name)
             if remote is not None:
                 self._send_frame(remote, page)
-        for name in sorted(self._awaiting_greeting):
+        for name in sorted(self._awaiting_answer):
             self._greet_again(name)
         if self._now >= self._idle_check_at:
             self._idle_check_at = self._now + self._limits.idle_check_interval
@@ -237,11 +246,15 @@
                 self._outbox.drop_recipient(name)
 
     def _greet_again(self, name: Name) -> None:
+        """Drop expired waiting messages, counted as `mail_lost`.
+
+        Greet the process if others still wait and it is time.
+        """
         remote = self._remotes.get(name)
         if remote is not None:
             self._count("mail_lost", remote.expire_waiting(self._now))
         if remote is None or not remote.waiting:
-            self._awaiting_greeting.discard(name)
+            self._awaiting_answer.discard(name)
         elif self._now >= remote.next_greeting_at:
             self._greet(remote)
 
@@ -250,6 +263,10 @@
             self.counts[name] += amount
 
     def _count_fault(self, name: str, sender: Name) -> None:
-        """Count a fault, by its sender if that is a known process: names of unknown senders would use up memory."""
+        """Count a fault under its sender.
+
+        It is counted under `UNKNOWN_SENDER` if that is not a known process, so that invented names can't fill the
+        memory.
+        """
         self.counts[name] += 1
         self.faults[name, sender if self._remotes.get(sender) or sender == self.name else UNKNOWN_SENDER] += 1
--- a/rackhub/fleet/link/limits.py
+++ b/rackhub/fleet/link/limits.py
@@ -41,4 +41,4 @@
     greeting_interval: int = 200 * MS  # time between two greetings of a process, doubled at each
     max_greeting_interval: int = 2 * SECOND  # upper bound of the doubled interval
     introduce_after: int = 3 * SECOND  # time without packets from a receiver after which the local claim is sent again
-    stamp_lifetime: int = 2 * SECOND  # age at which a lower timestamp replaces one: the sender's clock was reset
+    stamp_lifetime: int = 2 * SECOND  # age at which a lower stamp replaces one: the sender's clock was reset
--- a/rackhub/fleet/members/context.py
+++ b/rackhub/fleet/members/context.py
@@ -1,4 +1,11 @@
-"""State shared by the components of the membership core: time, random numbers, pending effects and counters."""
+"""State shared by the components of the membership core: time, random numbers, pending effects and counters.
+
+Counter names are fixed for operators, and some differ from the terms of the code: `notes...` and `old_notes` count
+records, `mail_...` messages, `asks_...` ping-reqs received, `probes_asked` ping-reqs sent, `probes_via` rounds with
+only an indirect ack, `probes_beside` pings outside the rounds, `strangers` packets of unknown senders without a claim,
+`newcomers_over` those over the rate limit of unknown senders, `boots_raised` raised generations, and `old_...` what
+comes from an earlier generation.
+"""
 
 import random
 from collections import Counter
--- a/rackhub/fleet/members/core.py
+++ b/rackhub/fleet/members/core.py
@@ -66,7 +66,7 @@
     def step(self, now: int, event: Event) -> list[Effect]:
         """Handle an event and return its effects.
 
-        Raises `ValueError`, without effect, for an invalid record or message.
+        Raises `ValueError`, changing nothing, for an invalid record or message.
         """
         context = self.context
         gap = now - self._due
--- a/rackhub/fleet/members/peer.py
+++ b/rackhub/fleet/members/peer.py
@@ -61,9 +61,9 @@
         self.last_received: int | None = None  # time of the last datagram received from it
         # Direct probes unanswered in a row, and when the first of them was sent.
         self.missed_probes, self.first_missed_at = 0, 0
-        self.stamp = self.stamp_at = 0  # the member's last timestamp to echo, and when it arrived
+        self.stamp = self.stamp_at = 0  # the member's last stamp to echo, and when it arrived
         self.inbox: Inbox | None = None
-        self.greeted_at: int | None = None  # when a `Hello` was last sent because the member had no timestamp to echo
+        self.greeted_at: int | None = None  # when a `Hello` was last sent because the member had no stamp to echo
         self.describe(claim)
 
     def describe(self, claim: f.Claim) -> None:
--- a/rackhub/fleet/members/probing.py
+++ b/rackhub/fleet/members/probing.py
@@ -2,9 +2,9 @@
 
 Lifeguard's local health multiplier lengthens period and timeout while this gateway itself seems slow.
 
-A member that answers only indirect probes is cut off from this gateway, and reported so after some such rounds in a
-row. A member that does not answer at all is suspected. Members that are cut off or gone are probed at a lower rate
-outside the rounds, so both are found again without outside help.
+A member that misses `cut_threshold` direct probes in a row is cut off from this gateway, even if helpers reach it. A
+member that neither acks directly nor through a helper is suspected. Besides the rounds, one random member that is cut
+off or gone is pinged at each `unreachable_probe_interval`, so that it is found again.
 """
 
 from rackhub.fleet.link import frames as f
@@ -16,7 +16,8 @@
 from rackhub.fleet.members.table import MemberTable
 from rackhub.fleet.ports import Name
 
-# Concurrent probes for other members; probe periods for which a late ack still counts.
+# At most 256 probes for other members are open at once.
+# The ack of a ping still counts 20 probe periods after its round, or after the ping if outside the rounds.
 MAX_INDIRECT_PROBES, LATE_ACK_PERIODS = 256, 20
 
 
@@ -31,8 +32,9 @@
         self._probe_order: list[Name] = []
         self._retry_first: list[Name] = []
         self._indirect_probes: dict[int, IndirectProbe] = {}
-        # Target and expiry of pings outside the rounds, and of missed rounds: a late direct ack proves both directions.
-        self._outside_probes: dict[int, tuple[Name, int]] = {}
+        # Pings that may still be acked: those outside the rounds and of missed rounds, as target and expiry by number.
+        # Even a late direct ack proves that datagrams pass both ways.
+        self._pending_pings: dict[int, tuple[Name, int]] = {}
         self._next_round_at = context.now + context.random.randrange(context.timing.probe_period)
         self._next_unreachable_probe_at = context.now + context.timing.unreachable_probe_interval
 
@@ -54,9 +56,10 @@
         )
 
     def handle_stall(self, gap: int) -> None:
-        """Forget the current round after this process did not run for `gap` microseconds.
+        """Forget all probes after this process ran `gap` microseconds late.
 
-        Probes unanswered in that time say nothing about their targets.
+        A missing ack then says nothing about its target. Suspicions last `gap` longer, and the local health multiplier
+        rises. Members that were cut off before stay so.
         """
         self._current_round, self._retry_first, self._next_round_at = (
             None,
@@ -72,7 +75,7 @@
                 peer.missed_probes = 0
 
     def tick(self) -> None:
-        """Advance the current round or start the next one, and handle expired indirect probes."""
+        """Advance the current round or start the next, send nacks that are due, and forget expired indirect probes."""
         now = self._context.now
         if self._current_round is not None:
             self._advance_round(self._current_round)
@@ -131,7 +134,7 @@
             return
         if probe_round.helpers is None and now >= probe_round.direct_deadline:
             if probe_round.direct_ack:
-                probe_round.helpers = set()
+                probe_round.helpers = set()  # acked, no helpers needed
             else:
                 self._send_ping_reqs(probe_round, peer)
         if now >= probe_round.deadline:
@@ -161,7 +164,7 @@
             peer.first_missed_at = probe_round.began_at
         peer.missed_probes += 1
         self._table.mark_changed(peer)
-        self._outside_probes[probe_round.seq] = (
+        self._pending_pings[probe_round.seq] = (
             peer.name,
             self._context.now + LATE_ACK_PERIODS * self._context.timing.probe_period,
         )
@@ -170,17 +173,18 @@
         if probe_round.indirect_ack:
             self._context.count("probes_via")
             return
+        # Without any helpers, the failure counts once.
         unresponsive = len((probe_round.helpers or set()) - probe_round.nacks)
         self.health.record_failure(unresponsive if probe_round.helpers else 1)
         self._context.count("probes_failed")
         self._table.suspect(peer, self._context.local_name)
 
     def _probe_unreachable(self) -> None:
-        """Probe one of the members that are cut off or gone at its last address."""
+        """Ping one random member that is cut off or gone, and forget expired pings."""
         context = self._context
-        for seq, (_, expires_at) in list(self._outside_probes.items()):
+        for seq, (_, expires_at) in list(self._pending_pings.items()):
             if expires_at <= context.now:
-                del self._outside_probes[seq]
+                del self._pending_pings[seq]
         unreachable = sorted(
             peer.name
             for peer in self._table.peers.values()
@@ -192,7 +196,7 @@
     def probe_outside_rounds(self, peer: Peer) -> None:
         """Ping a member outside the rounds."""
         seq = self._next_sequence()
-        self._outside_probes[seq] = (
+        self._pending_pings[seq] = (
             peer.name,
             self._context.now + LATE_ACK_PERIODS * self._context.timing.probe_period,
         )
@@ -209,18 +213,22 @@
             self._outgoing.send(origin, f.Hello(), piggyback=False)
 
     def handle_ping_req(self, sender: Peer, ping_req: f.PingReq) -> None:
-        """Ping the target for another member."""
+        """Ping the target for another member, or send a nack if it is known here under another generation.
+
+        A ping-req for an unknown target or over `MAX_INDIRECT_PROBES` is dropped and counted.
+        """
         target = self._table.peers.get(ping_req.target)
         if target is None or len(self._indirect_probes) >= MAX_INDIRECT_PROBES:
             self._context.count("asks_dropped")
             return
-        # The name belongs to another process here, which can't answer for the one meant.
+        # This gateway knows another process under that name, whose ack would say nothing about the one asked about.
         if target.generation != ping_req.generation:
             self._context.count("asks_of_another")
             self._reply(sender.name, f.Nack(ping_req.seq))
             return
         seq, timing = self._next_sequence(), self._context.timing
         remaining = timing.probe_period - timing.direct_timeout
+        # The nack is sent early enough to arrive before the round of the asking member ends.
         self._indirect_probes[seq] = IndirectProbe(
             sender.name,
             ping_req.seq,
@@ -244,12 +252,12 @@
             if sender.name == indirect_probe.target:
                 del self._indirect_probes[ack.seq]
                 self._reply(indirect_probe.origin, f.Ack(indirect_probe.seq, True))
-        elif ack.seq in self._outside_probes and not ack.indirect and self._outside_probes[ack.seq][0] == sender.name:
-            del self._outside_probes[ack.seq]
+        elif ack.seq in self._pending_pings and not ack.indirect and self._pending_pings[ack.seq][0] == sender.name:
+            del self._pending_pings[ack.seq]
             self._mark_reachable(sender)
 
     def handle_nack(self, sender: Peer, nack: f.Nack) -> None:
-        """Note that a helper is alive though its target has not answered yet."""
+        """Note that a helper is alive though its target has not answered the helper yet."""
         if self._current_round is not None and nack.seq == self._current_round.seq:
             self._current_round.nacks.add(sender.name)
 
--- a/rackhub/fleet/members/receive.py
+++ b/rackhub/fleet/members/receive.py
@@ -13,8 +13,10 @@
 from rackhub.fleet.members.probing import Probing
 from rackhub.fleet.members.table import MemberTable
 
-CLOCK_DRIFT_DIVISOR = 10  # milliseconds held / 10 = microseconds of clock drift, that is, 1 in 10,000
-# Microseconds after which a lower timestamp replaces a greater one, which was wrong or of a clock that was reset.
+# Two clocks may differ in rate by 1 in 10,000: `held` milliseconds divided by 10 is that drift in microseconds.
+CLOCK_DRIFT_DIVISOR = 10
+# Microseconds after which even a lower stamp replaces the one held: that was wrong, or the sender's clock was reset.
+# An association has the same value as `Limits.stamp_lifetime`.
 STAMP_LIFETIME = 2_000_000
 
 
@@ -44,7 +46,7 @@
         try:
             packet = f.decode_datagram(data)
         except f.FrameError as error:
-            context.count(str(error))
+            context.count(str(error))  # the text of a FrameError is the name of a counter
             return
         if packet.cluster != context.cluster:
             context.count("other_cluster")
@@ -58,7 +60,11 @@
                 self._handle_packet(peer, packet)
 
     def _handle_local_name(self, packet: f.Packet) -> None:
-        """Handle a packet with the local name: a join request that reached this process itself, or a clash."""
+        """Handle a packet sent under the local name.
+
+        Count it if it is this process's own, for example a join request to itself. Report a clash if it starts with a
+        claim of another address. Otherwise drop it.
+        """
         if packet.generation == self._table.local_member.generation:
             self._context.count("own_packets")
             return
@@ -67,7 +73,11 @@
             self._table.local_member.report_clash(packet.name, f"{claim.host}:{claim.port}")
 
     def _accept_sender(self, packet: f.Packet) -> Peer | None:
-        """Return the member that sent the packet, or None if the packet is not accepted."""
+        """Return the member that sent the packet, or None if the packet is not accepted.
+
+        The first claim of a new sender or process is merged, a sender with an outdated generation is corrected, and the
+        rate limits of newcomers and of the member apply.
+        """
         context, peer = self._context, self._table.peers.get(packet.name)
         if peer is None or packet.generation > peer.generation:
             if not self._newcomer_bucket.take(context.now):
@@ -99,10 +109,11 @@
         return peer
 
     def _correct_sender(self, peer: Peer, claim: f.Claim | None) -> None:
-        """Send a sender the claim held here about another process with its name.
+        """Tell the sender which claim this gateway holds for its name, at the address in its claim if there is one.
 
-        If that process has the sender's own address or is gone, the sender raises its generation above that one's; if
-        it is live, the sender reports the clash.
+        The held claim is of another process: a later generation, or another address. If that process has the sender's
+        address, is gone or has left, the sender raises its generation above it. If it is live at another address, two
+        processes use one name: the sender reports the clash, and so does this gateway.
         """
         address = peer.address if claim is None else (claim.host, claim.port)
         if address != peer.address and peer.is_live and claim is not None and claim.generation < peer.generation:
@@ -131,12 +142,14 @@
             self._dispatch(peer, frame, transit_time)
 
     def _transit_time(self, packet: f.Packet) -> int | None:
-        """The upper bound of this packet's transit time in microseconds, from the round trip.
+        """Return an upper bound, in microseconds, of the packet's transit time.
 
-        None without a bound, as the sender has no timestamp of this process yet.
+        It is the round-trip time less the time for which the sender held the stamp. None if the packet echoes no stamp
+        of this process, or the result is impossible.
         """
         if packet.echo < self._started_stamp or not packet.echo:
             return None
+        # Stamps are whole milliseconds, hence + 1. A result of no less than -2 ms counts as 0.
         transit_time = (
             self._context.now // 1_000 - packet.echo - packet.held + 1
         ) * 1_000 + packet.held // CLOCK_DRIFT_DIVISOR
@@ -167,10 +180,10 @@
                     self._outgoing.send(self._table.peers[name], page, piggyback=False)
 
     def _handle_record(self, sender: Peer, update: f.RecordUpdate, transit_time: int | None) -> None:
-        """Store a record.
+        """Store a record of another member, and queue it for dissemination if it is newer than the one held.
 
-        It is ignored unless it is of its owner's present process, and dropped if its transit time has no bound; it
-        comes again.
+        A record that is not of its owner's present process is dropped. So is one without a transit time, as its age is
+        unknown; it is received again later.
         """
         context = self._context
         if update.owner == context.local_name:
@@ -187,6 +200,11 @@
             self._outgoing.disseminate(RECORD, update.owner, update.kind)
 
     def _handle_local_record(self, sender: Peer, update: f.RecordUpdate) -> None:
+        """Handle a local record received from another member.
+
+        If its number is above the local ones, continue above it and disseminate the record again. If it is implausibly
+        far above, report the sender.
+        """
         raised = self._records.raise_number(update)
         if raised is False:
             self._table.report_implausible_claim(sender.name)
--- a/rackhub/fleet/members/rounds.py
+++ b/rackhub/fleet/members/rounds.py
@@ -29,7 +29,7 @@
 
 
 class IndirectProbe:
-    """A probe sent for the member `origin`, which asked by a ping-req with number `seq`."""
+    """A probe for the member `origin`, which asked by the ping-req `seq`. `nack_at` is 0 once the nack was sent."""
 
     __slots__ = ("origin", "seq", "target", "nack_at", "expires_at")
 
--- a/tests/test_fleet_association.py
+++ b/tests/test_fleet_association.py
@@ -246,12 +246,12 @@
     assert process.step(network.now, DatagramReceived(packet(name="newcomer", to="me", address=OTHER))) == []
     assert process.step(network.now, DatagramReceived(packet(name="relay", to="me", address=COORDINATOR))) == []
     assert process.counts["address_clashes"] == 3
-    assert not process.knows("relay") and not process.knows("newcomer")
+    assert not process.knows_generation("relay") and not process.knows_generation("newcomer")
     genuine = packet(name="relay", to="me", address=RELAY)
     assert process.step(network.now, DatagramReceivedFrom(genuine, OTHER)) == []
     assert process.faults["address_clashes", "relay"] == 3
     process.step(network.now, DatagramReceivedFrom(genuine, RELAY))
-    assert process.knows("relay")
+    assert process.knows_generation("relay")
 
 
 def test_a_second_process_with_the_local_name_is_counted():
@@ -265,11 +265,11 @@
     relay = network.join("relay", RELAY, limits=Limits(max_learned_peers=3))
     for number in range(5):
         relay.step(network.now, DatagramReceived(packet(name=f"n{number}")))
-    assert relay.counts["peers_over"] == 2 and relay.knows("n2") and not relay.knows("n3")
+    assert relay.counts["peers_over"] == 2 and relay.knows_generation("n2") and not relay.knows_generation("n3")
     network.run(Limits().peer_idle_timeout + Limits().idle_check_interval)
-    assert not relay.knows("n2")
+    assert not relay.knows_generation("n2")
     relay.step(network.now, DatagramReceived(packet(name="n4")))
-    assert relay.knows("n4")
+    assert relay.knows_generation("n4")
 
 
 def test_newcomers_and_each_sender_are_rate_limited():
