--- a/rackhub/store/__init__.py
+++ b/rackhub/store/__init__.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from rackhub.store.batch import Batch, When
+    from rackhub.store.batch import Batch, Condition
     from rackhub.store.engine import Commit, Snapshot, Store
     from rackhub.store.errors import (
         BadBatch,
@@ -25,9 +25,9 @@
     from rackhub.store.options import Options
     from rackhub.store.records import Change, KeyValue
 
-_HOMES = {
+_MODULES = {
     "Batch": "batch",
-    "When": "batch",
+    "Condition": "batch",
     "Commit": "engine",
     "Snapshot": "engine",
     "Store": "engine",
@@ -62,11 +62,11 @@
     "Snapshot",
     "Store",
     "StoreError",
-    "When",
+    "Condition",
 ]
 
 
 def __getattr__(name: str) -> Any:
-    if name not in _HOMES:
+    if name not in _MODULES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    return getattr(import_module(f"{__name__}.{_HOMES[name]}"), name)
+    return getattr(import_module(f"{__name__}.{_MODULES[name]}"), name)
--- a/rackhub/store/batch.py
+++ b/rackhub/store/batch.py
@@ -7,8 +7,8 @@
 from rackhub.store.errors import BadBatch
 from rackhub.store.records import KeyValue
 
-MOST_KEY = 65_535
-_WHAT = ("value", "version", "create_revision", "mod_revision", "lease")
+MAX_KEY_BYTES = 65_535
+_TARGETS = ("value", "version", "create_revision", "mod_revision", "lease")
 
 
 class Put(msgspec.Struct, frozen=True, gc=False):
@@ -26,31 +26,37 @@
     end: bytes | None
 
 
-class When(msgspec.Struct, frozen=True):
+class Condition(msgspec.Struct, frozen=True):
     """A condition on one key as it is before the commit. A key that is not there has the value None and zeros."""
 
     key: bytes
-    what: Literal["value", "version", "create_revision", "mod_revision", "lease"]
+    target: Literal["value", "version", "create_revision", "mod_revision", "lease"] = msgspec.field(name="what")
     compare: Literal["=", "!=", "<", ">"]
-    to: bytes | int | None
+    operand: bytes | int | None = msgspec.field(name="to")
 
     def __post_init__(self) -> None:
-        fits = self.to is None or isinstance(self.to, bytes) if self.what == "value" else isinstance(self.to, int)
-        if self.what not in _WHAT or self.compare not in ("=", "!=", "<", ">") or not fits:
-            raise BadBatch(f"condition on {self.key!r}: {self.what} {self.compare} {self.to!r} can't be compared")
-        if self.to is None and self.compare in "<>":
+        fits = (
+            self.operand is None or isinstance(self.operand, bytes)
+            if self.target == "value"
+            else isinstance(self.operand, int)
+        )
+        if self.target not in _TARGETS or self.compare not in ("=", "!=", "<", ">") or not fits:
+            raise BadBatch(
+                f"condition on {self.key!r}: {self.target} {self.compare} {self.operand!r} can't be compared"
+            )
+        if self.operand is None and self.compare in "<>":
             raise BadBatch(f"condition on {self.key!r}: no value has no order")
 
-    def holds(self, found: KeyValue | None) -> bool:
+    def is_met_by(self, found: KeyValue | None) -> bool:
         """Whether the key as `found` meets it."""
-        have = getattr(found, self.what) if found is not None else None if self.what == "value" else 0
+        have = getattr(found, self.target) if found is not None else None if self.target == "value" else 0
         if self.compare == "=":
-            return have == self.to
+            return have == self.operand
         if self.compare == "!=":
-            return have != self.to
+            return have != self.operand
         if have is None:
             return False
-        return have < self.to if self.compare == "<" else have > self.to  # type: ignore[operator]
+        return have < self.operand if self.compare == "<" else have > self.operand  # type: ignore[operator]
 
 
 class Batch:
@@ -67,8 +73,8 @@
         """Set `key`; with a lease it goes when that does. `BadBatch` where these are no key and value."""
         if type(key) is not bytes or type(value) is not bytes:
             raise BadBatch(f"put of {key!r}: key and value must be bytes")
-        if not 0 < len(key) <= MOST_KEY:
-            raise BadBatch(f"put of {key[:40]!r}: a key has from 1 to {MOST_KEY} bytes, not {len(key)}")
+        if not 0 < len(key) <= MAX_KEY_BYTES:
+            raise BadBatch(f"put of {key[:40]!r}: a key has from 1 to {MAX_KEY_BYTES} bytes, not {len(key)}")
         self.changes.append(Put(key, value, lease))
         self.size += len(key) + len(value) + 32
         return self
--- a/rackhub/store/bench.py
+++ b/rackhub/store/bench.py
@@ -23,10 +23,10 @@
 from rackhub.store.options import MIB, Options
 
 WRITERS = 64
-MOST_US = 60_000_000
+MAX_LATENCY_US = 60_000_000
 
 
-class Groups(msgspec.Struct, frozen=True):
+class GroupCommits(msgspec.Struct, frozen=True):
     """Commits of 64 writers, each of which commits again when it is acknowledged, as ratios to the bare loop."""
 
     value_bytes: int
@@ -69,7 +69,7 @@
     disk_mb: float
 
 
-class Turns(msgspec.Struct, frozen=True):
+class WorkSlices(msgspec.Struct, frozen=True):
     """How long `work` holds a turn, with slices as the options have them."""
 
     turns: int
@@ -83,12 +83,12 @@
     python: str
     seed: int
     fdatasync_us: float
-    groups: list[Groups]
+    groups: list[GroupCommits]
     reads: list[Reads]
     recoveries: list[Recovery]
     memory_bytes_a_key: float  # resident after an opening, over that of an empty store
     overwrites: list[Overwrites]
-    turns: Turns
+    turns: WorkSlices
 
 
 def run(path: Path, seed: int, scale: float, progress: Callable[[str], None]) -> Report:
@@ -97,15 +97,15 @@
     path.mkdir(parents=True, exist_ok=True)
     many, some = int(1_000_000 * scale), int(100_000 * scale)
     progress("sync")
-    sync = _bare(path / "sync", [b"x" * 4_096], 200)[1]
+    sync = _append_and_sync(path / "sync", [b"x" * 4_096], 200)[1]
     groups = []
     for size in (100, 1_024, 4_096, 16_384, 65_536):
         progress(f"groups of {size}-byte values")
-        groups.append(_groups(path, chance, size, max(int(24 * MIB * scale) // size, 64 * 20)))
+        groups.append(_measure_groups(path, chance, size, max(int(24 * MIB * scale) // size, 64 * 20)))
     reads = []
     for count in (some, many):
         progress(f"reads of {count} keys")
-        reads.append(_reads(path, chance, count))
+        reads.append(_measure_reads(path, chance, count))
     recoveries, memory = [], 0.0
     for what, commits, keys in (
         ("all live", some, some),
@@ -114,18 +114,18 @@
         ("one key, compacted", some, 1),
     ):
         progress(f"recovery: {what}, {commits} records")
-        found, resident = _recovery(path, chance, what, commits, keys)
+        found, resident = _measure_recovery(path, chance, what, commits, keys)
         recoveries.append(found)
         memory = resident / keys if keys == many else memory
     progress("overwrites")
-    overwrites = [_overwrites(path, chance, some // 10, some * 3, reserve) for reserve in (True, False)]
+    overwrites = [_measure_overwrites(path, chance, some // 10, some * 3, reserve) for reserve in (True, False)]
     progress("turns")
-    turns = _turns(path, chance, many)
+    turns = _measure_slices(path, chance, many)
     machine = f"{platform.system()} {platform.machine()}, {os.cpu_count()} cores"
     return Report(machine, platform.python_version(), seed, sync, groups, reads, recoveries, memory, overwrites, turns)
 
 
-def _bare(path: Path, parts: list[bytes], rounds: int) -> tuple[float, float]:
+def _append_and_sync(path: Path, parts: list[bytes], rounds: int) -> tuple[float, float]:
     """Bytes a second, and microseconds a round, of a loop that appends and syncs."""
     fd = os.open(path, os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_APPEND)
     data = b"".join(parts)
@@ -139,36 +139,36 @@
     return len(data) * rounds / took, took / rounds * 1e6
 
 
-def _groups(path: Path, chance: random.Random, size: int, commits: int) -> Groups:
+def _measure_groups(path: Path, chance: random.Random, size: int, commits: int) -> GroupCommits:
     rounds = commits // WRITERS
     values = [chance.randbytes(size) for _ in range(WRITERS)]
     keys = [b"writer-%08d" % i for i in range(WRITERS * 16)]
     parts = [key + value for key, value in zip(keys, values, strict=False)]
-    bare = [_bare(path / "bare", parts, rounds)[0]]
-    alone, _ = _rounds(path, keys, values, rounds, memtable_bytes=1_024 * MIB)
-    bare.append(_bare(path / "bare", parts, rounds)[0])
-    steady, spread = _rounds(path, keys, values, rounds)
-    bare.append(_bare(path / "bare", parts, rounds)[0])
-    threaded = _threaded(path, keys, values, rounds)
-    pace = sorted(bare)[1]
+    bare = [_append_and_sync(path / "bare", parts, rounds)[0]]
+    alone, _ = _commit_rounds(path, keys, values, rounds, memtable_bytes=1_024 * MIB)
+    bare.append(_append_and_sync(path / "bare", parts, rounds)[0])
+    steady, spread = _commit_rounds(path, keys, values, rounds)
+    bare.append(_append_and_sync(path / "bare", parts, rounds)[0])
+    threaded = _commit_with_sync_thread(path, keys, values, rounds)
+    bare_rate = sorted(bare)[1]
     total = len(parts[0]) * rounds * WRITERS
-    return Groups(
+    return GroupCommits(
         size,
         rounds * WRITERS,
-        pace / MIB,
-        total / alone / pace,
-        total / steady / pace,
-        total / threaded / pace,
+        bare_rate / MIB,
+        total / alone / bare_rate,
+        total / steady / bare_rate,
+        total / threaded / bare_rate,
         spread.get_value_at_percentile(50),
         spread.get_value_at_percentile(99),
     )
 
 
-def _rounds(
+def _commit_rounds(
     path: Path, keys: list[bytes], values: list[bytes], rounds: int, **options: object
 ) -> tuple[float, HdrHistogram]:
     store = _open(path, wake=lambda store: None, retain_revisions=1_000, **options)
-    spread = HdrHistogram(1, MOST_US, 3)
+    spread = HdrHistogram(1, MAX_LATENCY_US, 3)
     start = time.perf_counter()
     for i in range(rounds):
         began = time.perf_counter_ns()
@@ -183,7 +183,7 @@
     return took, spread
 
 
-def _threaded(path: Path, keys: list[bytes], values: list[bytes], rounds: int) -> float:
+def _commit_with_sync_thread(path: Path, keys: list[bytes], values: list[bytes], rounds: int) -> float:
     """While one group is being synced, the writers acknowledged before commit."""
     store = _open(path, wake=lambda store: None, retain_revisions=1_000)
     ready = list(range(WRITERS))
@@ -216,8 +216,8 @@
     return took
 
 
-def _reads(path: Path, chance: random.Random, count: int) -> Reads:
-    store = _filled(path, chance, count, count)
+def _measure_reads(path: Path, chance: random.Random, count: int) -> Reads:
+    store = _filled_store(path, chance, count, count)
     store.finish_work()
     for i in range(1_000):
         store.commit(Batch().put(b"memory-%04d" % i, b"x" * 40))
@@ -247,8 +247,8 @@
     return times / (time.perf_counter() - start)
 
 
-def _recovery(path: Path, chance: random.Random, what: str, commits: int, keys: int) -> tuple[Recovery, float]:
-    store = _filled(path, chance, commits, keys)
+def _measure_recovery(path: Path, chance: random.Random, what: str, commits: int, keys: int) -> tuple[Recovery, float]:
+    store = _filled_store(path, chance, commits, keys)
     if keys < commits:
         store.compact(store.revision)
         store.finish_work()
@@ -265,7 +265,7 @@
     return found, after - before
 
 
-def _overwrites(path: Path, chance: random.Random, keys: int, commits: int, reserve: bool) -> Overwrites:
+def _measure_overwrites(path: Path, chance: random.Random, keys: int, commits: int, reserve: bool) -> Overwrites:
     store = _open(path, memtable_bytes=MIB, retain_revisions=1_000, reserve=reserve)
     user = 0
     for i in range(commits):
@@ -281,21 +281,21 @@
         commits,
         reserve,
         user / MIB,
-        store.written_log / MIB,
-        store.written_tables / MIB,
-        (store.written_log + store.written_tables) / user,
+        store.log_bytes_written / MIB,
+        store.table_bytes_written / MIB,
+        (store.log_bytes_written + store.table_bytes_written) / user,
         disk / MIB,
     )
     _discard(store, path)
     return found
 
 
-def _turns(path: Path, chance: random.Random, commits: int) -> Turns:
+def _measure_slices(path: Path, chance: random.Random, commits: int) -> WorkSlices:
     """With the options as they are, most commits to new keys: tables grow to many blocks. The collector is off, as
     the daemon has it."""
     gc.collect()
     gc.disable()
-    store, spread = _open(path, wake=lambda store: None, retain_revisions=1_000), HdrHistogram(1, MOST_US, 3)
+    store, spread = _open(path, wake=lambda store: None, retain_revisions=1_000), HdrHistogram(1, MAX_LATENCY_US, 3)
     longest = 0
     for i in range(commits):
         store.commit(Batch().put(b"key-%08d" % chance.randrange(commits), chance.randbytes(40)))
@@ -309,12 +309,12 @@
                 longest = max(longest, took)
     gc.enable()
     _discard(store, path)
-    return Turns(
+    return WorkSlices(
         spread.get_total_count(), spread.get_value_at_percentile(50), spread.get_value_at_percentile(99), longest
     )
 
 
-def _filled(path: Path, chance: random.Random, commits: int, keys: int) -> Store:
+def _filled_store(path: Path, chance: random.Random, commits: int, keys: int) -> Store:
     """Commits of one small value each, to `keys` keys in turn."""
     store = _open(path, retain_revisions=1_000 if keys < commits else 0)
     value = chance.randbytes(40)
--- a/rackhub/store/driver.py
+++ b/rackhub/store/driver.py
@@ -44,7 +44,7 @@
         self._recovered = recovered
         self._store: Store | None = None
         self._flushing = self._working = self._retrying = False
-        self._ended = False
+        self._closed = False
         self.failures = 0  # times that the disk made the store read-only
         self.threaded_syncs = 0  # syncs done in another thread
 
@@ -54,13 +54,13 @@
 
     def wake(self, store: Store) -> None:
         """There is something to do: at the end of this turn, so that all its commits share it."""
-        self._reactor.callLater(0, self._turn)
+        self._reactor.callLater(0, self._tend)
 
-    def _turn(self) -> None:
+    def _tend(self) -> None:
         store = self._store
-        if store is None or self._ended:
+        if store is None or self._closed:
             return
-        store.woken()
+        store.wake_received()
         if store.needs_flush and not self._flushing:
             self._flush(store)
         if store.fault is not None:
@@ -76,11 +76,11 @@
         if self.policy.use_thread(self._now()):
             self._flushing = True
             self.threaded_syncs += 1
-            self._elsewhere(file).addBoth(self._flushed, store)
+            self._sync_in_thread(file).addBoth(self._flush_synced, store)
         else:
-            store.end_flush(self._timed(file))
+            store.end_flush(self._sync_here(file))
 
-    def _timed(self, file: File) -> OSError | None:
+    def _sync_here(self, file: File) -> OSError | None:
         """Sync here and note how long it took; the error, if any."""
         began, fault = self._now(), None
         try:
@@ -90,7 +90,7 @@
         self.policy.sync_finished(self._now() - began, self._now())
         return fault
 
-    def _elsewhere(self, file: File) -> "Deferred[OSError | None]":
+    def _sync_in_thread(self, file: File) -> "Deferred[OSError | None]":
         began = self._now()
 
         def sync() -> OSError | None:
@@ -100,33 +100,33 @@
                 return bad
             return None
 
-        def back(fault: OSError | None) -> OSError | None:
+        def record_duration(fault: OSError | None) -> OSError | None:
             self.policy.sync_finished(self._now() - began, self._now())
             return fault
 
         pool = self._reactor.getThreadPool()
-        return deferToThreadPool(cast(IReactorFromThreads, self._reactor), pool, sync).addCallback(back)
+        return deferToThreadPool(cast(IReactorFromThreads, self._reactor), pool, sync).addCallback(record_duration)
 
-    def _flushed(self, fault: OSError | Failure | None, store: Store) -> None:
+    def _flush_synced(self, fault: OSError | Failure | None, store: Store) -> None:
         self._flushing = False
         if isinstance(fault, Failure):
             fault = OSError(str(fault.value))
-        if not self._ended:
+        if not self._closed:
             store.end_flush(fault)
-            self._turn()
+            self._tend()
 
     def _work(self) -> None:
         store = self._store
-        if store is None or self._ended:
+        if store is None or self._closed:
             return
         began = self._now()
         handed: list[Deferred[OSError | None]] = []
 
         def sync(file: File) -> bool:
             if self.policy.use_thread(self._now()):
-                handed.append(self._elsewhere(file))
+                handed.append(self._sync_in_thread(file))
                 return False
-            fault = self._timed(file)
+            fault = self._sync_here(file)
             if fault is not None:
                 raise fault
             return True
@@ -138,23 +138,23 @@
             self._working = False
             return self._retry_later()
         if handed:
-            handed[0].addBoth(self._worked, store)
+            handed[0].addBoth(self._work_synced, store)
         elif more:
             self._reactor.callLater(self.policy.work_pause(self._now() - began) / 1_000_000, self._work)
         else:
             self._working = False
 
-    def _worked(self, fault: OSError | Failure | None, store: Store) -> None:
-        if self._ended:
+    def _work_synced(self, fault: OSError | Failure | None, store: Store) -> None:
+        if self._closed:
             return
         if fault is not None:
-            store.fail(fault if isinstance(fault, OSError) else OSError(str(fault.value)))
+            store.sync_failed(fault if isinstance(fault, OSError) else OSError(str(fault.value)))
             self._working = False
             return self._retry_later()
         self._work()
 
     def _retry_later(self) -> None:
-        if not self._retrying and not self._ended and self._store is not None:
+        if not self._retrying and not self._closed and self._store is not None:
             self._retrying = True
             self.failures += 1
             wait = self.policy.next_retry_delay()
@@ -164,7 +164,7 @@
     def _retry(self) -> None:
         self._retrying = False
         store = self._store
-        if store is None or self._ended:
+        if store is None or self._closed:
             return
         try:
             store.retry()
@@ -173,13 +173,13 @@
         self.policy.disk_recovered()
         log.info("store: takes writes again")
         self._recovered()
-        self._turn()
+        self._tend()
 
     def close(self) -> None:
         """Close the store: a sync in another thread is waited for by the file's own close coming after it."""
-        self._ended = True
+        self._closed = True
         if self._store is not None:
             store, self._store = self._store, None
             if self._flushing:  # its outcome is not known here: closing syncs once more
-                store.forget_sync()
+                store.abandon_sync()
             store.close()
--- a/rackhub/store/engine.py
+++ b/rackhub/store/engine.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from rackhub.store import plan
-from rackhub.store.batch import Batch, Put, When
+from rackhub.store.batch import Batch, Condition, Put
 from rackhub.store.errors import (
     BadBatch,
     Compacted,
@@ -31,36 +31,46 @@
 from rackhub.store.files import DiskFiles, File, Files
 from rackhub.store.framing import HEADER_SIZE
 from rackhub.store.leases import Leases
-from rackhub.store.log import Log, following, place_for, read_segment
-from rackhub.store.manifest import NAME, NEW, Manifest, SegmentInfo, install, load, log_name, number_of, table_name
+from rackhub.store.log import Log, check_sequence, offset_for_revision, read_segment
+from rackhub.store.manifest import (
+    MANIFEST_NAME,
+    NEW_MANIFEST_NAME,
+    Manifest,
+    SegmentInfo,
+    install,
+    load,
+    log_name,
+    parse_name,
+    table_name,
+)
 from rackhub.store.memtable import Memtable
 from rackhub.store.options import Options
 from rackhub.store.records import (
-    ATTACHED,
     COMPACTED,
     DATA,
     LEASE,
-    MOST_REVISION,
+    LEASED_KEY,
+    MAX_REVISION,
     Change,
     Entry,
     KeyValue,
     LeaseTerms,
     Record,
     encode,
-    kept,
     key_value,
-    weight,
+    record_size,
+    retained,
 )
 from rackhub.store.table import BlockCache, Table, TableBuilder, TableInfo
 
 DATA_END = b"l"
-NEWEST = MOST_REVISION
-SYNC_EVERY = 524_288  # bytes of a table that is being written, between syncs: one at its end would hold a turn up
-PIECE = 2_097_152  # bytes of a removed file that are freed at once
-STEP = 64  # entries of a merge between looks at the clock
-BACKLOG = 2  # closed memory tables, from which on each commit does a slice of the work itself
+NEWEST = MAX_REVISION
+TABLE_SYNC_BYTES = 524_288  # bytes of a table that is being written, between syncs: one at its end would hold a turn up
+TRUNCATE_BYTES = 2_097_152  # bytes of a removed file that are freed at once
+ENTRIES_PER_STEP = 64  # entries of a merge between looks at the clock
+MAX_IMMUTABLE_MEMTABLES = 2  # closed memory tables, from which on each commit does a slice of the work itself
 
-Acknowledged = Callable[[StoreError | None], None]
+AcknowledgeCallback = Callable[[StoreError | None], None]
 
 
 class Commit(msgspec.Struct, frozen=True):
@@ -120,25 +130,25 @@
         self.options = options
         self._files, self._clock, self._ticks, self._wake = files, clock, ticks, wake
         self._cache = BlockCache(options.cache_bytes)
-        self._always = options.contract == "always"
+        self._sync_each_commit = options.contract == "always"
         self._tables: list[Table] = []  # newest first
-        self._frozen: list[Memtable] = []  # newest first
-        self._pins: Counter[int] = Counter()
-        self._discarded: dict[int, Table] = {}  # tables put out of use while a reader was in them
-        self._garbage: deque[str] = deque()  # files that the manifest names no more
-        self._reading: Counter[str] = Counter()  # segments that `changes` is reading
-        self._places: dict[int, list[tuple[int, int]]] = {}
-        self._waiting: deque[tuple[int, Acknowledged]] = deque()
-        self._job: Iterator[File | None] | None = None
+        self._immutable_memtables: list[Memtable] = []  # newest first
+        self._pinned_revisions: Counter[int] = Counter()
+        self._obsolete_tables: dict[int, Table] = {}  # tables put out of use while a reader was in them
+        self._obsolete_files: deque[str] = deque()  # files that the manifest names no more
+        self._segment_readers: Counter[str] = Counter()  # segments that `changes` is reading
+        self._segment_offsets: dict[int, list[tuple[int, int]]] = {}
+        self._pending_acks: deque[tuple[int, AcknowledgeCallback]] = deque()
+        self._background_job: Iterator[File | None] | None = None
         self._fault: OSError | None = None
         self._damage: Corrupt | None = None
-        self._open, self._syncing, self._woken, self._at_work = True, False, False, False
+        self._is_open, self._syncing, self._wake_pending, self._working_now = True, False, False, False
         self._acknowledging = False
-        self._compacted_by = 0  # the record that compacted last
-        self._collected = -1
+        self._compaction_record = 0  # the record that compacted last
+        self._collected_floor = -1
         self._idle = False  # the last look found no work, and nothing has come up since
-        self.written_tables = 0  # bytes, for the measure of write amplification
-        self.written_log = 0
+        self.table_bytes_written = 0  # bytes, for the measure of write amplification
+        self.log_bytes_written = 0
 
     # ---- opening
 
@@ -171,11 +181,11 @@
 
     def _recover(self) -> None:
         names = self._files.names()
-        if NAME not in names:
+        if MANIFEST_NAME not in names:
             self._create(names)
         manifest = load(self._files)
         sizes = {name: self._size(name) for name in self._files.names()}
-        todo = plan.recovery(manifest, sizes)
+        recovery_plan = plan.plan_recovery(manifest, sizes)
         self._manifest = manifest
         for info in manifest.tables:
             name = table_name(info.number)
@@ -183,62 +193,64 @@
             if table.info != info:
                 raise Corrupt(name, 0, "is not the table that the manifest names")
             self._tables.append(table)
-        self._mem = Memtable(manifest.flushed + 1)
-        replayed, seen = 0, manifest.seen
-        for segment in todo.replay:
-            for record in self._closed_records(segment):
-                if record.number > manifest.flushed:
-                    self._mem.add(record.number, record.revision, record.entries, weight(record))
-                    replayed, seen = replayed + 1, record.at
-        name = log_name(manifest.active)
+        self._memtable = Memtable(manifest.flushed_record + 1)
+        replayed, seen = 0, manifest.clock
+        for segment in recovery_plan.replay:
+            for record in self._read_closed_segment(segment):
+                if record.number > manifest.flushed_record:
+                    self._memtable.add(record.number, record.revision, record.entries, record_size(record))
+                    replayed, seen = replayed + 1, record.timestamp
+        name = log_name(manifest.active_segment)
         size = sizes[name]
         self._log = Log(
             self._files,
-            manifest.active,
-            manifest.active_first,
-            manifest.active_before,
+            manifest.active_segment,
+            manifest.active_first_record,
+            manifest.active_revision_before,
             self.options.frame_bytes,
             self._files.open(name),
             size,
         )
         tail, records = self._log.replay(self._log.file, size)
-        last = records[-1].number if records else manifest.active_first - 1
-        if last < manifest.flushed:
+        last = records[-1].number if records else manifest.active_first_record - 1
+        if last < manifest.flushed_record:
             raise Corrupt(
-                name, tail.end, f"cut short: it ends with record {last}, and record {manifest.flushed} was on disk"
+                name,
+                tail.end,
+                f"cut short: it ends with record {last}, and record {manifest.flushed_record} was on disk",
             )
         for record in records:
-            if record.number > manifest.flushed:
-                self._mem.add(record.number, record.revision, record.entries, weight(record))
-                replayed, seen = replayed + 1, record.at
-        self._refuse_unnamed(todo.later)
+            if record.number > manifest.flushed_record:
+                self._memtable.add(record.number, record.revision, record.entries, record_size(record))
+                replayed, seen = replayed + 1, record.timestamp
+        self._reject_unlisted_segments(recovery_plan.later_segments)
         # From here on the disk is changed, each step so that a crash after it leads here again.
-        if tail.torn:
+        if tail.torn_bytes:
             self._log.file.truncate(tail.end)
-        self._log.written = self._log.durable = tail.end
-        self._log.replayed(last, records[-1].revision if records else manifest.active_before)
+        self._log.written_size = self._log.durable_size = tail.end
+        self._log.set_replayed(last, records[-1].revision if records else manifest.active_revision_before)
         self._log.file.sync()  # what is served from now on must not be lost: it may have been in memory only
-        removed = (*todo.remove, *(log_name(number) for number in todo.later))
+        removed = (*recovery_plan.remove, *(log_name(number) for number in recovery_plan.later_segments))
         for gone in removed:
             self._files.remove(gone)
         if removed:
-            self._files.sync_names()
+            self._files.sync_directory()
         self._number = last
         self.revision = max(self._log.revision, manifest.flushed_revision)
-        self.recovered = Recovered(replayed, tail.torn, tail.later, removed, todo.unknown_files)
-        self._restore_own(seen)
+        self.recovered = Recovered(replayed, tail.torn_bytes, tail.torn_frames, removed, recovery_plan.unknown_files)
+        self._restore_internal_state(seen)
 
     def _create(self, names: Sequence[str]) -> None:
         """A new store. A crash while one was made leaves at most these two names, with nothing in them yet."""
-        left = {log_name(1), NEW}
+        left = {log_name(1), NEW_MANIFEST_NAME}
         for name in names:
-            if name not in left and number_of(name) or name == log_name(1) and self._size(name) > HEADER_SIZE:
-                raise Corrupt(NAME, 0, f"is not there, and {name} is")
+            if name not in left and parse_name(name) or name == log_name(1) and self._size(name) > HEADER_SIZE:
+                raise Corrupt(MANIFEST_NAME, 0, f"is not there, and {name} is")
         for name in left.intersection(names):
             self._files.remove(name)
         log = Log(self._files, 1, 1, 0, self.options.frame_bytes)
         log.file.close()
-        install(self._files, Manifest(2, 1, 1, 0, HEADER_SIZE, seen=self._clock()))
+        install(self._files, Manifest(2, 1, 1, 0, HEADER_SIZE, clock=self._clock()))
 
     def _size(self, name: str) -> int:
         file = self._files.open(name)
@@ -247,37 +259,37 @@
         finally:
             file.close()
 
-    def _refuse_unnamed(self, numbers: Iterable[int]) -> None:
+    def _reject_unlisted_segments(self, numbers: Iterable[int]) -> None:
         """A segment is named in the manifest before a record goes into it, so one that is not has none."""
         for number in numbers:
             if self._size(log_name(number)) > HEADER_SIZE:
                 raise Corrupt(log_name(number), HEADER_SIZE, "holds records, and the manifest does not name it")
 
-    def _closed_records(self, segment: SegmentInfo) -> Iterator[Record]:
-        name, due, revision = log_name(segment.number), segment.first_record, segment.before
+    def _read_closed_segment(self, segment: SegmentInfo) -> Iterator[Record]:
+        name, due, revision = log_name(segment.number), segment.first_record, segment.revision_before
         file = self._files.open(name)
         try:
             for start, some in read_segment(name, segment.number, file, HEADER_SIZE, segment.size):
                 for record in some:
-                    due, revision = following(name, start, record, due, revision)
+                    due, revision = check_sequence(name, start, record, due, revision)
                     yield record
         finally:
             file.close()
         if due != segment.last_record + 1:
             raise Corrupt(name, segment.size, f"ends with record {due - 1}, not {segment.last_record}")
 
-    def _restore_own(self, seen: int) -> None:
+    def _restore_internal_state(self, seen: int) -> None:
         """Leases and the compacted revision, from the store's own keys."""
         self.leases = Leases(seen)
-        for entry in self._visible(LEASE, LEASE + b"\xff" * 9, NEWEST):
+        for entry in self._scan_visible(LEASE, LEASE + b"\xff" * 9, NEWEST):
             self.leases.restore(
                 int.from_bytes(entry.key[1:], "big"), msgspec.msgpack.decode(entry.value or b"", type=LeaseTerms)
             )
-        for entry in self._visible(ATTACHED, b"b", NEWEST):
+        for entry in self._scan_visible(LEASED_KEY, b"b", NEWEST):
             self.leases.attach(int.from_bytes(entry.key[1:9], "big"), entry.key[9:])
-        told = self._latest(COMPACTED)
+        told = self._find_latest(COMPACTED)
         self.compacted = max(self._manifest.floor, int(told.value) if told and told.value else 0)
-        self.leases.tick(self._clock())
+        self.leases.advance_clock(self._clock())
 
     # ---- writing
 
@@ -285,7 +297,9 @@
         """An empty batch, for `commit`."""
         return Batch()
 
-    def commit(self, batch: Batch, when: Sequence[When] = (), acknowledged: Acknowledged | None = None) -> Commit:
+    def commit(
+        self, batch: Batch, conditions: Sequence[Condition] = (), acknowledged: AcknowledgeCallback | None = None
+    ) -> Commit:
         """Make all changes of `batch` as one revision, if all conditions hold.
 
         Reads see them on return. `acknowledged` is called once: with None when the contract holds for them, or with
@@ -293,28 +307,28 @@
         but under `always` and in a store without `wake`. Raises `BadBatch`, `NoLease`, and `ReadOnly` where
         nothing was written.
         """
-        if self._fault is not None or not self._open:
-            self._writable()
-        if not self._idle and (self._wake is None or len(self._frozen) > BACKLOG):
+        if self._fault is not None or not self._is_open:
+            self._check_writable()
+        if not self._idle and (self._wake is None or len(self._immutable_memtables) > MAX_IMMUTABLE_MEMTABLES):
             self.work()  # before this commit is there: it must not be acknowledged before its caller knows of it
         if batch.size > self.options.batch_bytes:
             raise BadBatch(f"a batch of {batch.size} bytes: {self.options.batch_bytes} are allowed")
-        for condition in when:
-            if not condition.holds(self.get(condition.key)):
-                return self._nothing_done(False, acknowledged)
+        for condition in conditions:
+            if not condition.is_met_by(self.get(condition.key)):
+                return self._commit_without_changes(False, acknowledged)
         revision = self.revision + 1
         entries = self._resolve(batch, revision)
         if not entries:
-            return self._nothing_done(True, acknowledged)
-        self._append(entries, revision, batch.size, acknowledged, own=len(entries) > len(batch.changes))
+            return self._commit_without_changes(True, acknowledged)
+        self._append(entries, revision, batch.size, acknowledged, has_internal_keys=len(entries) > len(batch.changes))
         return Commit(revision, True)
 
-    def _nothing_done(self, applied: bool, acknowledged: Acknowledged | None) -> Commit:
-        """Acknowledged all the same only once what it was decided by is on disk."""
+    def _commit_without_changes(self, applied: bool, acknowledged: AcknowledgeCallback | None) -> Commit:
+        """AcknowledgeCallback all the same only once what it was decided by is on disk."""
         if acknowledged is not None:
-            self._waiting.append((self._number, acknowledged))
+            self._pending_acks.append((self._number, acknowledged))
             self._acknowledge()
-            self._stir()
+            self._wake_if_needed()
         return Commit(self.revision, applied)
 
     def _resolve(self, batch: Batch, revision: int) -> list[Entry]:
@@ -328,9 +342,11 @@
             if key in changed:
                 raise BadBatch(f"key {change.key!r} is put twice in one batch")
             changed.add(key)
-            before = self._latest(key)
+            before = self._find_latest(key)
             if before is not None and before.value is not None:
-                entries.append(Entry(key, revision, change.value, before.create, before.version + 1, change.lease))
+                entries.append(
+                    Entry(key, revision, change.value, before.create_revision, before.version + 1, change.lease)
+                )
                 old = before.lease
             else:
                 entries.append(Entry(key, revision, change.value, revision, 1, change.lease))
@@ -349,11 +365,11 @@
             start = DATA + change.key
             if change.end == change.key:
                 end = start + b"\0"
-                found = self._latest(start)
+                found = self._find_latest(start)
                 there: Iterable[Entry] = (found,) if found is not None and found.value is not None else ()
             else:
                 end = DATA_END if change.end is None else DATA + change.end
-                there = list(self._visible(start, end, NEWEST))
+                there = list(self._scan_visible(start, end, NEWEST))
             for key in put:
                 if start <= key < end:
                     raise BadBatch(f"key {key[1:]!r} is both put and deleted in one batch")
@@ -367,74 +383,79 @@
 
     def _move_lease(self, entries: list[Entry], key: bytes, old: int, new: int) -> None:
         if new:
-            self.leases.tick(self._clock())
-            if not self.leases.left(new):
+            self.leases.advance_clock(self._clock())
+            if not self.leases.remaining(new):
                 raise NoLease(new)
         number = self._number + 1
         if old and old != new:
-            entries.append(Entry(ATTACHED + old.to_bytes(8, "big") + key, number, None))
+            entries.append(Entry(LEASED_KEY + old.to_bytes(8, "big") + key, number, None))
         if new and old != new:
-            entries.append(Entry(ATTACHED + new.to_bytes(8, "big") + key, number, b""))
+            entries.append(Entry(LEASED_KEY + new.to_bytes(8, "big") + key, number, b""))
 
     def _append(
-        self, entries: list[Entry], revision: int, size: int, acknowledged: Acknowledged | None, own: bool = True
+        self,
+        entries: list[Entry],
+        revision: int,
+        size: int,
+        acknowledged: AcknowledgeCallback | None,
+        has_internal_keys: bool = True,
     ) -> None:
         """One record. `own`: there may be keys of the store's own among the entries. Each commit goes through here,
         so what most of them do not need is asked for as cheaply as it can be."""
         number = self._number = self._number + 1
         self.revision = revision
-        log, memory = self._log, self._mem
+        log, memory = self._log, self._memtable
         memory.add(number, revision, entries, size)
-        waiting = log.waiting  # those of one turn bear one time
-        log.add(Record(number, revision, waiting[-1].at if waiting else self._clock(), entries), size)
-        if own:
+        waiting = log.pending  # those of one turn bear one time
+        log.add(Record(number, revision, waiting[-1].timestamp if waiting else self._clock(), entries), size)
+        if has_internal_keys:
             for entry in entries:
                 if entry.key[:1] != DATA:
-                    self._own(entry)
+                    self._apply_internal_key(entry)
         if acknowledged is not None:
-            self._waiting.append((number, acknowledged))
-        if self._always or self._wake is None and (log.full or memory.bytes >= self.options.memtable_bytes):
+            self._pending_acks.append((number, acknowledged))
+        if self._sync_each_commit or self._wake is None and (log.full or memory.bytes >= self.options.memtable_bytes):
             self.flush()
             if self._fault is not None:
                 raise ReadOnly(self._fault)
-        if self._wake is not None and not self._woken:
-            self._stir()
+        if self._wake is not None and not self._wake_pending:
+            self._wake_if_needed()
 
-    def _own(self, entry: Entry) -> None:
+    def _apply_internal_key(self, entry: Entry) -> None:
         """Carry a change of the store's own keys over to what is kept of them in memory."""
         kind, rest = entry.key[:1], entry.key[1:]
-        if kind == ATTACHED:
+        if kind == LEASED_KEY:
             change = self.leases.attach if entry.value is not None else self.leases.detach
             change(int.from_bytes(rest[:8], "big"), rest[8:])
         elif kind == LEASE and entry.value is None:
-            self.leases.drop(int.from_bytes(rest, "big"))
+            self.leases.remove(int.from_bytes(rest, "big"))
         elif kind == LEASE:
             terms = msgspec.msgpack.decode(entry.value or b"", type=LeaseTerms)
             self.leases.restore(int.from_bytes(rest, "big"), terms)
         elif entry.key == COMPACTED:
-            self.compacted, self._compacted_by, self._idle = int(entry.value or 0), self._number, False
+            self.compacted, self._compaction_record, self._idle = int(entry.value or 0), self._number, False
 
-    def _writable(self) -> None:
-        if not self._open:
+    def _check_writable(self) -> None:
+        if not self._is_open:
             raise StoreError("the store is closed")
         if self._fault is not None:
             raise ReadOnly(self._fault)
 
-    def _stir(self) -> None:
-        if self._wake is not None and not self._woken and (self.needs_flush or self.needs_work):
-            self._woken = True
+    def _wake_if_needed(self) -> None:
+        if self._wake is not None and not self._wake_pending and (self.needs_flush or self.needs_work):
+            self._wake_pending = True
             self._wake(self)
 
-    def woken(self) -> None:
+    def wake_received(self) -> None:
         """Whoever tends the store has come: `wake` is called again for what comes up from now on."""
-        self._woken = False
+        self._wake_pending = False
 
     # ---- making writes last
 
     @property
     def needs_flush(self) -> bool:
         """Whether commits wait for `flush`."""
-        return self._fault is None and (bool(self._log.waiting) or bool(self._waiting) and not self._syncing)
+        return self._fault is None and (bool(self._log.pending) or bool(self._pending_acks) and not self._syncing)
 
     def flush(self, sync: bool = False) -> None:
         """Make the contract hold for all commits so far and acknowledge them, with one sync; `sync`: also under `none`.
@@ -450,9 +471,9 @@
     def begin_flush(self, sync: bool = False) -> File | None:
         """The first half of `flush`: the file to be synced, which another thread may do before `end_flush` is called
         here. None where nothing is to be synced. Commits meanwhile wait for the next one."""
-        if self._fault is not None or self._syncing or not self._open:
+        if self._fault is not None or self._syncing or not self._is_open:
             return None
-        before = self._log.written
+        before = self._log.written_size
         try:
             if self.options.contract == "none" and not sync:
                 self._log.write()
@@ -460,11 +481,11 @@
             else:
                 file = self._log.begin_sync()
         except OSError as fault:
-            self._fail(fault)
+            self._enter_read_only(fault)
             return None
-        self.written_log += self._log.written - before
+        self.log_bytes_written += self._log.written_size - before
         if file is None:
-            self._settled()
+            self._after_write()
             return None
         self._syncing = True
         return file
@@ -473,22 +494,22 @@
         """The second half: the sync came back, well or with `fault`."""
         self._syncing = False
         if fault is not None:
-            return self._fail(fault)
+            return self._enter_read_only(fault)
         self._log.end_sync()
-        self._settled()
-        self._stir()
+        self._after_write()
+        self._wake_if_needed()
 
-    def _settled(self) -> None:
+    def _after_write(self) -> None:
         """Records were written, and synced where the contract asks for it. What an acknowledgement commits goes to
         the next segment already where this one is full; one that can't be made is no fault of what is on disk."""
-        fault = self._roll_if_full()
+        fault = self._rotate_if_full()
         self._acknowledge()
         if fault is not None:
-            self._fail(fault)
+            self._enter_read_only(fault)
 
-    def _lasting(self, number: int) -> bool:
+    def _is_durable(self, number: int) -> bool:
         """Whether record `number` is on disk."""
-        return number < self._log.first or number <= self._log.durable_last
+        return number < self._log.first_record or number <= self._log.durable_record
 
     @property
     def acknowledged_revision(self) -> int:
@@ -501,19 +522,19 @@
             return
         self._acknowledging = True
         try:
-            while self._waiting and self._held(self._waiting[0][0]):
-                self._waiting.popleft()[1](None)
+            while self._pending_acks and self._is_committed(self._pending_acks[0][0]):
+                self._pending_acks.popleft()[1](None)
         finally:
             self._acknowledging = False
 
-    def _held(self, number: int) -> bool:
+    def _is_committed(self, number: int) -> bool:
         """Whether the contract holds for record `number`."""
-        return number <= self._log.last if self.options.contract == "none" else self._lasting(number)
+        return number <= self._log.last_record if self.options.contract == "none" else self._is_durable(number)
 
-    def _fail(self, fault: OSError) -> None:
+    def _enter_read_only(self, fault: OSError) -> None:
         """The disk refused something: nothing is written until `retry`, and whoever waits is told."""
-        self._fault, self._job, self._idle = fault, None, False
-        waiting, self._waiting = self._waiting, deque()
+        self._fault, self._background_job, self._idle = fault, None, False
+        waiting, self._pending_acks = self._pending_acks, deque()
         for _, call in waiting:
             call(ReadOnly(fault))
 
@@ -522,13 +543,13 @@
         """What made the store read-only."""
         return self._fault
 
-    def fail(self, fault: OSError) -> None:
+    def sync_failed(self, fault: OSError) -> None:
         """A sync that `work` had handed out failed."""
-        self._fail(fault)
+        self._enter_read_only(fault)
 
-    def forget_sync(self) -> None:
+    def abandon_sync(self) -> None:
         """The sync that was begun will not be heard of again; what it was for is synced anew."""
-        self._syncing, self._log._syncing = False, None
+        self._syncing, self._log.sync_target = False, None
 
     def retry(self) -> None:
         """Try a read-only store's disk again: what was committed and not on disk is written to a new segment, and
@@ -538,14 +559,14 @@
         old = self._log
         try:
             # What a failed sync left of these bytes is not known, and a second sync may wrongly call them written.
-            old.file.truncate(old.durable)
+            old.file.truncate(old.durable_size)
             old.file.sync()
-            self._remove_unnamed()
-            again = [*old.unsynced, *old.waiting]
-            old.last, old.revision = old.durable_last, old.durable_revision
-            old.written, old.unsynced, old.waiting, old._syncing = old.durable, [], [], None
-            old.waiting = again  # where the new segment can't be made, they wait for the next try
-            self._next_segment()
+            self._remove_unlisted_files()
+            again = [*old.unsynced, *old.pending]
+            old.last_record, old.revision = old.durable_record, old.durable_revision
+            old.written_size, old.unsynced, old.pending, old.sync_target = old.durable_size, [], [], None
+            old.pending = again  # where the new segment can't be made, they wait for the next try
+            self._start_segment()
             file = self._log.begin_sync()
             if file is not None:
                 file.sync()
@@ -556,65 +577,72 @@
         self._fault = None
         self._acknowledge()
 
-    def _remove_unnamed(self) -> None:
+    def _remove_unlisted_files(self) -> None:
         """Free what half-made files take, and those that were to be removed anyway."""
-        self._garbage.clear()
-        known = plan.named(self._manifest)
+        self._obsolete_files.clear()
+        known = plan.listed_files(self._manifest)
         for name in self._files.names():
-            if name not in known and (number_of(name) or name == NEW):
+            if name not in known and (parse_name(name) or name == NEW_MANIFEST_NAME):
                 self._files.remove(name)
 
-    def _roll_if_full(self) -> OSError | None:
+    def _rotate_if_full(self) -> OSError | None:
         """Close what is full; the error, if any."""
-        if self._mem.bytes >= self.options.memtable_bytes and self._mem.high >= self._mem.low:
+        if (
+            self._memtable.bytes >= self.options.memtable_bytes
+            and self._memtable.last_record >= self._memtable.first_record
+        ):
             try:
-                if self._log.durable < self._log.written:  # under `none`: a closed segment is always whole
+                if self._log.durable_size < self._log.written_size:  # under `none`: a closed segment is always whole
                     file = self._log.begin_sync()
                     assert file is not None
                     file.sync()
                     self._log.end_sync()
-                self._next_segment()
+                self._start_segment()
             except OSError as fault:
                 return fault
-            self._frozen.insert(0, self._mem)
-            self._mem = Memtable(self._mem.high + 1)
+            self._immutable_memtables.insert(0, self._memtable)
+            self._memtable = Memtable(self._memtable.last_record + 1)
             self._idle = False
             retain = self.options.retain_revisions
             if retain and self.revision - retain > self.compacted + retain // 4:
                 self.compact(self.revision - retain)
         return None
 
-    def _next_segment(self) -> None:
+    def _start_segment(self) -> None:
         """Close the active segment, all of which is on disk, and begin the next."""
         old, manifest = self._log, self._manifest
-        new = Log(self._files, manifest.next_number, old.last + 1, old.revision, self.options.frame_bytes)
+        new = Log(self._files, manifest.next_number, old.last_record + 1, old.revision, self.options.frame_bytes)
         closed = (
-            (SegmentInfo(old.number, old.first, old.last, old.before, old.revision, old.written),)
-            if old.last >= old.first
+            (
+                SegmentInfo(
+                    old.number, old.first_record, old.last_record, old.revision_before, old.revision, old.written_size
+                ),
+            )
+            if old.last_record >= old.first_record
             else ()
         )
-        self._install(
+        self._install_manifest(
             msgspec.structs.replace(
                 manifest,
                 next_number=manifest.next_number + 1,
                 segments=(*manifest.segments, *closed),
-                active=new.number,
-                active_first=new.first,
-                active_before=new.before,
-                active_durable=HEADER_SIZE,
+                active_segment=new.number,
+                active_first_record=new.first_record,
+                active_revision_before=new.revision_before,
+                active_durable_bytes=HEADER_SIZE,
             )
         )
-        new.waiting, new._waiting_bytes = old.waiting, old._waiting_bytes
-        self._places[old.number] = old.places
+        new.pending, new.pending_bytes = old.pending, old.pending_bytes
+        self._segment_offsets[old.number] = old.offsets
         self._log = new
         old.file.close()
 
-    def _install(self, manifest: Manifest) -> None:
-        manifest = msgspec.structs.replace(manifest, seen=self._clock())
+    def _install_manifest(self, manifest: Manifest) -> None:
+        manifest = msgspec.structs.replace(manifest, clock=self._clock())
         install(self._files, manifest)
-        gone = plan.named(self._manifest) - plan.named(manifest)
+        gone = plan.listed_files(self._manifest) - plan.listed_files(manifest)
         self._manifest = manifest
-        self._garbage.extend(sorted(gone))
+        self._obsolete_files.extend(sorted(gone))
         self._idle = self._idle and not gone
 
     # ---- reading
@@ -622,8 +650,8 @@
     def get(self, key: bytes, at: int | None = None) -> KeyValue | None:
         """The key as it was at revision `at`, now without one. `Compacted`, `FutureRevision`."""
         if at is not None:
-            self._readable(at)
-        entry = self._latest(DATA + key, NEWEST if at is None else at)
+            self._check_readable(at)
+        entry = self._find_latest(DATA + key, NEWEST if at is None else at)
         return key_value(entry) if entry is not None and entry.value is not None else None
 
     def range(
@@ -641,12 +669,12 @@
         """As `range`, one by one. Without `at` it is of the state at its beginning; a compaction past that ends it
         with `Compacted`: hold a `snapshot` for a long one."""
         if at is not None:
-            self._readable(at)
+            self._check_readable(at)
         revision = self.revision if at is None else at
         return self._scan(start, end, revision)
 
     def _scan(self, start: bytes, end: bytes | None, revision: int, pinned: bool = False) -> Iterator[KeyValue]:
-        for entry in self._visible(DATA + start, DATA_END if end is None else DATA + end, revision):
+        for entry in self._scan_visible(DATA + start, DATA_END if end is None else DATA + end, revision):
             if revision < self.compacted and not pinned:
                 raise Compacted(revision, self.compacted)
             yield key_value(entry)
@@ -662,7 +690,7 @@
 
     def _changes(self, since: int) -> Iterator[Change]:
         last = self.acknowledged_revision
-        active, end = self._log, self._log.written if self.options.contract == "none" else self._log.durable
+        active, end = self._log, self._log.written_size if self.options.contract == "none" else self._log.durable_size
         segments = [segment for segment in self._manifest.segments if segment.revision >= since]
         for segment in segments:
             try:
@@ -670,23 +698,25 @@
             except FileNotFoundError:
                 raise Compacted(since, self.compacted) from None
             name = log_name(segment.number)
-            self._reading[name] += 1
+            self._segment_readers[name] += 1
             try:
-                start = place_for(self._places.get(segment.number, []), since)
+                start = offset_for_revision(self._segment_offsets.get(segment.number, []), since)
                 yield from self._changes_in(segment.number, file, start, segment.size, since, last)
             finally:
-                self._reading[name] -= 1
+                self._segment_readers[name] -= 1
                 file.close()
-        if last >= since and last > active.before:
+        if last >= since and last > active.revision_before:
             try:
                 file = self._files.open(active.name)
             except FileNotFoundError:
                 raise Compacted(since, self.compacted) from None
-            self._reading[active.name] += 1
+            self._segment_readers[active.name] += 1
             try:
-                yield from self._changes_in(active.number, file, place_for(active.places, since), end, since, last)
+                yield from self._changes_in(
+                    active.number, file, offset_for_revision(active.offsets, since), end, since, last
+                )
             finally:
-                self._reading[active.name] -= 1
+                self._segment_readers[active.name] -= 1
                 file.close()
 
     @staticmethod
@@ -704,22 +734,22 @@
     def snapshot(self, at: int | None = None) -> "Snapshot":
         """The state at revision `at`, now without one, readable until it is closed whatever is compacted meanwhile."""
         if at is not None:
-            self._readable(at)
+            self._check_readable(at)
         return Snapshot(self, self.revision if at is None else at)
 
-    def _readable(self, at: int) -> None:
+    def _check_readable(self, at: int) -> None:
         if at < self.compacted:
             raise Compacted(at, self.compacted)
         if at > self.revision:
             raise FutureRevision(at, self.revision)
 
-    def _latest(self, key: bytes, at: int = NEWEST) -> Entry | None:
+    def _find_latest(self, key: bytes, at: int = NEWEST) -> Entry | None:
         """The newest version up to `at`, a deletion too. Memory and tables hold rows of records that follow one
         another, so what is found in a newer one is newer than all in older ones."""
-        found = self._mem.find(key, at)
+        found = self._memtable.find(key, at)
         if found is not None:
             return found
-        for memory in self._frozen:
+        for memory in self._immutable_memtables:
             found = memory.find(key, at)
             if found is not None:
                 return found
@@ -729,80 +759,80 @@
                 return found
         return None
 
-    def _visible(self, start: bytes, end: bytes | None, at: int) -> Iterator[Entry]:
+    def _scan_visible(self, start: bytes, end: bytes | None, at: int) -> Iterator[Entry]:
         """What is there at `at` of the keys from `start` to before `end`, in order."""
         sources: list[Iterator[Entry]] = [
-            memory.scan(start, end) for memory in (self._mem, *self._frozen) if memory.count
+            memory.scan(start, end) for memory in (self._memtable, *self._immutable_memtables) if memory.count
         ]
         sources += [table.scan(start, end) for table in self._tables]
         done = b""
-        for entry in sources[0] if len(sources) == 1 else merged(sources):
-            if entry.order <= at and entry.key != done:
+        for entry in sources[0] if len(sources) == 1 else merge_sorted(sources):
+            if entry.sequence <= at and entry.key != done:
                 done = entry.key
                 if entry.value is not None:
                     yield entry
 
     # ---- history
 
-    def compact(self, revision: int, acknowledged: Acknowledged | None = None) -> None:
+    def compact(self, revision: int, acknowledged: AcknowledgeCallback | None = None) -> None:
         """Give up the history up to `revision`: it stays readable as a state, what lies before it does not.
         `Compacted` where that is done already, `FutureRevision` where the store is not there yet."""
-        self._writable()
+        self._check_writable()
         if revision <= self.compacted:
             raise Compacted(revision, self.compacted)
         if revision > self.revision:
             raise FutureRevision(revision, self.revision)
         self._append([Entry(COMPACTED, self._number + 1, str(revision).encode())], self.revision, 32, acknowledged)
 
-    def _floor(self) -> int:
+    def _compaction_floor(self) -> int:
         """Versions that only revisions before this one can see are free to go."""
-        return min([self.compacted, *self._pins])
+        return min([self.compacted, *self._pinned_revisions])
 
     # ---- leases
 
-    def grant(self, ttl: int, id: int = 0, acknowledged: Acknowledged | None = None) -> int:
+    def grant(self, ttl: int, id: int = 0, acknowledged: AcknowledgeCallback | None = None) -> int:
         """A new lease of `ttl` microseconds; its id, chosen here where none is asked for."""
-        self._writable()
+        self._check_writable()
         if ttl <= 0 or not 0 <= id < 1 << 63:
             raise BadBatch(f"a lease of {ttl} microseconds with id {id}: both must be above 0, the id under 2**63")
         if id and id in self.leases:
             raise BadBatch(f"lease {id} is there already")
-        self.leases.tick(self._clock())
-        id = self.leases.fresh_id(id, self._number)
-        self._append([self._terms(id, ttl)], self.revision, 64, acknowledged)
+        self.leases.advance_clock(self._clock())
+        id = self.leases.new_id(id, self._number)
+        self._append([self._lease_entry(id, ttl)], self.revision, 64, acknowledged)
         return id
 
-    def keep_alive(self, id: int, acknowledged: Acknowledged | None = None) -> int:
+    def keep_alive(self, id: int, acknowledged: AcknowledgeCallback | None = None) -> int:
         """Begin the lease's time anew; its length. `NoLease` also where it has run out and is not cleared away yet."""
-        self._writable()
-        self.leases.tick(self._clock())
-        if not self.leases.left(id):
+        self._check_writable()
+        self.leases.advance_clock(self._clock())
+        if not self.leases.remaining(id):
             raise NoLease(id)
         ttl = self.leases.get(id).ttl
-        self._append([self._terms(id, ttl)], self.revision, 64, acknowledged)
+        self._append([self._lease_entry(id, ttl)], self.revision, 64, acknowledged)
         return ttl
 
-    def _terms(self, id: int, ttl: int) -> Entry:
+    def _lease_entry(self, id: int, ttl: int) -> Entry:
         terms = LeaseTerms(ttl, self.leases.now + ttl)
         return Entry(LEASE + id.to_bytes(8, "big"), self._number + 1, encode(terms))
 
-    def revoke(self, id: int, acknowledged: Acknowledged | None = None) -> Commit:
+    def revoke(self, id: int, acknowledged: AcknowledgeCallback | None = None) -> Commit:
         """End a lease and delete its keys, as one revision where it has any."""
-        self._writable()
+        self._check_writable()
         lease = self.leases.get(id)
         number, revision = self._number + 1, self.revision + 1
         name = id.to_bytes(8, "big")
         entries = [Entry(DATA + key, revision, None) for key in sorted(lease.keys)]
-        entries += [Entry(ATTACHED + name + key, number, None) for key in sorted(lease.keys)]
+        entries += [Entry(LEASED_KEY + name + key, number, None) for key in sorted(lease.keys)]
         entries.append(Entry(LEASE + name, number, None))
         self._append(entries, revision if lease.keys else self.revision, 64 * len(entries), acknowledged)
         return Commit(self.revision, True)
 
-    def expire(self, acknowledged: Acknowledged | None = None) -> list[int]:
+    def expire(self, acknowledged: AcknowledgeCallback | None = None) -> list[int]:
         """Revoke the leases that have run out by the clock; which."""
-        self._writable()
-        self.leases.tick(self._clock())
-        over = self.leases.due()
+        self._check_writable()
+        self.leases.advance_clock(self._clock())
+        over = self.leases.expired()
         for id in over:
             self.revoke(id, acknowledged)
         return over
@@ -812,15 +842,17 @@
     @property
     def needs_work(self) -> bool:
         """Whether `work` has something to do."""
-        if self._fault is not None or self._damage is not None or not self._open:
+        if self._fault is not None or self._damage is not None or not self._is_open:
             return False
         return not self._idle
 
-    def _to_merge(self) -> tuple[int, int] | None:
-        return plan.merge(self._manifest.tables, self.options.memtable_bytes, self.options.runs, self._floor())
+    def _choose_merge(self) -> tuple[int, int] | None:
+        return plan.choose_merge(
+            self._manifest.tables, self.options.memtable_bytes, self.options.runs, self._compaction_floor()
+        )
 
-    def _to_collect(self) -> bool:
-        return self._collected != self._floor()
+    def _needs_collection(self) -> bool:
+        return self._collected_floor != self._compaction_floor()
 
     def work(self, budget: int = 0, sync: Callable[[File], bool] | None = None) -> bool:
         """Go on for `budget` microseconds (the options' slice without one) with what goes on behind: writing closed
@@ -829,33 +861,33 @@
         `sync`, where given, is handed each file that is to be synced and says whether it has been; if not, the
         caller does so elsewhere and calls `work` again after it.
         """
-        if self._fault is not None or self._damage is not None or not self._open or self._at_work:
+        if self._fault is not None or self._damage is not None or not self._is_open or self._working_now:
             return False
-        self._at_work = True  # an acknowledgement from here may commit, and come here again
+        self._working_now = True  # an acknowledgement from here may commit, and come here again
         until = self._ticks() + (budget or self.options.slice_us)
         try:
             while self._ticks() < until:
-                if self._job is None:
-                    self._job = self._next_job()
-                    if self._job is None:
+                if self._background_job is None:
+                    self._background_job = self._next_job()
+                    if self._background_job is None:
                         self._idle = True
                         return False
-                file = next(self._job, self._job)
-                if file is self._job:
-                    self._job = None
+                file = next(self._background_job, self._background_job)
+                if file is self._background_job:
+                    self._background_job = None
                 elif file is not None:
                     if sync is None:
                         file.sync()  # type: ignore[union-attr]
                     elif not sync(file):  # type: ignore[arg-type]
                         return True
         except OSError as fault:
-            self._fail(fault)
+            self._enter_read_only(fault)
             return False
         except Corrupt as damage:  # merging goes no further; reads of the rest and all writes do
-            self._damage, self._job = damage, None
+            self._damage, self._background_job = damage, None
             return False
         finally:
-            self._at_work = False
+            self._working_now = False
         return self.needs_work
 
     @property
@@ -870,31 +902,33 @@
             pass
 
     def _next_job(self) -> Iterator[File | None] | None:
-        if self._frozen:
-            return self._write_out(self._frozen[-1])
-        if self._garbage:
-            return self._sweep()
-        places = self._to_merge()
+        if self._immutable_memtables:
+            return self._flush_memtable(self._immutable_memtables[-1])
+        if self._obsolete_files:
+            return self._delete_obsolete_file()
+        places = self._choose_merge()
         if places is not None:
             return self._merge(*places)
-        return self._collect() if self._to_collect() else None
+        return self._collect_garbage() if self._needs_collection() else None
 
-    def _write_out(self, memory: Memtable) -> Iterator[File | None]:
+    def _flush_memtable(self, memory: Memtable) -> Iterator[File | None]:
         """A closed memory table becomes the newest table."""
-        floor, first = self._floor(), not self._tables
-        entries = kept(memory.scan(b"", None), floor, first)
-        for step in self._write_table(entries, memory.count, memory.low, memory.high, memory.revision, floor, ()):
+        floor, first = self._compaction_floor(), not self._tables
+        entries = retained(memory.scan(b"", None), floor, first)
+        for step in self._write_table(
+            entries, memory.count, memory.first_record, memory.last_record, memory.revision, floor, ()
+        ):
             if isinstance(step, Table):
                 manifest = self._manifest
                 self._tables.insert(0, step)
-                self._frozen.remove(memory)
-                self._install(
-                    plan.without_garbage(
+                self._immutable_memtables.remove(memory)
+                self._install_manifest(
+                    plan.without_unneeded_files(
                         msgspec.structs.replace(
                             manifest,
                             next_number=max(manifest.next_number, step.info.number + 1),
                             tables=(step.info, *manifest.tables),
-                            flushed=memory.high,
+                            flushed_record=memory.last_record,
                             flushed_revision=memory.revision,
                         ),
                         floor,
@@ -903,15 +937,15 @@
                 )
             else:
                 yield step
-        yield from memory.dismantle()
+        yield from memory.release_in_steps()
 
     def _merge(self, start: int, end: int) -> Iterator[File | None]:
         """The tables from place `start` to before `end` become one. Newer ones may come meanwhile, in front."""
         inputs = self._tables[start:end]
         infos = tuple(table.info for table in inputs)
-        floor, bottom = self._floor(), end == len(self._tables)
-        sources = [table.scan(keep=False) for table in inputs]
-        entries = kept(merged(sources) if len(sources) > 1 else sources[0], floor, bottom)
+        floor, bottom = self._compaction_floor(), end == len(self._tables)
+        sources = [table.scan(fill_cache=False) for table in inputs]
+        entries = retained(merge_sorted(sources) if len(sources) > 1 else sources[0], floor, bottom)
         count = sum(info.entries for info in infos)
         for step in self._write_table(
             entries,
@@ -928,10 +962,10 @@
                 self._tables[at : at + len(inputs)] = [step]
                 sources.clear()
                 for table in inputs:
-                    if table.readers:
-                        self._discarded[table.info.number] = table
-                self._install(
-                    plan.without_garbage(
+                    if table.open_scans:
+                        self._obsolete_tables[table.info.number] = table
+                self._install_manifest(
+                    plan.without_unneeded_files(
                         msgspec.structs.replace(
                             manifest,
                             next_number=max(manifest.next_number, step.info.number + 1),
@@ -962,7 +996,7 @@
         name = table_name(number)
         file = self._files.create(name)
         builder = TableBuilder(number, count, self.options.block_bytes)
-        parts, unsynced, steps = [builder.begin()], 0, 0
+        parts, unsynced, steps = [builder.file_header()], 0, 0
         for entry in entries:
             if entry is None:
                 yield None
@@ -975,63 +1009,63 @@
                 unsynced += sum(map(len, parts))
                 parts = []
                 yield None
-                if unsynced >= SYNC_EVERY:
+                if unsynced >= TABLE_SYNC_BYTES:
                     unsynced = 0
                     yield file
-            elif not steps % STEP:
+            elif not steps % ENTRIES_PER_STEP:
                 yield None
         rest, info = builder.finish(low, high, revision, floor, sources)
         file.append([*parts, rest])
         yield file
-        self._files.sync_names()
-        while not self._lasting(due):
+        self._files.sync_directory()
+        while not self._is_durable(due):
             if self._syncing:
                 yield None
                 continue
-            self._sync_or_raise()
+            self._sync_log()
             yield None
-        self.written_tables += info.size
+        self.table_bytes_written += info.size
         yield builder.open(name, file, self._cache, info)
 
-    def _sync_or_raise(self) -> None:
+    def _sync_log(self) -> None:
         """For a job that goes on only with the log on disk. A flush alone syncs nothing under `none`, so that a job
         would wait for ever."""
         self.flush(sync=True)
         if self._fault is not None:
             raise self._fault
 
-    def _collect(self) -> Iterator[File | None]:
+    def _collect_garbage(self) -> Iterator[File | None]:
         """Drop the files whose history was given up."""
-        floor = self._floor()
-        while not self._lasting(self._compacted_by):
-            self._sync_or_raise()
+        floor = self._compaction_floor()
+        while not self._is_durable(self._compaction_record):
+            self._sync_log()
             yield None
-        manifest = plan.without_garbage(self._manifest, floor, self.options.reserve)
+        manifest = plan.without_unneeded_files(self._manifest, floor, self.options.reserve)
         if manifest != self._manifest:
-            self._install(manifest)
-        self._collected = floor
+            self._install_manifest(manifest)
+        self._collected_floor = floor
 
-    def _sweep(self) -> Iterator[File | None]:
+    def _delete_obsolete_file(self) -> Iterator[File | None]:
         """Remove a file. The system frees a large one in one go, for tens of milliseconds, so its name goes first
         and its bytes then by pieces, unless somebody is in the middle of reading them."""
-        name = self._garbage[0]
+        name = self._obsolete_files[0]
         file = self._files.open(name)
         self._files.remove(name)
-        self._garbage.popleft()
-        told = number_of(name)
+        self._obsolete_files.popleft()
+        told = parse_name(name)
         if told is not None:
-            self._places.pop(told[1], None)
+            self._segment_offsets.pop(told[1], None)
         if (
             told is not None
             and told[0] == "table"
-            and self._discarded.pop(told[1], None) is not None
-            or self._reading[name]
+            and self._obsolete_tables.pop(told[1], None) is not None
+            or self._segment_readers[name]
         ):
             file.close()  # a reader has it: it is freed when that one is through
             return
         size = file.size()
-        while size > PIECE:
-            size -= PIECE
+        while size > TRUNCATE_BYTES:
+            size -= TRUNCATE_BYTES
             file.truncate(size)
             yield None
         file.close()
@@ -1049,9 +1083,9 @@
             list(manifest.tables),
             len(manifest.retired),
             len(manifest.segments) + 1,
-            sum(segment.size for segment in manifest.segments) + self._log.written,
+            sum(segment.size for segment in manifest.segments) + self._log.written_size,
             sum(table.size for table in (*manifest.tables, *manifest.retired)),
-            sum(memory.count for memory in (self._mem, *self._frozen)),
+            sum(memory.count for memory in (self._memtable, *self._immutable_memtables)),
             len(self.leases),
             str(self._fault) if self._fault else "",
             self.recovered,
@@ -1060,7 +1094,7 @@
     def close(self) -> None:
         """Make all commits last, acknowledge them and let go of the directory. An unfinished merge begins anew at
         the next opening. `ReadOnly` where the disk failed before."""
-        if not self._open:
+        if not self._is_open:
             return
         fault = self._fault
         if fault is None:
@@ -1068,19 +1102,21 @@
             fault = self._fault
         if fault is None:
             try:
-                self._install(msgspec.structs.replace(self._manifest, active_durable=self._log.durable))
-                while self._garbage:
-                    self._files.remove(self._garbage.popleft())
+                self._install_manifest(
+                    msgspec.structs.replace(self._manifest, active_durable_bytes=self._log.durable_size)
+                )
+                while self._obsolete_files:
+                    self._files.remove(self._obsolete_files.popleft())
             except OSError as bad:
                 fault = bad
-                self._fail(bad)
-        self._open = False
+                self._enter_read_only(bad)
+        self._is_open = False
         self._release()
         if fault is not None:
             raise ReadOnly(fault)
 
     def _release(self) -> None:
-        self._job = None
+        self._background_job = None
         for table in self._tables:
             table.close()
         if hasattr(self, "_log"):
@@ -1099,11 +1135,11 @@
 
     def __init__(self, store: Store, revision: int):
         self._store, self.revision, self._closed = store, revision, False
-        store._pins[revision] += 1
+        store._pinned_revisions[revision] += 1
 
     def get(self, key: bytes) -> KeyValue | None:
         self._check()
-        entry = self._store._latest(DATA + key, self.revision)
+        entry = self._store._find_latest(DATA + key, self.revision)
         return key_value(entry) if entry is not None and entry.value is not None else None
 
     def scan(self, start: bytes = b"", end: bytes | None = None) -> Iterator[KeyValue]:
@@ -1125,11 +1161,11 @@
     def close(self) -> None:
         if not self._closed:
             self._closed = True
-            self._store._pins[self.revision] -= 1
-            if not self._store._pins[self.revision]:
-                del self._store._pins[self.revision]
+            self._store._pinned_revisions[self.revision] -= 1
+            if not self._store._pinned_revisions[self.revision]:
+                del self._store._pinned_revisions[self.revision]
                 self._store._idle = False
-                self._store._stir()
+                self._store._wake_if_needed()
 
     def __enter__(self) -> "Snapshot":
         return self
@@ -1138,12 +1174,12 @@
         self.close()
 
 
-def merged(sources: Sequence[Iterator[Entry]]) -> Iterator[Entry]:
+def merge_sorted(sources: Sequence[Iterator[Entry]]) -> Iterator[Entry]:
     """Entries of sources (newest first) in order of key, the newest version first."""
 
     def ranked(source: Iterator[Entry], rank: int) -> Iterator[tuple[bytes, int, int, Entry]]:
         for entry in source:
-            yield entry.key, rank, -entry.order, entry
+            yield entry.key, rank, -entry.sequence, entry
 
     for _, _, _, entry in heapq.merge(*(ranked(source, rank) for rank, source in enumerate(sources))):
         yield entry
--- a/rackhub/store/errors.py
+++ b/rackhub/store/errors.py
@@ -8,26 +8,26 @@
 class Compacted(StoreError):
     """A revision was asked for whose history is gone; `compacted` is the last one that was compacted away."""
 
-    def __init__(self, asked: int, compacted: int):
-        super().__init__(f"revision {asked} is compacted away: history begins after revision {compacted}")
-        self.asked, self.compacted = asked, compacted
+    def __init__(self, requested: int, compacted: int):
+        super().__init__(f"revision {requested} is compacted away: history begins after revision {compacted}")
+        self.requested, self.compacted = requested, compacted
 
 
 class FutureRevision(StoreError):
     """A revision was asked for that the store has not reached."""
 
-    def __init__(self, asked: int, revision: int):
-        super().__init__(f"revision {asked} is not there yet: the store is at revision {revision}")
-        self.asked, self.revision = asked, revision
+    def __init__(self, requested: int, revision: int):
+        super().__init__(f"revision {requested} is not there yet: the store is at revision {revision}")
+        self.requested, self.revision = requested, revision
 
 
 class Corrupt(StoreError):
-    """Bytes that no crash explains. `offer` says what can be done; nothing has been changed on disk."""
+    """Bytes that no crash explains. `remedy` says what can be done; nothing has been changed on disk."""
 
-    def __init__(self, file: str, offset: int, why: str, offer: str = ""):
-        offer = offer or "`rackhub store salvage` writes what is provably whole to a new directory"
-        super().__init__(f"{file}: at byte {offset}: {why}; {offer}")
-        self.file, self.offset, self.why, self.offer = file, offset, why, offer
+    def __init__(self, file: str, offset: int, reason: str, remedy: str = ""):
+        remedy = remedy or "`rackhub store salvage` writes what is provably whole to a new directory"
+        super().__init__(f"{file}: at byte {offset}: {reason}; {remedy}")
+        self.file, self.offset, self.reason, self.remedy = file, offset, reason, remedy
 
 
 class NewerFormat(StoreError):
--- a/rackhub/store/fault_injection.py
+++ b/rackhub/store/fault_injection.py
@@ -23,7 +23,7 @@
 from rackhub.store.batch import Batch
 from rackhub.store.engine import Store
 from rackhub.store.errors import Corrupt, ReadOnly, StoreError
-from rackhub.store.manifest import SegmentInfo, load, log_name, number_of
+from rackhub.store.manifest import SegmentInfo, load, log_name, parse_name
 from rackhub.store.memory_files import MemoryFiles, PowerCut
 from rackhub.store.options import Options
 from rackhub.store.records import KeyValue
@@ -37,8 +37,8 @@
 SMALL = Options(
     contract="group", memtable_bytes=24 * 1_024, block_bytes=1_024, cache_bytes=65_536, frame_bytes=8 * 1_024, runs=3
 )
-TRIES_A_CUT = 3  # states that one power cut is tried in
-PATIENCE = 6  # power cuts in a row during one recovery
+STATES_PER_CUT = 3  # states that one power cut is tried in
+MAX_POWER_CUTS = 6  # power cuts in a row during one recovery
 
 
 class Model:
@@ -106,11 +106,11 @@
             key = self._key()
             self._commit(Batch().put(key, b"leased", lease), {key: (b"leased", lease)}, set())
         elif kind < 0.20:
-            self.store.leases.tick(self.now)
-            for id in self.store.leases.due():
+            self.store.leases.advance_clock(self.now)
+            for id in self.store.leases.expired():
                 keys = set(self.store.leases.get(id).keys)
                 before = self.store.revision
-                self.store.revoke(id, self._told(before + bool(keys)))
+                self.store.revoke(id, self._acknowledge_callback(before + bool(keys)))
                 if keys:
                     model.apply({}, keys)
         elif kind < 0.22 and model.revision - self.store.compacted > HISTORY:
@@ -136,7 +136,7 @@
         size = self.random.randrange(self.value)
         return (seed + hashlib.shake_128(seed).digest(size))[: max(size, len(seed))]
 
-    def _told(self, revision: int) -> Callable[[StoreError | None], None]:
+    def _acknowledge_callback(self, revision: int) -> Callable[[StoreError | None], None]:
         def call(error: StoreError | None) -> None:
             if error is None:
                 self.acknowledged = max(self.acknowledged, revision)
@@ -147,18 +147,18 @@
         self.in_doubt = self.model.revision
         if puts or deletes:
             self.model.apply(puts, deletes)
-        self.store.commit(batch, acknowledged=self._told(self.model.revision))
+        self.store.commit(batch, acknowledged=self._acknowledge_callback(self.model.revision))
         self.in_doubt = self.model.revision
         if self.store.revision != self.model.revision:
             raise AssertionError(f"the store is at revision {self.store.revision}, the model at {self.model.revision}")
 
     def run(self, log_bytes: int) -> None:
         """Until the log has had so many bytes written."""
-        while self.store.written_log < log_bytes:
+        while self.store.log_bytes_written < log_bytes:
             self.step()
 
 
-class Tally(msgspec.Struct):
+class TrialResults(msgspec.Struct):
     """What was tried and what came of it."""
 
     images: int = 0
@@ -172,18 +172,18 @@
     lost_acknowledged: int = 0  # acknowledged revisions missing after a cut of a file that was on disk, at worst
     violations: list[str] = []
 
-    def add(self, other: "Tally") -> None:
+    def add(self, other: "TrialResults") -> None:
         for name in ("images", "files", "tried", "recovered", "refused", "unharmed", "salvaged", "written_out"):
             setattr(self, name, getattr(self, name) + getattr(other, name))
         self.lost_acknowledged = max(self.lost_acknowledged, other.lost_acknowledged)
         self.violations = (self.violations + other.violations)[:100]
 
-    def wrong(self, what: str) -> None:
+    def add_violation(self, what: str) -> None:
         if len(self.violations) < 100:
             self.violations.append(what)
 
 
-def faults_in(store: Store, model: Model, at_least: int, whole_history: bool = True) -> str:
+def find_mismatch(store: Store, model: Model, at_least: int, whole_history: bool = True) -> str:
     """What is wrong with an opened store against the model; nothing: the empty text. Reads all of it."""
     revision = store.revision
     if revision > model.revision:
@@ -217,23 +217,23 @@
     return ""
 
 
-class Bench:
+class DamageTrials:
     """Images of one workload, and the trials on them. Made anew in each process, the same from the same seed."""
 
     def __init__(self, seed: int, log_bytes: int):
-        self.work = Workload(seed, MemoryFiles(seed))
+        self.workload = Workload(seed, MemoryFiles(seed))
         self.images: list[tuple[MemoryFiles, int]] = []  # and the revision acknowledged when it was taken
         for part in (1, 2, 3):
-            self.work.run(log_bytes * part // 3)
-            self.images.append((self.work.files.copy(), self.work.acknowledged))
-        self.work.store.close()
-        self.images.append((self.work.files.copy(), self.work.acknowledged))
-        self.model = self.work.model
+            self.workload.run(log_bytes * part // 3)
+            self.images.append((self.workload.files.copy(), self.workload.acknowledged))
+        self.workload.store.close()
+        self.images.append((self.workload.files.copy(), self.workload.acknowledged))
+        self.model = self.workload.model
         self._tables: list[dict[str, Table]] = []
         self._segments: list[dict[str, SegmentInfo]] = []
         for image, acknowledged in self.images:
             store = Store.open("memory", SMALL, files=image.copy_shared(), clock=lambda: START, ticks=lambda: 0)
-            wrong = faults_in(store, self.model, acknowledged)
+            wrong = find_mismatch(store, self.model, acknowledged)
             if wrong:
                 raise AssertionError(f"an image that was not damaged: {wrong}")
             manifest = load(image)
@@ -241,16 +241,16 @@
             self._segments.append({log_name(segment.number): segment for segment in manifest.segments})
         self._surveys: list[dict[str, object]] = []
         for image, _ in self.images:
-            self._surveys.append({name: _survey_one(image, name) for name in image.names() if number_of(name)})
-        self._written: dict[plan.Rescue, str] = {}
+            self._surveys.append({name: _survey_file(image, name) for name in image.names() if parse_name(name)})
+        self._written: dict[plan.SalvagePlan, str] = {}
 
-    def places(self) -> Iterator[tuple[int, str, int]]:
+    def positions(self) -> Iterator[tuple[int, str, int]]:
         """Every byte of every file of every image: image, file, offset. A file that an earlier image had, the same
         to the byte, is not gone through again, but for those that each image's opening reads first."""
         seen: set[bytes] = set()
         for i, (image, _) in enumerate(self.images):
             for name in image.names():
-                data = bytes(image.inodes[name].now)
+                data = bytes(image.inodes[name].contents)
                 print_ = name.encode() + hashlib.sha256(data).digest()
                 if print_ in seen:
                     continue
@@ -258,28 +258,28 @@
                 for offset in range(len(data)):
                     yield i, name, offset
 
-    def try_cut(self, i: int, name: str, offset: int, tally: Tally) -> None:
+    def try_cut(self, i: int, name: str, offset: int, tally: TrialResults) -> None:
         image, _ = self.images[i]
-        self._try(i, name, offset, image.cut(name, offset), f"image {i}, {name} cut at {offset}", tally)
+        self._try(i, name, offset, image.with_file_cut(name, offset), f"image {i}, {name} cut at {offset}", tally)
 
-    def try_flip(self, i: int, name: str, offset: int, tally: Tally) -> None:
+    def try_flip(self, i: int, name: str, offset: int, tally: TrialResults) -> None:
         image, _ = self.images[i]
         self._try(
             i,
             name,
             offset,
-            image.flip(name, offset, (offset * 7 + 3) % 8),
+            image.with_bit_flipped(name, offset, (offset * 7 + 3) % 8),
             f"image {i}, {name} flipped at {offset}",
             tally,
         )
 
-    def _try(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: Tally) -> None:
+    def _try(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: TrialResults) -> None:
         try:
             self._open_damaged(i, name, offset, files, what, tally)
         except Exception as bad:  # what is damaged must be named, never stumbled over
-            tally.wrong(f"{what}: {type(bad).__name__}: {bad}")
+            tally.add_violation(f"{what}: {type(bad).__name__}: {bad}")
 
-    def _open_damaged(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: Tally) -> None:
+    def _open_damaged(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: TrialResults) -> None:
         tally.tried += 1
         acknowledged = self.images[i][1]
         try:
@@ -287,10 +287,10 @@
         except StoreError as refused:
             tally.refused += 1
             if isinstance(refused, Corrupt) and not refused.file:
-                tally.wrong(f"{what}: refused without naming a file")
+                tally.add_violation(f"{what}: refused without naming a file")
             return self._salvage(i, name, files, what, tally)
         try:
-            wrong = self._read_hit(store, i, files, name, offset)
+            wrong = self._read_damaged_part(store, i, files, name, offset)
         except Corrupt:
             tally.refused += 1
             return self._salvage(i, name, files, what, tally)
@@ -298,21 +298,21 @@
         tally.unharmed += store.revision >= acknowledged
         tally.lost_acknowledged = max(tally.lost_acknowledged, acknowledged - store.revision)
         if wrong:
-            tally.wrong(f"{what}: {wrong}")
+            tally.add_violation(f"{what}: {wrong}")
 
-    def _read_hit(self, store: Store, i: int, image: MemoryFiles, name: str, offset: int) -> str:
+    def _read_damaged_part(self, store: Store, i: int, image: MemoryFiles, name: str, offset: int) -> str:
         """Read what an opening has not read of the damaged file: of a table the block that was hit, of a closed
         segment its part of the history. All else is, byte for byte, what was read whole in the image. What an
         opening goes by itself (the active log, the manifest) may change all: then all is read."""
         table = self._tables[i].get(name)
         segment = self._segments[i].get(name)
         if table is not None:
-            start, end = table.keys_at(offset)
+            start, end = table.keys_covering(offset)
             found = store.range(start, end)
             wanted = [item for key, item in sorted(self.model.states[store.revision].items()) if start <= key < end]
             return "" if found == wanted else f"keys from {start!r} to {end!r} are not those that were written"
         if segment is not None:
-            since = max(segment.before, store.compacted) + 1
+            since = max(segment.revision_before, store.compacted) + 1
             made: dict[int, list[tuple[bytes, KeyValue | None]]] = {}
             for change in store.changes(since) if since <= store.revision else ():
                 if change.revision > segment.revision:
@@ -323,15 +323,15 @@
                     return f"the history of revision {revision} is not what was written"
             return ""
         if name.startswith("table-"):  # kept in reserve, which nothing reads but a salvage or a verification
-            return "" if isinstance(_survey_one(image, name), str) else "what is damaged in reserve is not seen"
-        return faults_in(store, self.model, 0)
+            return "" if isinstance(_survey_file(image, name), str) else "what is damaged in reserve is not seen"
+        return find_mismatch(store, self.model, 0)
 
-    def _salvage(self, i: int, name: str, files: MemoryFiles, what: str, tally: Tally) -> None:
+    def _salvage(self, i: int, name: str, files: MemoryFiles, what: str, tally: TrialResults) -> None:
         """What a salvage takes is checked for each; files that are as they were are not read again for it."""
         tally.salvaged += 1
         parts = dict(self._surveys[i])
-        if number_of(name):
-            parts[name] = _survey_one(files, name)
+        if parse_name(name):
+            parts[name] = _survey_file(files, name)
         tables = {key: part for key, part in parts.items() if isinstance(part, salvage.TableInfo)}
         logs = {key: part for key, part in parts.items() if isinstance(part, salvage.LogSurvey)}
         found = salvage.Survey(tables, logs, ())
@@ -341,20 +341,20 @@
             tally.written_out += 1
             target = MemoryFiles()
             try:
-                salvage.write(found, taken, files, target, START)
+                salvage.write_store(found, taken, files, target, START)
                 store = Store.open("memory", SMALL, files=target, clock=lambda: START, ticks=lambda: 0)
-                self._written[taken] = faults_in(store, self.model, taken.revision)
+                self._written[taken] = find_mismatch(store, self.model, taken.revision)
             except StoreError as bad:
                 self._written[taken] = f"what a salvage wrote can't be used: {bad}"
         if self._written[taken]:
-            tally.wrong(f"{what}, salvaged: {self._written[taken]}")
+            tally.add_violation(f"{what}, salvaged: {self._written[taken]}")
 
 
-def _survey_one(files: MemoryFiles, name: str) -> object:
-    told = number_of(name)
+def _survey_file(files: MemoryFiles, name: str) -> object:
+    told = parse_name(name)
     assert told is not None
     try:
-        return (salvage.survey_table if told[0] == "table" else salvage.survey_log)(name, told[1], files.open(name))
+        return (salvage.inspect_table if told[0] == "table" else salvage.inspect_log)(name, told[1], files.open(name))
     except StoreError as bad:
         return str(bad)
 
@@ -362,13 +362,15 @@
 # ---- power cuts and failing disks, at each step
 
 
-def try_power(seed: int, warm_bytes: int, steps: int, every: int = 1, offset: int = 0, lying: bool = False) -> Tally:
+def run_power_cuts(
+    seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0, ignore_syncs: bool = False
+) -> TrialResults:
     """Cut the power at each call that changes the disk during `steps` steps of a workload, and again during each
     recovery. After each cut the machine is tried in several of the states that it may find."""
-    tally = Tally()
+    tally = TrialResults()
     warm = Workload(seed, MemoryFiles(seed))
-    warm.files.ignore_syncs = lying
-    warm.run(warm_bytes)
+    warm.files.ignore_syncs = ignore_syncs
+    warm.run(warm_up_bytes)
     warm.store.close()
     image = warm.files.copy()
     n = offset
@@ -380,7 +382,7 @@
         again.files, again.now, again.model = image.copy(), warm.now, Model()
         again.model.states, again.model.changes = list(warm.model.states), list(warm.model.changes)
         again.acknowledged = again.in_doubt = warm.model.revision
-        again.files.ignore_syncs = lying
+        again.files.ignore_syncs = ignore_syncs
         again.files.fail_at = n
         try:
             again.open()
@@ -391,28 +393,28 @@
         except PowerCut:
             pass
         tally.images += 1
-        for attempt in range(TRIES_A_CUT):
+        for attempt in range(STATES_PER_CUT):
             _recover_through_cuts(again, seed * 31 + n * 7 + attempt, tally, f"seed {seed}, power cut at call {n}")
 
 
-def _recover_through_cuts(work: Workload, seed: int, tally: Tally, what: str) -> None:
+def _recover_through_cuts(work: Workload, seed: int, tally: TrialResults, what: str) -> None:
     chance = random.Random(seed)
     files = work.files.after_power_cut(seed)
-    for round in range(PATIENCE):
+    for round in range(MAX_POWER_CUTS):
         tally.tried += 1
-        files.fail_at = chance.randrange(1, 8) if round < PATIENCE - 1 else 0
+        files.fail_at = chance.randrange(1, 8) if round < MAX_POWER_CUTS - 1 else 0
         try:
             store = Store.open("memory", SMALL, files=files, clock=lambda: work.now, ticks=lambda: 0)
         except PowerCut:
             files = files.after_power_cut(chance.randrange(1 << 30))
             continue
         except StoreError as bad:
-            return tally.wrong(f"{what}, recovery {round}: refused: {bad}")
+            return tally.add_violation(f"{what}, recovery {round}: refused: {bad}")
         tally.recovered += 1
         files.fail_at = 0
-        wrong = faults_in(store, work.model, work.acknowledged)
+        wrong = find_mismatch(store, work.model, work.acknowledged)
         if wrong:
-            return tally.wrong(f"{what}, recovery {round}: {wrong}")
+            return tally.add_violation(f"{what}, recovery {round}: {wrong}")
         # what was read must be there still, whatever happens next: the first recovery has served it
         seen = store.revision
         store.close()
@@ -420,18 +422,18 @@
             "memory", SMALL, files=files.after_power_cut(seed + 1), clock=lambda: work.now, ticks=lambda: 0
         )
         if store.revision != seen:
-            tally.wrong(f"{what}: revision {seen} was served after a recovery, then {store.revision}")
+            tally.add_violation(f"{what}: revision {seen} was served after a recovery, then {store.revision}")
         return None
 
 
-def try_faults(seed: int, warm_bytes: int, steps: int, every: int = 1, offset: int = 0) -> Tally:
+def run_disk_faults(seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0) -> TrialResults:
     """Let the disk refuse each call that changes it, once (EIO) or from there on until it is mended (ENOSPC)."""
-    tally = Tally()
+    tally = TrialResults()
     n = offset
     while True:
         n += every
         work = Workload(seed, MemoryFiles(seed))
-        work.run(warm_bytes)
+        work.run(warm_up_bytes)
         work.store.flush()
         files, before = work.files, work.files.steps
         files.fail_at, files.keep_failing = before + n, n % 2 == 0
@@ -452,7 +454,7 @@
             try:
                 work.store.retry()
                 work.store.commit(Batch().put(b"k000", b"x"))
-                tally.wrong(f"seed {seed}: writes are taken while call {n} still fails")
+                tally.add_violation(f"seed {seed}: writes are taken while call {n} still fails")
             except ReadOnly:
                 pass
         files.fail_at = 0
@@ -462,39 +464,39 @@
                 work.step()
             work.store.flush()
         except StoreError as bad:
-            tally.wrong(f"seed {seed}, call {n} failed: after it was mended: {bad}")
+            tally.add_violation(f"seed {seed}, call {n} failed: after it was mended: {bad}")
             continue
-        wrong = faults_in(work.store, work.model, work.model.revision)
+        wrong = find_mismatch(work.store, work.model, work.model.revision)
         if not wrong:
             store = Store.open(
-                "memory", SMALL, files=files.after_power_cut(seed + n), clock=_standing(work.now), ticks=lambda: 0
+                "memory", SMALL, files=files.after_power_cut(seed + n), clock=_fixed_clock(work.now), ticks=lambda: 0
             )
-            wrong = faults_in(store, work.model, work.acknowledged)
+            wrong = find_mismatch(store, work.model, work.acknowledged)
         tally.recovered += 1
         if wrong:
-            tally.wrong(f"seed {seed}, call {n} failed: {wrong}")
+            tally.add_violation(f"seed {seed}, call {n} failed: {wrong}")
 
 
-def _standing(now: int) -> Callable[[], int]:
+def _fixed_clock(now: int) -> Callable[[], int]:
     return lambda: now
 
 
 # ---- all of it, over all cores
 
 
-_bench: Bench | None = None
+_trials: DamageTrials | None = None
 
 
 def _begin(seed: int, log_bytes: int) -> None:
-    global _bench
-    _bench = Bench(seed, log_bytes)
+    global _trials
+    _trials = DamageTrials(seed, log_bytes)
 
 
-def _slice(mode: Mode, part: int, parts: int) -> Tally:
-    assert _bench is not None
-    tally = Tally()
-    trial = _bench.try_cut if mode == "cut" else _bench.try_flip
-    for i, (image, name, offset) in enumerate(_bench.places()):
+def _slice(mode: Mode, part: int, parts: int) -> TrialResults:
+    assert _trials is not None
+    tally = TrialResults()
+    trial = _trials.try_cut if mode == "cut" else _trials.try_flip
+    for i, (image, name, offset) in enumerate(_trials.positions()):
         if i % parts == part:
             trial(image, name, offset, tally)
     return tally
@@ -507,7 +509,7 @@
     log_bytes: int
     file_bytes: int  # of all images' files, each counted once
     revisions: int
-    modes: dict[str, Tally]
+    modes: dict[str, TrialResults]
     violations: int = 0
 
 
@@ -520,25 +522,25 @@
 ) -> Report:
     """The whole torture of one seed, over `workers` processes (all cores without a number)."""
     workers = workers or os.cpu_count() or 1
-    here = Bench(seed, log_bytes)
-    files = sum(1 for _ in here.places())
+    here = DamageTrials(seed, log_bytes)
+    files = sum(1 for _ in here.positions())
     report = Report(seed, log_bytes, files, here.model.revision, {})
-    count = {(i, name) for i, name, _ in here.places()}
+    count = {(i, name) for i, name, _ in here.positions()}
     parts = workers * 16
     with ProcessPoolExecutor(workers, get_context("fork"), _begin, (seed, log_bytes)) as pool:
         for mode in modes:
-            total = Tally()
+            total = TrialResults()
             if mode in ("cut", "flip"):
                 waiting = [pool.submit(_slice, mode, part, parts) for part in range(parts)]
                 total.images, total.files = len(here.images), len(count)
             elif mode == "power":
                 waiting = [
-                    pool.submit(try_power, seed + i // workers, 60_000, 300, workers, i % workers)
+                    pool.submit(run_power_cuts, seed + i // workers, 60_000, 300, workers, i % workers)
                     for i in range(workers * 2)
                 ]
             else:
                 waiting = [
-                    pool.submit(try_faults, seed + i // workers, 60_000, 200, workers, i % workers)
+                    pool.submit(run_disk_faults, seed + i // workers, 60_000, 200, workers, i % workers)
                     for i in range(workers * 2)
                 ]
             for done, future in enumerate(waiting):
@@ -549,4 +551,15 @@
     return report
 
 
-__all__ = ["MODES", "Bench", "Model", "Report", "Tally", "Workload", "faults_in", "run", "try_faults", "try_power"]
+__all__ = [
+    "MODES",
+    "DamageTrials",
+    "Model",
+    "Report",
+    "TrialResults",
+    "Workload",
+    "find_mismatch",
+    "run",
+    "run_disk_faults",
+    "run_power_cuts",
+]
--- a/rackhub/store/files.py
+++ b/rackhub/store/files.py
@@ -9,7 +9,7 @@
 
 from rackhub.store.errors import Locked
 
-MOST_PARTS = 1_000  # buffers in one gathered write; the system takes 1,024
+MAX_WRITE_BUFFERS = 1_000  # buffers in one gathered write; the system takes 1,024
 
 
 class File(Protocol):
@@ -35,7 +35,7 @@
     def open(self, name: str) -> File: ...
     def rename(self, old: str, new: str) -> None: ...
     def remove(self, name: str) -> None: ...
-    def sync_names(self) -> None: ...
+    def sync_directory(self) -> None: ...
     def lock(self) -> None:
         """Hold the directory until `unlock` or the end of the process; `Locked` if another does."""
 
@@ -49,8 +49,8 @@
         self._fd = fd
 
     def append(self, parts: Sequence[bytes]) -> None:
-        for i in range(0, len(parts), MOST_PARTS):
-            some = list(parts[i : i + MOST_PARTS])
+        for i in range(0, len(parts), MAX_WRITE_BUFFERS):
+            some = list(parts[i : i + MAX_WRITE_BUFFERS])
             left, sent = sum(map(len, some)), os.writev(self._fd, some)
             if sent < left:  # a short write: a signal, or a disk that is filling up
                 rest = memoryview(b"".join(some))[sent:]
@@ -111,7 +111,7 @@
     def remove(self, name: str) -> None:
         os.unlink(name, dir_fd=self._dir)
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         os.fsync(self._dir)
 
     def lock(self) -> None:
--- a/rackhub/store/framing.py
+++ b/rackhub/store/framing.py
@@ -15,7 +15,7 @@
 from rackhub.store.errors import Corrupt, NewerFormat
 
 FORMAT = 1  # of all files; a reader takes this and all before it
-LOG, TABLE, MANIFEST = b"RHLG", b"RHTB", b"RHMF"
+LOG_KIND, TABLE_KIND, MANIFEST_KIND = b"RHLG", b"RHTB", b"RHMF"
 _HEADER = struct.Struct("<4sHHQI")  # kind, format, nothing, number, checksum of these
 _FRAME = struct.Struct("<4sIII")  # marker, length of the payload, durable, checksum of the two and the payload
 _SIZES = struct.Struct("<II")
@@ -34,27 +34,27 @@
 
 def header(kind: bytes, number: int) -> bytes:
     """The first bytes of a file."""
-    told = _HEADER.pack(kind, FORMAT, 0, number, 0)[:-4]
-    return told + struct.pack("<I", crc32c(told))
+    fields = _HEADER.pack(kind, FORMAT, 0, number, 0)[:-4]
+    return fields + struct.pack("<I", crc32c(fields))
 
 
 def check_header(name: str, data: bytes, kind: bytes, number: int | None = None) -> int:
     """The file's own number. `Corrupt` or `NewerFormat` where this is no header that can be read."""
     if len(data) < HEADER_SIZE:
         raise Corrupt(name, len(data), f"cut inside its header of {HEADER_SIZE} bytes")
-    found, format, _, own, check = _HEADER.unpack(data[:HEADER_SIZE])
+    found, format, _, file_number, check = _HEADER.unpack(data[:HEADER_SIZE])
     if crc32c(data[: HEADER_SIZE - 4]) != check:
         raise Corrupt(name, 0, "its header fails its checksum")
     if found != kind:
         raise Corrupt(name, 0, f"it is of kind {found!r}, not {kind!r}")
     if format > FORMAT:
         raise NewerFormat(name, format, FORMAT)
-    if number is not None and own != number:
-        raise Corrupt(name, 0, f"it says that it is number {own}, not {number}")
-    return own
+    if number is not None and file_number != number:
+        raise Corrupt(name, 0, f"it says that it is number {file_number}, not {number}")
+    return file_number
 
 
-def frame(payload: bytes, durable: int = 0) -> bytes:
+def frame_header(payload: bytes, durable: int = 0) -> bytes:
     """The head that goes before `payload`."""
     sizes = _SIZES.pack(len(payload), durable)
     return MARKER + sizes + struct.pack("<I", crc32c(payload, crc32c(sizes)))
@@ -81,7 +81,7 @@
         start = found.end
 
 
-def beyond(data: memoryview, start: int) -> Iterator[Frame]:
+def frames_after(data: memoryview, start: int) -> Iterator[Frame]:
     """Whole frames anywhere after a bad place at `start`, found by their marker."""
     whole = bytes(data)
     at = whole.find(MARKER, start + 1)
--- a/rackhub/store/kill.py
+++ b/rackhub/store/kill.py
@@ -21,10 +21,10 @@
 from rackhub.store.engine import Store
 from rackhub.store.options import Options
 
-CONNECTIONS, OPEN = 4, 16
+CONNECTIONS, OPEN_REQUESTS = 4, 16
 KEYS = 500
 OPTIONS = Options(contract="group", memtable_bytes=64 * 1_024, block_bytes=1_024, runs=3, retain_revisions=2_000)
-PATIENCE = 60  # seconds without an answer: a child that hangs is a fault of its own
+ANSWER_TIMEOUT_S = 60  # seconds without an answer: a child that hangs is a fault of its own
 
 
 class KillResults(msgspec.Struct):
@@ -60,9 +60,11 @@
 
         def lineReceived(self, line: bytes) -> None:
             key, _, value = line.partition(b" ")
-            made = store.commit(Batch().put(key, value), acknowledged=lambda error: self.told(error, made.revision))
+            made = store.commit(
+                Batch().put(key, value), acknowledged=lambda error: self.send_answer(error, made.revision)
+            )
 
-        def told(self, error: Exception | None, revision: int) -> None:
+        def send_answer(self, error: Exception | None, revision: int) -> None:
             self.sendLine(b"%d" % revision if error is None else b"error")
 
     port = reactor.listenTCP(0, Factory.forProtocol(Lines), interface="127.0.0.1")
@@ -75,7 +77,7 @@
 
     def __init__(self, port: int):
         self.socket = socket.create_connection(("127.0.0.1", port))
-        self.socket.settimeout(PATIENCE)
+        self.socket.settimeout(ANSWER_TIMEOUT_S)
         self.open: list[tuple[bytes, bytes]] = []
         self._rest = b""
 
@@ -97,7 +99,7 @@
     acknowledged: dict[int, tuple[bytes, bytes]] = {}
     sent: set[tuple[bytes, bytes]] = set()
     for cycle in range(kills):
-        _one(path, chance, cycle, acknowledged, sent)
+        _run_and_kill(path, chance, cycle, acknowledged, sent)
         tally.kills += 1
         _check_store(path, acknowledged, sent, tally)
         progress(cycle + 1, kills)
@@ -105,7 +107,7 @@
     return tally
 
 
-def _one(
+def _run_and_kill(
     path: Path,
     chance: random.Random,
     cycle: int,
@@ -124,15 +126,15 @@
                 waiting.register(client.socket, selectors.EVENT_READ, client)
             while due > 0:
                 for client in clients:
-                    while len(client.open) < OPEN:
+                    while len(client.open) < OPEN_REQUESTS:
                         made += 1
                         key = b"key-%04d" % chance.randrange(KEYS)
                         value = b"%d.%d." % (cycle, made) + b"x" * chance.randrange(300)
                         sent.add((key, value))
                         client.send(key, value)
-                ready = waiting.select(PATIENCE)
+                ready = waiting.select(ANSWER_TIMEOUT_S)
                 if not ready:
-                    raise TimeoutError(f"no answer in {PATIENCE} s")
+                    raise TimeoutError(f"no answer in {ANSWER_TIMEOUT_S} s")
                 for which, _ in ready:
                     for revision, key, value in which.data.answers():
                         acknowledged[revision] = (key, value)
--- a/rackhub/store/leases.py
+++ b/rackhub/store/leases.py
@@ -24,70 +24,70 @@
 
     def __init__(self, now: int = 0):
         self.now = now
-        self._all: dict[int, Lease] = {}
+        self._leases: dict[int, Lease] = {}
 
     def __len__(self) -> int:
-        return len(self._all)
+        return len(self._leases)
 
     def __contains__(self, id: int) -> bool:
-        return id in self._all
+        return id in self._leases
 
     def __iter__(self):
-        return iter(self._all.values())
+        return iter(self._leases.values())
 
     def get(self, id: int) -> Lease:
         """`NoLease` where it is not there."""
-        lease = self._all.get(id)
+        lease = self._leases.get(id)
         if lease is None:
             raise NoLease(id)
         return lease
 
     def restore(self, id: int, terms: LeaseTerms) -> None:
         """One lease as it is on disk."""
-        have = self._all.get(id)
-        if have is None:
-            self._all[id] = Lease(id, terms.ttl, terms.deadline)
+        existing = self._leases.get(id)
+        if existing is None:
+            self._leases[id] = Lease(id, terms.ttl, terms.deadline)
         else:
-            have.ttl, have.deadline = terms.ttl, terms.deadline
+            existing.ttl, existing.deadline = terms.ttl, terms.deadline
 
-    def drop(self, id: int) -> None:
-        self._all.pop(id, None)
+    def remove(self, id: int) -> None:
+        self._leases.pop(id, None)
 
     def attach(self, id: int, key: bytes) -> None:
-        if id in self._all:
-            self._all[id].keys.add(key)
+        if id in self._leases:
+            self._leases[id].keys.add(key)
 
     def detach(self, id: int, key: bytes) -> None:
-        if id in self._all:
-            self._all[id].keys.discard(key)
+        if id in self._leases:
+            self._leases[id].keys.discard(key)
 
-    def tick(self, now: int) -> None:
+    def advance_clock(self, now: int) -> None:
         """The clock says `now`. Where that is before the last time it said, it has jumped back."""
-        back = self.now - now
-        for lease in self._all.values() if back > 0 else ():
-            lease.deadline -= back
+        step_back = self.now - now
+        for lease in self._leases.values() if step_back > 0 else ():
+            lease.deadline -= step_back
         self.now = now
-        for lease in self._all.values() if back > 0 else ():
+        for lease in self._leases.values() if step_back > 0 else ():
             lease.deadline = min(lease.deadline, now + lease.ttl)
 
-    def fresh_id(self, wanted: int, seen: int) -> int:
+    def new_id(self, wanted: int, seen: int) -> int:
         """An id that no lease has: `wanted`, or the first free one after `seen`."""
         if wanted:
             return wanted
         id = seen + 1
-        while id in self._all:
+        while id in self._leases:
             id += 1
         return id
 
-    def due(self) -> list[int]:
-        """Those that have run out, the earliest first."""
-        over = [lease for lease in self._all.values() if lease.deadline <= self.now]
+    def expired(self) -> list[int]:
+        """Those that existing run out, the earliest first."""
+        over = [lease for lease in self._leases.values() if lease.deadline <= self.now]
         return [lease.id for lease in sorted(over, key=lambda lease: (lease.deadline, lease.id))]
 
     def next_deadline(self) -> int | None:
-        """When the next one runs out unless it is kept alive."""
-        return min((lease.deadline for lease in self._all.values()), default=None)
+        """Condition the next one runs out unless it is kept alive."""
+        return min((lease.deadline for lease in self._leases.values()), default=None)
 
-    def left(self, id: int) -> int:
+    def remaining(self, id: int) -> int:
         """Microseconds until it runs out."""
         return max(self.get(id).deadline - self.now, 0)
--- a/rackhub/store/memory_files.py
+++ b/rackhub/store/memory_files.py
@@ -19,65 +19,65 @@
 class Inode:
     """The contents of one file: what is on disk, and the changes since, oldest first."""
 
-    __slots__ = ("disk", "pending", "now")
+    __slots__ = ("durable", "pending", "contents")
 
-    def __init__(self, disk: bytes = b""):
-        self.disk = disk
-        self.now = bytearray(disk)
+    def __init__(self, durable: bytes = b""):
+        self.durable = durable
+        self.contents = bytearray(durable)
         self.pending: list[tuple[int, bytes | None]] = []  # (where, what is written there, None: cut there)
 
     @staticmethod
-    def sharing(other: "Inode") -> "Inode":
+    def share(other: "Inode") -> "Inode":
         made = Inode.__new__(Inode)
-        made.disk, made.now, made.pending = other.disk, other.now, []
+        made.durable, made.contents, made.pending = other.durable, other.contents, []
         return made
 
     def change(self, where: int, what: bytes | None) -> None:
         """Write at the end, or cut; bytes shared with another are copied first."""
         if not self.pending:
-            self.now = bytearray(self.now)
+            self.contents = bytearray(self.contents)
         self.pending.append((where, what))
         if what is None:
-            del self.now[where:]
+            del self.contents[where:]
         else:
-            self.now += what
+            self.contents += what
 
 
 class MemoryFile:
     """One open file of `MemoryFiles`."""
 
-    def __init__(self, home: "MemoryFiles", inode: Inode):
-        self._home, self._inode = home, inode
+    def __init__(self, directory: "MemoryFiles", inode: Inode):
+        self._directory, self._inode = directory, inode
 
     def append(self, parts: Sequence[bytes]) -> None:
         data = b"".join(parts)
         try:
-            self._home.step("append", len(data))
+            self._directory.count_call("append", len(data))
         except OSError:
-            half = data[: self._home.random.randrange(len(data) + 1)] if data else b""  # a part may be there
-            self._inode.change(len(self._inode.now), half)
+            half = data[: self._directory.random.randrange(len(data) + 1)] if data else b""  # a part may be there
+            self._inode.change(len(self._inode.contents), half)
             raise
         except PowerCut:
-            self._inode.change(len(self._inode.now), data)
+            self._inode.change(len(self._inode.contents), data)
             raise
-        self._inode.change(len(self._inode.now), data)
+        self._inode.change(len(self._inode.contents), data)
 
     def read(self, offset: int, size: int) -> bytes:
-        self._home.alive()
-        return bytes(self._inode.now[offset : offset + size])
+        self._directory.check_power()
+        return bytes(self._inode.contents[offset : offset + size])
 
     def size(self) -> int:
-        self._home.alive()
-        return len(self._inode.now)
+        self._directory.check_power()
+        return len(self._inode.contents)
 
     def sync(self) -> None:
-        self._home.step("sync", 0)
-        if not self._home.ignore_syncs:
-            self._inode.disk = bytes(self._inode.now)
+        self._directory.count_call("sync", 0)
+        if not self._directory.ignore_syncs:
+            self._inode.durable = bytes(self._inode.contents)
             self._inode.pending = []
 
     def truncate(self, size: int) -> None:
-        self._home.step("truncate", 0)
+        self._directory.count_call("truncate", 0)
         self._inode.change(size, None)
 
     def close(self) -> None:
@@ -92,19 +92,19 @@
     def __init__(self, seed: int = 0):
         self.random = random.Random(seed)
         self.inodes: dict[str, Inode] = {}
-        self.names_on_disk: dict[str, Inode] = {}
+        self.durable_names: dict[str, Inode] = {}
         self._name_changes: list[tuple[str, Inode | None]] = []
         self.steps, self.fail_at, self.keep_failing, self.ignore_syncs = 0, 0, False, False
         self.fault: BaseException = PowerCut()
         self.capacity: int | None = None
         self.locked, self._off = False, False
 
-    def alive(self) -> None:
+    def check_power(self) -> None:
         if self._off:
             raise PowerCut
 
-    def step(self, what: str, size: int) -> None:
-        self.alive()
+    def count_call(self, what: str, size: int) -> None:
+        self.check_power()
         self.steps += 1
         if self.capacity is not None and size:
             if size > self.capacity:
@@ -116,38 +116,38 @@
             raise self.fault
 
     def names(self) -> list[str]:
-        self.alive()
+        self.check_power()
         return sorted(self.inodes)
 
     def create(self, name: str) -> MemoryFile:
-        self.step("create", 0)
+        self.count_call("create", 0)
         self.inodes[name] = Inode()
         self._name_changes.append((name, self.inodes[name]))
         return MemoryFile(self, self.inodes[name])
 
     def open(self, name: str) -> MemoryFile:
-        self.alive()
+        self.check_power()
         if name not in self.inodes:
             raise FileNotFoundError(2, os.strerror(2), name)
         return MemoryFile(self, self.inodes[name])
 
     def rename(self, old: str, new: str) -> None:
-        self.step("rename", 0)
+        self.count_call("rename", 0)
         inode = self.inodes.pop(old)
         self.inodes[new] = inode
         self._name_changes += [(new, inode), (old, None)]
 
     def remove(self, name: str) -> None:
-        self.step("remove", 0)
+        self.count_call("remove", 0)
         if name not in self.inodes:
             raise FileNotFoundError(2, os.strerror(2), name)
         del self.inodes[name]
         self._name_changes.append((name, None))
 
-    def sync_names(self) -> None:
-        self.step("sync_names", 0)
+    def sync_directory(self) -> None:
+        self.count_call("sync_directory", 0)
         if not self.ignore_syncs:
-            self.names_on_disk = dict(self.inodes)
+            self.durable_names = dict(self.inodes)
             self._name_changes = []
 
     def lock(self) -> None:
@@ -162,28 +162,28 @@
 
     def copy(self) -> "MemoryFiles":
         """As a process that is killed leaves it: all that was written is there."""
-        return MemoryFiles.of({name: bytes(inode.now) for name, inode in self.inodes.items()})
+        return MemoryFiles.from_contents({name: bytes(inode.contents) for name, inode in self.inodes.items()})
 
     def copy_shared(self) -> "MemoryFiles":
         """The same files under a directory of its own, for an opening that may change it. Each file is copied when
         it is changed first."""
         made = MemoryFiles()
-        made.inodes = {name: Inode.sharing(inode) for name, inode in self.inodes.items()}
-        made.names_on_disk = dict(made.inodes)
+        made.inodes = {name: Inode.share(inode) for name, inode in self.inodes.items()}
+        made.durable_names = dict(made.inodes)
         return made
 
     @staticmethod
-    def of(contents: dict[str, bytes]) -> "MemoryFiles":
+    def from_contents(contents: dict[str, bytes]) -> "MemoryFiles":
         made = MemoryFiles()
         made.inodes = {name: Inode(data) for name, data in contents.items()}
-        made.names_on_disk = dict(made.inodes)
+        made.durable_names = dict(made.inodes)
         return made
 
     def after_power_cut(self, seed: int) -> "MemoryFiles":
         """One of the ways in which the machine may find the directory. Of each file any of the unsynced writes may
         be there, the last of those torn at any byte, holes between them zeros; of unsynced names any beginning."""
         chance = random.Random(seed)
-        names = dict(self.names_on_disk)
+        names = dict(self.durable_names)
         by_name: dict[str, list[Inode | None]] = {}
         for name, inode in self._name_changes:
             by_name.setdefault(name, []).append(inode)
@@ -194,11 +194,13 @@
                 names.pop(name, None)
                 if last is not None:
                     names[name] = last
-        return MemoryFiles.of({name: self._left_of(inode, chance) for name, inode in names.items()})
+        return MemoryFiles.from_contents(
+            {name: self._surviving_contents(inode, chance) for name, inode in names.items()}
+        )
 
     @staticmethod
-    def _left_of(inode: Inode, chance: random.Random) -> bytes:
-        data = bytearray(inode.disk)
+    def _surviving_contents(inode: Inode, chance: random.Random) -> bytes:
+        data = bytearray(inode.durable)
         in_order = chance.random() < 0.5  # half of all disks keep the order and stop somewhere
         stop = chance.randrange(len(inode.pending) + 1)
         for i, (where, what) in enumerate(inode.pending):
@@ -217,19 +219,19 @@
             data[where : where + len(what)] = what
         return bytes(data)
 
-    def cut(self, name: str, size: int) -> "MemoryFiles":
+    def with_file_cut(self, name: str, size: int) -> "MemoryFiles":
         """A copy with one file cut to `size`; the other files are shared with this one."""
-        return self._with(name, bytes(self.inodes[name].now[:size]))
+        return self._with_file(name, bytes(self.inodes[name].contents[:size]))
 
-    def flip(self, name: str, offset: int, bit: int) -> "MemoryFiles":
+    def with_bit_flipped(self, name: str, offset: int, bit: int) -> "MemoryFiles":
         """A copy with one bit of one file turned."""
-        data = bytearray(self.inodes[name].now)
+        data = bytearray(self.inodes[name].contents)
         data[offset] ^= 1 << bit
-        return self._with(name, bytes(data))
+        return self._with_file(name, bytes(data))
 
-    def _with(self, name: str, data: bytes) -> "MemoryFiles":
+    def _with_file(self, name: str, data: bytes) -> "MemoryFiles":
         made = MemoryFiles()
         made.inodes = dict(self.inodes)
         made.inodes[name] = Inode(data)
-        made.names_on_disk = dict(made.inodes)
+        made.durable_names = dict(made.inodes)
         return made
--- a/rackhub/store/records.py
+++ b/rackhub/store/records.py
@@ -9,18 +9,18 @@
 
 import msgspec
 
-ATTACHED, DATA, LEASE, META = b"a", b"k", b"l", b"m"  # a: lease and key; l: lease; m: the store's own
+LEASED_KEY, DATA, LEASE, META = b"a", b"k", b"l", b"m"  # a: lease and key; l: lease; m: the store's own
 COMPACTED = META + b"compacted"
-MOST_REVISION = (1 << 63) - 1
+MAX_REVISION = (1 << 63) - 1
 
 
 class Entry(msgspec.Struct, array_like=True, gc=False):
     """One version of one key. `value` None: deleted. `order`: revision of a DATA key, else the record's number."""
 
     key: bytes
-    order: int
+    sequence: int
     value: bytes | None
-    create: int = 0
+    create_revision: int = 0
     version: int = 0
     lease: int = 0
 
@@ -30,7 +30,7 @@
 
     number: int
     revision: int
-    at: int
+    timestamp: int
     entries: list[Entry]
 
 
@@ -63,41 +63,41 @@
 def key_value(entry: Entry) -> KeyValue:
     """The user's view of an entry that is not a deletion."""
     assert entry.value is not None
-    return KeyValue(entry.key[1:], entry.value, entry.create, entry.order, entry.version, entry.lease)
+    return KeyValue(entry.key[1:], entry.value, entry.create_revision, entry.sequence, entry.version, entry.lease)
 
 
-def size_of(entry: Entry) -> int:
+def entry_size(entry: Entry) -> int:
     """Bytes that an entry takes, near enough to plan by."""
     return len(entry.key) + (len(entry.value) if entry.value else 0) + 24
 
 
-def weight(record: Record) -> int:
+def record_size(record: Record) -> int:
     """Bytes that a record takes, as a batch counts them."""
-    return sum(size_of(entry) for entry in record.entries)
+    return sum(entry_size(entry) for entry in record.entries)
 
 
-PAUSE = 64  # entries dropped in a row before `kept` gives its caller a turn
+DROPS_PER_PAUSE = 64  # entries dropped in a row before `retained` gives its caller a turn
 
 
-def kept(entries: Iterable[Entry], floor: int, bottom: bool) -> Iterator[Entry | None]:
+def retained(entries: Iterable[Entry], floor: int, bottom: bool) -> Iterator[Entry | None]:
     """What a merge keeps of entries in order (key, newest first): all versions after `floor`, the newest up to it, and
     of the store's own keys the newest. With `bottom`, nothing older lies below, so a deletion that nobody can still
     read past is dropped too. A deletion dropped with older versions below would bring those back.
 
     Now and then None comes while many are dropped: a hundred thousand old versions of one key must not hold a turn.
     """
-    key, done, dropped = b"", False, 0
+    key, newest_seen, dropped = b"", False, 0
     for entry in entries:
         if entry.key != key:
-            key, done = entry.key, False
-        if done:
+            key, newest_seen = entry.key, False
+        if newest_seen:
             dropped += 1
-            if not dropped % PAUSE:
+            if not dropped % DROPS_PER_PAUSE:
                 yield None
-        elif entry.order > floor and key[:1] == DATA:
+        elif entry.sequence > floor and key[:1] == DATA:
             yield entry
         else:
-            done = True
+            newest_seen = True
             if entry.value is not None or not bottom:
                 yield entry
 
@@ -107,11 +107,11 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-def records_of(payload: bytes | memoryview) -> list[Record]:
+def decode_records(payload: bytes | memoryview) -> list[Record]:
     """The records of one frame's payload; `msgspec.MsgspecError` if it is none."""
     return _decode(payload)
 
 
-def entries_of(payload: bytes | memoryview) -> list[Entry]:
+def decode_entries(payload: bytes | memoryview) -> list[Entry]:
     """The entries of one block's payload; `msgspec.MsgspecError` if it is none."""
     return _decode_entries(payload)
--- a/rackhub/store/salvage.py
+++ b/rackhub/store/salvage.py
@@ -1,4 +1,4 @@
-"""What is whole in a directory, file by file, and a new store made of it. `plan.rescue` decides what is taken."""
+"""What is whole in a directory, file by file, and a new store made of it. `plan.plan_salvage` decides what is taken."""
 
 from collections.abc import Callable, Iterator
 
@@ -7,16 +7,25 @@
 from rackhub.store import plan
 from rackhub.store.errors import Corrupt, NewerFormat, StoreError
 from rackhub.store.files import File, Files
-from rackhub.store.framing import FRAME_SIZE, HEADER_SIZE, LOG, beyond, check_header, frame, frames, header
-from rackhub.store.log import following, read_records, read_tail
+from rackhub.store.framing import (
+    FRAME_SIZE,
+    HEADER_SIZE,
+    LOG_KIND,
+    check_header,
+    frame_header,
+    frames,
+    frames_after,
+    header,
+)
+from rackhub.store.log import check_sequence, check_tail, read_records
 from rackhub.store.manifest import (
-    NAME,
+    MANIFEST_NAME,
     Manifest,
     SegmentInfo,
     install,
     load,
     log_name,
-    number_of,
+    parse_name,
     table_name,
 )
 from rackhub.store.records import DATA, Record, encode
@@ -36,8 +45,8 @@
 class LogSurvey(msgspec.Struct, frozen=True):
     """Rows of whole records in one log with the byte ranges of their frames, and what is wrong with the rest."""
 
-    stretches: tuple[plan.Stretch, ...]
-    places: tuple[tuple[int, int], ...]
+    ranges: tuple[plan.RecordRange, ...]
+    byte_ranges: tuple[tuple[int, int], ...]
     findings: tuple[Finding, ...]
 
 
@@ -49,25 +58,25 @@
     findings: tuple[Finding, ...]
 
 
-def survey_table(name: str, number: int, file: File) -> TableInfo:
+def inspect_table(name: str, number: int, file: File) -> TableInfo:
     """What a table holds, every byte of it read; `Corrupt` at the first that is not as it was written."""
     table = Table(name, number, file, BlockCache(0))
-    table.check()
+    table.verify()
     return table.info
 
 
-def survey_log(name: str, number: int, file: File) -> LogSurvey:
+def inspect_log(name: str, number: int, file: File) -> LogSurvey:
     """Whole records of a log wherever they stand: after a bad place the next marker is looked for."""
     data = memoryview(file.read(0, file.size()))
     findings: list[Finding] = []
     try:
-        check_header(name, bytes(data[:HEADER_SIZE]), LOG, number)
+        check_header(name, bytes(data[:HEADER_SIZE]), LOG_KIND, number)
     except NewerFormat:
         raise
     except Corrupt as bad:
-        findings.append(Finding(name, bad.offset, bad.why))
-    stretches: list[plan.Stretch] = []
-    places: list[tuple[int, int]] = []
+        findings.append(Finding(name, bad.offset, bad.reason))
+    ranges: list[plan.RecordRange] = []
+    byte_ranges: list[tuple[int, int]] = []
     at = HEADER_SIZE
     while at < len(data):
         end = at
@@ -76,23 +85,25 @@
             try:
                 records = read_records(name, found)
             except Corrupt as bad:
-                findings.append(Finding(name, found.start, bad.why))
+                findings.append(Finding(name, found.start, bad.reason))
                 continue
             first, last = records[0], records[-1]
-            if stretches and places[-1][1] == found.start and stretches[-1].last_record + 1 == first.number:
-                stretches[-1] = msgspec.structs.replace(stretches[-1], last_record=last.number, revision=last.revision)
-                places[-1] = (places[-1][0], end)
+            if ranges and byte_ranges[-1][1] == found.start and ranges[-1].last_record + 1 == first.number:
+                ranges[-1] = msgspec.structs.replace(ranges[-1], last_record=last.number, revision=last.revision)
+                byte_ranges[-1] = (byte_ranges[-1][0], end)
             else:
-                stretches.append(plan.Stretch(number, first.number, last.number, revision_before(first), last.revision))
-                places.append((found.start, end))
+                ranges.append(
+                    plan.RecordRange(number, first.number, last.number, revision_before(first), last.revision)
+                )
+                byte_ranges.append((found.start, end))
         if end < len(data):
             findings.append(Finding(name, end, "no whole frame begins here"))
-            later = next(beyond(data, end), None)
+            later = next(frames_after(data, end), None)
             if later is None:
                 break
             end = later.start
         at = end
-    return LogSurvey(tuple(stretches), tuple(places), tuple(findings))
+    return LogSurvey(tuple(ranges), tuple(byte_ranges), tuple(findings))
 
 
 def revision_before(record: Record) -> int:
@@ -106,19 +117,19 @@
     logs: dict[str, LogSurvey] = {}
     findings: list[Finding] = []
     for name in files.names():
-        told = number_of(name)
-        if told is None:
+        parsed = parse_name(name)
+        if parsed is None:
             continue
         progress(name)
         file = files.open(name)
         try:
-            if told[0] == "table":
-                tables[name] = survey_table(name, told[1], file)
+            if parsed[0] == "table":
+                tables[name] = inspect_table(name, parsed[1], file)
             else:
-                logs[name] = survey_log(name, told[1], file)
+                logs[name] = inspect_log(name, parsed[1], file)
                 findings += logs[name].findings
         except Corrupt as bad:
-            findings.append(Finding(name, bad.offset, bad.why))
+            findings.append(Finding(name, bad.offset, bad.reason))
         except OSError as fault:
             findings.append(Finding(name, 0, str(fault)))
         finally:
@@ -126,14 +137,14 @@
     return Survey(tables, logs, tuple(findings))
 
 
-def choose(found: Survey) -> plan.Rescue:
+def choose(found: Survey) -> plan.SalvagePlan:
     """What is taken of it."""
-    return plan.rescue(
-        list(found.tables.values()), [stretch for log in found.logs.values() for stretch in log.stretches]
+    return plan.plan_salvage(
+        list(found.tables.values()), [record_range for log in found.logs.values() for record_range in log.ranges]
     )
 
 
-def write(found: Survey, taken: plan.Rescue, source: Files, target: Files, seen: int) -> None:
+def write_store(found: Survey, taken: plan.SalvagePlan, source: Files, target: Files, seen: int) -> None:
     """Make a store of what is `taken`. `target` must be empty; its manifest comes last, so that a half-written one
     is never taken for a store."""
     if target.names():
@@ -143,19 +154,21 @@
     number = max([table.number for table in taken.tables], default=0) + 1
     segments: list[SegmentInfo] = []
     due, revision = (
-        (taken.logs[0].first_record, taken.logs[0].before) if taken.logs else (taken.last_record + 1, taken.revision)
+        (taken.logs[0].first_record, taken.logs[0].revision_before)
+        if taken.logs
+        else (taken.last_record + 1, taken.revision)
     )
-    for stretch in taken.logs:
-        if stretch.last_record < due:  # all of it stands in the one before too
+    for record_range in taken.logs:
+        if record_range.last_record < due:  # all of it stands in the one before too
             continue
-        segment = _write_segment(found, stretch, source, target, number, due, revision)
+        segment = _write_segment(found, record_range, source, target, number, due, revision)
         segments.append(segment)
         number, due, revision = number + 1, segment.last_record + 1, segment.revision
     file = target.create(log_name(number))
-    file.append([header(LOG, number)])
+    file.append([header(LOG_KIND, number)])
     file.sync()
     file.close()
-    target.sync_names()
+    target.sync_directory()
     flushed = taken.tables[0] if taken.tables else None
     install(
         target,
@@ -177,13 +190,13 @@
 
 
 def _write_segment(
-    found: Survey, stretch: plan.Stretch, source: Files, target: Files, number: int, due: int, before: int
+    found: Survey, record_range: plan.RecordRange, source: Files, target: Files, number: int, due: int, before: int
 ) -> SegmentInfo:
-    """The records of a stretch from `due` on, in a segment of their own."""
-    name = log_name(stretch.log)
+    """The records of a record_range from `due` on, in a segment of their own."""
+    name = log_name(record_range.log)
     log = found.logs[name]
-    start, end = log.places[log.stretches.index(stretch)]
-    parts, size, revision, first = [header(LOG, number)], HEADER_SIZE, before, due
+    start, end = log.byte_ranges[log.ranges.index(record_range)]
+    parts, size, revision, first = [header(LOG_KIND, number)], HEADER_SIZE, before, due
     old, file = source.open(name), target.create(log_name(number))
     try:
         data = memoryview(old.read(0, end))
@@ -191,7 +204,7 @@
             some = [record for record in read_records(name, one) if record.number >= due]
             if some:
                 payload = encode(some)
-                parts += [frame(payload, size), payload]
+                parts += [frame_header(payload, size), payload]
                 size += FRAME_SIZE + len(payload)
                 due, revision = some[-1].number + 1, some[-1].revision
             if sum(map(len, parts)) > FRAME_BYTES:
@@ -217,12 +230,12 @@
 
 def salvage(
     source: Files, target: Files, seen: int, progress: Callable[[str], None] = lambda name: None
-) -> tuple[Survey, plan.Rescue]:
-    """Read all that is in `source`, write what is provably whole to `target`. What could not be taken is told by
+) -> tuple[Survey, plan.SalvagePlan]:
+    """Read all that is in `source`, write what is provably whole to `target`. What could not be taken is parsed by
     both results: the findings of the one and what the other has `skipped`."""
     found = survey(source, progress)
     taken = choose(found)
-    write(found, taken, source, target, seen)
+    write_store(found, taken, source, target, seen)
     return found, taken
 
 
@@ -236,58 +249,58 @@
             file = files.open(name)
             sizes[name] = file.size()
             file.close()
-        todo = plan.recovery(manifest, sizes)
+        recovery_plan = plan.plan_recovery(manifest, sizes)
     except Corrupt as bad:
-        yield Finding(bad.file, bad.offset, bad.why)
+        yield Finding(bad.file, bad.offset, bad.reason)
         return
     except FileNotFoundError:
-        yield Finding(NAME, 0, "is not there")
+        yield Finding(MANIFEST_NAME, 0, "is not there")
         return
-    for number in todo.later:
+    for number in recovery_plan.later_segments:
         if sizes[log_name(number)] > HEADER_SIZE:
             yield Finding(log_name(number), HEADER_SIZE, "holds records, and the manifest does not name it")
     for info in (*manifest.tables, *manifest.retired):
         name = table_name(info.number)
         progress(name)
         try:
-            if survey_table(name, info.number, files.open(name)) != info:
+            if inspect_table(name, info.number, files.open(name)) != info:
                 yield Finding(name, 0, "is not the table that the manifest names")
         except Corrupt as bad:
-            yield Finding(bad.file, bad.offset, bad.why)
+            yield Finding(bad.file, bad.offset, bad.reason)
         except FileNotFoundError:
             yield Finding(name, 0, "the manifest names it and it is not there")
     due, revision = None, 0
     for segment in manifest.segments:
         name = log_name(segment.number)
         progress(name)
-        found = survey_log(name, segment.number, files.open(name))
+        found = inspect_log(name, segment.number, files.open(name))
         yield from found.findings
         if not found.findings:
-            one = found.stretches[0] if len(found.stretches) == 1 else None
+            one = found.ranges[0] if len(found.ranges) == 1 else None
             if one is None or (one.first_record, one.last_record) != (segment.first_record, segment.last_record):
                 yield Finding(
                     name, HEADER_SIZE, f"does not hold records {segment.first_record} to {segment.last_record}"
                 )
-        if due is not None and (segment.first_record, segment.before) != (due, revision):
+        if due is not None and (segment.first_record, segment.revision_before) != (due, revision):
             yield Finding(name, HEADER_SIZE, f"begins with record {segment.first_record} where {due} is due")
         due, revision = segment.last_record + 1, segment.revision
     yield from _verify_active(files, manifest)
 
 
 def _verify_active(files: Files, manifest: Manifest) -> Iterator[Finding]:
-    name = log_name(manifest.active)
+    name = log_name(manifest.active_segment)
     file = files.open(name)
     data = memoryview(file.read(0, file.size()))
     file.close()
-    end, due, revision = HEADER_SIZE, manifest.active_first, manifest.active_before
+    end, due, revision = HEADER_SIZE, manifest.active_first_record, manifest.active_revision_before
     try:
-        check_header(name, bytes(data[:HEADER_SIZE]), LOG, manifest.active)
+        check_header(name, bytes(data[:HEADER_SIZE]), LOG_KIND, manifest.active_segment)
         for one in frames(data):
             for record in read_records(name, one):
-                due, revision = following(name, one.start, record, due, revision)
+                due, revision = check_sequence(name, one.start, record, due, revision)
             end = one.end
-        read_tail(name, data, end)
-        if end < manifest.active_durable:
-            raise Corrupt(name, end, f"cut short: {manifest.active_durable} bytes of it were on disk")
+        check_tail(name, data, end)
+        if end < manifest.active_durable_bytes:
+            raise Corrupt(name, end, f"cut short: {manifest.active_durable_bytes} bytes of it were on disk")
     except Corrupt as bad:
-        yield Finding(bad.file, bad.offset, bad.why)
+        yield Finding(bad.file, bad.offset, bad.reason)
--- a/rackhub/store/table.py
+++ b/rackhub/store/table.py
@@ -16,14 +16,14 @@
 
 from rackhub.store.errors import Corrupt
 from rackhub.store.files import File
-from rackhub.store.framing import FRAME_SIZE, HEADER_SIZE, TABLE, check_header, frame, frame_at, header
-from rackhub.store.records import DATA, Entry, encode, entries_of, size_of
+from rackhub.store.framing import FRAME_SIZE, HEADER_SIZE, TABLE_KIND, check_header, frame_at, frame_header, header
+from rackhub.store.records import DATA, Entry, decode_entries, encode, entry_size
 
 _FOOTER = struct.Struct("<QQQII")  # where index, filter and facts begin, a checksum of these, the marker
-_END = 0x5EA1_7AB1
+_FOOTER_MARKER = 0x5EA1_7AB1
 Index = tuple[list[tuple[bytes, int]], list[int]]  # places of the blocks' last entries; where blocks begin and end
 QUANTILES = 16
-FILTER_RATE = 0.01
+BLOOM_FALSE_POSITIVE_RATE = 0.01
 
 
 class TableInfo(msgspec.Struct, frozen=True, array_like=True):
@@ -38,7 +38,7 @@
     entries: int
     size: int
     sources: tuple[int, ...]
-    stale: tuple[int, ...]  # quantiles of the revisions by which its older versions were replaced inside it
+    stale_quantiles: tuple[int, ...]  # quantiles of the revisions by which its older versions were replaced inside it
     stale_count: int
 
 
@@ -53,19 +53,19 @@
     def __init__(self, number: int, expected: int, block_bytes: int):
         self.number, self._block_bytes, self.offset = number, block_bytes, 0
         self._block: list[Entry] = []
-        self._filling = 0
-        self._index: list[tuple[bytes, int]] = []  # the place of each block's last entry
+        self._block_size = 0
+        self._index: list[tuple[bytes, int]] = []  # the sort_key of each block's last entry
         self._offsets: list[int] = []
-        self._bloom = Bloom(max(expected, 64), FILTER_RATE, bloom_hash)
+        self._bloom = Bloom(max(expected, 64), BLOOM_FALSE_POSITIVE_RATE, bloom_hash)
         self._last: Entry | None = None
         self._replaced: list[int] = []
-        self._every, self._skipped, self.entries = 1, 0, 0
+        self._sample_interval, self._since_last_sample, self.entries = 1, 0, 0
         self._stale_count = 0
 
-    def begin(self) -> bytes:
+    def file_header(self) -> bytes:
         """The bytes that go first."""
         self.offset = HEADER_SIZE
-        return header(TABLE, self.number)
+        return header(TABLE_KIND, self.number)
 
     def add(self, entry: Entry) -> bytes | None:
         """A whole block, where this entry filled one."""
@@ -75,32 +75,32 @@
                 raise AssertionError(f"entries out of order at {entry.key!r}")
             self._bloom.add(entry.key)
         else:
-            if last.order <= entry.order:
+            if last.sequence <= entry.sequence:
                 raise AssertionError(f"versions out of order at {entry.key!r}")
             if entry.key[:1] == DATA:
-                self._stale(last.order)
+                self._count_replaced(last.sequence)
         self._last = entry
         self._block.append(entry)
-        self._filling += size_of(entry)
+        self._block_size += entry_size(entry)
         self.entries += 1
-        return self._cut() if self._filling >= self._block_bytes else None
+        return self._finish_block() if self._block_size >= self._block_bytes else None
 
-    def _stale(self, by: int) -> None:
+    def _count_replaced(self, by: int) -> None:
         """Keep a thinned sample of the revisions that replaced what is stale here."""
         self._stale_count += 1
-        self._skipped += 1
-        if self._skipped >= self._every:
-            self._skipped = 0
+        self._since_last_sample += 1
+        if self._since_last_sample >= self._sample_interval:
+            self._since_last_sample = 0
             self._replaced.append(by)
             if len(self._replaced) >= 2_048:
-                self._replaced, self._every = self._replaced[::2], self._every * 2
+                self._replaced, self._sample_interval = self._replaced[::2], self._sample_interval * 2
 
-    def _cut(self) -> bytes:
-        self._index.append(_place(self._block[-1]))
+    def _finish_block(self) -> bytes:
+        self._index.append(_sort_key(self._block[-1]))
         self._offsets.append(self.offset)
         payload = encode(self._block)
-        self._block, self._filling = [], 0
-        data = frame(payload) + payload
+        self._block, self._block_size = [], 0
+        data = frame_header(payload) + payload
         self.offset += len(data)
         return data
 
@@ -108,8 +108,8 @@
         self, low: int, high: int, revision: int, floor: int, sources: tuple[int, ...]
     ) -> tuple[bytes, TableInfo]:
         """The rest of the file, and what it holds."""
-        parts = [self._cut()] if self._block else []
-        begins = [self.offset]
+        parts = [self._finish_block()] if self._block else []
+        section_offsets = [self.offset]
         replaced = sorted(self._replaced)
         stale = (
             tuple(replaced[(2 * i + 1) * len(replaced) // (2 * QUANTILES)] for i in range(QUANTILES))
@@ -131,16 +131,16 @@
             facts = encode(info)
         facts = encode(info)
         for payload in (index, bloom, facts):
-            parts += [frame(payload), payload]
-            begins.append(begins[-1] + FRAME_SIZE + len(payload))
-        told = struct.pack("<QQQ", *begins[:3])
-        parts.append(_FOOTER.pack(*begins[:3], crc32c(told), _END))
+            parts += [frame_header(payload), payload]
+            section_offsets.append(section_offsets[-1] + FRAME_SIZE + len(payload))
+        packed = struct.pack("<QQQ", *section_offsets[:3])
+        parts.append(_FOOTER.pack(*section_offsets[:3], crc32c(packed), _FOOTER_MARKER))
         return b"".join(parts), info
 
     def open(self, name: str, file: File, cache: "BlockCache", info: TableInfo) -> "Table":
         """The table just written, without reading its index again, which takes long for a large one."""
         table = Table.__new__(Table)
-        table.name, table.info, table._file, table._cache, table.readers = name, info, file, cache, 0
+        table.name, table.info, table._file, table._cache, table.open_scans = name, info, file, cache, 0
         table._index, table._offsets, table._bloom = self._index, self._offsets, self._bloom
         return table
 
@@ -148,8 +148,8 @@
 class BlockCache:
     """Decoded blocks, those not used for longest dropped first."""
 
-    def __init__(self, most: int):
-        self._most, self._used = most, 0
+    def __init__(self, capacity: int):
+        self._capacity, self._used = capacity, 0
         self._blocks: OrderedDict[tuple[int, int], tuple[list[Entry], int]] = OrderedDict()
         self.hits = self.misses = 0
 
@@ -164,17 +164,17 @@
 
     def put(self, key: tuple[int, int], block: list[Entry], size: int) -> None:
         size += 150 * len(block)  # as objects of the language, near enough
-        if size > self._most // 4:
+        if size > self._capacity // 4:
             return
         self._blocks[key] = (block, size)
         self._used += size
-        while self._used > self._most:
+        while self._used > self._capacity:
             _, (_, freed) = self._blocks.popitem(last=False)
             self._used -= freed
 
 
-def _place(entry: Entry) -> tuple[bytes, int]:
-    return entry.key, -entry.order
+def _sort_key(entry: Entry) -> tuple[bytes, int]:
+    return entry.key, -entry.sequence
 
 
 class Table:
@@ -182,20 +182,23 @@
 
     def __init__(self, name: str, number: int, file: File, cache: BlockCache):
         """`Corrupt` where header, footer, index, filter or facts are not whole."""
-        self.name, self._file, self._cache, self.readers = name, file, cache, 0
+        self.name, self._file, self._cache, self.open_scans = name, file, cache, 0
         size = file.size()
-        check_header(name, file.read(0, HEADER_SIZE), TABLE, number)
+        check_header(name, file.read(0, HEADER_SIZE), TABLE_KIND, number)
         if size < HEADER_SIZE + _FOOTER.size:
             raise Corrupt(name, size, "cut before its footer")
-        begins = _FOOTER.unpack(file.read(size - _FOOTER.size, _FOOTER.size))
-        if begins[4] != _END or crc32c(struct.pack("<QQQ", *begins[:3])) != begins[3]:
+        section_offsets = _FOOTER.unpack(file.read(size - _FOOTER.size, _FOOTER.size))
+        if (
+            section_offsets[4] != _FOOTER_MARKER
+            or crc32c(struct.pack("<QQQ", *section_offsets[:3])) != section_offsets[3]
+        ):
             raise Corrupt(name, size - _FOOTER.size, "its footer fails its checksum: cut short or damaged")
-        tail = memoryview(file.read(begins[0], size - _FOOTER.size - begins[0]))
+        tail = memoryview(file.read(section_offsets[0], size - _FOOTER.size - section_offsets[0]))
         parts, at = [], 0
         for _ in range(3):
             found = frame_at(tail, at)
             if found is None:
-                raise Corrupt(name, begins[0] + at, "its index fails its checksum")
+                raise Corrupt(name, section_offsets[0] + at, "its index fails its checksum")
             parts.append(found.payload)
             at = found.end
         try:
@@ -203,11 +206,11 @@
             self.info = msgspec.msgpack.decode(parts[2], type=TableInfo)
             self._bloom = Bloom.load_bytes(bytes(parts[1]), bloom_hash)
         except (msgspec.MsgspecError, ValueError) as bad:
-            raise Corrupt(name, begins[0], f"its index can't be read: {bad}") from None
+            raise Corrupt(name, section_offsets[0], f"its index can't be read: {bad}") from None
         if self.info.size != size:
             raise Corrupt(name, size, f"has {size} bytes; it was written with {self.info.size}")
 
-    def block(self, i: int, keep: bool = True) -> list[Entry]:
+    def block(self, i: int, fill_cache: bool = True) -> list[Entry]:
         """The entries of block `i`; `Corrupt` if its bytes are not those that were written."""
         cached = self._cache.get((self.info.number, i))
         if cached is not None:
@@ -217,10 +220,10 @@
         if found is None or found.end != end - start:
             raise Corrupt(self.name, start, f"block {i} fails its checksum")
         try:
-            block = entries_of(found.payload)
+            block = decode_entries(found.payload)
         except msgspec.MsgspecError as bad:
             raise Corrupt(self.name, start, f"block {i} can't be read: {bad}") from None
-        if keep:
+        if fill_cache:
             self._cache.put((self.info.number, i), block, end - start)
         return block
 
@@ -228,31 +231,31 @@
         """The newest version of `key` up to `at`."""
         if key not in self._bloom:
             return None
-        place = (key, -at)
-        i = bisect_left(self._index, place)
+        sort_key = (key, -at)
+        i = bisect_left(self._index, sort_key)
         if i == len(self._index):
             return None
         block = self.block(i)
-        entry = block[bisect_left(block, place, key=_place)]  # the block's last is at or after the place
+        entry = block[bisect_left(block, sort_key, key=_sort_key)]  # the block's last is at or after the place
         return entry if entry.key == key else None
 
-    def scan(self, start: bytes = b"", end: bytes | None = None, keep: bool = True) -> Iterator[Entry]:
+    def scan(self, start: bytes = b"", end: bytes | None = None, fill_cache: bool = True) -> Iterator[Entry]:
         """From `start` to before `end` in order of key, newest first."""
-        place = (start, -(1 << 64))
-        first = bisect_left(self._index, place)
-        self.readers += 1
+        sort_key = (start, -(1 << 64))
+        first = bisect_left(self._index, sort_key)
+        self.open_scans += 1
         try:
             for i in range(first, len(self._index)):
-                block = self.block(i, keep)
-                low = bisect_left(block, place, key=_place) if i == first else 0
+                block = self.block(i, fill_cache)
+                low = bisect_left(block, sort_key, key=_sort_key) if i == first else 0
                 if end is not None and block[-1].key >= end:
-                    yield from block[low : bisect_left(block, (end, -(1 << 64)), key=_place)]
+                    yield from block[low : bisect_left(block, (end, -(1 << 64)), key=_sort_key)]
                     return
                 yield from block[low:] if low else block
         finally:
-            self.readers -= 1
+            self.open_scans -= 1
 
-    def check(self) -> int:
+    def verify(self) -> int:
         """Read all of it; the number of entries. `Corrupt` at the first that is not as it was written."""
         count, last = 0, (b"", 0)
         at = HEADER_SIZE
@@ -260,19 +263,19 @@
             if self._offsets[i] != at:
                 raise Corrupt(self.name, at, "bytes between blocks")
             at = self._offsets[i + 1]
-            block = self.block(i, keep=False)
+            block = self.block(i, fill_cache=False)
             for entry in block:
-                place = _place(entry)
-                if count and place <= last:
+                sort_key = _sort_key(entry)
+                if count and sort_key <= last:
                     raise Corrupt(self.name, self._offsets[i], f"entries out of order in block {i}")
                 if entry.key not in self._bloom:
                     raise Corrupt(self.name, self._offsets[i], f"the filter misses a key of block {i}")
-                last, count = place, count + 1
+                last, count = sort_key, count + 1
         if count != self.info.entries:
             raise Corrupt(self.name, at, f"holds {count} entries, {self.info.entries} were written")
         return count
 
-    def keys_at(self, offset: int) -> tuple[bytes, bytes]:
+    def keys_covering(self, offset: int) -> tuple[bytes, bytes]:
         """The user's keys, from one to before another, whose reading looks at the byte at `offset`."""
         i = min(max(bisect_right(self._offsets, offset) - 1, 0), len(self._index) - 1)
         first, last = self.block(i)[0].key, self._index[i][0]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,6 +10,7 @@
     BadBatch,
     Batch,
     Compacted,
+    Condition,
     Corrupt,
     FutureRevision,
     KeyValue,
@@ -19,7 +20,6 @@
     Options,
     ReadOnly,
     Store,
-    When,
     fault_injection,
     framing,
     plan,
@@ -111,7 +111,7 @@
 
 def test_conditions_hold_for_all_or_nothing_is_done():
     here = Here()
-    absent = When(b"a", "version", "=", 0)
+    absent = Condition(b"a", "version", "=", 0)
     assert here.store.commit(Batch().put(b"a", b"1"), [absent]).applied
     refused = here.store.commit(Batch().put(b"a", b"2"), [absent])
     assert not refused.applied and refused.revision == 1 and here.store.get(b"a").value == b"1"
@@ -124,10 +124,12 @@
         ("create_revision", ">", 1, False),
         ("lease", "=", 0, True),
     ):
-        assert When(b"a", what, compare, to).holds(here.store.get(b"a")) is holds
-    assert When(b"none", "value", "=", None).holds(None) and not When(b"none", "value", "<", b"x").holds(None)
+        assert Condition(b"a", what, compare, to).is_met_by(here.store.get(b"a")) is holds
+    assert Condition(b"none", "value", "=", None).is_met_by(None) and not Condition(
+        b"none", "value", "<", b"x"
+    ).is_met_by(None)
     with pytest.raises(BadBatch):
-        When(b"a", "version", "=", b"1")
+        Condition(b"a", "version", "=", b"1")
 
 
 def test_a_compacted_revision_is_told_with_what_is_left():
@@ -236,14 +238,14 @@
     here.store.close()
     here.now += 11 * S
     here.again()
-    assert here.store.leases.due() == [first] and here.store.expire() == [first]
+    assert here.store.leases.expired() == [first] and here.store.expire() == [first]
     here.now -= 3_600 * S  # an hour back, while it runs
     here.store.expire()
-    assert 0 < here.store.leases.left(second) <= 60 * S
+    assert 0 < here.store.leases.remaining(second) <= 60 * S
     here.store.close()
     here.now -= 3_600 * S  # and again while it is closed
     here.again()
-    assert 0 < here.store.leases.left(second) <= 60 * S
+    assert 0 < here.store.leases.remaining(second) <= 60 * S
     here.now += 60 * S
     assert here.store.expire() == [second] and here.store.range() == []
 
@@ -305,8 +307,8 @@
     here.store.commit(batch)
     name = max(n for n in here.files.names() if n.startswith("log"))
     assert len(Here(files=here.files.copy()).store.range()) == 501
-    big = max((n for n in here.files.names() if n.startswith("log")), key=lambda n: len(here.files.inodes[n].now))
-    assert len(here.files.inodes[big].now) > 10 * SMALL.memtable_bytes and name
+    big = max((n for n in here.files.names() if n.startswith("log")), key=lambda n: len(here.files.inodes[n].contents))
+    assert len(here.files.inodes[big].contents) > 10 * SMALL.memtable_bytes and name
     # the same, killed while the record was being written
     here = Here(Options(contract="group"))
     here.put(b"before", b"1")
@@ -314,9 +316,11 @@
     here.store.commit(batch)
     here.store.begin_flush()
     name = next(n for n in here.files.names() if n.startswith("log"))
-    whole = len(here.files.inodes[name].now)
+    whole = len(here.files.inodes[name].contents)
     for size in (whole - 1, whole // 2, 100):
-        assert [item.key for item in Here(files=here.files.cut(name, size).copy()).store.range()] == [b"before"]
+        assert [item.key for item in Here(files=here.files.with_file_cut(name, size).copy()).store.range()] == [
+            b"before"
+        ]
 
 
 def test_a_torn_tail_is_cut_off_and_told_and_damage_before_whole_records_is_not():
@@ -324,11 +328,11 @@
     for i in range(5):
         here.put(b"a", b"%d" % i * 20)
     name = next(n for n in here.files.names() if n.startswith("log"))
-    size = len(here.files.inodes[name].now)
-    torn = Here(files=here.files.cut(name, size - 5).copy()).store
+    size = len(here.files.inodes[name].contents)
+    torn = Here(files=here.files.with_file_cut(name, size - 5).copy()).store
     assert torn.revision == 4 and torn.recovered.torn_bytes > 0
     with pytest.raises(Corrupt, match=f"{name}: at byte .* damaged.*salvage"):
-        Here(files=here.files.flip(name, size // 2, 1))
+        Here(files=here.files.with_bit_flipped(name, size // 2, 1))
 
 
 def test_unsynced_writes_that_reached_the_disk_out_of_order_are_a_torn_tail():
@@ -338,21 +342,25 @@
     for i in range(4):
         here.put(b"a", b"%d" % i * 20)
         here.store.flush()
-        ends.append(len(here.files.inodes[name].now))
-    data = bytearray(here.files.inodes[name].now)
+        ends.append(len(here.files.inodes[name].contents))
+    data = bytearray(here.files.inodes[name].contents)
     data[ends[0] : ends[1]] = bytes(ends[1] - ends[0])  # the second never came, the third and fourth did
-    store = Here(files=MemoryFiles.of({**{n: bytes(i.now) for n, i in here.files.inodes.items()}, name: bytes(data)}))
+    store = Here(
+        files=MemoryFiles.from_contents(
+            {**{n: bytes(i.contents) for n, i in here.files.inodes.items()}, name: bytes(data)}
+        )
+    )
     assert store.store.revision == 1 and store.store.recovered.torn_frames == 2
 
 
 def test_files_that_are_missing_or_not_named():
     here = Here()
     here.fill(400)
-    contents = {name: bytes(inode.now) for name, inode in here.files.copy().inodes.items()}
+    contents = {name: bytes(inode.contents) for name, inode in here.files.copy().inodes.items()}
     table = plan.table_name(load(here.files).tables[0].number)
     for gone in (table, "MANIFEST", max(name for name in contents if name.startswith("log"))):
         with pytest.raises(Corrupt) as told:
-            Here(files=MemoryFiles.of({name: data for name, data in contents.items() if name != gone}))
+            Here(files=MemoryFiles.from_contents({name: data for name, data in contents.items() if name != gone}))
         assert told.value.file == gone
     more = contents | {
         "table-0000009999": b"half",
@@ -360,7 +368,7 @@
         "notes.txt": b"mine",
         "log-0000009999": b"",
     }
-    opened = Here(files=MemoryFiles.of(more))
+    opened = Here(files=MemoryFiles.from_contents(more))
     assert opened.store.recovered.unknown_files == ("notes.txt",) and "notes.txt" in opened.files.names()
     assert set(opened.store.recovered.removed) == {"table-0000009999", "MANIFEST.new", "log-0000009999"}
 
@@ -369,11 +377,11 @@
     here = Here()
     here.fill(400)
     manifest = load(here.files)
-    assert manifest.flushed > 0 and manifest.segments
+    assert manifest.flushed_record > 0 and manifest.segments
     closed = plan.log_name(manifest.segments[-1].number)
     with pytest.raises(Corrupt, match=closed):
-        Here(files=here.files.cut(closed, 100))
-    source, target = here.files.cut(closed, 100), MemoryFiles()
+        Here(files=here.files.with_file_cut(closed, 100))
+    source, target = here.files.with_file_cut(closed, 100), MemoryFiles()
     found, taken = salvage.salvage(source, target, 0)
     assert (
         found.findings and taken.last_record == here.store.info().records
@@ -389,7 +397,7 @@
     manifest = load(here.files)
     merged = next(table for table in manifest.tables if table.sources)
     name = plan.table_name(merged.number)
-    damaged = here.files.flip(name, 500, 3)
+    damaged = here.files.with_bit_flipped(name, 500, 3)
     assert [f.file for f in salvage.verify(damaged)] == [name]
     target = MemoryFiles()
     _, taken = salvage.salvage(damaged, target, 0)
@@ -400,7 +408,7 @@
 def test_a_salvage_never_writes_into_a_directory_that_holds_something():
     here = Here()
     with pytest.raises(Exception, match="not empty"):
-        salvage.salvage(here.files, MemoryFiles.of({"x": b""}), 0)
+        salvage.salvage(here.files, MemoryFiles.from_contents({"x": b""}), 0)
 
 
 @pytest.mark.parametrize("lasting", [False, True])
@@ -483,38 +491,49 @@
 
 def test_neighbours_of_one_size_are_merged_and_others_left():
     small, big = [table(9 - i, i, i) for i in range(3)], [table(2, 0, 0, 40_000), table(1, 0, 0, 50_000)]
-    assert plan.merge([*small[:2], *big], 1_000, 3, 0) is None
-    assert plan.merge([*small, *big], 1_000, 3, 0) == (0, 3)
-    assert plan.merge([small[0], *big, table(0, 0, 0, 45_000)], 1_000, 3, 0) == (0, 4)
+    assert plan.choose_merge([*small[:2], *big], 1_000, 3, 0) is None
+    assert plan.choose_merge([*small, *big], 1_000, 3, 0) == (0, 3)
+    assert plan.choose_merge([small[0], *big, table(0, 0, 0, 45_000)], 1_000, 3, 0) == (0, 4)
 
 
 def test_a_table_of_which_most_can_be_read_by_nobody_is_written_anew_once():
     stale = table(1, 1, 9, stale=tuple(range(1, 17)), stale_count=800)
-    assert plan.merge([stale], 1_000, 4, floor=0) is None and plan.merge([stale], 1_000, 4, floor=16) == (0, 1)
-    assert plan.merge([table(1, 1, 9, stale=(1,) * 16, stale_count=800, floor=16)], 1_000, 4, floor=16) is None
+    assert plan.choose_merge([stale], 1_000, 4, floor=0) is None and plan.choose_merge([stale], 1_000, 4, floor=16) == (
+        0,
+        1,
+    )
+    assert plan.choose_merge([table(1, 1, 9, stale=(1,) * 16, stale_count=800, floor=16)], 1_000, 4, floor=16) is None
 
 
 def test_a_segment_goes_only_when_nothing_needs_it():
     segments = (SegmentInfo(1, 1, 10, 0, 10, 100), SegmentInfo(2, 11, 20, 10, 20, 100))
     fresh = Manifest(
-        9, 8, 21, 20, 20, flushed=20, flushed_revision=20, tables=(table(3, 11, 20), table(2, 1, 10)), segments=segments
+        9,
+        8,
+        21,
+        20,
+        20,
+        flushed_record=20,
+        flushed_revision=20,
+        tables=(table(3, 11, 20), table(2, 1, 10)),
+        segments=segments,
     )
     numbers = lambda m: [segment.number for segment in m.segments]  # noqa: E731
-    assert numbers(plan.without_garbage(fresh, 20, reserve=True)) == [1, 2]  # the tables have no other source
-    assert numbers(plan.without_garbage(fresh, 20, reserve=False)) == []
-    assert numbers(plan.without_garbage(fresh, 15, reserve=False)) == [2]  # history
-    assert plan.without_garbage(fresh, 15, reserve=False).floor == 10
+    assert numbers(plan.without_unneeded_files(fresh, 20, reserve=True)) == [1, 2]  # the tables have no other source
+    assert numbers(plan.without_unneeded_files(fresh, 20, reserve=False)) == []
+    assert numbers(plan.without_unneeded_files(fresh, 15, reserve=False)) == [2]  # history
+    assert plan.without_unneeded_files(fresh, 15, reserve=False).floor == 10
 
 
 def test_a_rescue_strings_tables_together_and_passes_over_what_a_merge_has_replaced():
     merged, old, newer = table(7, 1, 40, sources=(3, 4)), table(3, 1, 20), table(8, 41, 60)
-    log = plan.Stretch(9, 55, 70, 54, 70)
-    taken = plan.rescue([old, newer, merged], [log])
+    log = plan.RecordRange(9, 55, 70, 54, 70)
+    taken = plan.plan_salvage([old, newer, merged], [log])
     assert [one.number for one in taken.tables] == [8, 7] and (taken.last_record, taken.revision) == (70, 70)
     assert taken.floor == 54 and not taken.skipped
-    without = plan.rescue([old, newer], [log])  # a gap after record 20: a prefix, and the rest told as left
+    without = plan.plan_salvage([old, newer], [log])  # a gap after record 20: a prefix, and the rest told as left
     assert [one.number for one in without.tables] == [3] and without.last_record == 20 and without.skipped == (log,)
-    assert plan.rescue([], [log]).end == 0
+    assert plan.plan_salvage([], [log]).last_record == 0
 
 
 # ---- torture: a small, fixed part, and the faults that it must find
@@ -522,11 +541,11 @@
 
 @pytest.fixture(scope="module")
 def bench():
-    return fault_injection.Bench(5, 150_000)
+    return fault_injection.DamageTrials(5, 150_000)
 
 
 def test_no_cut_and_no_flip_invents_or_loses_in_silence(bench):
-    tally, places = fault_injection.Tally(), list(bench.places())
+    tally, places = fault_injection.TrialResults(), list(bench.positions())
     for place in places[::211]:
         bench.try_cut(*place, tally)
         bench.try_flip(*place, tally)
@@ -535,24 +554,24 @@
 
 
 def test_no_power_cut_loses_what_was_acknowledged():
-    tally = fault_injection.try_power(3, 60_000, 200, every=23)
+    tally = fault_injection.run_power_cuts(3, 60_000, 200, every=23)
     assert tally.violations == [] and tally.images > 10 and tally.recovered > 30
 
 
 def test_no_failing_call_of_the_disk_loses_what_was_acknowledged():
-    tally = fault_injection.try_faults(4, 40_000, 150, every=17)
+    tally = fault_injection.run_disk_faults(4, 40_000, 150, every=17)
     assert tally.violations == [] and tally.recovered > 5
 
 
 def test_the_torture_finds_a_sync_that_is_left_out():
-    tally = fault_injection.try_power(3, 60_000, 200, every=23, lying=True)
+    tally = fault_injection.run_power_cuts(3, 60_000, 200, every=23, ignore_syncs=True)
     assert tally.violations
 
 
 def test_the_torture_finds_a_checksum_that_is_skipped(bench, monkeypatch):
     monkeypatch.setattr(framing, "crc32c", lambda data, before=0: 0)
-    blind = fault_injection.Bench(5, 60_000)
-    tally, places = fault_injection.Tally(), list(blind.places())
+    blind = fault_injection.DamageTrials(5, 60_000)
+    tally, places = fault_injection.TrialResults(), list(blind.positions())
     for place in places[::61]:
         blind.try_flip(*place, tally)
     assert tally.violations
