--- a/rackhub/store/__init__.py
+++ b/rackhub/store/__init__.py
@@ -1,7 +1,7 @@
-"""An embedded, crash-safe, multi-version key-value store on a directory of ordinary files.
+"""An embedded, crash-safe, multi-version key-value store in a directory of ordinary files.
 
-`from rackhub.store import Store` is the whole interface; the names below are loaded on first use, so that the reader
-of the operator's file can import `rackhub.store.options` without loading the engine of a store that is off.
+This package's names are the whole interface. They are loaded on first use, so that reading the operator's file, which
+imports `rackhub.store.options`, does not load the engine of a store that is disabled.
 Design: docs/design/store.md. Use: docs/operators/store.md.
 """
 
--- a/rackhub/store/bench.py
+++ b/rackhub/store/bench.py
@@ -1,7 +1,7 @@
-"""What the store costs on this machine, as ratios to a bare loop that appends and syncs the same bytes.
+"""Measures the store's performance as ratios to a plain loop that appends and syncs the same bytes.
 
-All figures of a report are taken in one run on one directory. Times are by the monotonic clock, and the bytes of both
-sides of a ratio are of the same values from the same seed.
+All figures of a report come from one run in one directory. Times are taken from the monotonic clock, and both sides of
+a ratio write the same values from the same seed.
 """
 
 import gc
@@ -23,35 +23,39 @@
 from rackhub.store.options import MIB, Options
 
 WRITERS = 64
-MAX_LATENCY_US = 60_000_000
+MAX_LATENCY_US = 60_000_000  # upper limit of the histograms
 
 
 class GroupCommits(msgspec.Struct, frozen=True):
-    """Commits of 64 writers, each of which commits again when it is acknowledged, as ratios to the bare loop."""
+    """Commits by 64 writers, each of which commits again when acknowledged, compared with the plain loop."""
 
     value_bytes: int
     commits: int
-    bare_mb_s: float  # 64 keys and values in one write, then fdatasync; the median of three runs among the others
-    commits_ratio: float  # commits and their syncs alone, before a table is due
-    steady_ratio: float  # with tables written and merged behind, in the same thread
-    threaded_ratio: float  # the same, with syncs in another thread and the writers in two groups that take turns
-    p50_us: int  # from commit to acknowledgement, steady
+    bare_mb_s: float  # 64 keys and values per write and fdatasync; median of three runs between the others
+    commits_ratio: float  # commits and syncs only; no table is written
+    steady_ratio: float  # commits with tables written and merged in the same thread
+    threaded_ratio: float  # the same with syncs in another thread and writers in two alternating groups
+    p50_us: int  # latency from commit to acknowledgement in the run for steady_ratio
     p99_us: int
 
 
 class Reads(msgspec.Struct, frozen=True):
+    """Read rates per second."""
+
     keys: int
     memory_gets_s: float
-    warm_gets_s: float  # from tables, three hundred keys over and over
-    cold_gets_s: float  # from tables, all keys at random, a cache of 8 MiB
+    warm_gets_s: float  # repeated reads of 300 keys in tables
+    cold_gets_s: float  # reads of random keys in tables, with an 8 MiB cache
     missing_gets_s: float
-    range_100_s: float  # ranges of a hundred keys
+    range_100_s: float  # ranges of 100 keys
     scan_entries_s: float
 
 
 class Recovery(msgspec.Struct, frozen=True):
+    """The time to open a store."""
+
     what: str
-    records: int  # committed over the store's life
+    records: int  # number of committed records
     live_keys: int
     open_ms: float
     replayed: int
@@ -59,6 +63,8 @@
 
 
 class Overwrites(msgspec.Struct, frozen=True):
+    """Write amplification and disk usage after overwriting a small set of keys."""
+
     keys: int
     commits: int
     reserve: bool
@@ -70,7 +76,7 @@
 
 
 class WorkSlices(msgspec.Struct, frozen=True):
-    """How long `work` holds a turn, with slices as the options have them."""
+    """How long `work` blocks an event-loop iteration with the default options."""
 
     turns: int
     p50_us: int
@@ -79,6 +85,8 @@
 
 
 class Report(msgspec.Struct, frozen=True):
+    """All results of a run."""
+
     machine: str
     python: str
     seed: int
@@ -86,13 +94,13 @@
     groups: list[GroupCommits]
     reads: list[Reads]
     recoveries: list[Recovery]
-    memory_bytes_a_key: float  # resident after an opening, over that of an empty store
+    memory_bytes_a_key: float  # resident memory per key after opening, less that of an empty store
     overwrites: list[Overwrites]
     turns: WorkSlices
 
 
 def run(path: Path, seed: int, scale: float, progress: Callable[[str], None]) -> Report:
-    """Measure in an empty directory, which is emptied again. `scale` 1.0: up to a million records."""
+    """Run all measurements in an empty directory, which is left empty. `scale` 1.0: up to a million records."""
     chance = random.Random(seed)
     path.mkdir(parents=True, exist_ok=True)
     many, some = int(1_000_000 * scale), int(100_000 * scale)
@@ -126,7 +134,7 @@
 
 
 def _append_and_sync(path: Path, parts: list[bytes], rounds: int) -> tuple[float, float]:
-    """Bytes a second, and microseconds a round, of a loop that appends and syncs."""
+    """Append and sync in a loop. Returns bytes per second and microseconds per round."""
     fd = os.open(path, os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_APPEND)
     data = b"".join(parts)
     start = time.perf_counter()
@@ -167,6 +175,7 @@
 def _commit_rounds(
     path: Path, keys: list[bytes], values: list[bytes], rounds: int, **options: object
 ) -> tuple[float, HdrHistogram]:
+    """Commit and sync in rounds of one commit per writer. Returns the seconds taken and the latencies."""
     store = _open(path, wake=lambda store: None, retain_revisions=1_000, **options)
     spread = HdrHistogram(1, MAX_LATENCY_US, 3)
     start = time.perf_counter()
@@ -184,7 +193,7 @@
 
 
 def _commit_with_sync_thread(path: Path, keys: list[bytes], values: list[bytes], rounds: int) -> float:
-    """While one group is being synced, the writers acknowledged before commit."""
+    """Commit while the previous group of commits is synced in another thread. Returns the seconds taken."""
     store = _open(path, wake=lambda store: None, retain_revisions=1_000)
     ready = list(range(WRITERS))
     done = 0
@@ -252,7 +261,7 @@
     if keys < commits:
         store.compact(store.revision)
         store.finish_work()
-    del store  # as a killed process leaves it: nothing is closed
+    del store  # the store is not closed, as if the process had been killed
     gc.collect()
     before = resident()
     start = time.perf_counter()
@@ -291,8 +300,10 @@
 
 
 def _measure_slices(path: Path, chance: random.Random, commits: int) -> WorkSlices:
-    """With the options as they are, most commits to new keys: tables grow to many blocks. The collector is off, as
-    the daemon has it."""
+    """Time slices of work while most commits create new keys, so that tables grow to many blocks.
+
+    The garbage collector is off, as in the daemon.
+    """
     gc.collect()
     gc.disable()
     store, spread = _open(path, wake=lambda store: None, retain_revisions=1_000), HdrHistogram(1, MAX_LATENCY_US, 3)
@@ -315,7 +326,7 @@
 
 
 def _filled_store(path: Path, chance: random.Random, commits: int, keys: int) -> Store:
-    """Commits of one small value each, to `keys` keys in turn."""
+    """Return a store after `commits` commits of one small value each, cycling through `keys` keys."""
     store = _open(path, retain_revisions=1_000 if keys < commits else 0)
     value = chance.randbytes(40)
     for i in range(commits):
@@ -336,10 +347,10 @@
 
 
 def resident() -> int:
-    """Bytes of this process in memory."""
+    """The resident memory of this process in bytes."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-if sys.platform != "linux":  # fdatasync, statm and directories that can be synced are Linux's
+if sys.platform != "linux":  # uses fdatasync, /proc/self/statm and fsync of directories
     raise ImportError("rackhub.store.bench needs Linux")
--- a/rackhub/store/driver.py
+++ b/rackhub/store/driver.py
@@ -1,6 +1,7 @@
-"""Tends a store from Twisted's reactor: one sync for the commits of a turn, work in slices, leases, retries.
+"""Drives a store from Twisted's reactor: one sync for all commits of an iteration, background work in slices, and
+retries.
 
-Nothing is started for a single commit: there is one call a turn for all of them.
+A commit schedules no call of its own: one call per iteration serves them all.
 """
 
 import logging
@@ -22,16 +23,20 @@
 
 
 class Reactor(Protocol):
-    """What is needed of Twisted's reactor."""
+    """The methods of Twisted's reactor that a driver uses."""
 
-    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any: ...
-    def getThreadPool(self) -> Any: ...
+    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:
+        """Call `call` after `delay` seconds."""
+
+    def getThreadPool(self) -> Any:
+        """Return the pool that runs syncs."""
 
 
 class Driver:
-    """Hand `wake` to `Store.open` and the store to `start`.
+    """Drives one store: pass `wake` to `Store.open` and the store to `start`.
 
-    `recovered` is called each time a store that was read-only takes writes again; all that it had accepted is durable.
+    `recovered` is called each time a read-only store accepts writes again; all its accepted commits are then durable.
+    `now` returns monotonic microseconds.
     """
 
     def __init__(
@@ -45,15 +50,16 @@
         self._store: Store | None = None
         self._flushing = self._working = self._retrying = False
         self._closed = False
-        self.failures = 0  # times that the disk made the store read-only
-        self.threaded_syncs = 0  # syncs done in another thread
+        self.failures = 0  # number of times that a disk failure was found
+        self.threaded_syncs = 0  # number of syncs done in another thread
 
     def start(self, store: Store) -> None:
+        """Start driving the store."""
         self._store = store
         self.wake(store)
 
     def wake(self, store: Store) -> None:
-        """There is something to do: at the end of this turn, so that all its commits share it."""
+        """Schedule a flush after the current iteration, so that all its commits share one sync."""
         self._reactor.callLater(0, self._tend)
 
     def _tend(self) -> None:
@@ -81,7 +87,7 @@
             store.end_flush(self._sync_here(file))
 
     def _sync_here(self, file: File) -> OSError | None:
-        """Sync here and note how long it took; the error, if any."""
+        """Sync in this thread and record the duration. Returns the error, if any."""
         began, fault = self._now(), None
         try:
             file.sync()
@@ -91,6 +97,7 @@
         return fault
 
     def _sync_in_thread(self, file: File) -> "Deferred[OSError | None]":
+        """Sync in the thread pool and record the duration. Fires with the error, or None."""
         began = self._now()
 
         def sync() -> OSError | None:
@@ -133,7 +140,7 @@
 
         more = store.work(sync=sync)
         if store.damage is not None:
-            log.error("store: merging has ended: %s", store.damage)
+            log.error("store: background merges stopped: %s", store.damage)
         if store.fault is not None:
             self._working = False
             return self._retry_later()
@@ -158,7 +165,7 @@
             self._retrying = True
             self.failures += 1
             wait = self.policy.next_retry_delay()
-            log.error("store: read-only: %s; tried again in %.0f s", self._store.fault, wait / 1_000_000)
+            log.error("store: read-only: %s; next attempt in %.0f s", self._store.fault, wait / 1_000_000)
             self._reactor.callLater(wait / 1_000_000, self._retry)
 
     def _retry(self) -> None:
@@ -171,15 +178,15 @@
         except ReadOnly:
             return self._retry_later()
         self.policy.disk_recovered()
-        log.info("store: takes writes again")
+        log.info("store: accepts writes again")
         self._recovered()
         self._tend()
 
     def close(self) -> None:
-        """Close the store: a sync in another thread is waited for by the file's own close coming after it."""
+        """Close the store. The result of a sync that runs in another thread is ignored."""
         self._closed = True
         if self._store is not None:
             store, self._store = self._store, None
-            if self._flushing:  # its outcome is not known here: closing syncs once more
+            if self._flushing:  # the result of that sync is unknown, so closing the store syncs again
                 store.abandon_sync()
             store.close()
--- a/rackhub/store/driver_policy.py
+++ b/rackhub/store/driver_policy.py
@@ -1,17 +1,23 @@
-"""How a store is tended from an event loop: when to sync in another thread, how long to rest between slices, when to
-try a failed disk again. Pure: it is told what things duration."""
+"""The decisions of the store's driver: where to sync, how long to pause between slices of work, when to retry a failed
+disk.
+
+No I/O: durations and times are passed in.
+"""
 
 MS, SECOND = 1_000, 1_000_000
 
 
 class DriverPolicy:
-    """Times in microseconds. A sync in the loop's own thread costs least while the disk is quick; one that is slow
-    holds every request up, so it is moved to another thread, at the price of two switches."""
+    """Times are in microseconds.
+
+    Syncing in the event loop's own thread costs least while the disk is fast. A slow sync would block all requests, so
+    it is moved to another thread, at the cost of two context switches.
+    """
 
-    SLOW_SYNC = 3 * MS  # a usual sync that is too long for the loop's own thread
-    STALLED_SYNC = 20 * MS  # one that shows that the disk stalls now and then
-    STALL_HOLDOFF = 60 * SECOND  # for so long after a stall syncs stay in the other thread
-    PAUSE_RATIO = 4  # times as long as a slice duration, before the next one
+    SLOW_SYNC = 3 * MS  # average duration above which syncs leave the event loop's thread
+    STALLED_SYNC = 20 * MS  # a single sync of this duration shows that the disk stalls at times
+    STALL_HOLDOFF = 60 * SECOND  # time for which syncs stay in another thread after a stall
+    PAUSE_RATIO = 4  # length of the pause after a slice of work, in multiples of the slice's duration
     MIN_RETRY_DELAY, MAX_RETRY_DELAY = SECOND, 60 * SECOND
 
     def __init__(self) -> None:
@@ -20,24 +26,27 @@
         self._retry_delay = self.MIN_RETRY_DELAY
 
     def sync_finished(self, duration: int, now: int) -> None:
-        """A sync duration so long."""
+        """Record the duration of a sync, in whichever thread it ran."""
         self._average += (duration - self._average) / 8
         if duration > self.STALLED_SYNC:
             self._stalled_until = now + self.STALL_HOLDOFF
 
     def use_thread(self, now: int) -> bool:
-        """Whether the next sync should be done in another thread. One in so many is tried here again by itself, as
-        `sync_finished` is told of those done elsewhere too."""
+        """Return whether the next sync should run in another thread.
+
+        Syncs return to the event loop by themselves, because `sync_finished` also records those of other threads.
+        """
         return self._average > self.SLOW_SYNC or now < self._stalled_until
 
     def work_pause(self, duration: int) -> int:
-        """How long to leave the loop alone after a slice that duration so long."""
+        """The pause after a slice of work of this duration."""
         return max(self.PAUSE_RATIO * duration, MS)
 
     def next_retry_delay(self) -> int:
-        """How long to wait before a failed disk is tried (again)."""
+        """The time until the next retry of a failed disk; it doubles with each call."""
         now, self._retry_delay = self._retry_delay, min(self._retry_delay * 2, self.MAX_RETRY_DELAY)
         return now
 
     def disk_recovered(self) -> None:
+        """Reset the retry delay."""
         self._retry_delay = self.MIN_RETRY_DELAY
--- a/rackhub/store/engine.py
+++ b/rackhub/store/engine.py
@@ -1,11 +1,12 @@
-"""The store: commits, reads, leases, and the work that goes on behind them. Synchronous, for one thread.
+"""The store engine: commits, reads, leases, flushes and background work. Synchronous, for use by one thread.
 
-What it decides stands in `plan`, `records.kept` and `leases`, which touch no disk; here events meet the port `files`.
+The decisions are in `plan`, `records.retained` and `leases`, which access no disk; this module applies them through
+the port `files`.
 
-Writes go to a memory table and to the log's buffer at once; they are acknowledged when the contract holds. A memory
-table that is full is closed together with its log segment and written out as a sorted table by `work`, in slices;
-tables are merged there too. Reads see what is committed, acknowledged or not; `changes` gives acknowledged
-revisions alone, as what leaves the process through a watch must not be taken back by a crash.
+A commit goes to the memtable and to the write-ahead log's buffer at once, and is acknowledged when its durability
+contract holds. A full memtable is closed together with its log segment; `work` writes it out as a sorted table and
+merges tables, in time slices. Reads see all commits, acknowledged or not. `changes` returns acknowledged revisions
+only, since a crash must not take back what a watch has already delivered.
 """
 
 import heapq
@@ -65,33 +66,33 @@
 
 DATA_END = b"l"
 NEWEST = MAX_REVISION
-TABLE_SYNC_BYTES = 524_288  # bytes of a table that is being written, between syncs: one at its end would hold a turn up
-TRUNCATE_BYTES = 2_097_152  # bytes of a removed file that are freed at once
-ENTRIES_PER_STEP = 64  # entries of a merge between looks at the clock
-MAX_IMMUTABLE_MEMTABLES = 2  # closed memory tables, from which on each commit does a slice of the work itself
+TABLE_SYNC_BYTES = 524_288  # bytes of a new table between syncs: a single sync at its end would block too long
+TRUNCATE_BYTES = 2_097_152  # bytes of a deleted file that are freed in one step
+ENTRIES_PER_STEP = 64  # merged entries between two checks of the time budget
+MAX_IMMUTABLE_MEMTABLES = 2  # if more wait to be written out, each commit does a slice of the work itself
 
 AcknowledgeCallback = Callable[[StoreError | None], None]
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """What became of a batch: the store's revision after it, and whether its conditions held."""
+    """The result of a commit: the store's revision after it, and whether its conditions were met."""
 
     revision: int
     applied: bool
 
 
 class Recovered(msgspec.Struct, frozen=True):
-    """What an opening had to do."""
+    """The actions that opening the store took to recover."""
 
-    records: int  # replayed from the log
-    torn_bytes: int  # cut off the end of the log: written by a commit that was never acknowledged
-    torn_frames: int = msgspec.field(name="torn_whole")  # whole frames among them
-    removed: tuple[str, ...]  # half-made files
-    unknown_files: tuple[str, ...] = msgspec.field(name="strange")  # files that are none of a store's, left alone
+    records: int  # number of records replayed from the log
+    torn_bytes: int  # truncated from the end of the log: part of commits that were never acknowledged
+    torn_frames: int = msgspec.field(name="torn_whole")  # number of complete frames in the truncated bytes
+    removed: tuple[str, ...]  # names of incomplete or unused files that were removed
+    unknown_files: tuple[str, ...] = msgspec.field(name="strange")  # names that no store creates; left alone
 
 
 class Info(msgspec.Struct, frozen=True):
-    """A store in figures. Sizes in bytes, times in microseconds."""
+    """Statistics of a store. Sizes in bytes."""
 
     revision: int
     compacted: int
@@ -109,15 +110,17 @@
 
 
 def unix_clock() -> int:
+    """The current time in Unix microseconds."""
     return time.time_ns() // 1_000
 
 
 def monotonic() -> int:
+    """The monotonic clock in microseconds."""
     return time.monotonic_ns() // 1_000
 
 
 class Store:
-    """An open store. Made by `Store.open`."""
+    """An open store. Create it with `Store.open`."""
 
     def __init__(
         self,
@@ -134,20 +137,20 @@
         self._tables: list[Table] = []  # newest first
         self._immutable_memtables: list[Memtable] = []  # newest first
         self._pinned_revisions: Counter[int] = Counter()
-        self._obsolete_tables: dict[int, Table] = {}  # tables put out of use while a reader was in them
-        self._obsolete_files: deque[str] = deque()  # files that the manifest names no more
-        self._segment_readers: Counter[str] = Counter()  # segments that `changes` is reading
-        self._segment_offsets: dict[int, list[tuple[int, int]]] = {}
-        self._pending_acks: deque[tuple[int, AcknowledgeCallback]] = deque()
+        self._obsolete_tables: dict[int, Table] = {}  # replaced by a merge while a scan was reading them
+        self._obsolete_files: deque[str] = deque()  # names of files that the manifest no longer lists
+        self._segment_readers: Counter[str] = Counter()  # open `changes` iterators by segment name
+        self._segment_offsets: dict[int, list[tuple[int, int]]] = {}  # `Log.offsets` of closed segments, by number
+        self._pending_acks: deque[tuple[int, AcknowledgeCallback]] = deque()  # (record, callback), in order
         self._background_job: Iterator[File | None] | None = None
         self._fault: OSError | None = None
         self._damage: Corrupt | None = None
         self._is_open, self._syncing, self._wake_pending, self._working_now = True, False, False, False
         self._acknowledging = False
-        self._compaction_record = 0  # the record that compacted last
-        self._collected_floor = -1
-        self._idle = False  # the last look found no work, and nothing has come up since
-        self.table_bytes_written = 0  # bytes, for the measure of write amplification
+        self._compaction_record = 0  # number of the latest record that moved the compacted revision
+        self._collected_floor = -1  # compaction floor of the latest garbage collection
+        self._idle = False  # the latest check found no work, and none has come up since
+        self.table_bytes_written = 0  # bytes, to compute the write amplification
         self.log_bytes_written = 0
 
     # ---- opening
@@ -163,11 +166,12 @@
         ticks: Callable[[], int] = monotonic,
         wake: Callable[["Store"], None] | None = None,
     ) -> "Store":
-        """Open the store in the directory `path`, made where it is not there.
+        """Open the store in the directory `path`, which is created if it does not exist.
 
-        `clock`: Unix microseconds, for leases. `wake` is called when there is something for `flush` or `work` to do,
-        once until `woken` is called; without it commits do that work themselves. Raises `Locked`, `Corrupt`,
-        `NewerFormat`, and `OSError` where the disk can't be used; what is on disk is then as it was.
+        `clock` returns Unix microseconds, for leases; `ticks` returns monotonic microseconds, for time slices. `wake`
+        is called once when there is something for `flush` or `work` to do, and again only after `wake_received` was
+        called; without it commits do that work themselves. Raises `Locked`, `Corrupt`, `NewerFormat`, and `OSError`
+        where the disk can't be used; the files on disk are then unchanged.
         """
         files = files if files is not None else DiskFiles(path)
         files.lock()
@@ -180,6 +184,7 @@
         return store
 
     def _recover(self) -> None:
+        """Rebuild the state in memory from the manifest, the tables and the log, and repair the end of the log."""
         names = self._files.names()
         if MANIFEST_NAME not in names:
             self._create(names)
@@ -191,7 +196,7 @@
             name = table_name(info.number)
             table = Table(name, info.number, self._files.open(name), self._cache)
             if table.info != info:
-                raise Corrupt(name, 0, "is not the table that the manifest names")
+                raise Corrupt(name, 0, "does not match the table that the manifest lists")
             self._tables.append(table)
         self._memtable = Memtable(manifest.flushed_record + 1)
         replayed, seen = 0, manifest.clock
@@ -217,19 +222,20 @@
             raise Corrupt(
                 name,
                 tail.end,
-                f"cut short: it ends with record {last}, and record {manifest.flushed_record} was on disk",
+                f"truncated: ends with record {last}, but record {manifest.flushed_record} was durable",
             )
         for record in records:
             if record.number > manifest.flushed_record:
                 self._memtable.add(record.number, record.revision, record.entries, record_size(record))
                 replayed, seen = replayed + 1, record.timestamp
         self._reject_unlisted_segments(recovery_plan.later_segments)
-        # From here on the disk is changed, each step so that a crash after it leads here again.
+        # From here on files are changed. After a crash at any step, the next opening repeats this recovery.
         if tail.torn_bytes:
             self._log.file.truncate(tail.end)
         self._log.written_size = self._log.durable_size = tail.end
         self._log.set_replayed(last, records[-1].revision if records else manifest.active_revision_before)
-        self._log.file.sync()  # what is served from now on must not be lost: it may have been in memory only
+        # Records that are served from now on must not be lost; they may be in the page cache only.
+        self._log.file.sync()
         removed = (*recovery_plan.remove, *(log_name(number) for number in recovery_plan.later_segments))
         for gone in removed:
             self._files.remove(gone)
@@ -241,11 +247,13 @@
         self._restore_internal_state(seen)
 
     def _create(self, names: Sequence[str]) -> None:
-        """A new store. A crash while one was made leaves at most these two names, with nothing in them yet."""
+        """Create a new store. A crash during an earlier creation leaves at most the two files removed here, without
+        data.
+        """
         left = {log_name(1), NEW_MANIFEST_NAME}
         for name in names:
             if name not in left and parse_name(name) or name == log_name(1) and self._size(name) > HEADER_SIZE:
-                raise Corrupt(MANIFEST_NAME, 0, f"is not there, and {name} is")
+                raise Corrupt(MANIFEST_NAME, 0, f"missing, although {name} exists")
         for name in left.intersection(names):
             self._files.remove(name)
         log = Log(self._files, 1, 1, 0, self.options.frame_bytes)
@@ -260,12 +268,13 @@
             file.close()
 
     def _reject_unlisted_segments(self, numbers: Iterable[int]) -> None:
-        """A segment is named in the manifest before a record goes into it, so one that is not has none."""
+        """Raise `Corrupt` for unlisted segments with records: the manifest lists a segment before its first record."""
         for number in numbers:
             if self._size(log_name(number)) > HEADER_SIZE:
-                raise Corrupt(log_name(number), HEADER_SIZE, "holds records, and the manifest does not name it")
+                raise Corrupt(log_name(number), HEADER_SIZE, "contains records, but the manifest does not list it")
 
     def _read_closed_segment(self, segment: SegmentInfo) -> Iterator[Record]:
+        """Yield the records of a closed segment in order. Raises `Corrupt` on gaps."""
         name, due, revision = log_name(segment.number), segment.first_record, segment.revision_before
         file = self._files.open(name)
         try:
@@ -276,10 +285,10 @@
         finally:
             file.close()
         if due != segment.last_record + 1:
-            raise Corrupt(name, segment.size, f"ends with record {due - 1}, not {segment.last_record}")
+            raise Corrupt(name, segment.size, f"ends with record {due - 1}, expected {segment.last_record}")
 
     def _restore_internal_state(self, seen: int) -> None:
-        """Leases and the compacted revision, from the store's own keys."""
+        """Load leases and the compacted revision from the store's internal keys."""
         self.leases = Leases(seen)
         for entry in self._scan_visible(LEASE, LEASE + b"\xff" * 9, NEWEST):
             self.leases.restore(
@@ -287,32 +296,32 @@
             )
         for entry in self._scan_visible(LEASED_KEY, b"b", NEWEST):
             self.leases.attach(int.from_bytes(entry.key[1:9], "big"), entry.key[9:])
-        told = self._find_latest(COMPACTED)
-        self.compacted = max(self._manifest.floor, int(told.value) if told and told.value else 0)
+        marker = self._find_latest(COMPACTED)
+        self.compacted = max(self._manifest.floor, int(marker.value) if marker and marker.value else 0)
         self.leases.advance_clock(self._clock())
 
     # ---- writing
 
     def batch(self) -> Batch:
-        """An empty batch, for `commit`."""
+        """Return an empty batch, for `commit`."""
         return Batch()
 
     def commit(
         self, batch: Batch, conditions: Sequence[Condition] = (), acknowledged: AcknowledgeCallback | None = None
     ) -> Commit:
-        """Make all changes of `batch` as one revision, if all conditions hold.
+        """Apply all changes of `batch` as one revision, if all conditions are met.
 
-        Reads see them on return. `acknowledged` is called once: with None when the contract holds for them, or with
-        the error where the disk failed first (then they are in doubt, as after a crash). That is after this returns,
-        but under `always` and in a store without `wake`. Raises `BadBatch`, `NoLease`, and `ReadOnly` where
-        nothing was written.
+        Reads see the changes on return. `acknowledged` is called once: with None when the durability contract holds, or
+        with the error where the disk failed first (it is then unknown whether the changes survive, as after a crash).
+        It is called after this method returns, except under `always` and in a store without `wake`. Raises `BadBatch`,
+        `NoLease`, and `ReadOnly` where nothing was written.
         """
         if self._fault is not None or not self._is_open:
             self._check_writable()
         if not self._idle and (self._wake is None or len(self._immutable_memtables) > MAX_IMMUTABLE_MEMTABLES):
-            self.work()  # before this commit is there: it must not be acknowledged before its caller knows of it
+            self.work()  # before the commit is added: it must not be acknowledged before this method has returned it
         if batch.size > self.options.batch_bytes:
-            raise BadBatch(f"a batch of {batch.size} bytes: {self.options.batch_bytes} are allowed")
+            raise BadBatch(f"batch too large: {batch.size} bytes, at most {self.options.batch_bytes} are allowed")
         for condition in conditions:
             if not condition.is_met_by(self.get(condition.key)):
                 return self._commit_without_changes(False, acknowledged)
@@ -324,7 +333,7 @@
         return Commit(revision, True)
 
     def _commit_without_changes(self, applied: bool, acknowledged: AcknowledgeCallback | None) -> Commit:
-        """AcknowledgeCallback all the same only once what it was decided by is on disk."""
+        """Acknowledge only once the commits that the conditions were evaluated against are durable."""
         if acknowledged is not None:
             self._pending_acks.append((self._number, acknowledged))
             self._acknowledge()
@@ -332,7 +341,7 @@
         return Commit(self.revision, applied)
 
     def _resolve(self, batch: Batch, revision: int) -> list[Entry]:
-        """What the batch comes to, as entries: what a replay needs no earlier state for."""
+        """Turn the batch into entries that a replay can apply without any earlier state."""
         entries: list[Entry] = []
         changed: set[bytes] = set()
         for change in batch.changes:
@@ -340,7 +349,7 @@
                 continue
             key = DATA + change.key
             if key in changed:
-                raise BadBatch(f"key {change.key!r} is put twice in one batch")
+                raise BadBatch(f"key {change.key!r} is put more than once in the batch")
             changed.add(key)
             before = self._find_latest(key)
             if before is not None and before.value is not None:
@@ -358,6 +367,7 @@
         return entries
 
     def _resolve_deletes(self, batch: Batch, revision: int, entries: list[Entry], put: set[bytes]) -> None:
+        """Append the deletions of the batch to `entries`. Raises `BadBatch` for a key that is also put."""
         gone: set[bytes] = set()
         for change in batch.changes:
             if isinstance(change, Put):
@@ -372,7 +382,7 @@
                 there = list(self._scan_visible(start, end, NEWEST))
             for key in put:
                 if start <= key < end:
-                    raise BadBatch(f"key {key[1:]!r} is both put and deleted in one batch")
+                    raise BadBatch(f"key {key[1:]!r} is both put and deleted in the batch")
             for entry in there:
                 if entry.key in gone:
                     continue
@@ -382,6 +392,7 @@
                     self._move_lease(entries, entry.key[1:], entry.lease, 0)
 
     def _move_lease(self, entries: list[Entry], key: bytes, old: int, new: int) -> None:
+        """Append the entries that detach `key` from the lease `old` and attach it to `new`; 0 stands for no lease."""
         if new:
             self.leases.advance_clock(self._clock())
             if not self.leases.remaining(new):
@@ -400,13 +411,15 @@
         acknowledged: AcknowledgeCallback | None,
         has_internal_keys: bool = True,
     ) -> None:
-        """One record. `own`: there may be keys of the store's own among the entries. Each commit goes through here,
-        so what most of them do not need is asked for as cheaply as it can be."""
+        """Add one record. This is the hot path of every commit, so rare cases are tested as cheaply as possible.
+
+        `has_internal_keys`: the entries may include keys of the store itself.
+        """
         number = self._number = self._number + 1
         self.revision = revision
         log, memory = self._log, self._memtable
         memory.add(number, revision, entries, size)
-        waiting = log.pending  # those of one turn bear one time
+        waiting = log.pending  # records of one flush share a timestamp
         log.add(Record(number, revision, waiting[-1].timestamp if waiting else self._clock(), entries), size)
         if has_internal_keys:
             for entry in entries:
@@ -422,7 +435,7 @@
             self._wake_if_needed()
 
     def _apply_internal_key(self, entry: Entry) -> None:
-        """Carry a change of the store's own keys over to what is kept of them in memory."""
+        """Apply a change of an internal key to the leases and the compacted revision in memory."""
         kind, rest = entry.key[:1], entry.key[1:]
         if kind == LEASED_KEY:
             change = self.leases.attach if entry.value is not None else self.leases.detach
@@ -442,24 +455,27 @@
             raise ReadOnly(self._fault)
 
     def _wake_if_needed(self) -> None:
+        """Call `wake` if there is something to do and no call is outstanding."""
         if self._wake is not None and not self._wake_pending and (self.needs_flush or self.needs_work):
             self._wake_pending = True
             self._wake(self)
 
     def wake_received(self) -> None:
-        """Whoever tends the store has come: `wake` is called again for what comes up from now on."""
+        """Report that the caller has acted on `wake`, which is called again for work that comes up from now on."""
         self._wake_pending = False
 
-    # ---- making writes last
+    # ---- durability
 
     @property
     def needs_flush(self) -> bool:
-        """Whether commits wait for `flush`."""
+        """True if commits wait for `flush`."""
         return self._fault is None and (bool(self._log.pending) or bool(self._pending_acks) and not self._syncing)
 
     def flush(self, sync: bool = False) -> None:
-        """Make the contract hold for all commits so far and acknowledge them, with one sync; `sync`: also under `none`.
-        Where the disk fails the store is read-only from here on."""
+        """Write and sync all commits so far, once, and acknowledge them. `sync`: sync also under the contract `none`.
+
+        If the disk fails, the store is read-only afterwards.
+        """
         file = self.begin_flush(sync)
         if file is not None:
             try:
@@ -469,8 +485,11 @@
             self.end_flush(None)
 
     def begin_flush(self, sync: bool = False) -> File | None:
-        """The first half of `flush`: the file to be synced, which another thread may do before `end_flush` is called
-        here. None where nothing is to be synced. Commits meanwhile wait for the next one."""
+        """Start a flush and return the file to sync, or None if there is nothing to sync.
+
+        The caller syncs it, possibly in another thread, and then calls `end_flush` in this one. Commits made meanwhile
+        wait for the next flush.
+        """
         if self._fault is not None or self._syncing or not self._is_open:
             return None
         before = self._log.written_size
@@ -491,7 +510,7 @@
         return file
 
     def end_flush(self, fault: OSError | None) -> None:
-        """The second half: the sync came back, well or with `fault`."""
+        """Finish a flush after the sync has succeeded, or failed with `fault`."""
         self._syncing = False
         if fault is not None:
             return self._enter_read_only(fault)
@@ -500,24 +519,31 @@
         self._wake_if_needed()
 
     def _after_write(self) -> None:
-        """Records were written, and synced where the contract asks for it. What an acknowledgement commits goes to
-        the next segment already where this one is full; one that can't be made is no fault of what is on disk."""
+        """Close the log segment if it is full, then acknowledge what is written, and synced where the contract requires
+        it.
+
+        The segment is replaced first, so that a commit made by an acknowledgement goes to the new one. Failing to
+        create it does not affect records that are on disk already, so these are acknowledged before the store turns
+        read-only.
+        """
         fault = self._rotate_if_full()
         self._acknowledge()
         if fault is not None:
             self._enter_read_only(fault)
 
     def _is_durable(self, number: int) -> bool:
-        """Whether record `number` is on disk."""
+        """True if record `number` is on disk."""
         return number < self._log.first_record or number <= self._log.durable_record
 
     @property
     def acknowledged_revision(self) -> int:
-        """The last revision for which the contract holds."""
+        """The latest revision for which the durability contract holds."""
         return self._log.revision if self.options.contract == "none" else self._log.durable_revision
 
     def _acknowledge(self) -> None:
-        """In order, and one after another: a call that commits and so comes here again leaves that to this walk."""
+        """Call the callbacks of committed records, in order. Not reentrant: a callback may commit and so get here
+        again; the outer call then continues with what was added.
+        """
         if self._acknowledging:
             return
         self._acknowledging = True
@@ -528,11 +554,11 @@
             self._acknowledging = False
 
     def _is_committed(self, number: int) -> bool:
-        """Whether the contract holds for record `number`."""
+        """True if the durability contract holds for record `number`."""
         return number <= self._log.last_record if self.options.contract == "none" else self._is_durable(number)
 
     def _enter_read_only(self, fault: OSError) -> None:
-        """The disk refused something: nothing is written until `retry`, and whoever waits is told."""
+        """Stop writing until `retry`, and report the error to all pending acknowledgements."""
         self._fault, self._background_job, self._idle = fault, None, False
         waiting, self._pending_acks = self._pending_acks, deque()
         for _, call in waiting:
@@ -540,32 +566,35 @@
 
     @property
     def fault(self) -> OSError | None:
-        """What made the store read-only."""
+        """The error that made the store read-only, or None."""
         return self._fault
 
     def sync_failed(self, fault: OSError) -> None:
-        """A sync that `work` had handed out failed."""
+        """Report that the sync of a file that `work` handed to the caller has failed."""
         self._enter_read_only(fault)
 
     def abandon_sync(self) -> None:
-        """The sync that was begun will not be heard of again; what it was for is synced anew."""
+        """Forget the sync in progress, whose result will not be reported; its data is synced again."""
         self._syncing, self._log.sync_target = False, None
 
     def retry(self) -> None:
-        """Try a read-only store's disk again: what was committed and not on disk is written to a new segment, and
-        the store takes writes again. Raises `ReadOnly` where the disk still fails."""
+        """Try to leave the read-only state: write commits that are not durable to a new segment, and accept writes
+        again.
+
+        Raises `ReadOnly` if the disk still fails.
+        """
         if self._fault is None:
             return
         old = self._log
         try:
-            # What a failed sync left of these bytes is not known, and a second sync may wrongly call them written.
+            # After a failed sync the state of these bytes is unknown, and a second sync may wrongly report success.
             old.file.truncate(old.durable_size)
             old.file.sync()
             self._remove_unlisted_files()
             again = [*old.unsynced, *old.pending]
             old.last_record, old.revision = old.durable_record, old.durable_revision
             old.written_size, old.unsynced, old.pending, old.sync_target = old.durable_size, [], [], None
-            old.pending = again  # where the new segment can't be made, they wait for the next try
+            old.pending = again  # kept for the next retry if creating the segment fails
             self._start_segment()
             file = self._log.begin_sync()
             if file is not None:
@@ -578,7 +607,7 @@
         self._acknowledge()
 
     def _remove_unlisted_files(self) -> None:
-        """Free what half-made files take, and those that were to be removed anyway."""
+        """Free the space of incomplete and obsolete files."""
         self._obsolete_files.clear()
         known = plan.listed_files(self._manifest)
         for name in self._files.names():
@@ -586,13 +615,13 @@
                 self._files.remove(name)
 
     def _rotate_if_full(self) -> OSError | None:
-        """Close what is full; the error, if any."""
+        """Close the memtable and its segment if full. Returns the disk error, if any."""
         if (
             self._memtable.bytes >= self.options.memtable_bytes
             and self._memtable.last_record >= self._memtable.first_record
         ):
             try:
-                if self._log.durable_size < self._log.written_size:  # under `none`: a closed segment is always whole
+                if self._log.durable_size < self._log.written_size:  # possible under the contract `none`; a closed segment must be durable
                     file = self._log.begin_sync()
                     assert file is not None
                     file.sync()
@@ -609,7 +638,7 @@
         return None
 
     def _start_segment(self) -> None:
-        """Close the active segment, all of which is on disk, and begin the next."""
+        """Close the active segment, all of which is on disk, and start the next one."""
         old, manifest = self._log, self._manifest
         new = Log(self._files, manifest.next_number, old.last_record + 1, old.revision, self.options.frame_bytes)
         closed = (
@@ -638,6 +667,7 @@
         old.file.close()
 
     def _install_manifest(self, manifest: Manifest) -> None:
+        """Replace the manifest and queue the files that it no longer lists for deletion."""
         manifest = msgspec.structs.replace(manifest, clock=self._clock())
         install(self._files, manifest)
         gone = plan.listed_files(self._manifest) - plan.listed_files(manifest)
@@ -648,7 +678,7 @@
     # ---- reading
 
     def get(self, key: bytes, at: int | None = None) -> KeyValue | None:
-        """The key as it was at revision `at`, now without one. `Compacted`, `FutureRevision`."""
+        """Return the key as of revision `at`, by default the current one. Raises `Compacted` and `FutureRevision`."""
         if at is not None:
             self._check_readable(at)
         entry = self._find_latest(DATA + key, NEWEST if at is None else at)
@@ -657,7 +687,7 @@
     def range(
         self, start: bytes = b"", end: bytes | None = None, at: int | None = None, limit: int = 0
     ) -> list[KeyValue]:
-        """The keys from `start` to before `end` (None: to the last), in order; at most `limit` of them if not 0."""
+        """Return the keys from `start` to before `end` (None: to the last key) in order; at most `limit` if not 0."""
         found: list[KeyValue] = []
         for item in self.scan(start, end, at):
             found.append(item)
@@ -666,8 +696,11 @@
         return found
 
     def scan(self, start: bytes = b"", end: bytes | None = None, at: int | None = None) -> Iterator[KeyValue]:
-        """As `range`, one by one. Without `at` it is of the state at its beginning; a compaction past that ends it
-        with `Compacted`: hold a `snapshot` for a long one."""
+        """Iterate as `range`, over the state at revision `at` or at the time of the call.
+
+        Without a snapshot, compacting past that revision ends the iteration with `Compacted`; use `snapshot` for long
+        scans.
+        """
         if at is not None:
             self._check_readable(at)
         revision = self.revision if at is None else at
@@ -680,8 +713,10 @@
             yield key_value(entry)
 
     def changes(self, since: int) -> Iterator[Change]:
-        """Every change of every acknowledged revision from `since` on, in order. `Compacted` where history does not
-        reach back so far, also if it is compacted away while this is read."""
+        """Iterate over the changes of all acknowledged revisions from `since` on, in order.
+
+        Raises `Compacted` if the history does not reach back so far, also when it is compacted during the iteration.
+        """
         if since <= self.compacted:
             raise Compacted(since, self.compacted)
         if since > self.revision + 1:
@@ -732,7 +767,9 @@
                         )
 
     def snapshot(self, at: int | None = None) -> "Snapshot":
-        """The state at revision `at`, now without one, readable until it is closed whatever is compacted meanwhile."""
+        """Return the state at revision `at`, by default the current one; it stays readable through compactions until
+        closed.
+        """
         if at is not None:
             self._check_readable(at)
         return Snapshot(self, self.revision if at is None else at)
@@ -744,8 +781,11 @@
             raise FutureRevision(at, self.revision)
 
     def _find_latest(self, key: bytes, at: int = NEWEST) -> Entry | None:
-        """The newest version up to `at`, a deletion too. Memory and tables hold rows of records that follow one
-        another, so what is found in a newer one is newer than all in older ones."""
+        """Return the newest version up to `at`, which may be a deletion.
+
+        Memtables and tables hold consecutive ranges of records, so an entry in a newer one is newer than all in older
+        ones.
+        """
         found = self._memtable.find(key, at)
         if found is not None:
             return found
@@ -760,7 +800,7 @@
         return None
 
     def _scan_visible(self, start: bytes, end: bytes | None, at: int) -> Iterator[Entry]:
-        """What is there at `at` of the keys from `start` to before `end`, in order."""
+        """Yield the entries that exist at `at`, of keys from `start` to before `end`, in order."""
         sources: list[Iterator[Entry]] = [
             memory.scan(start, end) for memory in (self._memtable, *self._immutable_memtables) if memory.count
         ]
@@ -775,8 +815,11 @@
     # ---- history
 
     def compact(self, revision: int, acknowledged: AcknowledgeCallback | None = None) -> None:
-        """Give up the history up to `revision`: it stays readable as a state, what lies before it does not.
-        `Compacted` where that is done already, `FutureRevision` where the store is not there yet."""
+        """Discard the history before `revision`, which itself stays readable.
+
+        Raises `Compacted` if that has been done already, and `FutureRevision` if the store has not reached the
+        revision.
+        """
         self._check_writable()
         if revision <= self.compacted:
             raise Compacted(revision, self.compacted)
@@ -785,25 +828,27 @@
         self._append([Entry(COMPACTED, self._number + 1, str(revision).encode())], self.revision, 32, acknowledged)
 
     def _compaction_floor(self) -> int:
-        """Versions that only revisions before this one can see are free to go."""
+        """The lowest revision that must stay readable; versions that only earlier ones can see may be dropped."""
         return min([self.compacted, *self._pinned_revisions])
 
     # ---- leases
 
     def grant(self, ttl: int, id: int = 0, acknowledged: AcknowledgeCallback | None = None) -> int:
-        """A new lease of `ttl` microseconds; its id, chosen here where none is asked for."""
+        """Create a lease of `ttl` microseconds and return its id, which is generated if `id` is 0."""
         self._check_writable()
         if ttl <= 0 or not 0 <= id < 1 << 63:
-            raise BadBatch(f"a lease of {ttl} microseconds with id {id}: both must be above 0, the id under 2**63")
+            raise BadBatch(f"invalid lease: ttl {ttl} us, id {id}; the ttl must be above 0, the id from 0 to 2**63 - 1")
         if id and id in self.leases:
-            raise BadBatch(f"lease {id} is there already")
+            raise BadBatch(f"lease {id} already exists")
         self.leases.advance_clock(self._clock())
         id = self.leases.new_id(id, self._number)
         self._append([self._lease_entry(id, ttl)], self.revision, 64, acknowledged)
         return id
 
     def keep_alive(self, id: int, acknowledged: AcknowledgeCallback | None = None) -> int:
-        """Begin the lease's time anew; its length. `NoLease` also where it has run out and is not cleared away yet."""
+        """Renew a lease and return its ttl in microseconds. Raises `NoLease` also if it has expired but is not revoked
+        yet.
+        """
         self._check_writable()
         self.leases.advance_clock(self._clock())
         if not self.leases.remaining(id):
@@ -813,11 +858,12 @@
         return ttl
 
     def _lease_entry(self, id: int, ttl: int) -> Entry:
+        """The internal entry that stores a lease which ends `ttl` microseconds from now."""
         terms = LeaseTerms(ttl, self.leases.now + ttl)
         return Entry(LEASE + id.to_bytes(8, "big"), self._number + 1, encode(terms))
 
     def revoke(self, id: int, acknowledged: AcknowledgeCallback | None = None) -> Commit:
-        """End a lease and delete its keys, as one revision where it has any."""
+        """Remove a lease and delete its keys, as one revision if it has any."""
         self._check_writable()
         lease = self.leases.get(id)
         number, revision = self._number + 1, self.revision + 1
@@ -829,7 +875,7 @@
         return Commit(self.revision, True)
 
     def expire(self, acknowledged: AcknowledgeCallback | None = None) -> list[int]:
-        """Revoke the leases that have run out by the clock; which."""
+        """Revoke all leases that have expired, and return their ids."""
         self._check_writable()
         self.leases.advance_clock(self._clock())
         over = self.leases.expired()
@@ -837,11 +883,11 @@
             self.revoke(id, acknowledged)
         return over
 
-    # ---- the work behind
+    # ---- background work
 
     @property
     def needs_work(self) -> bool:
-        """Whether `work` has something to do."""
+        """True if there is background work for `work`."""
         if self._fault is not None or self._damage is not None or not self._is_open:
             return False
         return not self._idle
@@ -855,15 +901,15 @@
         return self._collected_floor != self._compaction_floor()
 
     def work(self, budget: int = 0, sync: Callable[[File], bool] | None = None) -> bool:
-        """Go on for `budget` microseconds (the options' slice without one) with what goes on behind: writing closed
-        memory tables out, merging tables, dropping what nobody needs. True where there is more to do.
+        """Do background work for `budget` microseconds, 0: for the options' slice. Returns True if there is more to do.
 
-        `sync`, where given, is handed each file that is to be synced and says whether it has been; if not, the
-        caller does so elsewhere and calls `work` again after it.
+        The work is writing closed memtables out, merging tables, and deleting obsolete files. `sync`, if given, is
+        called with each file to sync and returns True if it has done so; otherwise the caller syncs the file itself,
+        for example in another thread, and then calls `work` again.
         """
         if self._fault is not None or self._damage is not None or not self._is_open or self._working_now:
             return False
-        self._working_now = True  # an acknowledgement from here may commit, and come here again
+        self._working_now = True  # an acknowledgement callback may commit and so call this method again
         until = self._ticks() + (budget or self.options.slice_us)
         try:
             while self._ticks() < until:
@@ -883,7 +929,7 @@
         except OSError as fault:
             self._enter_read_only(fault)
             return False
-        except Corrupt as damage:  # merging goes no further; reads of the rest and all writes do
+        except Corrupt as damage:  # background work stops; writes, and reads of undamaged data, continue
             self._damage, self._background_job = damage, None
             return False
         finally:
@@ -892,11 +938,11 @@
 
     @property
     def damage(self) -> Corrupt | None:
-        """What merging ran into; it has ended with that."""
+        """The corruption that stopped background work, or None."""
         return self._damage
 
     def finish_work(self) -> None:
-        """Do all work there is, however long it takes."""
+        """Flush, then do all background work, however long it takes."""
         self.flush()
         while self.work(1_000_000):
             pass
@@ -912,7 +958,7 @@
         return self._collect_garbage() if self._needs_collection() else None
 
     def _flush_memtable(self, memory: Memtable) -> Iterator[File | None]:
-        """A closed memory table becomes the newest table."""
+        """Write a closed memtable out as the newest table."""
         floor, first = self._compaction_floor(), not self._tables
         entries = retained(memory.scan(b"", None), floor, first)
         for step in self._write_table(
@@ -940,7 +986,7 @@
         yield from memory.release_in_steps()
 
     def _merge(self, start: int, end: int) -> Iterator[File | None]:
-        """The tables from place `start` to before `end` become one. Newer ones may come meanwhile, in front."""
+        """Merge the tables at positions `start` to before `end`. Newer ones may be added in front meanwhile."""
         inputs = self._tables[start:end]
         infos = tuple(table.info for table in inputs)
         floor, bottom = self._compaction_floor(), end == len(self._tables)
@@ -989,8 +1035,10 @@
         floor: int,
         sources: tuple[int, ...],
     ) -> Iterator[Any]:
-        """Write a table in steps, with files to be synced among them; the open table comes last. It is handed over
-        only once the log holds on disk all that it was made by: no table may be ahead of the log."""
+        """Write a table in steps, yielding files to sync among them and, last, the open table.
+
+        The table is returned only once all log records it was made from are durable: no table may be ahead of the log.
+        """
         number, due = self._manifest.next_number, self._number
         self._manifest = msgspec.structs.replace(self._manifest, next_number=number + 1)
         name = table_name(number)
@@ -1028,14 +1076,16 @@
         yield builder.open(name, file, self._cache, info)
 
     def _sync_log(self) -> None:
-        """For a job that goes on only with the log on disk. A flush alone syncs nothing under `none`, so that a job
-        would wait for ever."""
+        """Sync the log for a job that needs it durable, and raise the error if that fails.
+
+        Without `sync=True` a flush under `none` would not sync, and the job would wait forever.
+        """
         self.flush(sync=True)
         if self._fault is not None:
             raise self._fault
 
     def _collect_garbage(self) -> Iterator[File | None]:
-        """Drop the files whose history was given up."""
+        """Drop segments and tables that only compacted history needs."""
         floor = self._compaction_floor()
         while not self._is_durable(self._compaction_record):
             self._sync_log()
@@ -1046,8 +1096,11 @@
         self._collected_floor = floor
 
     def _delete_obsolete_file(self) -> Iterator[File | None]:
-        """Remove a file. The system frees a large one in one go, for tens of milliseconds, so its name goes first
-        and its bytes then by pieces, unless somebody is in the middle of reading them."""
+        """Delete one file in steps.
+
+        The system frees a large file in one go, which takes tens of milliseconds. So the name is removed first and then
+        the contents in pieces, unless a reader still has the file open.
+        """
         name = self._obsolete_files[0]
         file = self._files.open(name)
         self._files.remove(name)
@@ -1061,7 +1114,7 @@
             and self._obsolete_tables.pop(told[1], None) is not None
             or self._segment_readers[name]
         ):
-            file.close()  # a reader has it: it is freed when that one is through
+            file.close()  # a reader has it open: it is freed when the reader is done
             return
         size = file.size()
         while size > TRUNCATE_BYTES:
@@ -1070,10 +1123,10 @@
             yield None
         file.close()
 
-    # ---- the end
+    # ---- statistics and closing
 
     def info(self) -> Info:
-        """The store in figures."""
+        """Return statistics of the store."""
         manifest = self._manifest
         return Info(
             self.revision,
@@ -1092,8 +1145,10 @@
         )
 
     def close(self) -> None:
-        """Make all commits last, acknowledge them and let go of the directory. An unfinished merge begins anew at
-        the next opening. `ReadOnly` where the disk failed before."""
+        """Make all commits durable, acknowledge them and unlock the directory.
+
+        An unfinished merge starts over at the next opening. Raises `ReadOnly` where the disk failed before.
+        """
         if not self._is_open:
             return
         fault = self._fault
@@ -1131,22 +1186,25 @@
 
 
 class Snapshot:
-    """A state that stays readable. Close it: while it is open, what it can see is kept on disk."""
+    """The state at one revision. While it is open, everything it can see is kept on disk, so close it."""
 
     def __init__(self, store: Store, revision: int):
         self._store, self.revision, self._closed = store, revision, False
         store._pinned_revisions[revision] += 1
 
     def get(self, key: bytes) -> KeyValue | None:
+        """Return the key, or None."""
         self._check()
         entry = self._store._find_latest(DATA + key, self.revision)
         return key_value(entry) if entry is not None and entry.value is not None else None
 
     def scan(self, start: bytes = b"", end: bytes | None = None) -> Iterator[KeyValue]:
+        """Iterate over the keys from `start` to before `end` in order."""
         self._check()
         return self._store._scan(start, end, self.revision, pinned=True)
 
     def range(self, start: bytes = b"", end: bytes | None = None, limit: int = 0) -> list[KeyValue]:
+        """As `scan`, as a list; at most `limit` items if not 0."""
         found: list[KeyValue] = []
         for item in self.scan(start, end):
             found.append(item)
@@ -1159,6 +1217,7 @@
             raise StoreError("the snapshot is closed")
 
     def close(self) -> None:
+        """Release the revision for compaction. May be called more than once."""
         if not self._closed:
             self._closed = True
             self._store._pinned_revisions[self.revision] -= 1
@@ -1175,7 +1234,7 @@
 
 
 def merge_sorted(sources: Sequence[Iterator[Entry]]) -> Iterator[Entry]:
-    """Entries of sources (newest first) in order of key, the newest version first."""
+    """Merge sources, given newest first, in order of key and from the newest version to the oldest."""
 
     def ranked(source: Iterator[Entry], rank: int) -> Iterator[tuple[bytes, int, int, Entry]]:
         for entry in source:
--- a/rackhub/store/fault_injection.py
+++ b/rackhub/store/fault_injection.py
@@ -1,12 +1,13 @@
-"""Tries to make a store lose or invent something: every cut, every byte's flip, every step's power cut.
+"""Fault injection: damages a store in every possible place, and checks that nothing is lost or invented.
 
-A seeded workload of puts, deletes, ranges, leases, compactions and merges runs on files in memory, beside a model of
-what each revision holds. Images of the directory are taken as a killed process leaves it, and each is damaged in one
-place at a time. An opening then either gives a state that the model had at some revision, or refuses and names the
-file; then what `salvage` would take of it must be such a state. Nothing may ever be there that was not written.
+A seeded workload of puts, deletes, ranges, leases, compactions and merges runs on files in memory, next to a model of
+the state at each revision. Images of the directory are taken as a killed process leaves it, and each is damaged in one
+place at a time: truncated at a byte, or with one bit flipped. Opening a damaged image must either give a state that the
+model had at some revision, or fail and name the file; then the result of a salvage must be such a state. Data that was
+never written must never appear.
 
-Writing a salvaged directory out is a function of what was chosen and of nothing else, so it is done and read back
-once for each different choice; the choosing itself runs for each damaged image.
+A salvaged directory depends only on its salvage plan, so it is written and read back once for each distinct plan;
+planning itself runs for each damaged image. Power cuts and disk errors are injected at each modifying call.
 """
 
 import hashlib
@@ -32,17 +33,17 @@
 Mode = Literal["cut", "flip", "power", "fault"]
 MODES: tuple[Mode, ...] = ("cut", "flip", "power", "fault")
 KEYS = 120
-HISTORY = 400  # revisions, from which on the workload compacts: so much log is there at a time, the rest is merged
-START = 1_800_000_000_000_000  # the workload's clock, Unix microseconds
+HISTORY = 400  # the workload compacts once its history exceeds so many revisions; this bounds the log
+START = 1_800_000_000_000_000  # initial time of the workload, Unix microseconds
 SMALL = Options(
     contract="group", memtable_bytes=24 * 1_024, block_bytes=1_024, cache_bytes=65_536, frame_bytes=8 * 1_024, runs=3
 )
-STATES_PER_CUT = 3  # states that one power cut is tried in
-MAX_POWER_CUTS = 6  # power cuts in a row during one recovery
+STATES_PER_CUT = 3  # random states of the disk that are tried after each power cut
+MAX_POWER_CUTS = 6  # attempts of one recovery, all but the last with a power cut
 
 
 class Model:
-    """What the store must hold at each revision, kept as plain dictionaries."""
+    """The expected state at each revision, as plain dictionaries."""
 
     def __init__(self) -> None:
         self.states: list[dict[bytes, KeyValue]] = [{}]
@@ -50,10 +51,11 @@
 
     @property
     def revision(self) -> int:
+        """The latest revision."""
         return len(self.states) - 1
 
     def apply(self, puts: dict[bytes, tuple[bytes, int]], deletes: set[bytes]) -> None:
-        """One revision more."""
+        """Add one revision."""
         state, revision = dict(self.states[-1]), len(self.states)
         made: list[tuple[bytes, KeyValue | None]] = []
         for key, (value, lease) in puts.items():
@@ -69,29 +71,30 @@
         self.changes.append(made)
 
     def cut(self, revision: int) -> None:
-        """What came after was never acknowledged, and is gone."""
+        """Remove all later revisions, which were not acknowledged and are lost."""
         del self.states[revision + 1 :]
         del self.changes[revision + 1 :]
 
 
 class Workload:
-    """A run of commits against a store and the model, the same from the same seed."""
+    """A reproducible sequence of commits to a store and the model."""
 
     def __init__(self, seed: int, files: MemoryFiles, options: Options = SMALL, value: int = 700):
         self.random, self.files, self.options, self.value = random.Random(seed), files, options, value
         self.model, self.now, self.acknowledged, self.in_doubt = Model(), START, 0, 0
-        self.written = 0  # bytes of the log
+
         self.open()
 
     def open(self) -> None:
+        """Open the store and forget acknowledgements of revisions that it lost."""
         self.store = Store.open(
             "memory", self.options, files=self.files, clock=lambda: self.now, ticks=iter(range(1 << 60)).__next__
         )
-        # a step that was cut between the log's write and the model's
+        # The power may have failed after the acknowledged revision was recorded and before the model had it.
         self.acknowledged = min(self.acknowledged, self.store.revision)
 
     def step(self) -> None:
-        """One commit of some kind, or a flush."""
+        """Make one random commit, or another change, and sometimes flush."""
         chance, model, self.now = self.random, self.model, self.now + 1_000
         kind, state = chance.random(), model.states[-1]
         if kind < 0.04 and state:
@@ -131,7 +134,7 @@
         return b"k%03d" % self.random.randrange(KEYS)
 
     def _value(self) -> bytes:
-        """Bytes that say which revision wrote them, so that none can pass for another's."""
+        """A value that identifies the revision that wrote it, so that no value can be mistaken for another."""
         seed = b"%d %d" % (self.model.revision, self.random.randrange(1 << 30))
         size = self.random.randrange(self.value)
         return (seed + hashlib.shake_128(seed).digest(size))[: max(size, len(seed))]
@@ -153,47 +156,49 @@
             raise AssertionError(f"the store is at revision {self.store.revision}, the model at {self.model.revision}")
 
     def run(self, log_bytes: int) -> None:
-        """Until the log has had so many bytes written."""
+        """Run until the log has had `log_bytes` bytes written."""
         while self.store.log_bytes_written < log_bytes:
             self.step()
 
 
 class TrialResults(msgspec.Struct):
-    """What was tried and what came of it."""
+    """Counts of what was tried, and the results."""
 
     images: int = 0
     files: int = 0
-    tried: int = 0  # damaged directories, each opened
-    recovered: int = 0  # openings that gave a state
-    refused: int = 0  # openings that named a fault instead, each salvaged
-    unharmed: int = 0  # of the recovered, those that gave the last state
+    tried: int = 0  # damaged directories that were opened
+    recovered: int = 0  # openings that succeeded
+    refused: int = 0  # openings that reported a fault; each is salvaged
+    unharmed: int = 0  # openings that kept all acknowledged revisions
     salvaged: int = 0
-    written_out: int = 0  # different choices of a salvage, each written, opened and read back
-    lost_acknowledged: int = 0  # acknowledged revisions missing after a cut of a file that was on disk, at worst
+    written_out: int = 0  # distinct salvage plans; each is written, opened and read back
+    lost_acknowledged: int = 0  # maximum number of acknowledged revisions lost by damage to durable files
     violations: list[str] = []
 
     def add(self, other: "TrialResults") -> None:
+        """Add the results of another process."""
         for name in ("images", "files", "tried", "recovered", "refused", "unharmed", "salvaged", "written_out"):
             setattr(self, name, getattr(self, name) + getattr(other, name))
         self.lost_acknowledged = max(self.lost_acknowledged, other.lost_acknowledged)
         self.violations = (self.violations + other.violations)[:100]
 
     def add_violation(self, what: str) -> None:
+        """Record a violation, up to 100."""
         if len(self.violations) < 100:
             self.violations.append(what)
 
 
 def find_mismatch(store: Store, model: Model, at_least: int, whole_history: bool = True) -> str:
-    """What is wrong with an opened store against the model; nothing: the empty text. Reads all of it."""
+    """Compare all contents of an opened store with the model. Returns a description of the first mismatch, or ""."""
     revision = store.revision
     if revision > model.revision:
-        return f"revision {revision} was never reached"
+        return f"the store is at revision {revision}, which was never committed"
     if revision < at_least:
-        return f"revision {at_least} was acknowledged, and {revision} is the last"
+        return f"revision {at_least} was acknowledged, but the store is at revision {revision}"
     state = model.states[revision]
     found = store.range()
     if [item.key for item in found] != sorted(state):
-        return f"at revision {revision} the keys are not those that were written"
+        return f"at revision {revision} the keys differ from those written"
     for item in found:
         if item != state[item.key]:
             return f"at revision {revision} key {item.key!r} is {item!r:.120}"
@@ -203,26 +208,26 @@
         if item.lease:
             held.setdefault(item.lease, []).append(item.key)
     if leases != held:
-        return f"at revision {revision} leases hold other keys than were put under them"
+        return f"at revision {revision} the keys of leases differ from those attached"
     if whole_history:
         at = store.compacted
         past: list[tuple[bytes, KeyValue | None]] = []
         for change in store.changes(at + 1) if at < revision else ():
             past.append((change.key, change.now))
             if not at < change.revision <= revision:
-                return f"history gives revision {change.revision} between {at + 1} and {revision}"
+                return f"the history from {at + 1} to {revision} contains revision {change.revision}"
         wanted = [made for one in model.changes[at + 1 : store.acknowledged_revision + 1] for made in one]
         if past != wanted:
-            return f"the history from revision {at + 1} to {revision} is not what was written"
+            return f"the history from revision {at + 1} to {revision} differs from what was written"
     return ""
 
 
 class DamageTrials:
-    """Images of one workload, and the trials on them. Made anew in each process, the same from the same seed."""
+    """Images of one workload, and the trials on them. Each process builds the same ones from the seed."""
 
     def __init__(self, seed: int, log_bytes: int):
         self.workload = Workload(seed, MemoryFiles(seed))
-        self.images: list[tuple[MemoryFiles, int]] = []  # and the revision acknowledged when it was taken
+        self.images: list[tuple[MemoryFiles, int]] = []  # image, and the acknowledged revision at that time
         for part in (1, 2, 3):
             self.workload.run(log_bytes * part // 3)
             self.images.append((self.workload.files.copy(), self.workload.acknowledged))
@@ -235,7 +240,7 @@
             store = Store.open("memory", SMALL, files=image.copy_shared(), clock=lambda: START, ticks=lambda: 0)
             wrong = find_mismatch(store, self.model, acknowledged)
             if wrong:
-                raise AssertionError(f"an image that was not damaged: {wrong}")
+                raise AssertionError(f"undamaged image: {wrong}")
             manifest = load(image)
             self._tables.append({table.name: table for table in store._tables})
             self._segments.append({log_name(segment.number): segment for segment in manifest.segments})
@@ -245,8 +250,10 @@
         self._written: dict[plan.SalvagePlan, str] = {}
 
     def positions(self) -> Iterator[tuple[int, str, int]]:
-        """Every byte of every file of every image: image, file, offset. A file that an earlier image had, the same
-        to the byte, is not gone through again, but for those that each image's opening reads first."""
+        """Yield every byte of every file of every image, as (image, file name, offset).
+
+        A file that is identical in an earlier image is skipped.
+        """
         seen: set[bytes] = set()
         for i, (image, _) in enumerate(self.images):
             for name in image.names():
@@ -259,10 +266,12 @@
                     yield i, name, offset
 
     def try_cut(self, i: int, name: str, offset: int, tally: TrialResults) -> None:
+        """Try the image with one file truncated at `offset`."""
         image, _ = self.images[i]
         self._try(i, name, offset, image.with_file_cut(name, offset), f"image {i}, {name} cut at {offset}", tally)
 
     def try_flip(self, i: int, name: str, offset: int, tally: TrialResults) -> None:
+        """Try the image with one bit of the byte at `offset` flipped."""
         image, _ = self.images[i]
         self._try(
             i,
@@ -276,10 +285,11 @@
     def _try(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: TrialResults) -> None:
         try:
             self._open_damaged(i, name, offset, files, what, tally)
-        except Exception as bad:  # what is damaged must be named, never stumbled over
+        except Exception as bad:  # damage must be reported as such, not cause other exceptions
             tally.add_violation(f"{what}: {type(bad).__name__}: {bad}")
 
     def _open_damaged(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: TrialResults) -> None:
+        """Open the damaged files, and either compare what the damage can affect or salvage them."""
         tally.tried += 1
         acknowledged = self.images[i][1]
         try:
@@ -287,7 +297,7 @@
         except StoreError as refused:
             tally.refused += 1
             if isinstance(refused, Corrupt) and not refused.file:
-                tally.add_violation(f"{what}: refused without naming a file")
+                tally.add_violation(f"{what}: the error names no file")
             return self._salvage(i, name, files, what, tally)
         try:
             wrong = self._read_damaged_part(store, i, files, name, offset)
@@ -301,16 +311,19 @@
             tally.add_violation(f"{what}: {wrong}")
 
     def _read_damaged_part(self, store: Store, i: int, image: MemoryFiles, name: str, offset: int) -> str:
-        """Read what an opening has not read of the damaged file: of a table the block that was hit, of a closed
-        segment its part of the history. All else is, byte for byte, what was read whole in the image. What an
-        opening goes by itself (the active log, the manifest) may change all: then all is read."""
+        """Read the part of the damaged file that opening does not read, and describe a mismatch.
+
+        Of a table this is the damaged block, of a closed segment its part of the history. Everything else is identical
+        to the image, which was read completely. Damage to the active log or the manifest may affect everything, so all
+        is read.
+        """
         table = self._tables[i].get(name)
         segment = self._segments[i].get(name)
         if table is not None:
             start, end = table.keys_covering(offset)
             found = store.range(start, end)
             wanted = [item for key, item in sorted(self.model.states[store.revision].items()) if start <= key < end]
-            return "" if found == wanted else f"keys from {start!r} to {end!r} are not those that were written"
+            return "" if found == wanted else f"keys from {start!r} to {end!r} differ from those written"
         if segment is not None:
             since = max(segment.revision_before, store.compacted) + 1
             made: dict[int, list[tuple[bytes, KeyValue | None]]] = {}
@@ -320,14 +333,14 @@
                 made.setdefault(change.revision, []).append((change.key, change.now))
             for revision in range(since, segment.revision + 1):
                 if made.get(revision, []) != self.model.changes[revision]:
-                    return f"the history of revision {revision} is not what was written"
+                    return f"the history of revision {revision} differs from what was written"
             return ""
-        if name.startswith("table-"):  # kept in reserve, which nothing reads but a salvage or a verification
-            return "" if isinstance(_survey_file(image, name), str) else "what is damaged in reserve is not seen"
+        if name.startswith("table-"):  # a retired table, which only salvage and verify read
+            return "" if isinstance(_survey_file(image, name), str) else "damage to a retired table is not detected"
         return find_mismatch(store, self.model, 0)
 
     def _salvage(self, i: int, name: str, files: MemoryFiles, what: str, tally: TrialResults) -> None:
-        """What a salvage takes is checked for each; files that are as they were are not read again for it."""
+        """Check the result of a salvage. Files that are undamaged are not inspected again."""
         tally.salvaged += 1
         parts = dict(self._surveys[i])
         if parse_name(name):
@@ -345,7 +358,7 @@
                 store = Store.open("memory", SMALL, files=target, clock=lambda: START, ticks=lambda: 0)
                 self._written[taken] = find_mismatch(store, self.model, taken.revision)
             except StoreError as bad:
-                self._written[taken] = f"what a salvage wrote can't be used: {bad}"
+                self._written[taken] = f"the salvaged store can't be opened: {bad}"
         if self._written[taken]:
             tally.add_violation(f"{what}, salvaged: {self._written[taken]}")
 
@@ -359,14 +372,16 @@
         return str(bad)
 
 
-# ---- power cuts and failing disks, at each step
+# ---- power cuts and disk errors at each modifying call
 
 
 def run_power_cuts(
     seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0, ignore_syncs: bool = False
 ) -> TrialResults:
-    """Cut the power at each call that changes the disk during `steps` steps of a workload, and again during each
-    recovery. After each cut the machine is tried in several of the states that it may find."""
+    """Cut the power at every `every`-th modifying call during `steps` steps of a workload, and during the recoveries.
+
+    After each cut several of the possible states of the disk are tried.
+    """
     tally = TrialResults()
     warm = Workload(seed, MemoryFiles(seed))
     warm.files.ignore_syncs = ignore_syncs
@@ -376,7 +391,7 @@
     n = offset
     while True:
         n += every
-        # a run of its own to each step: the same commits up to the one that the cut falls in
+        # Each cut gets a run of its own, with the same commits up to the cut.
         again = Workload.__new__(Workload)
         again.random, again.options, again.value = random.Random(seed * 1_000 + 1), SMALL, 700
         again.files, again.now, again.model = image.copy(), warm.now, Model()
@@ -389,7 +404,7 @@
             for _ in range(steps):
                 again.step()
             again.store.close()
-            return tally  # the run has fewer calls than that
+            return tally  # the run has fewer calls than `n`
         except PowerCut:
             pass
         tally.images += 1
@@ -398,6 +413,7 @@
 
 
 def _recover_through_cuts(work: Workload, seed: int, tally: TrialResults, what: str) -> None:
+    """Recover from a power cut while further power cuts interrupt the recovery."""
     chance = random.Random(seed)
     files = work.files.after_power_cut(seed)
     for round in range(MAX_POWER_CUTS):
@@ -409,13 +425,13 @@
             files = files.after_power_cut(chance.randrange(1 << 30))
             continue
         except StoreError as bad:
-            return tally.add_violation(f"{what}, recovery {round}: refused: {bad}")
+            return tally.add_violation(f"{what}, recovery {round}: opening failed: {bad}")
         tally.recovered += 1
         files.fail_at = 0
         wrong = find_mismatch(store, work.model, work.acknowledged)
         if wrong:
             return tally.add_violation(f"{what}, recovery {round}: {wrong}")
-        # what was read must be there still, whatever happens next: the first recovery has served it
+        # Whatever a recovery has served must survive the next power cut.
         seen = store.revision
         store.close()
         store = Store.open(
@@ -427,7 +443,7 @@
 
 
 def run_disk_faults(seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0) -> TrialResults:
-    """Let the disk refuse each call that changes it, once (EIO) or from there on until it is mended (ENOSPC)."""
+    """Let each modifying call fail, once (EIO) or from then on until the disk is repaired (ENOSPC)."""
     tally = TrialResults()
     n = offset
     while True:
@@ -454,7 +470,7 @@
             try:
                 work.store.retry()
                 work.store.commit(Batch().put(b"k000", b"x"))
-                tally.add_violation(f"seed {seed}: writes are taken while call {n} still fails")
+                tally.add_violation(f"seed {seed}: writes are accepted while call {n} still fails")
             except ReadOnly:
                 pass
         files.fail_at = 0
@@ -464,7 +480,7 @@
                 work.step()
             work.store.flush()
         except StoreError as bad:
-            tally.add_violation(f"seed {seed}, call {n} failed: after it was mended: {bad}")
+            tally.add_violation(f"seed {seed}, call {n} failed: error after the repair: {bad}")
             continue
         wrong = find_mismatch(work.store, work.model, work.model.revision)
         if not wrong:
@@ -481,7 +497,7 @@
     return lambda: now
 
 
-# ---- all of it, over all cores
+# ---- complete runs on several processes
 
 
 _trials: DamageTrials | None = None
@@ -503,11 +519,11 @@
 
 
 class Report(msgspec.Struct):
-    """A whole run."""
+    """The results of a complete run."""
 
     seed: int
     log_bytes: int
-    file_bytes: int  # of all images' files, each counted once
+    file_bytes: int  # total size of the distinct files of all images
     revisions: int
     modes: dict[str, TrialResults]
     violations: int = 0
@@ -520,7 +536,7 @@
     workers: int = 0,
     progress: Callable[[str, int, int], None] = lambda mode, done, of: None,
 ) -> Report:
-    """The whole torture of one seed, over `workers` processes (all cores without a number)."""
+    """Run all trials of one seed in `workers` processes; 0: one per core."""
     workers = workers or os.cpu_count() or 1
     here = DamageTrials(seed, log_bytes)
     files = sum(1 for _ in here.positions())
--- a/rackhub/store/kill.py
+++ b/rackhub/store/kill.py
@@ -1,9 +1,9 @@
-"""A store in a real process that is killed under load, again and again, and what it had acknowledged looked for.
+"""A stress test that kills a store's process under load again and again, and looks for all acknowledged writes.
 
-The child serves lines over TCP on loopback: `KEY VALUE` is committed and answered with its revision once it is
-acknowledged, by a store that a reactor tends as the coordinator's is. The parent keeps many lines open on several
-connections, kills the child after a drawn number of answers, opens the store itself and checks: every acknowledged
-write is there under its revision, and nothing is that was not sent.
+The child process serves lines on a loopback TCP port: `KEY VALUE` is committed, and answered with its revision once it
+is acknowledged, by a store that is driven by a reactor as in the coordinator. The parent keeps many requests open on
+several connections, kills the child after a random number of answers, opens the store itself and checks that every
+acknowledged write has its revision and that nothing is stored that was not sent.
 """
 
 import random
@@ -21,20 +21,20 @@
 from rackhub.store.engine import Store
 from rackhub.store.options import Options
 
-CONNECTIONS, OPEN_REQUESTS = 4, 16
+CONNECTIONS, OPEN_REQUESTS = 4, 16  # open requests are counted per connection
 KEYS = 500
 OPTIONS = Options(contract="group", memtable_bytes=64 * 1_024, block_bytes=1_024, runs=3, retain_revisions=2_000)
-ANSWER_TIMEOUT_S = 60  # seconds without an answer: a child that hangs is a fault of its own
+ANSWER_TIMEOUT_S = 60  # seconds without an answer after which the test fails: the child hangs
 
 
 class KillResults(msgspec.Struct):
-    """What came of all kills. `found_unsent`, `lost` and `changed` must stay 0."""
+    """The results of all kills. `found_unsent`, `lost` and `changed` must stay 0."""
 
     kills: int = 0
     sent: int = 0
     acknowledged: int = 0
-    in_doubt_kept: int = 0  # written, not acknowledged, and there all the same
-    torn: int = 0  # openings that cut a torn tail off
+    in_doubt_kept: int = 0  # unacknowledged writes that survived
+    torn: int = 0  # openings that truncated a torn tail
     lost: int = 0
     changed: int = 0
     found_unsent: int = 0
@@ -42,7 +42,7 @@
 
 
 def serve(path: str) -> None:
-    """The child: prints its port, serves until it is killed."""
+    """Run the child process: print the port, then serve until killed."""
     from twisted.internet import reactor as installed
     from twisted.internet.protocol import Factory
     from twisted.protocols.basic import LineOnlyReceiver
@@ -56,15 +56,19 @@
     driver.start(store)
 
     class Lines(LineOnlyReceiver):
+        """A connection of the parent."""
+
         delimiter = b"\n"
 
         def lineReceived(self, line: bytes) -> None:
+            """Commit a line."""
             key, _, value = line.partition(b" ")
             made = store.commit(
                 Batch().put(key, value), acknowledged=lambda error: self.send_answer(error, made.revision)
             )
 
         def send_answer(self, error: Exception | None, revision: int) -> None:
+            """Answer with the revision."""
             self.sendLine(b"%d" % revision if error is None else b"error")
 
     port = reactor.listenTCP(0, Factory.forProtocol(Lines), interface="127.0.0.1")
@@ -73,7 +77,7 @@
 
 
 class _Client:
-    """One connection: the lines that it has open, oldest first."""
+    """A connection to the child; `open` lists its open requests, oldest first."""
 
     def __init__(self, port: int):
         self.socket = socket.create_connection(("127.0.0.1", port))
@@ -82,19 +86,21 @@
         self._rest = b""
 
     def send(self, key: bytes, value: bytes) -> None:
+        """Send a request."""
         self.socket.sendall(key + b" " + value + b"\n")
         self.open.append((key, value))
 
     def answers(self) -> list[tuple[int, bytes, bytes]]:
+        """Receive answers, as (revision, key, value). Raises `ConnectionError` if the child has exited."""
         data = self.socket.recv(65_536)
         if not data:
-            raise ConnectionError("the child has ended by itself")
+            raise ConnectionError("the child process exited before it was killed")
         *lines, self._rest = (self._rest + data).split(b"\n")
         return [(int(line), *self.open.pop(0)) for line in lines]
 
 
 def run(path: Path, kills: int, seed: int, progress: Callable[[int, int], None] = lambda done, of: None) -> KillResults:
-    """Kill a child `kills` times on one directory, which must not be there yet."""
+    """Kill a child `kills` times with one store directory, which must not exist yet."""
     chance, tally = random.Random(seed), KillResults()
     acknowledged: dict[int, tuple[bytes, bytes]] = {}
     sent: set[tuple[bytes, bytes]] = set()
@@ -114,6 +120,7 @@
     acknowledged: dict[int, tuple[bytes, bytes]],
     sent: set[tuple[bytes, bytes]],
 ) -> None:
+    """Start a child, send requests, kill it after a random number of answers, and record what it acknowledged."""
     child = subprocess.Popen([sys.executable, "-m", "rackhub.store.kill", str(path)], stdout=subprocess.PIPE)
     clients: list[_Client] = []
     try:
@@ -134,13 +141,13 @@
                         client.send(key, value)
                 ready = waiting.select(ANSWER_TIMEOUT_S)
                 if not ready:
-                    raise TimeoutError(f"no answer in {ANSWER_TIMEOUT_S} s")
+                    raise TimeoutError(f"no answer from the child process within {ANSWER_TIMEOUT_S} s")
                 for which, _ in ready:
                     for revision, key, value in which.data.answers():
                         acknowledged[revision] = (key, value)
                         due -= 1
         child.send_signal(signal.SIGKILL)
-        for client in clients:  # what was answered before the kill and not read yet counts too
+        for client in clients:  # answers that were sent before the kill and are still unread count too
             try:
                 while True:
                     for revision, key, value in client.answers():
@@ -159,6 +166,7 @@
 def _check_store(
     path: Path, acknowledged: dict[int, tuple[bytes, bytes]], sent: set[tuple[bytes, bytes]], tally: KillResults
 ) -> None:
+    """Open the store and compare it with what was acknowledged and sent."""
     with Store.open(path, OPTIONS) as store:
         tally.torn += store.recovered.torn_bytes > 0
         there = (
@@ -172,14 +180,14 @@
         for revision, what in there.items():
             if what not in sent:
                 tally.found_unsent += 1
-                tally.violations.append(f"kill {tally.kills}: revision {revision} holds what nobody sent")
+                tally.violations.append(f"kill {tally.kills}: revision {revision} contains a write that was never sent")
         tally.in_doubt_kept += len(there.keys() - acknowledged.keys())
         newest: dict[bytes, tuple[int, bytes]] = {}
         for revision, (key, value) in acknowledged.items():
             if revision > store.compacted and there.get(revision) != (key, value):
                 tally.lost += revision not in there
                 tally.changed += revision in there
-                tally.violations.append(f"kill {tally.kills}: acknowledged revision {revision} is not as it was")
+                tally.violations.append(f"kill {tally.kills}: acknowledged revision {revision} is missing or changed")
             if key not in newest or newest[key][0] < revision:
                 newest[key] = (revision, value)
         for key, (revision, value) in newest.items():
@@ -191,7 +199,7 @@
                 and found.value != value
             ):
                 tally.lost += 1
-                tally.violations.append(f"kill {tally.kills}: key {key!r} is older than acknowledged")
+                tally.violations.append(f"kill {tally.kills}: key {key!r} is older than its acknowledged version")
     del tally.violations[100:]
 
 
--- a/rackhub/store/leases.py
+++ b/rackhub/store/leases.py
@@ -1,8 +1,8 @@
-"""Which leases there are, which keys hang on them, and when they run out. Pure: the clock is handed in.
+"""The leases of a store: their keys and deadlines. No I/O; the caller passes the time in.
 
-A deadline is kept as a Unix time, since time passes while a store is closed. Two clocks can lie: one that is behind
-the last time on record has jumped back, and every deadline is moved back by as much, so that no lease lives longer
-for it; and no lease has ever more left than its length.
+Deadlines are Unix times, because time passes while a store is closed. The clock may be wrong: if it is behind the last
+recorded time, it was set back, and all deadlines move back by the difference so that no lease is prolonged; and the
+remaining time of a lease never exceeds its ttl.
 """
 
 from rackhub.store.errors import NoLease
@@ -10,7 +10,7 @@
 
 
 class Lease:
-    """One lease: length and end in microseconds, and the keys that go with it."""
+    """A lease: its ttl and deadline in microseconds, and its keys."""
 
     __slots__ = ("id", "ttl", "deadline", "keys")
 
@@ -20,7 +20,7 @@
 
 
 class Leases:
-    """All leases of a store. `now` is the time of the last event that it was told of."""
+    """All leases of a store. `now`: the latest time passed in, in Unix microseconds."""
 
     def __init__(self, now: int = 0):
         self.now = now
@@ -36,14 +36,14 @@
         return iter(self._leases.values())
 
     def get(self, id: int) -> Lease:
-        """`NoLease` where it is not there."""
+        """Return a lease. Raises `NoLease`."""
         lease = self._leases.get(id)
         if lease is None:
             raise NoLease(id)
         return lease
 
     def restore(self, id: int, terms: LeaseTerms) -> None:
-        """One lease as it is on disk."""
+        """Set a lease as it is stored."""
         existing = self._leases.get(id)
         if existing is None:
             self._leases[id] = Lease(id, terms.ttl, terms.deadline)
@@ -51,18 +51,21 @@
             existing.ttl, existing.deadline = terms.ttl, terms.deadline
 
     def remove(self, id: int) -> None:
+        """Remove a lease, if it exists."""
         self._leases.pop(id, None)
 
     def attach(self, id: int, key: bytes) -> None:
+        """Add a key to a lease, if the lease exists."""
         if id in self._leases:
             self._leases[id].keys.add(key)
 
     def detach(self, id: int, key: bytes) -> None:
+        """Remove a key from a lease."""
         if id in self._leases:
             self._leases[id].keys.discard(key)
 
     def advance_clock(self, now: int) -> None:
-        """The clock says `now`. Where that is before the last time it said, it has jumped back."""
+        """Set the current time. A time before the previous one means that the clock was set back."""
         step_back = self.now - now
         for lease in self._leases.values() if step_back > 0 else ():
             lease.deadline -= step_back
@@ -71,7 +74,7 @@
             lease.deadline = min(lease.deadline, now + lease.ttl)
 
     def new_id(self, wanted: int, seen: int) -> int:
-        """An id that no lease has: `wanted`, or the first free one after `seen`."""
+        """Return `wanted`, or if that is 0 the first unused id after `seen`."""
         if wanted:
             return wanted
         id = seen + 1
@@ -80,14 +83,14 @@
         return id
 
     def expired(self) -> list[int]:
-        """Those that existing run out, the earliest first."""
+        """The ids of the leases that have expired, earliest deadline first."""
         over = [lease for lease in self._leases.values() if lease.deadline <= self.now]
         return [lease.id for lease in sorted(over, key=lambda lease: (lease.deadline, lease.id))]
 
     def next_deadline(self) -> int | None:
-        """Condition the next one runs out unless it is kept alive."""
+        """The earliest deadline, or None without leases."""
         return min((lease.deadline for lease in self._leases.values()), default=None)
 
     def remaining(self, id: int) -> int:
-        """Microseconds until it runs out."""
+        """Microseconds until the lease expires. Raises `NoLease`."""
         return max(self.get(id).deadline - self.now, 0)
--- a/rackhub/store/log.py
+++ b/rackhub/store/log.py
@@ -1,4 +1,4 @@
-"""The active segment of the log: gathers records, writes them as frames, and knows what is on disk of them."""
+"""The active segment of the write-ahead log: buffers records, writes them as frames and tracks what is on disk."""
 
 from bisect import bisect_right
 from collections.abc import Iterator
@@ -22,39 +22,42 @@
 from rackhub.store.manifest import log_name
 from rackhub.store.records import Record, decode_records, encode, record_size
 
-OFFSET_INTERVAL = 65_536  # bytes of a segment between offsets that are remembered by their revision
-READ_BYTES = 262_144  # bytes of a segment read at once
+OFFSET_INTERVAL = 65_536  # bytes of a segment between two entries of its offset index
+READ_BYTES = 262_144  # bytes of a segment that are read at once
 
 
 class Tail:
-    """What was found at the end of an active segment: where whole frames end, what a crash tore off behind."""
+    """The end of an active segment: where complete frames end, and what a crash tore off after that."""
 
     def __init__(self, end: int, torn_bytes: int, torn_frames: int):
         self.end, self.torn_bytes, self.torn_frames = end, torn_bytes, torn_frames
 
 
 def read_records(name: str, found: Frame) -> list[Record]:
-    """The records of a frame whose sum is right; what can't be read all the same was not written by a store."""
+    """Decode a frame with a correct checksum. Raises `Corrupt` if the content is none that a store writes."""
     try:
         return decode_records(found.payload)
     except msgspec.MsgspecError as bad:
-        raise Corrupt(name, found.start, f"a frame of it can't be read: {bad}") from None
+        raise Corrupt(name, found.start, f"frame can't be decoded: {bad}") from None
 
 
 def check_tail(name: str, data: memoryview, start: int) -> Tail:
-    """Judge what follows the last whole frame, at `start`. A later whole frame that says these bytes were on disk
-    before it was written makes them corruption; otherwise they were never acknowledged, and are torn off."""
+    """Examine the bytes after the last complete frame, which ends at `start`.
+
+    If a later complete frame says that these bytes were durable when it was written, they are corrupt: raises
+    `Corrupt`. Otherwise their commits were never acknowledged, and the bytes are a torn tail.
+    """
     torn_frames = 0
     if start < len(data):
         for found in frames_after(data, start):
             if found.durable > start:
-                raise Corrupt(name, start, "damaged: bytes that were on disk are not whole, with whole ones after them")
+                raise Corrupt(name, start, "damaged: durable bytes fail their checksum, and valid frames follow")
             torn_frames += 1
     return Tail(start, len(data) - start, torn_frames)
 
 
 class Log:
-    """Records go in by `add`, to the file by `write`, to the disk between `begin_sync` and `end_sync`."""
+    """The active segment: `add` buffers records, `write` writes them, `begin_sync` and `end_sync` make them durable."""
 
     def __init__(
         self,
@@ -66,8 +69,10 @@
         file: File | None = None,
         size: int = 0,
     ):
-        """The segment `number`, which begins with record `first` at the store's revision `before`; `file` where it
-        is there already, whole and on disk up to `size`."""
+        """Open the segment `number`, which starts with `first_record` after the store's `revision_before`.
+
+        `file`: the existing file, complete and durable up to `size`; None to create it.
+        """
         self._files, self.number, self.first_record, self.revision_before, self._frame_bytes = (
             files,
             number,
@@ -76,11 +81,12 @@
             frame_bytes,
         )
         self.name = log_name(number)
-        self.pending: list[Record] = []  # not written yet
-        self.unsynced: list[Record] = []  # written, not known to be on disk
-        self.last_record, self.revision = first_record - 1, revision_before  # of what is written
+        self.pending: list[Record] = []  # records that are not written yet
+        self.unsynced: list[Record] = []  # written records that are not known to be durable
+        self.last_record, self.revision = first_record - 1, revision_before  # the last written record and its revision
         self.durable_record, self.durable_revision = first_record - 1, revision_before
-        self.offsets: list[tuple[int, int]] = []  # (revision before it, where a frame begins), every STRIDE or so
+        # Sparse index: (revision before a frame, the frame's offset), about every OFFSET_INTERVAL bytes.
+        self.offsets: list[tuple[int, int]] = []
         if file is None:
             file = files.create(self.name)
             file.append([header(LOG_KIND, number)])
@@ -89,24 +95,26 @@
             size = HEADER_SIZE
         self.file, self.written_size, self.durable_size = file, size, size
         self.pending_bytes = 0
+        # While a sync runs: the size, record and revision it makes durable, and the number of records in `unsynced`.
         self.sync_target: tuple[int, int, int, int] | None = None
 
     def set_replayed(self, last: int, revision: int) -> None:
-        """What a recovery found in it."""
+        """Set the last record and revision that a recovery found; both are durable."""
         self.last_record = self.durable_record = last
         self.revision = self.durable_revision = revision
 
     def add(self, record: Record, size: int) -> None:
+        """Buffer a record of about `size` bytes."""
         self.pending.append(record)
         self.pending_bytes += size
 
     @property
     def full(self) -> bool:
-        """Whether what waits is worth a frame of its own."""
+        """True if the buffered records fill a frame."""
         return self.pending_bytes >= self._frame_bytes
 
     def write(self) -> None:
-        """All that waits, in one gathered write. After an `OSError` none of it counts as written."""
+        """Write all buffered records at once. After an `OSError` none of them counts as written."""
         if not self.pending:
             return
         parts: list[bytes] = []
@@ -127,6 +135,7 @@
         self.pending, self.pending_bytes = [], 0
 
     def _split_into_frames(self) -> Iterator[list[Record]]:
+        """Yield the buffered records grouped into frames of about `frame_bytes`."""
         if self.pending_bytes <= 2 * self._frame_bytes:
             yield self.pending
             return
@@ -142,7 +151,7 @@
             yield some
 
     def begin_sync(self) -> File | None:
-        """Write what waits; the file to be synced, which may be done in another thread, None where nothing is new."""
+        """Write the buffered records and return the file to sync, possibly in another thread; None if all is durable."""
         self.write()
         if self.durable_size == self.written_size:
             return None
@@ -150,14 +159,14 @@
         return self.file
 
     def end_sync(self) -> None:
-        """The sync has come back well: what was written when it began is on disk."""
+        """Mark as durable what was written when the sync began; call it after the sync has succeeded."""
         assert self.sync_target is not None
         self.durable_size, self.durable_record, self.durable_revision, count = self.sync_target
         del self.unsynced[:count]
         self.sync_target = None
 
     def replay(self, file: File, size: int) -> tuple[Tail, list[Record]]:
-        """Read an active segment as a crash left it: records up to the last whole frame, and what was torn off."""
+        """Read the active segment after a crash: the records up to the last complete frame, and what was torn off."""
         data = memoryview(file.read(0, size))
         check_header(self.name, bytes(data[:HEADER_SIZE]), LOG_KIND, self.number)
         records: list[Record] = []
@@ -174,17 +183,23 @@
 
 
 def check_sequence(name: str, offset: int, record: Record, number: int, revision: int) -> tuple[int, int]:
-    """The numbers due after `record`, which must have `number` and carry on from `revision`."""
+    """Return the record number and revision expected after `record`. Raises `Corrupt` if `record` itself is out of
+    sequence.
+    """
     if record.number != number:
-        raise Corrupt(name, offset, f"holds record {record.number} where record {number} is due")
+        raise Corrupt(name, offset, f"contains record {record.number}, expected record {number}")
     if record.revision not in (revision, revision + 1):
-        raise Corrupt(name, offset, f"record {number} has revision {record.revision} after revision {revision}")
+        raise Corrupt(
+            name, offset, f"record {number} has revision {record.revision}, which can't follow revision {revision}"
+        )
     return number + 1, record.revision
 
 
 def read_segment(name: str, number: int, file: File, start: int, end: int) -> Iterator[tuple[int, list[Record]]]:
-    """The records of a segment whose frames are known to be whole from `start` to `end`, frame by frame with where
-    each begins, in pieces; `Corrupt` where that is not so."""
+    """Yield the offset and the records of each frame from `start` to `end`, reading the file in pieces.
+
+    All frames in that range must be complete. Raises `Corrupt` otherwise.
+    """
     if start == HEADER_SIZE:
         check_header(name, file.read(0, HEADER_SIZE), LOG_KIND, number)
     data, base = memoryview(b""), start
@@ -197,16 +212,16 @@
             else:
                 need = FRAME_SIZE
             if start + need > end or need <= len(data) - (start - base):
-                raise Corrupt(name, start, "a frame of it fails its checksum")
+                raise Corrupt(name, start, "frame checksum mismatch")
             data, base = memoryview(file.read(start, min(max(READ_BYTES, need), end - start))), start
             if len(data) < min(need, end - start):
-                raise Corrupt(name, start + len(data), "cut short")
+                raise Corrupt(name, start + len(data), f"truncated: expected {end} bytes")
             continue
         yield start, read_records(name, found)
         start = base + found.end
 
 
 def offset_for_revision(offsets: list[tuple[int, int]], revision: int) -> int:
-    """Where to begin reading a segment to see the changes from `revision` on."""
+    """The offset from which a segment must be read to see all changes from `revision` on."""
     i = bisect_right(offsets, (revision - 1, 1 << 62)) - 1
     return offsets[i][1] if i >= 0 else HEADER_SIZE
--- a/rackhub/store/manifest.py
+++ b/rackhub/store/manifest.py
@@ -1,4 +1,4 @@
-"""The one file that says which others count. Replaced whole, by a new file and a rename."""
+"""The manifest: the file that lists all files of the store. It is replaced atomically, by a new file and a rename."""
 
 import msgspec
 
@@ -12,7 +12,9 @@
 
 
 class SegmentInfo(msgspec.Struct, frozen=True, array_like=True):
-    """One closed segment of the log: its first and last record, and the store's revision before and after them."""
+    """A closed log segment: its first and last record, the store's revision before and after them, and its size in
+    bytes.
+    """
 
     number: int
     first_record: int
@@ -23,32 +25,34 @@
 
 
 class Manifest(msgspec.Struct, frozen=True, array_like=True):
-    """All that a recovery goes by besides the active segment. Tables: newest first; segments: oldest first."""
+    """Everything a recovery needs besides the active segment. Tables are listed newest first, segments oldest first."""
 
     next_number: int
-    active_segment: int  # number of the segment that is written to
-    active_first_record: int  # its first record
-    active_revision_before: int  # the store's revision before that
-    active_durable_bytes: int  # of its bytes, so many were on disk when this was written
-    flushed_record: int = 0  # records up to here are in tables
+    active_segment: int  # number of the segment that records are appended to
+    active_first_record: int  # number of its first record
+    active_revision_before: int  # the store's revision before that record
+    active_durable_bytes: int  # durable size of that segment when the manifest was written
+    flushed_record: int = 0  # records up to this number are in tables
     flushed_revision: int = 0
-    floor: int = 0  # history up to here is not in the log
-    clock: int = 0  # the clock when this was written, Unix microseconds
+    floor: int = 0  # history up to this revision is no longer in the log
+    clock: int = 0  # time at which the manifest was written, Unix microseconds
     tables: tuple[TableInfo, ...] = ()
-    retired: tuple[TableInfo, ...] = ()  # what tables were made from, kept in reserve
+    retired: tuple[TableInfo, ...] = ()  # inputs of merged tables, kept for salvage
     segments: tuple[SegmentInfo, ...] = ()
 
 
 def log_name(number: int) -> str:
+    """The name of the log segment `number`."""
     return f"log-{number:010}"
 
 
 def table_name(number: int) -> str:
+    """The name of the table `number`."""
     return f"table-{number:010}"
 
 
 def parse_name(name: str) -> tuple[str, int] | None:
-    """What a file's name says it is: ("log" or "table", number); None where the store gives no such names."""
+    """Return ("log" or "table", number) for the name of such a file, None for all other names."""
     kind, _, digits = name.partition("-")
     if kind in ("log", "table") and len(digits) == 10 and digits.isascii() and digits.isdigit():
         return kind, int(digits)
@@ -56,7 +60,7 @@
 
 
 def install(files: Files, manifest: Manifest) -> None:
-    """Put `manifest` in the place of the one before: a crash leaves the one or the other."""
+    """Replace the manifest atomically: a crash leaves either the old or the new one."""
     payload = encode(manifest)
     file = files.create(NEW_MANIFEST_NAME)
     try:
@@ -69,7 +73,7 @@
 
 
 def load(files: Files) -> Manifest:
-    """The manifest as it is on disk; `Corrupt` or `NewerFormat` where it can't be used."""
+    """Read the manifest. Raises `Corrupt` or `NewerFormat`."""
     file = files.open(MANIFEST_NAME)
     try:
         data = file.read(0, file.size())
@@ -78,8 +82,8 @@
     check_header(MANIFEST_NAME, data, MANIFEST_KIND)
     found = frame_at(memoryview(data), HEADER_SIZE)
     if found is None or found.end != len(data):
-        raise Corrupt(MANIFEST_NAME, HEADER_SIZE, "its contents fail their checksum: cut short or damaged")
+        raise Corrupt(MANIFEST_NAME, HEADER_SIZE, "checksum mismatch: the file is truncated or damaged")
     try:
         return msgspec.msgpack.decode(found.payload, type=Manifest)
     except msgspec.MsgspecError as bad:
-        raise Corrupt(MANIFEST_NAME, HEADER_SIZE, f"its contents can't be read: {bad}") from None
+        raise Corrupt(MANIFEST_NAME, HEADER_SIZE, f"can't be decoded: {bad}") from None
--- a/rackhub/store/memtable.py
+++ b/rackhub/store/memtable.py
@@ -1,7 +1,7 @@
-"""What was written last, in memory until it goes to a table. Pure.
+"""The memtable: the latest writes, in memory until they are written to a table. No I/O.
 
-A key with one version holds its entry itself, one with more a list: most existing one, and a list a key would be an object
-more for the collector to walk over.
+A key with a single version maps to the entry itself, others to a list. Most keys have one version, and a list for each
+would be one more object for the garbage collector to traverse.
 """
 
 from bisect import bisect_left
@@ -11,12 +11,12 @@
 
 from rackhub.store.records import DATA, Entry
 
-KEYS_PER_CHUNK = 256  # keys taken from the sorted list at once, so that a reader stands changes between
-UNSORTED_LIMIT = 512  # new keys that wait to be sorted in: all at once they would hold a turn of the loop
+KEYS_PER_CHUNK = 256  # keys that a scan copies from the sorted list at once, so that writes may happen in between
+UNSORTED_LIMIT = 512  # new keys that are collected before they are sorted in; many more would block the event loop
 
 
 class Memtable:
-    """All versions of the keys written since it began, oldest first a key. `low`, `high`: numbers of its records."""
+    """All versions, oldest first, of the keys in the records from `first_record` to `last_record`."""
 
     def __init__(self, first_record: int):
         self.first_record, self.last_record, self.revision, self.bytes, self.count = (
@@ -29,10 +29,10 @@
         self._versions: dict[bytes, Entry | list[Entry]] = {}
         self._readers = 0
         self._sorted: SortedList = SortedList()
-        self._unsorted: list[bytes] = []  # keys not in `_sorted` yet
+        self._unsorted: list[bytes] = []  # keys that are not in `_sorted` yet
 
     def add(self, number: int, revision: int, entries: list[Entry], size: int) -> None:
-        """Take in one record of `size` bytes. The store's own keys keep their latest version alone."""
+        """Add one record of about `size` bytes. Of internal keys only the latest version is kept."""
         versions = self._versions
         for entry in entries:
             key = entry.key
@@ -58,7 +58,7 @@
         self._unsorted.clear()
 
     def find(self, key: bytes, at: int) -> Entry | None:
-        """The newest version up to `at`."""
+        """Return the newest version up to `at`, or None."""
         existing = self._versions.get(key)
         if type(existing) is not list:
             return existing if existing is not None and existing.sequence <= at else None  # type: ignore[union-attr,return-value]
@@ -68,7 +68,7 @@
         return existing[i - 1] if i else None
 
     def scan(self, start: bytes, end: bytes | None) -> Iterator[Entry]:
-        """From `start` to before `end` in order of key, newest first; writes meanwhile are seen or not."""
+        """Yield entries from `start` to before `end` by key, newest first. Concurrent writes may or may not be seen."""
         self._readers += 1
         try:
             at, inclusive = start, True
@@ -92,8 +92,10 @@
             self._readers -= 1
 
     def release_in_steps(self) -> Iterator[None]:
-        """Free it bit by bit, once nobody has use for it: all at once would hold a turn. A reader in the middle of
-        it keeps it whole, and frees it in the end."""
+        """Free the memory in steps, as freeing a large memtable at once would block the event loop.
+
+        Does nothing while a scan is open: the memory is then freed with the last reference.
+        """
         while self._versions and not self._readers:
             for _ in range(min(UNSORTED_LIMIT, len(self._versions))):
                 self._versions.popitem()
--- a/rackhub/store/options.py
+++ b/rackhub/store/options.py
@@ -1,4 +1,4 @@
-"""How a store is set up: one type, also the `[store]` part of the operator's file. Sizes are bytes, times in us."""
+"""Options of a store, also used for the `[store]` table of the operator's file."""
 
 from typing import Literal
 
@@ -8,19 +8,27 @@
 
 
 class Options(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """`contract`: `always` a commit is on disk when it returns; `group` the commits of one turn share one sync, and
-    are acknowledged after it; `none` acknowledged when written, lost with the machine's power."""
+    """Options of a store. Sizes in bytes, times in microseconds.
+
+    `contract` is the durability contract. `always`: a commit is on disk when it returns. `group`: the commits of one
+    event-loop iteration share a sync and are acknowledged after it. `none`: commits are acknowledged when written, and
+    lost in a power failure.
+    """
 
     contract: Literal["always", "group", "none"] = "group"
-    memtable_bytes: int = 4 * MIB  # in memory before it goes to a table; also what a recovery replays at most, twice
-    block_bytes: int = 4 * KIB  # of a table, read and checked as one
-    cache_bytes: int = 8 * MIB  # of decoded blocks
-    batch_bytes: int = 64 * MIB  # one commit
-    frame_bytes: int = MIB  # commits written under one checksum
-    slice_us: int = 2_000  # compaction in one turn; a step that has begun ends, so under 5 ms is kept
-    runs: int = 4  # tables of one size before they are merged into one of the next
-    reserve: bool = True  # keep what a table was made from until that table is merged itself: one file may be lost
-    retain_revisions: int = 0  # compact by itself to so many revisions of history; 0: keep all
+    memtable_bytes: int = 4 * MIB  # size at which a memtable is written out; a recovery replays at most twice as much
+    block_bytes: int = 4 * KIB  # size of a table's blocks, the unit of reads and checksums
+    cache_bytes: int = 8 * MIB  # capacity of the cache of decoded blocks
+    batch_bytes: int = 64 * MIB  # maximum size of a commit
+    frame_bytes: int = MIB  # commits are grouped into log frames of this size
+    slice_us: int = (
+        2_000  # background work per event-loop iteration; a started step is finished, which takes less than 5 ms in all
+    )
+    runs: int = 4  # tables of one size tier that are merged into one of the next tier
+    reserve: bool = (
+        True  # keep the inputs of a merged table until it is merged itself, so that any one file may be lost
+    )
+    retain_revisions: int = 0  # compact automatically to so many revisions of history; 0: keep all
 
     def __post_init__(self) -> None:
         for name, least, most in (
@@ -34,4 +42,4 @@
             ("retain_revisions", 0, 1 << 62),
         ):
             if not least <= getattr(self, name) <= most:
-                raise ValueError(f"{name} is {getattr(self, name)}: from {least} to {most} is needed")
+                raise ValueError(f"{name} is {getattr(self, name)}: must be from {least} to {most}")
--- a/rackhub/store/plan.py
+++ b/rackhub/store/plan.py
@@ -1,4 +1,4 @@
-"""What a store decides, without touching a disk: what to merge, what may go, how to recover, what can be saved."""
+"""The store's decisions, without I/O: which tables to merge, which files to drop, how to recover, what to salvage."""
 
 import math
 from collections.abc import Mapping, Sequence
@@ -17,20 +17,20 @@
 )
 from rackhub.store.table import QUANTILES, TableInfo
 
-STALE_FRACTION = 0.5  # of a table's entries that nobody can read any more, before it is rewritten for that alone
-MIN_STALE_ENTRIES = 256  # entries, under which that is not worth a file
+STALE_FRACTION = 0.5  # minimum fraction of unreadable entries for which a table is rewritten by itself
+MIN_STALE_ENTRIES = 256  # minimum number of replaced entries for which a table is rewritten by itself
 
 
-# ---- what to merge
+# ---- merges
 
 
 def size_tier(size: int, base: int, runs: int) -> int:
-    """Which size class a table is in: each holds tables up to `runs` times the one below."""
+    """The size tier of a table: each tier holds tables up to `runs` times as large as the one below."""
     return max(0, math.ceil(math.log(max(size, 1) / base, runs))) if size > base else 0
 
 
 def stale_fraction(table: TableInfo, floor: int) -> float:
-    """The part of a table's entries that were replaced inside it by revisions up to `floor`."""
+    """The estimated fraction of a table's entries that were replaced in the same table by revisions up to `floor`."""
     if not table.stale_quantiles or not table.entries:
         return 0.0
     readable = sum(1 for by in table.stale_quantiles if by > floor)
@@ -38,9 +38,10 @@
 
 
 def choose_merge(tables: Sequence[TableInfo], base: int, runs: int, floor: int) -> tuple[int, int] | None:
-    """Which of `tables` (newest first) to merge next, as a half-open range of places; None: leave them.
+    """Return the next tables to merge as a half-open range of positions in `tables` (newest first), or None.
 
-    Neighbours only, so that every table holds an unbroken record_range of records, which reads and recovery rely on.
+    Only neighbours are merged, so that every table holds a contiguous range of records; reads and recovery rely on
+    that.
     """
     classes = [size_tier(table.size, base, runs) for table in tables]
     for level in sorted(set(classes)):
@@ -49,11 +50,11 @@
             end = start
             while end < len(tables) and classes[end] <= level:
                 end += 1
-            if classes[start:end].count(level) >= runs:  # smaller ones in between go along, and do not count
+            if classes[start:end].count(level) >= runs:  # smaller tables in between are merged too, but do not count
                 return start, end
             start = max(end, start + 1)
     for i, table in enumerate(tables):
-        # a table that was made with this floor already holds what it must: rewriting it would give it again
+        # A table written with this floor contains no unneeded versions: rewriting it would give the same table.
         if (
             table.floor < floor
             and table.stale_count >= MIN_STALE_ENTRIES
@@ -63,14 +64,14 @@
     return None
 
 
-# ---- what may go
+# ---- obsolete files
 
 
 def without_unneeded_files(manifest: Manifest, floor: int, reserve: bool) -> Manifest:
-    """The manifest less the closed segments and the retired tables that nothing needs any more.
+    """Return the manifest without the closed segments and retired tables that are no longer needed.
 
-    A segment is needed while a record of it is in no table, while its history can be asked for, and, in reserve,
-    while a table that came straight from the log may have come from it.
+    A segment is needed while any of its records is in no table, while its history can be read, and, with `reserve`,
+    while a table written directly from the log may be based on it.
     """
     from_log = [table for table in manifest.tables if not table.sources] if reserve else []
     segments = [
@@ -83,7 +84,7 @@
             for table in from_log
         )
     ]
-    # history must stay in one piece: nothing before a segment that goes can be asked for
+    # History must stay contiguous: nothing before a dropped segment can be read.
     gone = [segment for segment in manifest.segments if segment not in segments]
     lost = max((segment.revision for segment in gone), default=manifest.floor)
     wanted = {number for table in manifest.tables for number in table.sources} if reserve else set()
@@ -92,36 +93,39 @@
 
 
 def listed_files(manifest: Manifest) -> set[str]:
-    """All files that a manifest names, itself among them."""
+    """The names of all files that a manifest lists, and of the manifest itself."""
     tables = (table_name(table.number) for table in (*manifest.tables, *manifest.retired))
     logs = (log_name(number) for number in (*(s.number for s in manifest.segments), manifest.active_segment))
     return {MANIFEST_NAME, *tables, *logs}
 
 
-# ---- how to recover
+# ---- recovery
 
 
 class RecoveryPlan(msgspec.Struct, frozen=True):
-    """What an opening does once the files it goes by are seen to be there."""
+    """The steps of a recovery, after checking that the listed files exist."""
 
     replay: tuple[SegmentInfo, ...]  # closed segments with records that are in no table
-    remove: tuple[str, ...]  # half-made or done-with files
-    unknown_files: tuple[str, ...]  # names that a store never gives: left alone
-    later_segments: tuple[int, ...]  # logs after the active one: looked into before they are removed
+    remove: tuple[str, ...]  # incomplete or obsolete files
+    unknown_files: tuple[str, ...]  # names that no store creates; left alone
+    later_segments: tuple[int, ...]  # segments after the active one; checked before they are removed
 
 
 def plan_recovery(manifest: Manifest, sizes: Mapping[str, int]) -> RecoveryPlan:
-    """How to recover by `manifest` where the directory holds files of `sizes`. `Corrupt` where a file that it names
-    is not there or has not the size it was closed with: no crash does that, so nothing is guessed."""
+    """Plan the recovery of a directory with files of these `sizes`.
+
+    Raises `Corrupt` if a listed file is missing or does not have the size it was closed with: no crash causes that, so
+    no repair is attempted.
+    """
     for table in manifest.tables:
         _check_file_size(table_name(table.number), table.size, sizes)
     for segment in manifest.segments:
         _check_file_size(log_name(segment.number), segment.size, sizes)
     active = log_name(manifest.active_segment)
     if active not in sizes:
-        raise Corrupt(active, 0, "the manifest names it and it is not there")
+        raise Corrupt(active, 0, "listed in the manifest, but missing")
     if sizes[active] < manifest.active_durable_bytes:
-        raise Corrupt(active, sizes[active], f"cut short: {manifest.active_durable_bytes} bytes of it were on disk")
+        raise Corrupt(active, sizes[active], f"truncated: {manifest.active_durable_bytes} bytes were durable")
     known, remove, unknown_files, later = listed_files(manifest), [], [], []
     for name in sorted(sizes):
         parsed = parse_name(name)
@@ -143,16 +147,16 @@
 
 def _check_file_size(name: str, size: int, sizes: Mapping[str, int]) -> None:
     if name not in sizes:
-        raise Corrupt(name, 0, "the manifest names it and it is not there")
+        raise Corrupt(name, 0, "listed in the manifest, but missing")
     if sizes[name] != size:
-        raise Corrupt(name, min(sizes[name], size), f"has {sizes[name]} bytes; it was closed with {size}")
+        raise Corrupt(name, min(sizes[name], size), f"has {sizes[name]} bytes, but was closed with {size}")
 
 
-# ---- what can be saved
+# ---- salvage
 
 
 class RecordRange(msgspec.Struct, frozen=True):
-    """Records in a continued that were found whole in one log: numbers, and the revisions before and after them."""
+    """Consecutive intact records of one log: their numbers, and the revisions before and after them."""
 
     log: int
     first_record: int
@@ -162,25 +166,23 @@
 
 
 class SalvagePlan(msgspec.Struct, frozen=True):
-    """What of a damaged store is provably whole: the state after `last_record`, a prefix of all that was written."""
+    """The intact part of a damaged store: the state after `last_record`, which is a prefix of all that was written."""
 
-    tables: tuple[TableInfo, ...]  # newest first, an unbroken continued from the first record
-    logs: tuple[
-        RecordRange, ...
-    ]  # oldest first, unbroken, up to `last_record`; those before the tables' end are history
+    tables: tuple[TableInfo, ...]  # newest first; together a contiguous range from the first record
+    logs: tuple[RecordRange, ...]  # oldest first, contiguous, up to `last_record`; records also in tables are history
     last_record: int
     revision: int
-    floor: int  # history up to here could not be saved
-    skipped: tuple[RecordRange, ...]  # whole records after a gap: not a prefix, so not taken
+    floor: int  # history up to this revision is lost
+    skipped: tuple[RecordRange, ...]  # intact records after a gap: not part of the prefix, so not salvaged
 
 
 def plan_salvage(tables: Sequence[TableInfo], ranges: Sequence[RecordRange]) -> SalvagePlan:
-    """Choose among tables and log ranges that were read whole. Needs no manifest.
+    """Choose among the intact tables and log ranges. Needs no manifest.
 
-    Every table holds an unbroken continued of records, and tables' rows nest or follow one another. So tables are strung
-    together from record 1, at each step the one that reaches furthest (the latest made of those that reach alike, as
-    it has dropped more), and the logs carry on from there. A retired table inside a chosen one's continued is passed over:
-    it may hold what a merge dropped together with its deletion.
+    Every table holds a contiguous range of records, and the ranges of two tables are nested or disjoint. Starting from
+    record 1, the table that extends furthest is chosen at each step (of several, the one written last, which has
+    dropped most); the logs continue after the last table. A retired table inside the range of a chosen one is not used:
+    it may contain entries that a merge dropped together with their deletion.
     """
     chosen: list[TableInfo] = []
     end, revision = 0, 0
@@ -199,7 +201,7 @@
             continue
         continued.append(record_range)
         end, revision = record_range.last_record, record_range.revision
-    # history: backwards from where the continued begins, as far as it is unbroken
+    # Extend the history backwards for as long as the ranges are contiguous.
     begin = min((record_range.first_record for record_range in continued), default=flushed + 1)
     before = continued[0].revision_before if continued else revision
     history: list[RecordRange] = []
@@ -208,9 +210,9 @@
             continue
         history.insert(0, record_range)
         begin, before = record_range.first_record, record_range.revision_before
-    if not chosen and begin > 1:  # the tables' part is gone, and the logs do not go back to the first record
+    if not chosen and begin > 1:  # no table is usable, and the logs do not reach back to the first record
         return SalvagePlan((), (), 0, 0, 0, tuple(ranges))
     left = tuple(record_range for record_range in ordered if record_range.first_record > end)
-    # a merge may have gone by a compaction whose own record is among what could not be saved
+    # A merge may have applied a compaction whose own record is lost.
     floor = max([before if begin > 1 else 0, *(table.floor for table in chosen)])
     return SalvagePlan(tuple(chosen), (*history, *continued), end, revision, min(floor, revision), left)
--- a/rackhub/store/records.py
+++ b/rackhub/store/records.py
@@ -1,21 +1,22 @@
-"""The types that the store keeps. One `Entry` is what the log records, the memory table holds and a table stores.
+"""The stored types. An `Entry` is what the log records, a memtable holds and a table stores.
 
-Keys on disk begin with one byte that tells what they are: DATA for the user's keys, ordered among themselves by the
-revision of each version; the others are the store's own, of which only the latest counts, ordered by the number of
-the record that wrote them.
+The first byte of a stored key is its kind. DATA keys are the user's; their versions are ordered by revision. All other
+kinds are internal to the store: only their latest version counts, and versions are ordered by record number.
 """
 
 from collections.abc import Iterable, Iterator
 
 import msgspec
 
-LEASED_KEY, DATA, LEASE, META = b"a", b"k", b"l", b"m"  # a: lease and key; l: lease; m: the store's own
+LEASED_KEY, DATA, LEASE, META = b"a", b"k", b"l", b"m"  # a: lease id and key; l: lease id; m: metadata
 COMPACTED = META + b"compacted"
 MAX_REVISION = (1 << 63) - 1
 
 
 class Entry(msgspec.Struct, array_like=True, gc=False):
-    """One version of one key. `value` None: deleted. `order`: revision of a DATA key, else the record's number."""
+    """One version of a key. `value` None: deleted. `sequence`: the revision for DATA keys, the record number for
+    others.
+    """
 
     key: bytes
     sequence: int
@@ -26,7 +27,10 @@
 
 
 class Record(msgspec.Struct, array_like=True, gc=False):
-    """What one commit wrote. Numbered without gaps; `revision` is the store's after it. `at`: Unix microseconds."""
+    """One commit in the log. Record numbers have no gaps; `revision` is the store's after the commit.
+
+    `timestamp`: Unix microseconds.
+    """
 
     number: int
     revision: int
@@ -35,18 +39,18 @@
 
 
 class KeyValue(msgspec.Struct, frozen=True, gc=False):
-    """One version of a key, in the words of etcd's published API."""
+    """One version of a key, with the field names of etcd's API."""
 
     key: bytes
     value: bytes
     create_revision: int
     mod_revision: int
-    version: int  # 1 with its creation, one more with each change
+    version: int  # 1 when the key is created, incremented by each change
     lease: int = 0
 
 
 class Change(msgspec.Struct, frozen=True, gc=False):
-    """One change of one revision; `now` None: deleted."""
+    """One changed key of one revision. `now` None: the key was deleted."""
 
     revision: int
     key: bytes
@@ -54,37 +58,40 @@
 
 
 class LeaseTerms(msgspec.Struct, array_like=True, gc=False):
-    """What is kept of a lease: its length and the Unix microsecond at which it ends unless kept alive."""
+    """The stored part of a lease: its ttl in microseconds, and the Unix microsecond at which it ends unless renewed."""
 
     ttl: int
     deadline: int
 
 
 def key_value(entry: Entry) -> KeyValue:
-    """The user's view of an entry that is not a deletion."""
+    """Convert an entry that is not a deletion to the type of the interface."""
     assert entry.value is not None
     return KeyValue(entry.key[1:], entry.value, entry.create_revision, entry.sequence, entry.version, entry.lease)
 
 
 def entry_size(entry: Entry) -> int:
-    """Bytes that an entry takes, near enough to plan by."""
+    """Approximate size of an entry in bytes."""
     return len(entry.key) + (len(entry.value) if entry.value else 0) + 24
 
 
 def record_size(record: Record) -> int:
-    """Bytes that a record takes, as a batch counts them."""
+    """Approximate size of a record in bytes, counted as `Batch.size` does."""
     return sum(entry_size(entry) for entry in record.entries)
 
 
-DROPS_PER_PAUSE = 64  # entries dropped in a row before `retained` gives its caller a turn
+DROPS_PER_PAUSE = 64  # entries that `retained` drops before it yields control to its caller
 
 
 def retained(entries: Iterable[Entry], floor: int, bottom: bool) -> Iterator[Entry | None]:
-    """What a merge keeps of entries in order (key, newest first): all versions after `floor`, the newest up to it, and
-    of the store's own keys the newest. With `bottom`, nothing older lies below, so a deletion that nobody can still
-    read past is dropped too. A deletion dropped with older versions below would bring those back.
+    """Filter the sorted entries of a merge (by key, newest first) down to those that must be kept.
+
+    Kept are all versions after `floor`, the newest one up to it, and the newest one of each internal key. `bottom`: no
+    older table remains below the output, so deletions that no later revision needs are dropped too; with older versions
+    below, dropping a deletion would make those visible again.
 
-    Now and then None comes while many are dropped: a hundred thousand old versions of one key must not hold a turn.
+    Yields None after every `DROPS_PER_PAUSE` dropped entries, since dropping a hundred thousand old versions of one key
+    in one go would block the event loop.
     """
     key, newest_seen, dropped = b"", False, 0
     for entry in entries:
@@ -108,10 +115,10 @@
 
 
 def decode_records(payload: bytes | memoryview) -> list[Record]:
-    """The records of one frame's payload; `msgspec.MsgspecError` if it is none."""
+    """Decode the records of a frame. Raises `msgspec.MsgspecError`."""
     return _decode(payload)
 
 
 def decode_entries(payload: bytes | memoryview) -> list[Entry]:
-    """The entries of one block's payload; `msgspec.MsgspecError` if it is none."""
+    """Decode the entries of a block. Raises `msgspec.MsgspecError`."""
     return _decode_entries(payload)
--- a/rackhub/store/salvage.py
+++ b/rackhub/store/salvage.py
@@ -1,4 +1,7 @@
-"""What is whole in a directory, file by file, and a new store made of it. `plan.plan_salvage` decides what is taken."""
+"""Inspects a damaged store file by file, and writes a new store from the intact parts.
+
+`plan.plan_salvage` decides which parts are used.
+"""
 
 from collections.abc import Callable, Iterator
 
@@ -31,11 +34,11 @@
 from rackhub.store.records import DATA, Record, encode
 from rackhub.store.table import BlockCache, Table, TableInfo
 
-FRAME_BYTES = 1_048_576
+FRAME_BYTES = 1_048_576  # bytes that are read or written at once
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """Something wrong in one file."""
+    """A fault in a file, at a byte offset."""
 
     file: str
     offset: int
@@ -43,7 +46,7 @@
 
 
 class LogSurvey(msgspec.Struct, frozen=True):
-    """Rows of whole records in one log with the byte ranges of their frames, and what is wrong with the rest."""
+    """The ranges of intact records in a log with the byte ranges of their frames, and the faults between them."""
 
     ranges: tuple[plan.RecordRange, ...]
     byte_ranges: tuple[tuple[int, int], ...]
@@ -51,7 +54,7 @@
 
 
 class Survey(msgspec.Struct, frozen=True):
-    """All that is whole in a directory."""
+    """The intact parts of a directory, and the faults found."""
 
     tables: dict[str, TableInfo]
     logs: dict[str, LogSurvey]
@@ -59,14 +62,14 @@
 
 
 def inspect_table(name: str, number: int, file: File) -> TableInfo:
-    """What a table holds, every byte of it read; `Corrupt` at the first that is not as it was written."""
+    """Read the whole table and return its description. Raises `Corrupt` at the first mismatch."""
     table = Table(name, number, file, BlockCache(0))
     table.verify()
     return table.info
 
 
 def inspect_log(name: str, number: int, file: File) -> LogSurvey:
-    """Whole records of a log wherever they stand: after a bad place the next marker is looked for."""
+    """Find the intact records of a log; after a damaged frame the search continues at the next marker."""
     data = memoryview(file.read(0, file.size()))
     findings: list[Finding] = []
     try:
@@ -97,7 +100,7 @@
                 )
                 byte_ranges.append((found.start, end))
         if end < len(data):
-            findings.append(Finding(name, end, "no whole frame begins here"))
+            findings.append(Finding(name, end, "no valid frame at this offset"))
             later = next(frames_after(data, end), None)
             if later is None:
                 break
@@ -107,12 +110,12 @@
 
 
 def revision_before(record: Record) -> int:
-    """The store's revision before a record: one that changes keys has a revision of its own."""
+    """The store's revision before a record. Only a record that changes user keys has a revision of its own."""
     return record.revision - any(entry.key[:1] == DATA for entry in record.entries)
 
 
 def survey(files: Files, progress: Callable[[str], None] = lambda name: None) -> Survey:
-    """Read every file of a directory. Raises `NewerFormat`, as a format that is not known can't be judged."""
+    """Read every file of a directory. Raises `NewerFormat`, as files of an unknown format can't be judged."""
     tables: dict[str, TableInfo] = {}
     logs: dict[str, LogSurvey] = {}
     findings: list[Finding] = []
@@ -138,17 +141,20 @@
 
 
 def choose(found: Survey) -> plan.SalvagePlan:
-    """What is taken of it."""
+    """Plan the salvage of a surveyed directory."""
     return plan.plan_salvage(
         list(found.tables.values()), [record_range for log in found.logs.values() for record_range in log.ranges]
     )
 
 
 def write_store(found: Survey, taken: plan.SalvagePlan, source: Files, target: Files, seen: int) -> None:
-    """Make a store of what is `taken`. `target` must be empty; its manifest comes last, so that a half-written one
-    is never taken for a store."""
+    """Write a new store with the contents of `taken`.
+
+    `target` must be empty. Its manifest is written last, so that an incomplete copy is never opened as a store.
+    `seen`: the current time in Unix microseconds.
+    """
     if target.names():
-        raise StoreError("the directory to write to is not empty")
+        raise StoreError("the target directory is not empty")
     for info in taken.tables:
         _copy(source.open(table_name(info.number)), target.create(table_name(info.number)))
     number = max([table.number for table in taken.tables], default=0) + 1
@@ -159,7 +165,7 @@
         else (taken.last_record + 1, taken.revision)
     )
     for record_range in taken.logs:
-        if record_range.last_record < due:  # all of it stands in the one before too
+        if record_range.last_record < due:  # the preceding range contains all of these records
             continue
         segment = _write_segment(found, record_range, source, target, number, due, revision)
         segments.append(segment)
@@ -192,7 +198,7 @@
 def _write_segment(
     found: Survey, record_range: plan.RecordRange, source: Files, target: Files, number: int, due: int, before: int
 ) -> SegmentInfo:
-    """The records of a record_range from `due` on, in a segment of their own."""
+    """Write the records of a range from record `due` on as a segment of their own."""
     name = log_name(record_range.log)
     log = found.logs[name]
     start, end = log.byte_ranges[log.ranges.index(record_range)]
@@ -231,8 +237,10 @@
 def salvage(
     source: Files, target: Files, seen: int, progress: Callable[[str], None] = lambda name: None
 ) -> tuple[Survey, plan.SalvagePlan]:
-    """Read all that is in `source`, write what is provably whole to `target`. What could not be taken is parsed by
-    both results: the findings of the one and what the other has `skipped`."""
+    """Read everything in `source` and write the intact part to `target`.
+
+    The first result lists the faults, the second what was `skipped`. `seen`: the current time in Unix microseconds.
+    """
     found = survey(source, progress)
     taken = choose(found)
     write_store(found, taken, source, target, seen)
@@ -240,8 +248,10 @@
 
 
 def verify(files: Files, progress: Callable[[str], None] = lambda name: None) -> Iterator[Finding]:
-    """Read everything there is and compare it with the manifest, changing nothing. A tail that a crash has torn off
-    is no fault: the next opening cuts it away."""
+    """Read all files and compare them with the manifest, without changing anything.
+
+    A torn tail of the log is no fault: the next opening truncates it.
+    """
     try:
         manifest = load(files)
         sizes = {}
@@ -254,21 +264,21 @@
         yield Finding(bad.file, bad.offset, bad.reason)
         return
     except FileNotFoundError:
-        yield Finding(MANIFEST_NAME, 0, "is not there")
+        yield Finding(MANIFEST_NAME, 0, "missing")
         return
     for number in recovery_plan.later_segments:
         if sizes[log_name(number)] > HEADER_SIZE:
-            yield Finding(log_name(number), HEADER_SIZE, "holds records, and the manifest does not name it")
+            yield Finding(log_name(number), HEADER_SIZE, "contains records, but the manifest does not list it")
     for info in (*manifest.tables, *manifest.retired):
         name = table_name(info.number)
         progress(name)
         try:
             if inspect_table(name, info.number, files.open(name)) != info:
-                yield Finding(name, 0, "is not the table that the manifest names")
+                yield Finding(name, 0, "does not match the table that the manifest lists")
         except Corrupt as bad:
             yield Finding(bad.file, bad.offset, bad.reason)
         except FileNotFoundError:
-            yield Finding(name, 0, "the manifest names it and it is not there")
+            yield Finding(name, 0, "listed in the manifest, but missing")
     due, revision = None, 0
     for segment in manifest.segments:
         name = log_name(segment.number)
@@ -279,10 +289,12 @@
             one = found.ranges[0] if len(found.ranges) == 1 else None
             if one is None or (one.first_record, one.last_record) != (segment.first_record, segment.last_record):
                 yield Finding(
-                    name, HEADER_SIZE, f"does not hold records {segment.first_record} to {segment.last_record}"
+                    name,
+                    HEADER_SIZE,
+                    f"does not contain exactly the records {segment.first_record} to {segment.last_record}",
                 )
         if due is not None and (segment.first_record, segment.revision_before) != (due, revision):
-            yield Finding(name, HEADER_SIZE, f"begins with record {segment.first_record} where {due} is due")
+            yield Finding(name, HEADER_SIZE, f"starts with record {segment.first_record}, expected record {due}")
         due, revision = segment.last_record + 1, segment.revision
     yield from _verify_active(files, manifest)
 
@@ -301,6 +313,6 @@
             end = one.end
         check_tail(name, data, end)
         if end < manifest.active_durable_bytes:
-            raise Corrupt(name, end, f"cut short: {manifest.active_durable_bytes} bytes of it were on disk")
+            raise Corrupt(name, end, f"truncated: {manifest.active_durable_bytes} bytes were durable")
     except Corrupt as bad:
         yield Finding(bad.file, bad.offset, bad.reason)
--- a/rackhub/store/table.py
+++ b/rackhub/store/table.py
@@ -1,7 +1,7 @@
-"""Sorted immutable tables: blocks of entries, then an index of the blocks, a filter of the keys, and a footer.
+"""Sorted tables (SSTables), immutable: blocks of entries, an index of the blocks, a Bloom filter, a footer.
 
-The builder is pure: it is fed entries in order and gives bytes. The reader reads block by block through the port,
-checks each one's sum, and keeps decoded blocks in a cache that all tables of a store share.
+The builder does no I/O: it takes entries in order and returns bytes. The reader reads block by block through the port
+`files`, verifies checksums, and keeps decoded blocks in a cache shared by all tables of a store.
 """
 
 import struct
@@ -19,42 +19,45 @@
 from rackhub.store.framing import FRAME_SIZE, HEADER_SIZE, TABLE_KIND, check_header, frame_at, frame_header, header
 from rackhub.store.records import DATA, Entry, decode_entries, encode, entry_size
 
-_FOOTER = struct.Struct("<QQQII")  # where index, filter and facts begin, a checksum of these, the marker
+_FOOTER = struct.Struct("<QQQII")  # offsets of index, filter and TableInfo, their checksum, marker
 _FOOTER_MARKER = 0x5EA1_7AB1
-Index = tuple[list[tuple[bytes, int]], list[int]]  # places of the blocks' last entries; where blocks begin and end
-QUANTILES = 16
+Index = tuple[list[tuple[bytes, int]], list[int]]  # sort key of each block's last entry; offsets of the block limits
+QUANTILES = 16  # values in `TableInfo.stale_quantiles`
 BLOOM_FALSE_POSITIVE_RATE = 0.01
 
 
 class TableInfo(msgspec.Struct, frozen=True, array_like=True):
-    """What the manifest and the table itself tell of it. It holds all records from the first to the last,
-    less what a merge was free to drop; `sources` are the tables it was made from, none where it came from the log."""
+    """The description of a table, stored in the manifest and in the table itself.
+
+    A table contains all records from the first to the last, except what a merge was allowed to drop. `sources` are the
+    numbers of the tables it was merged from, empty if it was written from a memtable.
+    """
 
     number: int
     first_record: int
     last_record: int
-    revision: int  # the store's after record `last_record`
-    floor: int  # history up to here was compacted away when it was made
+    revision: int  # the store's revision after record `last_record`
+    floor: int  # the compaction floor when the table was written
     entries: int
     size: int
     sources: tuple[int, ...]
-    stale_quantiles: tuple[int, ...]  # quantiles of the revisions by which its older versions were replaced inside it
-    stale_count: int
+    stale_quantiles: tuple[int, ...]  # quantiles of the revisions that replaced older versions in this table
+    stale_count: int  # number of versions that a newer one in the same table replaces
 
 
 def bloom_hash(key: bytes) -> int:
-    """What the filter's library asks for: 128 bits as a signed number, the same in every process."""
+    """The hash that the filter library requires: a signed 128-bit number that is the same in every process."""
     return int(xxh3_128_intdigest(key)) - (1 << 127)
 
 
 class TableBuilder:
-    """Feed `add` in order of key, newest first; write what it and `finish` return."""
+    """Builds a table. Call `add` with entries by key, newest first, and write what it and `finish` return."""
 
     def __init__(self, number: int, expected: int, block_bytes: int):
         self.number, self._block_bytes, self.offset = number, block_bytes, 0
         self._block: list[Entry] = []
         self._block_size = 0
-        self._index: list[tuple[bytes, int]] = []  # the sort_key of each block's last entry
+        self._index: list[tuple[bytes, int]] = []  # the sort key of each block's last entry
         self._offsets: list[int] = []
         self._bloom = Bloom(max(expected, 64), BLOOM_FALSE_POSITIVE_RATE, bloom_hash)
         self._last: Entry | None = None
@@ -63,12 +66,12 @@
         self._stale_count = 0
 
     def file_header(self) -> bytes:
-        """The bytes that go first."""
+        """Start the file; returns its header."""
         self.offset = HEADER_SIZE
         return header(TABLE_KIND, self.number)
 
     def add(self, entry: Entry) -> bytes | None:
-        """A whole block, where this entry filled one."""
+        """Add an entry; returns a block to write if this entry completes one."""
         last = self._last
         if last is None or last.key != entry.key:
             if last is not None and last.key > entry.key:
@@ -86,7 +89,7 @@
         return self._finish_block() if self._block_size >= self._block_bytes else None
 
     def _count_replaced(self, by: int) -> None:
-        """Keep a thinned sample of the revisions that replaced what is stale here."""
+        """Count an older version, and sample the revision that replaced it; the sample is thinned to bound its size."""
         self._stale_count += 1
         self._since_last_sample += 1
         if self._since_last_sample >= self._sample_interval:
@@ -107,7 +110,7 @@
     def finish(
         self, low: int, high: int, revision: int, floor: int, sources: tuple[int, ...]
     ) -> tuple[bytes, TableInfo]:
-        """The rest of the file, and what it holds."""
+        """Return the rest of the file and the table's description."""
         parts = [self._finish_block()] if self._block else []
         section_offsets = [self.offset]
         replaced = sorted(self._replaced)
@@ -123,7 +126,7 @@
         at = self.offset + len(index) + len(bloom)
         info = TableInfo(self.number, low, high, revision, floor, self.entries, 0, sources, stale, self._stale_count)
         facts = encode(info)
-        while True:  # the size is among the facts, and a longer number makes them longer
+        while True:  # the encoded description contains the file size, and its own length depends on it
             size = at + len(facts) + sizes
             info = msgspec.structs.replace(info, size=size)
             if len(encode(info)) == len(facts):
@@ -138,7 +141,7 @@
         return b"".join(parts), info
 
     def open(self, name: str, file: File, cache: "BlockCache", info: TableInfo) -> "Table":
-        """The table just written, without reading its index again, which takes long for a large one."""
+        """Open the table that was just written without reading its index again, which is slow for a large table."""
         table = Table.__new__(Table)
         table.name, table.info, table._file, table._cache, table.open_scans = name, info, file, cache, 0
         table._index, table._offsets, table._bloom = self._index, self._offsets, self._bloom
@@ -146,7 +149,7 @@
 
 
 class BlockCache:
-    """Decoded blocks, those not used for longest dropped first."""
+    """An LRU cache of decoded blocks, limited to `capacity` bytes."""
 
     def __init__(self, capacity: int):
         self._capacity, self._used = capacity, 0
@@ -154,6 +157,7 @@
         self.hits = self.misses = 0
 
     def get(self, key: tuple[int, int]) -> list[Entry] | None:
+        """Return the cached block, or None."""
         found = self._blocks.get(key)
         if found is None:
             self.misses += 1
@@ -163,7 +167,8 @@
         return found[0]
 
     def put(self, key: tuple[int, int], block: list[Entry], size: int) -> None:
-        size += 150 * len(block)  # as objects of the language, near enough
+        """Add a block of `size` encoded bytes. Blocks larger than a quarter of the cache are not cached."""
+        size += 150 * len(block)  # approximate overhead of the Python objects
         if size > self._capacity // 4:
             return
         self._blocks[key] = (block, size)
@@ -178,27 +183,27 @@
 
 
 class Table:
-    """One table, open for reading."""
+    """A table that is open for reading."""
 
     def __init__(self, name: str, number: int, file: File, cache: BlockCache):
-        """`Corrupt` where header, footer, index, filter or facts are not whole."""
+        """Read footer, index, filter and description. Raises `Corrupt` if one of them is damaged."""
         self.name, self._file, self._cache, self.open_scans = name, file, cache, 0
         size = file.size()
         check_header(name, file.read(0, HEADER_SIZE), TABLE_KIND, number)
         if size < HEADER_SIZE + _FOOTER.size:
-            raise Corrupt(name, size, "cut before its footer")
+            raise Corrupt(name, size, "truncated: the footer is missing")
         section_offsets = _FOOTER.unpack(file.read(size - _FOOTER.size, _FOOTER.size))
         if (
             section_offsets[4] != _FOOTER_MARKER
             or crc32c(struct.pack("<QQQ", *section_offsets[:3])) != section_offsets[3]
         ):
-            raise Corrupt(name, size - _FOOTER.size, "its footer fails its checksum: cut short or damaged")
+            raise Corrupt(name, size - _FOOTER.size, "footer checksum mismatch: the file is truncated or damaged")
         tail = memoryview(file.read(section_offsets[0], size - _FOOTER.size - section_offsets[0]))
         parts, at = [], 0
         for _ in range(3):
             found = frame_at(tail, at)
             if found is None:
-                raise Corrupt(name, section_offsets[0] + at, "its index fails its checksum")
+                raise Corrupt(name, section_offsets[0] + at, "index checksum mismatch")
             parts.append(found.payload)
             at = found.end
         try:
@@ -206,29 +211,29 @@
             self.info = msgspec.msgpack.decode(parts[2], type=TableInfo)
             self._bloom = Bloom.load_bytes(bytes(parts[1]), bloom_hash)
         except (msgspec.MsgspecError, ValueError) as bad:
-            raise Corrupt(name, section_offsets[0], f"its index can't be read: {bad}") from None
+            raise Corrupt(name, section_offsets[0], f"index can't be decoded: {bad}") from None
         if self.info.size != size:
-            raise Corrupt(name, size, f"has {size} bytes; it was written with {self.info.size}")
+            raise Corrupt(name, size, f"has {size} bytes, but was written with {self.info.size}")
 
     def block(self, i: int, fill_cache: bool = True) -> list[Entry]:
-        """The entries of block `i`; `Corrupt` if its bytes are not those that were written."""
+        """Return the entries of block `i`. Raises `Corrupt` on a checksum mismatch."""
         cached = self._cache.get((self.info.number, i))
         if cached is not None:
             return cached
         start, end = self._offsets[i], self._offsets[i + 1]
         found = frame_at(memoryview(self._file.read(start, end - start)), 0)
         if found is None or found.end != end - start:
-            raise Corrupt(self.name, start, f"block {i} fails its checksum")
+            raise Corrupt(self.name, start, f"checksum mismatch in block {i}")
         try:
             block = decode_entries(found.payload)
         except msgspec.MsgspecError as bad:
-            raise Corrupt(self.name, start, f"block {i} can't be read: {bad}") from None
+            raise Corrupt(self.name, start, f"block {i} can't be decoded: {bad}") from None
         if fill_cache:
             self._cache.put((self.info.number, i), block, end - start)
         return block
 
     def find(self, key: bytes, at: int) -> Entry | None:
-        """The newest version of `key` up to `at`."""
+        """Return the newest version of `key` up to `at`, or None."""
         if key not in self._bloom:
             return None
         sort_key = (key, -at)
@@ -236,11 +241,13 @@
         if i == len(self._index):
             return None
         block = self.block(i)
-        entry = block[bisect_left(block, sort_key, key=_sort_key)]  # the block's last is at or after the place
+        entry = block[
+            bisect_left(block, sort_key, key=_sort_key)
+        ]  # the position is in range, since the block's last entry does not sort before the key
         return entry if entry.key == key else None
 
     def scan(self, start: bytes = b"", end: bytes | None = None, fill_cache: bool = True) -> Iterator[Entry]:
-        """From `start` to before `end` in order of key, newest first."""
+        """Yield entries from `start` to before `end` by key, newest first."""
         sort_key = (start, -(1 << 64))
         first = bisect_left(self._index, sort_key)
         self.open_scans += 1
@@ -256,12 +263,12 @@
             self.open_scans -= 1
 
     def verify(self) -> int:
-        """Read all of it; the number of entries. `Corrupt` at the first that is not as it was written."""
+        """Read the whole table and return the number of entries. Raises `Corrupt` at the first mismatch."""
         count, last = 0, (b"", 0)
         at = HEADER_SIZE
         for i in range(len(self._index)):
             if self._offsets[i] != at:
-                raise Corrupt(self.name, at, "bytes between blocks")
+                raise Corrupt(self.name, at, "unexpected bytes between blocks")
             at = self._offsets[i + 1]
             block = self.block(i, fill_cache=False)
             for entry in block:
@@ -269,17 +276,18 @@
                 if count and sort_key <= last:
                     raise Corrupt(self.name, self._offsets[i], f"entries out of order in block {i}")
                 if entry.key not in self._bloom:
-                    raise Corrupt(self.name, self._offsets[i], f"the filter misses a key of block {i}")
+                    raise Corrupt(self.name, self._offsets[i], f"a key of block {i} is missing from the Bloom filter")
                 last, count = sort_key, count + 1
         if count != self.info.entries:
-            raise Corrupt(self.name, at, f"holds {count} entries, {self.info.entries} were written")
+            raise Corrupt(self.name, at, f"contains {count} entries, but {self.info.entries} were written")
         return count
 
     def keys_covering(self, offset: int) -> tuple[bytes, bytes]:
-        """The user's keys, from one to before another, whose reading looks at the byte at `offset`."""
+        """Return the range of user keys, end excluded, whose reads access the byte at `offset`."""
         i = min(max(bisect_right(self._offsets, offset) - 1, 0), len(self._index) - 1)
         first, last = self.block(i)[0].key, self._index[i][0]
         return (first[1:] if first[:1] == DATA else b""), (last[1:] + b"\0" if last[:1] == DATA else b"")
 
     def close(self) -> None:
+        """Close the file."""
         self._file.close()
