--- a/rackhub/store/driver.py
+++ b/rackhub/store/driver.py
@@ -88,27 +88,27 @@
 
     def _sync_here(self, file: File) -> OSError | None:
         """Sync in this thread and record the duration. Returns the error, if any."""
-        began, fault = self._now(), None
+        started, fault = self._now(), None
         try:
             file.sync()
-        except OSError as bad:
-            fault = bad
-        self.policy.sync_finished(self._now() - began, self._now())
+        except OSError as error:
+            fault = error
+        self.policy.sync_finished(self._now() - started, self._now())
         return fault
 
     def _sync_in_thread(self, file: File) -> "Deferred[OSError | None]":
         """Sync in the thread pool and record the duration. Fires with the error, or None."""
-        began = self._now()
+        started = self._now()
 
         def sync() -> OSError | None:
             try:
                 file.sync()
-            except OSError as bad:
-                return bad
+            except OSError as error:
+                return error
             return None
 
         def record_duration(fault: OSError | None) -> OSError | None:
-            self.policy.sync_finished(self._now() - began, self._now())
+            self.policy.sync_finished(self._now() - started, self._now())
             return fault
 
         pool = self._reactor.getThreadPool()
@@ -126,28 +126,28 @@
         store = self._store
         if store is None or self._closed:
             return
-        began = self._now()
-        handed: list[Deferred[OSError | None]] = []
+        started = self._now()
+        syncs: list[Deferred[OSError | None]] = []
 
         def sync(file: File) -> bool:
             if self.policy.use_thread(self._now()):
-                handed.append(self._sync_in_thread(file))
+                syncs.append(self._sync_in_thread(file))
                 return False
             fault = self._sync_here(file)
             if fault is not None:
                 raise fault
             return True
 
-        more = store.work(sync=sync)
+        more_work = store.work(sync=sync)
         if store.damage is not None:
             log.error("store: background merges stopped: %s", store.damage)
         if store.fault is not None:
             self._working = False
             return self._retry_later()
-        if handed:
-            handed[0].addBoth(self._work_synced, store)
-        elif more:
-            self._reactor.callLater(self.policy.work_pause(self._now() - began) / 1_000_000, self._work)
+        if syncs:
+            syncs[0].addBoth(self._work_synced, store)
+        elif more_work:
+            self._reactor.callLater(self.policy.work_pause(self._now() - started) / 1_000_000, self._work)
         else:
             self._working = False
 
@@ -164,9 +164,9 @@
         if not self._retrying and not self._closed and self._store is not None:
             self._retrying = True
             self.failures += 1
-            wait = self.policy.next_retry_delay()
-            log.error("store: read-only: %s; next attempt in %.0f s", self._store.fault, wait / 1_000_000)
-            self._reactor.callLater(wait / 1_000_000, self._retry)
+            delay = self.policy.next_retry_delay()
+            log.error("store: read-only: %s; next attempt in %.0f s", self._store.fault, delay / 1_000_000)
+            self._reactor.callLater(delay / 1_000_000, self._retry)
 
     def _retry(self) -> None:
         self._retrying = False
--- a/rackhub/store/driver_policy.py
+++ b/rackhub/store/driver_policy.py
@@ -44,8 +44,8 @@
 
     def next_retry_delay(self) -> int:
         """The time until the next retry of a failed disk; it doubles with each call."""
-        now, self._retry_delay = self._retry_delay, min(self._retry_delay * 2, self.MAX_RETRY_DELAY)
-        return now
+        delay, self._retry_delay = self._retry_delay, min(self._retry_delay * 2, self.MAX_RETRY_DELAY)
+        return delay
 
     def disk_recovered(self) -> None:
         """Reset the retry delay."""
--- a/rackhub/store/engine.py
+++ b/rackhub/store/engine.py
@@ -199,12 +199,12 @@
                 raise Corrupt(name, 0, "does not match the table that the manifest lists")
             self._tables.append(table)
         self._memtable = Memtable(manifest.flushed_record + 1)
-        replayed, seen = 0, manifest.clock
+        replayed, latest_time = 0, manifest.clock
         for segment in recovery_plan.replay:
             for record in self._read_closed_segment(segment):
                 if record.number > manifest.flushed_record:
                     self._memtable.add(record.number, record.revision, record.entries, record_size(record))
-                    replayed, seen = replayed + 1, record.timestamp
+                    replayed, latest_time = replayed + 1, record.timestamp
         name = log_name(manifest.active_segment)
         size = sizes[name]
         self._log = Log(
@@ -217,44 +217,44 @@
             size,
         )
         tail, records = self._log.replay(self._log.file, size)
-        last = records[-1].number if records else manifest.active_first_record - 1
-        if last < manifest.flushed_record:
+        last_record = records[-1].number if records else manifest.active_first_record - 1
+        if last_record < manifest.flushed_record:
             raise Corrupt(
                 name,
                 tail.end,
-                f"truncated: ends with record {last}, but record {manifest.flushed_record} was durable",
+                f"truncated: ends with record {last_record}, but record {manifest.flushed_record} was durable",
             )
         for record in records:
             if record.number > manifest.flushed_record:
                 self._memtable.add(record.number, record.revision, record.entries, record_size(record))
-                replayed, seen = replayed + 1, record.timestamp
+                replayed, latest_time = replayed + 1, record.timestamp
         self._reject_unlisted_segments(recovery_plan.later_segments)
         # From here on files are changed. After a crash at any step, the next opening repeats this recovery.
         if tail.torn_bytes:
             self._log.file.truncate(tail.end)
         self._log.written_size = self._log.durable_size = tail.end
-        self._log.set_replayed(last, records[-1].revision if records else manifest.active_revision_before)
+        self._log.set_replayed(last_record, records[-1].revision if records else manifest.active_revision_before)
         # Records that are served from now on must not be lost; they may be in the page cache only.
         self._log.file.sync()
         removed = (*recovery_plan.remove, *(log_name(number) for number in recovery_plan.later_segments))
-        for gone in removed:
-            self._files.remove(gone)
+        for obsolete_name in removed:
+            self._files.remove(obsolete_name)
         if removed:
             self._files.sync_directory()
-        self._number = last
+        self._number = last_record
         self.revision = max(self._log.revision, manifest.flushed_revision)
         self.recovered = Recovered(replayed, tail.torn_bytes, tail.torn_frames, removed, recovery_plan.unknown_files)
-        self._restore_internal_state(seen)
+        self._restore_internal_state(latest_time)
 
     def _create(self, names: Sequence[str]) -> None:
         """Create a new store. A crash during an earlier creation leaves at most the two files removed here, without
         data.
         """
-        left = {log_name(1), NEW_MANIFEST_NAME}
+        incomplete = {log_name(1), NEW_MANIFEST_NAME}
         for name in names:
-            if name not in left and parse_name(name) or name == log_name(1) and self._size(name) > HEADER_SIZE:
+            if name not in incomplete and parse_name(name) or name == log_name(1) and self._size(name) > HEADER_SIZE:
                 raise Corrupt(MANIFEST_NAME, 0, f"missing, although {name} exists")
-        for name in left.intersection(names):
+        for name in incomplete.intersection(names):
             self._files.remove(name)
         log = Log(self._files, 1, 1, 0, self.options.frame_bytes)
         log.file.close()
@@ -275,21 +275,21 @@
 
     def _read_closed_segment(self, segment: SegmentInfo) -> Iterator[Record]:
         """Yield the records of a closed segment in order. Raises `Corrupt` on gaps."""
-        name, due, revision = log_name(segment.number), segment.first_record, segment.revision_before
+        name, next_record, revision = log_name(segment.number), segment.first_record, segment.revision_before
         file = self._files.open(name)
         try:
-            for start, some in read_segment(name, segment.number, file, HEADER_SIZE, segment.size):
-                for record in some:
-                    due, revision = check_sequence(name, start, record, due, revision)
+            for offset, records in read_segment(name, segment.number, file, HEADER_SIZE, segment.size):
+                for record in records:
+                    next_record, revision = check_sequence(name, offset, record, next_record, revision)
                     yield record
         finally:
             file.close()
-        if due != segment.last_record + 1:
-            raise Corrupt(name, segment.size, f"ends with record {due - 1}, expected {segment.last_record}")
+        if next_record != segment.last_record + 1:
+            raise Corrupt(name, segment.size, f"ends with record {next_record - 1}, expected {segment.last_record}")
 
-    def _restore_internal_state(self, seen: int) -> None:
+    def _restore_internal_state(self, latest_time: int) -> None:
         """Load leases and the compacted revision from the store's internal keys."""
-        self.leases = Leases(seen)
+        self.leases = Leases(latest_time)
         for entry in self._scan_visible(LEASE, LEASE + b"\xff" * 9, NEWEST):
             self.leases.restore(
                 int.from_bytes(entry.key[1:], "big"), msgspec.msgpack.decode(entry.value or b"", type=LeaseTerms)
@@ -368,7 +368,7 @@
 
     def _resolve_deletes(self, batch: Batch, revision: int, entries: list[Entry], put: set[bytes]) -> None:
         """Append the deletions of the batch to `entries`. Raises `BadBatch` for a key that is also put."""
-        gone: set[bytes] = set()
+        deleted: set[bytes] = set()
         for change in batch.changes:
             if isinstance(change, Put):
                 continue
@@ -376,17 +376,17 @@
             if change.end == change.key:
                 end = start + b"\0"
                 found = self._find_latest(start)
-                there: Iterable[Entry] = (found,) if found is not None and found.value is not None else ()
+                existing: Iterable[Entry] = (found,) if found is not None and found.value is not None else ()
             else:
                 end = DATA_END if change.end is None else DATA + change.end
-                there = list(self._scan_visible(start, end, NEWEST))
+                existing = list(self._scan_visible(start, end, NEWEST))
             for key in put:
                 if start <= key < end:
                     raise BadBatch(f"key {key[1:]!r} is both put and deleted in the batch")
-            for entry in there:
-                if entry.key in gone:
+            for entry in existing:
+                if entry.key in deleted:
                     continue
-                gone.add(entry.key)
+                deleted.add(entry.key)
                 entries.append(Entry(entry.key, revision, None))
                 if entry.lease:
                     self._move_lease(entries, entry.key[1:], entry.lease, 0)
@@ -560,9 +560,9 @@
     def _enter_read_only(self, fault: OSError) -> None:
         """Stop writing until `retry`, and report the error to all pending acknowledgements."""
         self._fault, self._background_job, self._idle = fault, None, False
-        waiting, self._pending_acks = self._pending_acks, deque()
-        for _, call in waiting:
-            call(ReadOnly(fault))
+        pending, self._pending_acks = self._pending_acks, deque()
+        for _, callback in pending:
+            callback(ReadOnly(fault))
 
     @property
     def fault(self) -> OSError | None:
@@ -585,16 +585,16 @@
         """
         if self._fault is None:
             return
-        old = self._log
+        log = self._log
         try:
             # After a failed sync the state of these bytes is unknown, and a second sync may wrongly report success.
-            old.file.truncate(old.durable_size)
-            old.file.sync()
+            log.file.truncate(log.durable_size)
+            log.file.sync()
             self._remove_unlisted_files()
-            again = [*old.unsynced, *old.pending]
-            old.last_record, old.revision = old.durable_record, old.durable_revision
-            old.written_size, old.unsynced, old.pending, old.sync_target = old.durable_size, [], [], None
-            old.pending = again  # kept for the next retry if creating the segment fails
+            not_durable = [*log.unsynced, *log.pending]
+            log.last_record, log.revision = log.durable_record, log.durable_revision
+            log.written_size, log.unsynced, log.pending, log.sync_target = log.durable_size, [], [], None
+            log.pending = not_durable  # kept for the next retry if creating the segment fails
             self._start_segment()
             file = self._log.begin_sync()
             if file is not None:
@@ -609,9 +609,9 @@
     def _remove_unlisted_files(self) -> None:
         """Free the space of incomplete and obsolete files."""
         self._obsolete_files.clear()
-        known = plan.listed_files(self._manifest)
+        listed = plan.listed_files(self._manifest)
         for name in self._files.names():
-            if name not in known and (parse_name(name) or name == NEW_MANIFEST_NAME):
+            if name not in listed and (parse_name(name) or name == NEW_MANIFEST_NAME):
                 self._files.remove(name)
 
     def _rotate_if_full(self) -> OSError | None:
@@ -621,7 +621,7 @@
             and self._memtable.last_record >= self._memtable.first_record
         ):
             try:
-                if self._log.durable_size < self._log.written_size:  # possible under the contract `none`; a closed segment must be durable
+                if self._log.durable_size < self._log.written_size:  # under `none`; a closed segment must be durable
                     file = self._log.begin_sync()
                     assert file is not None
                     file.sync()
@@ -670,10 +670,10 @@
         """Replace the manifest and queue the files that it no longer lists for deletion."""
         manifest = msgspec.structs.replace(manifest, clock=self._clock())
         install(self._files, manifest)
-        gone = plan.listed_files(self._manifest) - plan.listed_files(manifest)
+        unlisted = plan.listed_files(self._manifest) - plan.listed_files(manifest)
         self._manifest = manifest
-        self._obsolete_files.extend(sorted(gone))
-        self._idle = self._idle and not gone
+        self._obsolete_files.extend(sorted(unlisted))
+        self._idle = self._idle and not unlisted
 
     # ---- reading
 
@@ -724,7 +724,7 @@
         return self._changes(since)
 
     def _changes(self, since: int) -> Iterator[Change]:
-        last = self.acknowledged_revision
+        last_revision = self.acknowledged_revision
         active, end = self._log, self._log.written_size if self.options.contract == "none" else self._log.durable_size
         segments = [segment for segment in self._manifest.segments if segment.revision >= since]
         for segment in segments:
@@ -736,11 +736,11 @@
             self._segment_readers[name] += 1
             try:
                 start = offset_for_revision(self._segment_offsets.get(segment.number, []), since)
-                yield from self._changes_in(segment.number, file, start, segment.size, since, last)
+                yield from self._changes_in(segment.number, file, start, segment.size, since, last_revision)
             finally:
                 self._segment_readers[name] -= 1
                 file.close()
-        if last >= since and last > active.revision_before:
+        if last_revision >= since and last_revision > active.revision_before:
             try:
                 file = self._files.open(active.name)
             except FileNotFoundError:
@@ -748,17 +748,17 @@
             self._segment_readers[active.name] += 1
             try:
                 yield from self._changes_in(
-                    active.number, file, offset_for_revision(active.offsets, since), end, since, last
+                    active.number, file, offset_for_revision(active.offsets, since), end, since, last_revision
                 )
             finally:
                 self._segment_readers[active.name] -= 1
                 file.close()
 
     @staticmethod
-    def _changes_in(number: int, file: File, start: int, end: int, since: int, last: int) -> Iterator[Change]:
+    def _changes_in(number: int, file: File, start: int, end: int, since: int, last_revision: int) -> Iterator[Change]:
         for _, records in read_segment(log_name(number), number, file, start, end):
             for record in records:
-                if not since <= record.revision <= last:
+                if not since <= record.revision <= last_revision:
                     continue
                 for entry in record.entries:
                     if entry.key[:1] == DATA:
@@ -805,10 +805,10 @@
             memory.scan(start, end) for memory in (self._memtable, *self._immutable_memtables) if memory.count
         ]
         sources += [table.scan(start, end) for table in self._tables]
-        done = b""
+        previous_key = b""
         for entry in sources[0] if len(sources) == 1 else merge_sorted(sources):
-            if entry.sequence <= at and entry.key != done:
-                done = entry.key
+            if entry.sequence <= at and entry.key != previous_key:
+                previous_key = entry.key
                 if entry.value is not None:
                     yield entry
 
@@ -878,10 +878,10 @@
         """Revoke all leases that have expired, and return their ids."""
         self._check_writable()
         self.leases.advance_clock(self._clock())
-        over = self.leases.expired()
-        for id in over:
+        expired = self.leases.expired()
+        for id in expired:
             self.revoke(id, acknowledged)
-        return over
+        return expired
 
     # ---- background work
 
@@ -910,9 +910,9 @@
         if self._fault is not None or self._damage is not None or not self._is_open or self._working_now:
             return False
         self._working_now = True  # an acknowledgement callback may commit and so call this method again
-        until = self._ticks() + (budget or self.options.slice_us)
+        deadline = self._ticks() + (budget or self.options.slice_us)
         try:
-            while self._ticks() < until:
+            while self._ticks() < deadline:
                 if self._background_job is None:
                     self._background_job = self._next_job()
                     if self._background_job is None:
@@ -952,15 +952,15 @@
             return self._flush_memtable(self._immutable_memtables[-1])
         if self._obsolete_files:
             return self._delete_obsolete_file()
-        places = self._choose_merge()
-        if places is not None:
-            return self._merge(*places)
+        positions = self._choose_merge()
+        if positions is not None:
+            return self._merge(*positions)
         return self._collect_garbage() if self._needs_collection() else None
 
     def _flush_memtable(self, memory: Memtable) -> Iterator[File | None]:
         """Write a closed memtable out as the newest table."""
-        floor, first = self._compaction_floor(), not self._tables
-        entries = retained(memory.scan(b"", None), floor, first)
+        floor, is_oldest = self._compaction_floor(), not self._tables
+        entries = retained(memory.scan(b"", None), floor, is_oldest)
         for step in self._write_table(
             entries, memory.count, memory.first_record, memory.last_record, memory.revision, floor, ()
         ):
@@ -989,9 +989,9 @@
         """Merge the tables at positions `start` to before `end`. Newer ones may be added in front meanwhile."""
         inputs = self._tables[start:end]
         infos = tuple(table.info for table in inputs)
-        floor, bottom = self._compaction_floor(), end == len(self._tables)
+        floor, is_oldest = self._compaction_floor(), end == len(self._tables)
         sources = [table.scan(fill_cache=False) for table in inputs]
-        entries = retained(merge_sorted(sources) if len(sources) > 1 else sources[0], floor, bottom)
+        entries = retained(merge_sorted(sources) if len(sources) > 1 else sources[0], floor, is_oldest)
         count = sum(info.entries for info in infos)
         for step in self._write_table(
             entries,
@@ -1004,8 +1004,8 @@
         ):
             if isinstance(step, Table):
                 manifest = self._manifest
-                at = self._tables.index(inputs[0])
-                self._tables[at : at + len(inputs)] = [step]
+                position = self._tables.index(inputs[0])
+                self._tables[position : position + len(inputs)] = [step]
                 sources.clear()
                 for table in inputs:
                     if table.open_scans:
@@ -1029,8 +1029,8 @@
         self,
         entries: Iterator[Entry | None],
         count: int,
-        low: int,
-        high: int,
+        first_record: int,
+        last_record: int,
         revision: int,
         floor: int,
         sources: tuple[int, ...],
@@ -1039,12 +1039,12 @@
 
         The table is returned only once all log records it was made from are durable: no table may be ahead of the log.
         """
-        number, due = self._manifest.next_number, self._number
+        number, required_record = self._manifest.next_number, self._number
         self._manifest = msgspec.structs.replace(self._manifest, next_number=number + 1)
         name = table_name(number)
         file = self._files.create(name)
         builder = TableBuilder(number, count, self.options.block_bytes)
-        parts, unsynced, steps = [builder.file_header()], 0, 0
+        buffers, unsynced, steps = [builder.file_header()], 0, 0
         for entry in entries:
             if entry is None:
                 yield None
@@ -1052,21 +1052,21 @@
             data = builder.add(entry)
             steps += 1
             if data is not None:
-                parts.append(data)
-                file.append(parts)
-                unsynced += sum(map(len, parts))
-                parts = []
+                buffers.append(data)
+                file.append(buffers)
+                unsynced += sum(map(len, buffers))
+                buffers = []
                 yield None
                 if unsynced >= TABLE_SYNC_BYTES:
                     unsynced = 0
                     yield file
             elif not steps % ENTRIES_PER_STEP:
                 yield None
-        rest, info = builder.finish(low, high, revision, floor, sources)
-        file.append([*parts, rest])
+        trailer, info = builder.finish(first_record, last_record, revision, floor, sources)
+        file.append([*buffers, trailer])
         yield file
         self._files.sync_directory()
-        while not self._is_durable(due):
+        while not self._is_durable(required_record):
             if self._syncing:
                 yield None
                 continue
@@ -1105,13 +1105,13 @@
         file = self._files.open(name)
         self._files.remove(name)
         self._obsolete_files.popleft()
-        told = parse_name(name)
-        if told is not None:
-            self._segment_offsets.pop(told[1], None)
+        parsed = parse_name(name)
+        if parsed is not None:
+            self._segment_offsets.pop(parsed[1], None)
         if (
-            told is not None
-            and told[0] == "table"
-            and self._obsolete_tables.pop(told[1], None) is not None
+            parsed is not None
+            and parsed[0] == "table"
+            and self._obsolete_tables.pop(parsed[1], None) is not None
             or self._segment_readers[name]
         ):
             file.close()  # a reader has it open: it is freed when the reader is done
@@ -1162,9 +1162,9 @@
                 )
                 while self._obsolete_files:
                     self._files.remove(self._obsolete_files.popleft())
-            except OSError as bad:
-                fault = bad
-                self._enter_read_only(bad)
+            except OSError as error:
+                fault = error
+                self._enter_read_only(error)
         self._is_open = False
         self._release()
         if fault is not None:
@@ -1236,9 +1236,9 @@
 def merge_sorted(sources: Sequence[Iterator[Entry]]) -> Iterator[Entry]:
     """Merge sources, given newest first, in order of key and from the newest version to the oldest."""
 
-    def ranked(source: Iterator[Entry], rank: int) -> Iterator[tuple[bytes, int, int, Entry]]:
+    def with_rank(source: Iterator[Entry], rank: int) -> Iterator[tuple[bytes, int, int, Entry]]:
         for entry in source:
             yield entry.key, rank, -entry.sequence, entry
 
-    for _, _, _, entry in heapq.merge(*(ranked(source, rank) for rank, source in enumerate(sources))):
+    for _, _, _, entry in heapq.merge(*(with_rank(source, rank) for rank, source in enumerate(sources))):
         yield entry
--- a/rackhub/store/fault_injection.py
+++ b/rackhub/store/fault_injection.py
@@ -95,17 +95,17 @@
 
     def step(self) -> None:
         """Make one random commit, or another change, and sometimes flush."""
-        chance, model, self.now = self.random, self.model, self.now + 1_000
-        kind, state = chance.random(), model.states[-1]
+        random_source, model, self.now = self.random, self.model, self.now + 1_000
+        kind, state = random_source.random(), model.states[-1]
         if kind < 0.04 and state:
             first, last = sorted((self._key(), self._key()))
             gone = {key for key in state if first <= key < last}
             self._commit(Batch().delete_range(first, last), {}, gone)
         elif kind < 0.14 and state:
-            key = chance.choice(sorted(state))
+            key = random_source.choice(sorted(state))
             self._commit(Batch().delete(key), {}, {key})
         elif kind < 0.18:
-            lease = self.store.grant(chance.randrange(1, 400) * 1_000)
+            lease = self.store.grant(random_source.randrange(1, 400) * 1_000)
             key = self._key()
             self._commit(Batch().put(key, b"leased", lease), {key: (b"leased", lease)}, set())
         elif kind < 0.20:
@@ -117,9 +117,9 @@
                 if keys:
                     model.apply({}, keys)
         elif kind < 0.22 and model.revision - self.store.compacted > HISTORY:
-            self.store.compact(model.revision - chance.randrange(HISTORY // 2, HISTORY * 3 // 4))
+            self.store.compact(model.revision - random_source.randrange(HISTORY // 2, HISTORY * 3 // 4))
         elif kind < 0.26:
-            puts = {self._key(): (self._value(), 0) for _ in range(chance.randrange(2, 8))}
+            puts = {self._key(): (self._value(), 0) for _ in range(random_source.randrange(2, 8))}
             batch = Batch()
             for key, (value, _) in puts.items():
                 batch.put(key, value)
@@ -127,7 +127,7 @@
         else:
             key, value = self._key(), self._value()
             self._commit(Batch().put(key, value), {key: (value, 0)}, set())
-        if chance.random() < 0.3:
+        if random_source.random() < 0.3:
             self.store.flush()
 
     def _key(self) -> bytes:
@@ -203,21 +203,21 @@
         if item != state[item.key]:
             return f"at revision {revision} key {item.key!r} is {item!r:.120}"
     leases = {lease.id: sorted(lease.keys) for lease in store.leases if lease.keys}
-    held: dict[int, list[bytes]] = {}
+    attached: dict[int, list[bytes]] = {}
     for item in found:
         if item.lease:
-            held.setdefault(item.lease, []).append(item.key)
-    if leases != held:
+            attached.setdefault(item.lease, []).append(item.key)
+    if leases != attached:
         return f"at revision {revision} the keys of leases differ from those attached"
     if whole_history:
         at = store.compacted
-        past: list[tuple[bytes, KeyValue | None]] = []
+        history: list[tuple[bytes, KeyValue | None]] = []
         for change in store.changes(at + 1) if at < revision else ():
-            past.append((change.key, change.now))
+            history.append((change.key, change.now))
             if not at < change.revision <= revision:
                 return f"the history from {at + 1} to {revision} contains revision {change.revision}"
-        wanted = [made for one in model.changes[at + 1 : store.acknowledged_revision + 1] for made in one]
-        if past != wanted:
+        expected = [change for changes in model.changes[at + 1 : store.acknowledged_revision + 1] for change in changes]
+        if history != expected:
             return f"the history from revision {at + 1} to {revision} differs from what was written"
     return ""
 
@@ -238,9 +238,9 @@
         self._segments: list[dict[str, SegmentInfo]] = []
         for image, acknowledged in self.images:
             store = Store.open("memory", SMALL, files=image.copy_shared(), clock=lambda: START, ticks=lambda: 0)
-            wrong = find_mismatch(store, self.model, acknowledged)
-            if wrong:
-                raise AssertionError(f"undamaged image: {wrong}")
+            mismatch = find_mismatch(store, self.model, acknowledged)
+            if mismatch:
+                raise AssertionError(f"undamaged image: {mismatch}")
             manifest = load(image)
             self._tables.append({table.name: table for table in store._tables})
             self._segments.append({log_name(segment.number): segment for segment in manifest.segments})
@@ -258,19 +258,19 @@
         for i, (image, _) in enumerate(self.images):
             for name in image.names():
                 data = bytes(image.inodes[name].contents)
-                print_ = name.encode() + hashlib.sha256(data).digest()
-                if print_ in seen:
+                fingerprint = name.encode() + hashlib.sha256(data).digest()
+                if fingerprint in seen:
                     continue
-                seen.add(print_)
+                seen.add(fingerprint)
                 for offset in range(len(data)):
                     yield i, name, offset
 
-    def try_cut(self, i: int, name: str, offset: int, tally: TrialResults) -> None:
+    def try_cut(self, i: int, name: str, offset: int, results: TrialResults) -> None:
         """Try the image with one file truncated at `offset`."""
         image, _ = self.images[i]
-        self._try(i, name, offset, image.with_file_cut(name, offset), f"image {i}, {name} cut at {offset}", tally)
+        self._try(i, name, offset, image.with_file_cut(name, offset), f"image {i}, {name} cut at {offset}", results)
 
-    def try_flip(self, i: int, name: str, offset: int, tally: TrialResults) -> None:
+    def try_flip(self, i: int, name: str, offset: int, results: TrialResults) -> None:
         """Try the image with one bit of the byte at `offset` flipped."""
         image, _ = self.images[i]
         self._try(
@@ -279,36 +279,38 @@
             offset,
             image.with_bit_flipped(name, offset, (offset * 7 + 3) % 8),
             f"image {i}, {name} flipped at {offset}",
-            tally,
+            results,
         )
 
-    def _try(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: TrialResults) -> None:
+    def _try(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, results: TrialResults) -> None:
         try:
-            self._open_damaged(i, name, offset, files, what, tally)
-        except Exception as bad:  # damage must be reported as such, not cause other exceptions
-            tally.add_violation(f"{what}: {type(bad).__name__}: {bad}")
+            self._open_damaged(i, name, offset, files, what, results)
+        except Exception as error:  # damage must be reported as such, not cause other exceptions
+            results.add_violation(f"{what}: {type(error).__name__}: {error}")
 
-    def _open_damaged(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: TrialResults) -> None:
+    def _open_damaged(
+        self, i: int, name: str, offset: int, files: MemoryFiles, what: str, results: TrialResults
+    ) -> None:
         """Open the damaged files, and either compare what the damage can affect or salvage them."""
-        tally.tried += 1
+        results.tried += 1
         acknowledged = self.images[i][1]
         try:
             store = Store.open("memory", SMALL, files=files.copy_shared(), clock=lambda: START, ticks=lambda: 0)
-        except StoreError as refused:
-            tally.refused += 1
-            if isinstance(refused, Corrupt) and not refused.file:
-                tally.add_violation(f"{what}: the error names no file")
-            return self._salvage(i, name, files, what, tally)
+        except StoreError as error:
+            results.refused += 1
+            if isinstance(error, Corrupt) and not error.file:
+                results.add_violation(f"{what}: the error names no file")
+            return self._salvage(i, name, files, what, results)
         try:
-            wrong = self._read_damaged_part(store, i, files, name, offset)
+            mismatch = self._read_damaged_part(store, i, files, name, offset)
         except Corrupt:
-            tally.refused += 1
-            return self._salvage(i, name, files, what, tally)
-        tally.recovered += 1
-        tally.unharmed += store.revision >= acknowledged
-        tally.lost_acknowledged = max(tally.lost_acknowledged, acknowledged - store.revision)
-        if wrong:
-            tally.add_violation(f"{what}: {wrong}")
+            results.refused += 1
+            return self._salvage(i, name, files, what, results)
+        results.recovered += 1
+        results.unharmed += store.revision >= acknowledged
+        results.lost_acknowledged = max(results.lost_acknowledged, acknowledged - store.revision)
+        if mismatch:
+            results.add_violation(f"{what}: {mismatch}")
 
     def _read_damaged_part(self, store: Store, i: int, image: MemoryFiles, name: str, offset: int) -> str:
         """Read the part of the damaged file that opening does not read, and describe a mismatch.
@@ -322,54 +324,56 @@
         if table is not None:
             start, end = table.keys_covering(offset)
             found = store.range(start, end)
-            wanted = [item for key, item in sorted(self.model.states[store.revision].items()) if start <= key < end]
-            return "" if found == wanted else f"keys from {start!r} to {end!r} differ from those written"
+            expected = [item for key, item in sorted(self.model.states[store.revision].items()) if start <= key < end]
+            return "" if found == expected else f"keys from {start!r} to {end!r} differ from those written"
         if segment is not None:
             since = max(segment.revision_before, store.compacted) + 1
-            made: dict[int, list[tuple[bytes, KeyValue | None]]] = {}
+            history: dict[int, list[tuple[bytes, KeyValue | None]]] = {}
             for change in store.changes(since) if since <= store.revision else ():
                 if change.revision > segment.revision:
                     break
-                made.setdefault(change.revision, []).append((change.key, change.now))
+                history.setdefault(change.revision, []).append((change.key, change.now))
             for revision in range(since, segment.revision + 1):
-                if made.get(revision, []) != self.model.changes[revision]:
+                if history.get(revision, []) != self.model.changes[revision]:
                     return f"the history of revision {revision} differs from what was written"
             return ""
         if name.startswith("table-"):  # a retired table, which only salvage and verify read
             return "" if isinstance(_survey_file(image, name), str) else "damage to a retired table is not detected"
         return find_mismatch(store, self.model, 0)
 
-    def _salvage(self, i: int, name: str, files: MemoryFiles, what: str, tally: TrialResults) -> None:
+    def _salvage(self, i: int, name: str, files: MemoryFiles, what: str, results: TrialResults) -> None:
         """Check the result of a salvage. Files that are undamaged are not inspected again."""
-        tally.salvaged += 1
-        parts = dict(self._surveys[i])
+        results.salvaged += 1
+        surveys = dict(self._surveys[i])
         if parse_name(name):
-            parts[name] = _survey_file(files, name)
-        tables = {key: part for key, part in parts.items() if isinstance(part, salvage.TableInfo)}
-        logs = {key: part for key, part in parts.items() if isinstance(part, salvage.LogSurvey)}
+            surveys[name] = _survey_file(files, name)
+        tables = {key: part for key, part in surveys.items() if isinstance(part, salvage.TableInfo)}
+        logs = {key: part for key, part in surveys.items() if isinstance(part, salvage.LogSurvey)}
         found = salvage.Survey(tables, logs, ())
         taken = salvage.choose(found)
-        tally.lost_acknowledged = max(tally.lost_acknowledged, self.images[i][1] - taken.revision)
+        results.lost_acknowledged = max(results.lost_acknowledged, self.images[i][1] - taken.revision)
         if taken not in self._written:
-            tally.written_out += 1
+            results.written_out += 1
             target = MemoryFiles()
             try:
                 salvage.write_store(found, taken, files, target, START)
                 store = Store.open("memory", SMALL, files=target, clock=lambda: START, ticks=lambda: 0)
                 self._written[taken] = find_mismatch(store, self.model, taken.revision)
-            except StoreError as bad:
-                self._written[taken] = f"the salvaged store can't be opened: {bad}"
+            except StoreError as error:
+                self._written[taken] = f"the salvaged store can't be opened: {error}"
         if self._written[taken]:
-            tally.add_violation(f"{what}, salvaged: {self._written[taken]}")
+            results.add_violation(f"{what}, salvaged: {self._written[taken]}")
 
 
 def _survey_file(files: MemoryFiles, name: str) -> object:
-    told = parse_name(name)
-    assert told is not None
+    parsed = parse_name(name)
+    assert parsed is not None
     try:
-        return (salvage.inspect_table if told[0] == "table" else salvage.inspect_log)(name, told[1], files.open(name))
-    except StoreError as bad:
-        return str(bad)
+        return (salvage.inspect_table if parsed[0] == "table" else salvage.inspect_log)(
+            name, parsed[1], files.open(name)
+        )
+    except StoreError as error:
+        return str(error)
 
 
 # ---- power cuts and disk errors at each modifying call
@@ -382,55 +386,55 @@
 
     After each cut several of the possible states of the disk are tried.
     """
-    tally = TrialResults()
-    warm = Workload(seed, MemoryFiles(seed))
-    warm.files.ignore_syncs = ignore_syncs
-    warm.run(warm_up_bytes)
-    warm.store.close()
-    image = warm.files.copy()
+    results = TrialResults()
+    warm_up = Workload(seed, MemoryFiles(seed))
+    warm_up.files.ignore_syncs = ignore_syncs
+    warm_up.run(warm_up_bytes)
+    warm_up.store.close()
+    image = warm_up.files.copy()
     n = offset
     while True:
         n += every
         # Each cut gets a run of its own, with the same commits up to the cut.
-        again = Workload.__new__(Workload)
-        again.random, again.options, again.value = random.Random(seed * 1_000 + 1), SMALL, 700
-        again.files, again.now, again.model = image.copy(), warm.now, Model()
-        again.model.states, again.model.changes = list(warm.model.states), list(warm.model.changes)
-        again.acknowledged = again.in_doubt = warm.model.revision
-        again.files.ignore_syncs = ignore_syncs
-        again.files.fail_at = n
+        workload = Workload.__new__(Workload)
+        workload.random, workload.options, workload.value = random.Random(seed * 1_000 + 1), SMALL, 700
+        workload.files, workload.now, workload.model = image.copy(), warm_up.now, Model()
+        workload.model.states, workload.model.changes = list(warm_up.model.states), list(warm_up.model.changes)
+        workload.acknowledged = workload.in_doubt = warm_up.model.revision
+        workload.files.ignore_syncs = ignore_syncs
+        workload.files.fail_at = n
         try:
-            again.open()
+            workload.open()
             for _ in range(steps):
-                again.step()
-            again.store.close()
-            return tally  # the run has fewer calls than `n`
+                workload.step()
+            workload.store.close()
+            return results  # the run has fewer calls than `n`
         except PowerCut:
             pass
-        tally.images += 1
+        results.images += 1
         for attempt in range(STATES_PER_CUT):
-            _recover_through_cuts(again, seed * 31 + n * 7 + attempt, tally, f"seed {seed}, power cut at call {n}")
+            _recover_through_cuts(workload, seed * 31 + n * 7 + attempt, results, f"seed {seed}, power cut at call {n}")
 
 
-def _recover_through_cuts(work: Workload, seed: int, tally: TrialResults, what: str) -> None:
+def _recover_through_cuts(work: Workload, seed: int, results: TrialResults, what: str) -> None:
     """Recover from a power cut while further power cuts interrupt the recovery."""
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     files = work.files.after_power_cut(seed)
-    for round in range(MAX_POWER_CUTS):
-        tally.tried += 1
-        files.fail_at = chance.randrange(1, 8) if round < MAX_POWER_CUTS - 1 else 0
+    for attempt in range(MAX_POWER_CUTS):
+        results.tried += 1
+        files.fail_at = random_source.randrange(1, 8) if attempt < MAX_POWER_CUTS - 1 else 0
         try:
             store = Store.open("memory", SMALL, files=files, clock=lambda: work.now, ticks=lambda: 0)
         except PowerCut:
-            files = files.after_power_cut(chance.randrange(1 << 30))
+            files = files.after_power_cut(random_source.randrange(1 << 30))
             continue
-        except StoreError as bad:
-            return tally.add_violation(f"{what}, recovery {round}: opening failed: {bad}")
-        tally.recovered += 1
+        except StoreError as error:
+            return results.add_violation(f"{what}, recovery {attempt}: opening failed: {error}")
+        results.recovered += 1
         files.fail_at = 0
-        wrong = find_mismatch(store, work.model, work.acknowledged)
-        if wrong:
-            return tally.add_violation(f"{what}, recovery {round}: {wrong}")
+        mismatch = find_mismatch(store, work.model, work.acknowledged)
+        if mismatch:
+            return results.add_violation(f"{what}, recovery {attempt}: {mismatch}")
         # Whatever a recovery has served must survive the next power cut.
         seen = store.revision
         store.close()
@@ -438,21 +442,21 @@
             "memory", SMALL, files=files.after_power_cut(seed + 1), clock=lambda: work.now, ticks=lambda: 0
         )
         if store.revision != seen:
-            tally.add_violation(f"{what}: revision {seen} was served after a recovery, then {store.revision}")
+            results.add_violation(f"{what}: revision {seen} was served after a recovery, then {store.revision}")
         return None
 
 
 def run_disk_faults(seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0) -> TrialResults:
     """Let each modifying call fail, once (EIO) or from then on until the disk is repaired (ENOSPC)."""
-    tally = TrialResults()
+    results = TrialResults()
     n = offset
     while True:
         n += every
         work = Workload(seed, MemoryFiles(seed))
         work.run(warm_up_bytes)
         work.store.flush()
-        files, before = work.files, work.files.steps
-        files.fail_at, files.keep_failing = before + n, n % 2 == 0
+        files, calls_before = work.files, work.files.steps
+        files.fail_at, files.keep_failing = calls_before + n, n % 2 == 0
         files.fault = OSError(28, os.strerror(28)) if n % 2 == 0 else OSError(5, os.strerror(5))
         done = 0
         try:
@@ -460,17 +464,17 @@
                 done += 1
                 work.step()
             if files.steps < files.fail_at:
-                return tally
+                return results
         except ReadOnly:
             work.model.cut(work.store.revision)
-        tally.tried += 1
+        results.tried += 1
         if work.store.info().read_only == "":
             work.store.flush()
         if files.keep_failing:
             try:
                 work.store.retry()
                 work.store.commit(Batch().put(b"k000", b"x"))
-                tally.add_violation(f"seed {seed}: writes are accepted while call {n} still fails")
+                results.add_violation(f"seed {seed}: writes are accepted while call {n} still fails")
             except ReadOnly:
                 pass
         files.fail_at = 0
@@ -479,18 +483,18 @@
             for _ in range(20):
                 work.step()
             work.store.flush()
-        except StoreError as bad:
-            tally.add_violation(f"seed {seed}, call {n} failed: error after the repair: {bad}")
+        except StoreError as error:
+            results.add_violation(f"seed {seed}, call {n} failed: error after the repair: {error}")
             continue
-        wrong = find_mismatch(work.store, work.model, work.model.revision)
-        if not wrong:
+        mismatch = find_mismatch(work.store, work.model, work.model.revision)
+        if not mismatch:
             store = Store.open(
                 "memory", SMALL, files=files.after_power_cut(seed + n), clock=_fixed_clock(work.now), ticks=lambda: 0
             )
-            wrong = find_mismatch(store, work.model, work.acknowledged)
-        tally.recovered += 1
-        if wrong:
-            tally.add_violation(f"seed {seed}, call {n} failed: {wrong}")
+            mismatch = find_mismatch(store, work.model, work.acknowledged)
+        results.recovered += 1
+        if mismatch:
+            results.add_violation(f"seed {seed}, call {n} failed: {mismatch}")
 
 
 def _fixed_clock(now: int) -> Callable[[], int]:
@@ -510,12 +514,12 @@
 
 def _slice(mode: Mode, part: int, parts: int) -> TrialResults:
     assert _trials is not None
-    tally = TrialResults()
+    results = TrialResults()
     trial = _trials.try_cut if mode == "cut" else _trials.try_flip
     for i, (image, name, offset) in enumerate(_trials.positions()):
         if i % parts == part:
-            trial(image, name, offset, tally)
-    return tally
+            trial(image, name, offset, results)
+    return results
 
 
 class Report(msgspec.Struct):
@@ -538,30 +542,30 @@
 ) -> Report:
     """Run all trials of one seed in `workers` processes; 0: one per core."""
     workers = workers or os.cpu_count() or 1
-    here = DamageTrials(seed, log_bytes)
-    files = sum(1 for _ in here.positions())
-    report = Report(seed, log_bytes, files, here.model.revision, {})
-    count = {(i, name) for i, name, _ in here.positions()}
+    trials = DamageTrials(seed, log_bytes)
+    file_bytes = sum(1 for _ in trials.positions())
+    report = Report(seed, log_bytes, file_bytes, trials.model.revision, {})
+    image_files = {(i, name) for i, name, _ in trials.positions()}
     parts = workers * 16
     with ProcessPoolExecutor(workers, get_context("fork"), _begin, (seed, log_bytes)) as pool:
         for mode in modes:
             total = TrialResults()
             if mode in ("cut", "flip"):
-                waiting = [pool.submit(_slice, mode, part, parts) for part in range(parts)]
-                total.images, total.files = len(here.images), len(count)
+                futures = [pool.submit(_slice, mode, part, parts) for part in range(parts)]
+                total.images, total.files = len(trials.images), len(image_files)
             elif mode == "power":
-                waiting = [
+                futures = [
                     pool.submit(run_power_cuts, seed + i // workers, 60_000, 300, workers, i % workers)
                     for i in range(workers * 2)
                 ]
             else:
-                waiting = [
+                futures = [
                     pool.submit(run_disk_faults, seed + i // workers, 60_000, 200, workers, i % workers)
                     for i in range(workers * 2)
                 ]
-            for done, future in enumerate(waiting):
+            for done, future in enumerate(futures):
                 total.add(future.result())
-                progress(mode, done + 1, len(waiting))
+                progress(mode, done + 1, len(futures))
             report.modes[mode] = total
             report.violations += len(total.violations)
     return report
--- a/rackhub/store/files.py
+++ b/rackhub/store/files.py
@@ -73,12 +73,12 @@
     def append(self, parts: Sequence[bytes]) -> None:
         """Write all buffers at the end of the file."""
         for i in range(0, len(parts), MAX_WRITE_BUFFERS):
-            some = list(parts[i : i + MAX_WRITE_BUFFERS])
-            left, sent = sum(map(len, some)), os.writev(self._fd, some)
-            if sent < left:  # a short write: interrupted by a signal, or the disk is nearly full
-                rest = memoryview(b"".join(some))[sent:]
-                while rest:
-                    rest = rest[os.write(self._fd, rest) :]
+            buffers = list(parts[i : i + MAX_WRITE_BUFFERS])
+            total, written = sum(map(len, buffers)), os.writev(self._fd, buffers)
+            if written < total:  # a short write: interrupted by a signal, or the disk is nearly full
+                remaining = memoryview(b"".join(buffers))[written:]
+                while remaining:
+                    remaining = remaining[os.write(self._fd, remaining) :]
 
     def read(self, offset: int, size: int) -> bytes:
         """Read up to `size` bytes at `offset`."""
--- a/rackhub/store/framing.py
+++ b/rackhub/store/framing.py
@@ -83,10 +83,10 @@
 
 def frames_after(data: memoryview, start: int) -> Iterator[Frame]:
     """Yield all valid frames after the damaged position `start`, located by their marker."""
-    whole = bytes(data)
-    at = whole.find(MARKER, start + 1)
-    while at >= 0:
-        found = frame_at(data, at)
+    contents = bytes(data)
+    offset = contents.find(MARKER, start + 1)
+    while offset >= 0:
+        found = frame_at(data, offset)
         if found is not None:
             yield found
-        at = whole.find(MARKER, found.end if found is not None else at + 1)
+        offset = contents.find(MARKER, found.end if found is not None else offset + 1)
--- a/rackhub/store/kill.py
+++ b/rackhub/store/kill.py
@@ -101,21 +101,21 @@
 
 def run(path: Path, kills: int, seed: int, progress: Callable[[int, int], None] = lambda done, of: None) -> KillResults:
     """Kill a child `kills` times with one store directory, which must not exist yet."""
-    chance, tally = random.Random(seed), KillResults()
+    random_source, results = random.Random(seed), KillResults()
     acknowledged: dict[int, tuple[bytes, bytes]] = {}
     sent: set[tuple[bytes, bytes]] = set()
     for cycle in range(kills):
-        _run_and_kill(path, chance, cycle, acknowledged, sent)
-        tally.kills += 1
-        _check_store(path, acknowledged, sent, tally)
+        _run_and_kill(path, random_source, cycle, acknowledged, sent)
+        results.kills += 1
+        _check_store(path, acknowledged, sent, results)
         progress(cycle + 1, kills)
-    tally.sent, tally.acknowledged = len(sent), len(acknowledged)
-    return tally
+    results.sent, results.acknowledged = len(sent), len(acknowledged)
+    return results
 
 
 def _run_and_kill(
     path: Path,
-    chance: random.Random,
+    random_source: random.Random,
     cycle: int,
     acknowledged: dict[int, tuple[bytes, bytes]],
     sent: set[tuple[bytes, bytes]],
@@ -127,25 +127,25 @@
         assert child.stdout is not None
         port = int(child.stdout.readline())
         clients = [_Client(port) for _ in range(CONNECTIONS)]
-        made, due = 0, chance.randrange(1, 1_500)
-        with selectors.DefaultSelector() as waiting:
+        write_count, answers_left = 0, random_source.randrange(1, 1_500)
+        with selectors.DefaultSelector() as selector:
             for client in clients:
-                waiting.register(client.socket, selectors.EVENT_READ, client)
-            while due > 0:
+                selector.register(client.socket, selectors.EVENT_READ, client)
+            while answers_left > 0:
                 for client in clients:
                     while len(client.open) < OPEN_REQUESTS:
-                        made += 1
-                        key = b"key-%04d" % chance.randrange(KEYS)
-                        value = b"%d.%d." % (cycle, made) + b"x" * chance.randrange(300)
+                        write_count += 1
+                        key = b"key-%04d" % random_source.randrange(KEYS)
+                        value = b"%d.%d." % (cycle, write_count) + b"x" * random_source.randrange(300)
                         sent.add((key, value))
                         client.send(key, value)
-                ready = waiting.select(ANSWER_TIMEOUT_S)
+                ready = selector.select(ANSWER_TIMEOUT_S)
                 if not ready:
                     raise TimeoutError(f"no answer from the child process within {ANSWER_TIMEOUT_S} s")
                 for which, _ in ready:
                     for revision, key, value in which.data.answers():
                         acknowledged[revision] = (key, value)
-                        due -= 1
+                        answers_left -= 1
         child.send_signal(signal.SIGKILL)
         for client in clients:  # answers that were sent before the kill and are still unread count too
             try:
@@ -164,12 +164,12 @@
 
 
 def _check_store(
-    path: Path, acknowledged: dict[int, tuple[bytes, bytes]], sent: set[tuple[bytes, bytes]], tally: KillResults
+    path: Path, acknowledged: dict[int, tuple[bytes, bytes]], sent: set[tuple[bytes, bytes]], results: KillResults
 ) -> None:
     """Open the store and compare it with what was acknowledged and sent."""
     with Store.open(path, OPTIONS) as store:
-        tally.torn += store.recovered.torn_bytes > 0
-        there = (
+        results.torn += store.recovered.torn_bytes > 0
+        stored = (
             {
                 change.revision: (change.key, change.now.value if change.now else b"")
                 for change in store.changes(store.compacted + 1)
@@ -177,17 +177,21 @@
             if store.compacted < store.revision
             else {}
         )
-        for revision, what in there.items():
-            if what not in sent:
-                tally.found_unsent += 1
-                tally.violations.append(f"kill {tally.kills}: revision {revision} contains a write that was never sent")
-        tally.in_doubt_kept += len(there.keys() - acknowledged.keys())
+        for revision, write in stored.items():
+            if write not in sent:
+                results.found_unsent += 1
+                results.violations.append(
+                    f"kill {results.kills}: revision {revision} contains a write that was never sent"
+                )
+        results.in_doubt_kept += len(stored.keys() - acknowledged.keys())
         newest: dict[bytes, tuple[int, bytes]] = {}
         for revision, (key, value) in acknowledged.items():
-            if revision > store.compacted and there.get(revision) != (key, value):
-                tally.lost += revision not in there
-                tally.changed += revision in there
-                tally.violations.append(f"kill {tally.kills}: acknowledged revision {revision} is missing or changed")
+            if revision > store.compacted and stored.get(revision) != (key, value):
+                results.lost += revision not in stored
+                results.changed += revision in stored
+                results.violations.append(
+                    f"kill {results.kills}: acknowledged revision {revision} is missing or changed"
+                )
             if key not in newest or newest[key][0] < revision:
                 newest[key] = (revision, value)
         for key, (revision, value) in newest.items():
@@ -198,9 +202,9 @@
                 or found.mod_revision == revision
                 and found.value != value
             ):
-                tally.lost += 1
-                tally.violations.append(f"kill {tally.kills}: key {key!r} is older than its acknowledged version")
-    del tally.violations[100:]
+                results.lost += 1
+                results.violations.append(f"kill {results.kills}: key {key!r} is older than its acknowledged version")
+    del results.violations[100:]
 
 
 if __name__ == "__main__":
--- a/rackhub/store/log.py
+++ b/rackhub/store/log.py
@@ -37,8 +37,8 @@
     """Decode a frame with a correct checksum. Raises `Corrupt` if the content is none that a store writes."""
     try:
         return decode_records(found.payload)
-    except msgspec.MsgspecError as bad:
-        raise Corrupt(name, found.start, f"frame can't be decoded: {bad}") from None
+    except msgspec.MsgspecError as error:
+        raise Corrupt(name, found.start, f"frame can't be decoded: {error}") from None
 
 
 def check_tail(name: str, data: memoryview, start: int) -> Tail:
@@ -49,8 +49,8 @@
     """
     torn_frames = 0
     if start < len(data):
-        for found in frames_after(data, start):
-            if found.durable > start:
+        for frame in frames_after(data, start):
+            if frame.durable > start:
                 raise Corrupt(name, start, "damaged: durable bytes fail their checksum, and valid frames follow")
             torn_frames += 1
     return Tail(start, len(data) - start, torn_frames)
@@ -119,18 +119,18 @@
             return
         parts: list[bytes] = []
         offsets: list[tuple[int, int]] = []
-        at, revision = self.written_size, self.revision
-        for some in self._split_into_frames():
-            payload = encode(some)
-            if not (offsets or self.offsets) or at - (offsets or self.offsets)[-1][1] >= OFFSET_INTERVAL:
-                offsets.append((revision, at))
+        offset, revision = self.written_size, self.revision
+        for records in self._split_into_frames():
+            payload = encode(records)
+            if not (offsets or self.offsets) or offset - (offsets or self.offsets)[-1][1] >= OFFSET_INTERVAL:
+                offsets.append((revision, offset))
             parts += (frame_header(payload, min(self.durable_size, 0xFFFF_FFFF)), payload)
-            at += FRAME_SIZE + len(payload)
-            revision = some[-1].revision
+            offset += FRAME_SIZE + len(payload)
+            revision = records[-1].revision
         self.file.append(parts)
         last = self.pending[-1]
         self.offsets += offsets
-        self.written_size, self.last_record, self.revision = at, last.number, last.revision
+        self.written_size, self.last_record, self.revision = offset, last.number, last.revision
         self.unsynced += self.pending
         self.pending, self.pending_bytes = [], 0
 
@@ -139,19 +139,22 @@
         if self.pending_bytes <= 2 * self._frame_bytes:
             yield self.pending
             return
-        some: list[Record] = []
+        records: list[Record] = []
         size = 0
         for record in self.pending:
-            some.append(record)
+            records.append(record)
             size += record_size(record)
             if size >= self._frame_bytes:
-                yield some
-                some, size = [], 0
-        if some:
-            yield some
+                yield records
+                records, size = [], 0
+        if records:
+            yield records
 
     def begin_sync(self) -> File | None:
-        """Write the buffered records and return the file to sync, possibly in another thread; None if all is durable."""
+        """Write the buffered records and return the file to sync, possibly in another thread.
+
+        None if everything is durable.
+        """
         self.write()
         if self.durable_size == self.written_size:
             return None
@@ -170,29 +173,30 @@
         data = memoryview(file.read(0, size))
         check_header(self.name, bytes(data[:HEADER_SIZE]), LOG_KIND, self.number)
         records: list[Record] = []
-        end, number, revision = HEADER_SIZE, self.first_record, self.revision_before
+        end, next_record, revision = HEADER_SIZE, self.first_record, self.revision_before
         for found in frames(data):
-            some = read_records(self.name, found)
+            frame_records = read_records(self.name, found)
             if not self.offsets or found.start - self.offsets[-1][1] >= OFFSET_INTERVAL:
                 self.offsets.append((revision, found.start))
-            for record in some:
-                number, revision = check_sequence(self.name, found.start, record, number, revision)
-            records += some
+            for record in frame_records:
+                next_record, revision = check_sequence(self.name, found.start, record, next_record, revision)
+            records += frame_records
             end = found.end
         return check_tail(self.name, data, end), records
 
 
-def check_sequence(name: str, offset: int, record: Record, number: int, revision: int) -> tuple[int, int]:
-    """Return the record number and revision expected after `record`. Raises `Corrupt` if `record` itself is out of
-    sequence.
+def check_sequence(name: str, offset: int, record: Record, expected: int, revision: int) -> tuple[int, int]:
+    """Return the record number and the revision that may follow `record`.
+
+    Raises `Corrupt` if `record` does not have the `expected` number, or can't follow `revision`.
     """
-    if record.number != number:
-        raise Corrupt(name, offset, f"contains record {record.number}, expected record {number}")
+    if record.number != expected:
+        raise Corrupt(name, offset, f"contains record {record.number}, expected record {expected}")
     if record.revision not in (revision, revision + 1):
         raise Corrupt(
-            name, offset, f"record {number} has revision {record.revision}, which can't follow revision {revision}"
+            name, offset, f"record {expected} has revision {record.revision}, which can't follow revision {revision}"
         )
-    return number + 1, record.revision
+    return expected + 1, record.revision
 
 
 def read_segment(name: str, number: int, file: File, start: int, end: int) -> Iterator[tuple[int, list[Record]]]:
@@ -204,8 +208,8 @@
         check_header(name, file.read(0, HEADER_SIZE), LOG_KIND, number)
     data, base = memoryview(b""), start
     while start < end:
-        found = frame_at(data, start - base)
-        if found is None:
+        frame = frame_at(data, start - base)
+        if frame is None:
             if len(data) - (start - base) >= FRAME_SIZE:
                 length = int.from_bytes(data[start - base + 4 : start - base + 8], "little")
                 need = FRAME_SIZE + length
@@ -217,11 +221,11 @@
             if len(data) < min(need, end - start):
                 raise Corrupt(name, start + len(data), f"truncated: expected {end} bytes")
             continue
-        yield start, read_records(name, found)
-        start = base + found.end
+        yield start, read_records(name, frame)
+        start = base + frame.end
 
 
 def offset_for_revision(offsets: list[tuple[int, int]], revision: int) -> int:
     """The offset from which a segment must be read to see all changes from `revision` on."""
-    i = bisect_right(offsets, (revision - 1, 1 << 62)) - 1
-    return offsets[i][1] if i >= 0 else HEADER_SIZE
+    index = bisect_right(offsets, (revision - 1, 1 << 62)) - 1
+    return offsets[index][1] if index >= 0 else HEADER_SIZE
--- a/rackhub/store/manifest.py
+++ b/rackhub/store/manifest.py
@@ -80,10 +80,10 @@
     finally:
         file.close()
     check_header(MANIFEST_NAME, data, MANIFEST_KIND)
-    found = frame_at(memoryview(data), HEADER_SIZE)
-    if found is None or found.end != len(data):
+    frame = frame_at(memoryview(data), HEADER_SIZE)
+    if frame is None or frame.end != len(data):
         raise Corrupt(MANIFEST_NAME, HEADER_SIZE, "checksum mismatch: the file is truncated or damaged")
     try:
-        return msgspec.msgpack.decode(found.payload, type=Manifest)
-    except msgspec.MsgspecError as bad:
-        raise Corrupt(MANIFEST_NAME, HEADER_SIZE, f"can't be decoded: {bad}") from None
+        return msgspec.msgpack.decode(frame.payload, type=Manifest)
+    except msgspec.MsgspecError as error:
+        raise Corrupt(MANIFEST_NAME, HEADER_SIZE, f"can't be decoded: {error}") from None
--- a/rackhub/store/memory_files.py
+++ b/rackhub/store/memory_files.py
@@ -207,38 +207,38 @@
         Of each file any of the unsynced writes may survive, torn at any byte, with zeros in the gaps between them; of
         the unsynced changes of each name any prefix.
         """
-        chance = random.Random(seed)
+        random_source = random.Random(seed)
         names = dict(self.durable_names)
         by_name: dict[str, list[Inode | None]] = {}
         for name, inode in self._name_changes:
             by_name.setdefault(name, []).append(inode)
         for name, changes in by_name.items():
-            upto = chance.randrange(len(changes) + 1)
-            if upto:
-                last = changes[upto - 1]
+            survivors = random_source.randrange(len(changes) + 1)
+            if survivors:
+                last = changes[survivors - 1]
                 names.pop(name, None)
                 if last is not None:
                     names[name] = last
         return MemoryFiles.from_contents(
-            {name: self._surviving_contents(inode, chance) for name, inode in names.items()}
+            {name: self._surviving_contents(inode, random_source) for name, inode in names.items()}
         )
 
     @staticmethod
-    def _surviving_contents(inode: Inode, chance: random.Random) -> bytes:
+    def _surviving_contents(inode: Inode, random_source: random.Random) -> bytes:
         data = bytearray(inode.durable)
-        in_order = chance.random() < 0.5  # half of the cases keep the order of writes and stop at a random one
-        stop = chance.randrange(len(inode.pending) + 1)
+        in_order = random_source.random() < 0.5  # half of the cases keep the order of writes and stop at a random one
+        stop = random_source.randrange(len(inode.pending) + 1)
         for i, (where, what) in enumerate(inode.pending):
-            if i >= stop if in_order else chance.random() < 0.5:
+            if i >= stop if in_order else random_source.random() < 0.5:
                 if in_order and i == stop and what:
-                    what = what[: chance.randrange(len(what) + 1)]
+                    what = what[: random_source.randrange(len(what) + 1)]
                 else:
                     continue
             if what is None:
                 del data[where:]
                 continue
-            if not in_order and chance.random() < 0.3:
-                what = what[: chance.randrange(len(what) + 1)]
+            if not in_order and random_source.random() < 0.3:
+                what = what[: random_source.randrange(len(what) + 1)]
             if len(data) < where and what:
                 data += bytes(where - len(data))
             data[where : where + len(what)] = what
--- a/rackhub/store/memtable.py
+++ b/rackhub/store/memtable.py
@@ -71,11 +71,11 @@
         """Yield entries from `start` to before `end` by key, newest first. Concurrent writes may or may not be seen."""
         self._readers += 1
         try:
-            at, inclusive = start, True
+            first_key, inclusive = start, True
             while True:
                 self._sort()
                 keys: list[bytes] = []
-                for key in self._sorted.irange(at, end, (inclusive, False)):
+                for key in self._sorted.irange(first_key, end, (inclusive, False)):
                     keys.append(key)
                     if len(keys) == KEYS_PER_CHUNK:
                         break
@@ -87,7 +87,7 @@
                         yield existing
                 if len(keys) < KEYS_PER_CHUNK:
                     return
-                at, inclusive = keys[-1], False
+                first_key, inclusive = keys[-1], False
         finally:
             self._readers -= 1
 
--- a/rackhub/store/plan.py
+++ b/rackhub/store/plan.py
@@ -33,7 +33,7 @@
     """The estimated fraction of a table's entries that were replaced in the same table by revisions up to `floor`."""
     if not table.stale_quantiles or not table.entries:
         return 0.0
-    readable = sum(1 for by in table.stale_quantiles if by > floor)
+    readable = sum(1 for revision in table.stale_quantiles if revision > floor)
     return table.stale_count / table.entries * (1 - readable / QUANTILES)
 
 
@@ -43,14 +43,14 @@
     Only neighbours are merged, so that every table holds a contiguous range of records; reads and recovery rely on
     that.
     """
-    classes = [size_tier(table.size, base, runs) for table in tables]
-    for level in sorted(set(classes)):
+    tiers = [size_tier(table.size, base, runs) for table in tables]
+    for tier in sorted(set(tiers)):
         start = 0
         while start < len(tables):
             end = start
-            while end < len(tables) and classes[end] <= level:
+            while end < len(tables) and tiers[end] <= tier:
                 end += 1
-            if classes[start:end].count(level) >= runs:  # smaller tables in between are merged too, but do not count
+            if tiers[start:end].count(tier) >= runs:  # smaller tables in between are merged too, but do not count
                 return start, end
             start = max(end, start + 1)
     for i, table in enumerate(tables):
@@ -85,11 +85,13 @@
         )
     ]
     # History must stay contiguous: nothing before a dropped segment can be read.
-    gone = [segment for segment in manifest.segments if segment not in segments]
-    lost = max((segment.revision for segment in gone), default=manifest.floor)
-    wanted = {number for table in manifest.tables for number in table.sources} if reserve else set()
-    retired = tuple(table for table in manifest.retired if table.number in wanted)
-    return msgspec.structs.replace(manifest, segments=tuple(segments), retired=retired, floor=max(manifest.floor, lost))
+    dropped = [segment for segment in manifest.segments if segment not in segments]
+    dropped_revision = max((segment.revision for segment in dropped), default=manifest.floor)
+    needed = {number for table in manifest.tables for number in table.sources} if reserve else set()
+    retired = tuple(table for table in manifest.retired if table.number in needed)
+    return msgspec.structs.replace(
+        manifest, segments=tuple(segments), retired=retired, floor=max(manifest.floor, dropped_revision)
+    )
 
 
 def listed_files(manifest: Manifest) -> set[str]:
@@ -126,23 +128,23 @@
         raise Corrupt(active, 0, "listed in the manifest, but missing")
     if sizes[active] < manifest.active_durable_bytes:
         raise Corrupt(active, sizes[active], f"truncated: {manifest.active_durable_bytes} bytes were durable")
-    known, remove, unknown_files, later = listed_files(manifest), [], [], []
+    listed, obsolete, unknown_files, later = listed_files(manifest), [], [], []
     for name in sorted(sizes):
         parsed = parse_name(name)
-        if name in known:
+        if name in listed:
             continue
         if (
             name == NEW_MANIFEST_NAME
             or parsed is not None
             and (parsed[0] == "table" or parsed[1] < manifest.active_segment)
         ):
-            remove.append(name)
+            obsolete.append(name)
         elif parsed is not None:
             later.append(parsed[1])
         else:
             unknown_files.append(name)
     replay = tuple(segment for segment in manifest.segments if segment.last_record > manifest.flushed_record)
-    return RecoveryPlan(replay, tuple(remove), tuple(unknown_files), tuple(later))
+    return RecoveryPlan(replay, tuple(obsolete), tuple(unknown_files), tuple(later))
 
 
 def _check_file_size(name: str, size: int, sizes: Mapping[str, int]) -> None:
@@ -187,10 +189,10 @@
     chosen: list[TableInfo] = []
     end, revision = 0, 0
     while True:
-        fitting = [table for table in tables if table.first_record == end + 1 and table.last_record > end]
-        if not fitting:
+        candidates = [table for table in tables if table.first_record == end + 1 and table.last_record > end]
+        if not candidates:
             break
-        best = max(fitting, key=lambda table: (table.last_record, table.number))
+        best = max(candidates, key=lambda table: (table.last_record, table.number))
         chosen.insert(0, best)
         end, revision = best.last_record, best.revision
     flushed = end
@@ -202,17 +204,21 @@
         continued.append(record_range)
         end, revision = record_range.last_record, record_range.revision
     # Extend the history backwards for as long as the ranges are contiguous.
-    begin = min((record_range.first_record for record_range in continued), default=flushed + 1)
-    before = continued[0].revision_before if continued else revision
+    history_start = min((record_range.first_record for record_range in continued), default=flushed + 1)
+    revision_before = continued[0].revision_before if continued else revision
     history: list[RecordRange] = []
     for record_range in sorted(ranges, key=lambda s: (s.last_record, -s.first_record), reverse=True):
-        if record_range in continued or record_range.first_record >= begin or record_range.last_record < begin - 1:
+        if (
+            record_range in continued
+            or record_range.first_record >= history_start
+            or record_range.last_record < history_start - 1
+        ):
             continue
         history.insert(0, record_range)
-        begin, before = record_range.first_record, record_range.revision_before
-    if not chosen and begin > 1:  # no table is usable, and the logs do not reach back to the first record
+        history_start, revision_before = record_range.first_record, record_range.revision_before
+    if not chosen and history_start > 1:  # no table is usable, and the logs do not reach back to the first record
         return SalvagePlan((), (), 0, 0, 0, tuple(ranges))
-    left = tuple(record_range for record_range in ordered if record_range.first_record > end)
+    skipped = tuple(record_range for record_range in ordered if record_range.first_record > end)
     # A merge may have applied a compaction whose own record is lost.
-    floor = max([before if begin > 1 else 0, *(table.floor for table in chosen)])
-    return SalvagePlan(tuple(chosen), (*history, *continued), end, revision, min(floor, revision), left)
+    floor = max([revision_before if history_start > 1 else 0, *(table.floor for table in chosen)])
+    return SalvagePlan(tuple(chosen), (*history, *continued), end, revision, min(floor, revision), skipped)
--- a/rackhub/store/salvage.py
+++ b/rackhub/store/salvage.py
@@ -76,36 +76,36 @@
         check_header(name, bytes(data[:HEADER_SIZE]), LOG_KIND, number)
     except NewerFormat:
         raise
-    except Corrupt as bad:
-        findings.append(Finding(name, bad.offset, bad.reason))
+    except Corrupt as error:
+        findings.append(Finding(name, error.offset, error.reason))
     ranges: list[plan.RecordRange] = []
     byte_ranges: list[tuple[int, int]] = []
-    at = HEADER_SIZE
-    while at < len(data):
-        end = at
-        for found in frames(data, at):
-            end = found.end
+    offset = HEADER_SIZE
+    while offset < len(data):
+        end = offset
+        for frame in frames(data, offset):
+            end = frame.end
             try:
-                records = read_records(name, found)
-            except Corrupt as bad:
-                findings.append(Finding(name, found.start, bad.reason))
+                records = read_records(name, frame)
+            except Corrupt as error:
+                findings.append(Finding(name, frame.start, error.reason))
                 continue
             first, last = records[0], records[-1]
-            if ranges and byte_ranges[-1][1] == found.start and ranges[-1].last_record + 1 == first.number:
+            if ranges and byte_ranges[-1][1] == frame.start and ranges[-1].last_record + 1 == first.number:
                 ranges[-1] = msgspec.structs.replace(ranges[-1], last_record=last.number, revision=last.revision)
                 byte_ranges[-1] = (byte_ranges[-1][0], end)
             else:
                 ranges.append(
                     plan.RecordRange(number, first.number, last.number, revision_before(first), last.revision)
                 )
-                byte_ranges.append((found.start, end))
+                byte_ranges.append((frame.start, end))
         if end < len(data):
             findings.append(Finding(name, end, "no valid frame at this offset"))
-            later = next(frames_after(data, end), None)
-            if later is None:
+            next_frame = next(frames_after(data, end), None)
+            if next_frame is None:
                 break
-            end = later.start
-        at = end
+            end = next_frame.start
+        offset = end
     return LogSurvey(tuple(ranges), tuple(byte_ranges), tuple(findings))
 
 
@@ -131,10 +131,10 @@
             else:
                 logs[name] = inspect_log(name, parsed[1], file)
                 findings += logs[name].findings
-        except Corrupt as bad:
-            findings.append(Finding(name, bad.offset, bad.reason))
-        except OSError as fault:
-            findings.append(Finding(name, 0, str(fault)))
+        except Corrupt as error:
+            findings.append(Finding(name, error.offset, error.reason))
+        except OSError as error:
+            findings.append(Finding(name, 0, str(error)))
         finally:
             file.close()
     return Survey(tables, logs, tuple(findings))
@@ -159,17 +159,17 @@
         _copy(source.open(table_name(info.number)), target.create(table_name(info.number)))
     number = max([table.number for table in taken.tables], default=0) + 1
     segments: list[SegmentInfo] = []
-    due, revision = (
+    next_record, revision = (
         (taken.logs[0].first_record, taken.logs[0].revision_before)
         if taken.logs
         else (taken.last_record + 1, taken.revision)
     )
     for record_range in taken.logs:
-        if record_range.last_record < due:  # the preceding range contains all of these records
+        if record_range.last_record < next_record:  # the preceding range contains all of these records
             continue
-        segment = _write_segment(found, record_range, source, target, number, due, revision)
+        segment = _write_segment(found, record_range, source, target, number, next_record, revision)
         segments.append(segment)
-        number, due, revision = number + 1, segment.last_record + 1, segment.revision
+        number, next_record, revision = number + 1, segment.last_record + 1, segment.revision
     file = target.create(log_name(number))
     file.append([header(LOG_KIND, number)])
     file.sync()
@@ -196,42 +196,48 @@
 
 
 def _write_segment(
-    found: Survey, record_range: plan.RecordRange, source: Files, target: Files, number: int, due: int, before: int
+    found: Survey,
+    record_range: plan.RecordRange,
+    source: Files,
+    target: Files,
+    number: int,
+    next_record: int,
+    before: int,
 ) -> SegmentInfo:
-    """Write the records of a range from record `due` on as a segment of their own."""
+    """Write the records of a range from record `next_record` on as a segment of their own."""
     name = log_name(record_range.log)
     log = found.logs[name]
     start, end = log.byte_ranges[log.ranges.index(record_range)]
-    parts, size, revision, first = [header(LOG_KIND, number)], HEADER_SIZE, before, due
+    buffers, size, revision, first = [header(LOG_KIND, number)], HEADER_SIZE, before, next_record
     old, file = source.open(name), target.create(log_name(number))
     try:
         data = memoryview(old.read(0, end))
-        for one in frames(data, start):
-            some = [record for record in read_records(name, one) if record.number >= due]
-            if some:
-                payload = encode(some)
-                parts += [frame_header(payload, size), payload]
+        for frame in frames(data, start):
+            records = [record for record in read_records(name, frame) if record.number >= next_record]
+            if records:
+                payload = encode(records)
+                buffers += [frame_header(payload, size), payload]
                 size += FRAME_SIZE + len(payload)
-                due, revision = some[-1].number + 1, some[-1].revision
-            if sum(map(len, parts)) > FRAME_BYTES:
-                file.append(parts)
-                parts = []
-        file.append(parts)
+                next_record, revision = records[-1].number + 1, records[-1].revision
+            if sum(map(len, buffers)) > FRAME_BYTES:
+                file.append(buffers)
+                buffers = []
+        file.append(buffers)
         file.sync()
     finally:
         old.close()
         file.close()
-    return SegmentInfo(number, first, due - 1, before, revision, size)
+    return SegmentInfo(number, first, next_record - 1, before, revision, size)
 
 
-def _copy(old: File, new: File) -> None:
-    at = 0
-    while data := old.read(at, FRAME_BYTES):
-        new.append([data])
-        at += len(data)
-    new.sync()
-    old.close()
-    new.close()
+def _copy(source: File, target: File) -> None:
+    offset = 0
+    while data := source.read(offset, FRAME_BYTES):
+        target.append([data])
+        offset += len(data)
+    target.sync()
+    source.close()
+    target.close()
 
 
 def salvage(
@@ -260,8 +266,8 @@
             sizes[name] = file.size()
             file.close()
         recovery_plan = plan.plan_recovery(manifest, sizes)
-    except Corrupt as bad:
-        yield Finding(bad.file, bad.offset, bad.reason)
+    except Corrupt as error:
+        yield Finding(error.file, error.offset, error.reason)
         return
     except FileNotFoundError:
         yield Finding(MANIFEST_NAME, 0, "missing")
@@ -275,27 +281,32 @@
         try:
             if inspect_table(name, info.number, files.open(name)) != info:
                 yield Finding(name, 0, "does not match the table that the manifest lists")
-        except Corrupt as bad:
-            yield Finding(bad.file, bad.offset, bad.reason)
+        except Corrupt as error:
+            yield Finding(error.file, error.offset, error.reason)
         except FileNotFoundError:
             yield Finding(name, 0, "listed in the manifest, but missing")
-    due, revision = None, 0
+    next_record, revision = None, 0
     for segment in manifest.segments:
         name = log_name(segment.number)
         progress(name)
-        found = inspect_log(name, segment.number, files.open(name))
-        yield from found.findings
-        if not found.findings:
-            one = found.ranges[0] if len(found.ranges) == 1 else None
-            if one is None or (one.first_record, one.last_record) != (segment.first_record, segment.last_record):
+        log_survey = inspect_log(name, segment.number, files.open(name))
+        yield from log_survey.findings
+        if not log_survey.findings:
+            only_range = log_survey.ranges[0] if len(log_survey.ranges) == 1 else None
+            if only_range is None or (only_range.first_record, only_range.last_record) != (
+                segment.first_record,
+                segment.last_record,
+            ):
                 yield Finding(
                     name,
                     HEADER_SIZE,
                     f"does not contain exactly the records {segment.first_record} to {segment.last_record}",
                 )
-        if due is not None and (segment.first_record, segment.revision_before) != (due, revision):
-            yield Finding(name, HEADER_SIZE, f"starts with record {segment.first_record}, expected record {due}")
-        due, revision = segment.last_record + 1, segment.revision
+        if next_record is not None and (segment.first_record, segment.revision_before) != (next_record, revision):
+            yield Finding(
+                name, HEADER_SIZE, f"starts with record {segment.first_record}, expected record {next_record}"
+            )
+        next_record, revision = segment.last_record + 1, segment.revision
     yield from _verify_active(files, manifest)
 
 
@@ -304,15 +315,15 @@
     file = files.open(name)
     data = memoryview(file.read(0, file.size()))
     file.close()
-    end, due, revision = HEADER_SIZE, manifest.active_first_record, manifest.active_revision_before
+    end, next_record, revision = HEADER_SIZE, manifest.active_first_record, manifest.active_revision_before
     try:
         check_header(name, bytes(data[:HEADER_SIZE]), LOG_KIND, manifest.active_segment)
-        for one in frames(data):
-            for record in read_records(name, one):
-                due, revision = check_sequence(name, one.start, record, due, revision)
-            end = one.end
+        for frame in frames(data):
+            for record in read_records(name, frame):
+                next_record, revision = check_sequence(name, frame.start, record, next_record, revision)
+            end = frame.end
         check_tail(name, data, end)
         if end < manifest.active_durable_bytes:
             raise Corrupt(name, end, f"truncated: {manifest.active_durable_bytes} bytes were durable")
-    except Corrupt as bad:
-        yield Finding(bad.file, bad.offset, bad.reason)
+    except Corrupt as error:
+        yield Finding(error.file, error.offset, error.reason)
--- a/rackhub/store/table.py
+++ b/rackhub/store/table.py
@@ -88,13 +88,13 @@
         self.entries += 1
         return self._finish_block() if self._block_size >= self._block_bytes else None
 
-    def _count_replaced(self, by: int) -> None:
+    def _count_replaced(self, revision: int) -> None:
         """Count an older version, and sample the revision that replaced it; the sample is thinned to bound its size."""
         self._stale_count += 1
         self._since_last_sample += 1
         if self._since_last_sample >= self._sample_interval:
             self._since_last_sample = 0
-            self._replaced.append(by)
+            self._replaced.append(revision)
             if len(self._replaced) >= 2_048:
                 self._replaced, self._sample_interval = self._replaced[::2], self._sample_interval * 2
 
@@ -108,10 +108,10 @@
         return data
 
     def finish(
-        self, low: int, high: int, revision: int, floor: int, sources: tuple[int, ...]
+        self, first_record: int, last_record: int, revision: int, floor: int, sources: tuple[int, ...]
     ) -> tuple[bytes, TableInfo]:
         """Return the rest of the file and the table's description."""
-        parts = [self._finish_block()] if self._block else []
+        buffers = [self._finish_block()] if self._block else []
         section_offsets = [self.offset]
         replaced = sorted(self._replaced)
         stale = (
@@ -121,24 +121,26 @@
         )
         self._offsets.append(self.offset)
         index = encode((self._index, self._offsets))
-        sizes = FRAME_SIZE * 3 + _FOOTER.size
+        fixed_size = FRAME_SIZE * 3 + _FOOTER.size
         bloom = self._bloom.save_bytes()
-        at = self.offset + len(index) + len(bloom)
-        info = TableInfo(self.number, low, high, revision, floor, self.entries, 0, sources, stale, self._stale_count)
-        facts = encode(info)
+        size_before = self.offset + len(index) + len(bloom)
+        info = TableInfo(
+            self.number, first_record, last_record, revision, floor, self.entries, 0, sources, stale, self._stale_count
+        )
+        encoded_info = encode(info)
         while True:  # the encoded description contains the file size, and its own length depends on it
-            size = at + len(facts) + sizes
+            size = size_before + len(encoded_info) + fixed_size
             info = msgspec.structs.replace(info, size=size)
-            if len(encode(info)) == len(facts):
+            if len(encode(info)) == len(encoded_info):
                 break
-            facts = encode(info)
-        facts = encode(info)
-        for payload in (index, bloom, facts):
-            parts += [frame_header(payload), payload]
+            encoded_info = encode(info)
+        encoded_info = encode(info)
+        for payload in (index, bloom, encoded_info):
+            buffers += [frame_header(payload), payload]
             section_offsets.append(section_offsets[-1] + FRAME_SIZE + len(payload))
         packed = struct.pack("<QQQ", *section_offsets[:3])
-        parts.append(_FOOTER.pack(*section_offsets[:3], crc32c(packed), _FOOTER_MARKER))
-        return b"".join(parts), info
+        buffers.append(_FOOTER.pack(*section_offsets[:3], crc32c(packed), _FOOTER_MARKER))
+        return b"".join(buffers), info
 
     def open(self, name: str, file: File, cache: "BlockCache", info: TableInfo) -> "Table":
         """Open the table that was just written without reading its index again, which is slow for a large table."""
@@ -237,10 +239,10 @@
         if key not in self._bloom:
             return None
         sort_key = (key, -at)
-        i = bisect_left(self._index, sort_key)
-        if i == len(self._index):
+        index = bisect_left(self._index, sort_key)
+        if index == len(self._index):
             return None
-        block = self.block(i)
+        block = self.block(index)
         entry = block[
             bisect_left(block, sort_key, key=_sort_key)
         ]  # the position is in range, since the block's last entry does not sort before the key
