--- a/rackhub/store/batch.py
+++ b/rackhub/store/batch.py
@@ -32,9 +32,9 @@
     """A condition on one key before the commit. A missing key has the value None, and zero in all other fields."""
 
     key: bytes
-    target: Literal["value", "version", "create_revision", "mod_revision", "lease"] = msgspec.field(name="what")
+    target: Literal["value", "version", "create_revision", "mod_revision", "lease"]
     compare: Literal["=", "!=", "<", ">"]
-    operand: bytes | int | None = msgspec.field(name="to")
+    operand: bytes | int | None
 
     def __post_init__(self) -> None:
         fits = (
@@ -51,14 +51,14 @@
 
     def is_met_by(self, found: KeyValue | None) -> bool:
         """Return whether `found`, the current version of the key or None, meets the condition."""
-        have = getattr(found, self.target) if found is not None else None if self.target == "value" else 0
+        actual = getattr(found, self.target) if found is not None else None if self.target == "value" else 0
         if self.compare == "=":
-            return have == self.operand
+            return actual == self.operand
         if self.compare == "!=":
-            return have != self.operand
-        if have is None:
+            return actual != self.operand
+        if actual is None:
             return False
-        return have < self.operand if self.compare == "<" else have > self.operand  # type: ignore[operator]
+        return actual < self.operand if self.compare == "<" else actual > self.operand  # type: ignore[operator]
 
 
 class Batch:
--- a/rackhub/store/options.py
+++ b/rackhub/store/options.py
@@ -42,4 +42,4 @@
             ("retain_revisions", 0, 1 << 62),
         ):
             if not least <= getattr(self, name) <= most:
-                raise ValueError(f"{name} is {getattr(self, name)}: must be from {least} to {most}")
+                raise ValueError(f"{name} is {getattr(self, name)}: from {least} to {most} is needed")
