--- a/rackhub/store/engine.py
+++ b/rackhub/store/engine.py
@@ -64,7 +64,7 @@
 )
 from rackhub.store.table import BlockCache, Table, TableBuilder, TableInfo
 
-DATA_END = b"l"
+DATA_END = b"l"  # sorts directly after all DATA keys
 NEWEST = MAX_REVISION
 TABLE_SYNC_BYTES = 524_288  # bytes of a new table between syncs: a single sync at its end would block too long
 TRUNCATE_BYTES = 2_097_152  # bytes of a deleted file that are freed in one step
@@ -95,17 +95,17 @@
     """Statistics of a store. Sizes in bytes."""
 
     revision: int
-    compacted: int
-    floor: int
-    records: int
+    compacted: int  # latest compacted revision
+    floor: int  # history up to this revision is no longer in the log
+    records: int  # number of records ever committed
     tables: list[TableInfo]
-    retired: int
+    retired: int  # number of tables kept for salvage only
     segments: int
     log_bytes: int
     table_bytes: int
     memory_entries: int
     leases: int
-    read_only: str
+    read_only: str  # the disk error that made the store read-only, or ""
     recovered: Recovered
 
 
@@ -351,12 +351,12 @@
             if key in changed:
                 raise BadBatch(f"key {change.key!r} is put more than once in the batch")
             changed.add(key)
-            before = self._find_latest(key)
-            if before is not None and before.value is not None:
+            previous = self._find_latest(key)
+            if previous is not None and previous.value is not None:
                 entries.append(
-                    Entry(key, revision, change.value, before.create_revision, before.version + 1, change.lease)
+                    Entry(key, revision, change.value, previous.create_revision, previous.version + 1, change.lease)
                 )
-                old = before.lease
+                old = previous.lease
             else:
                 entries.append(Entry(key, revision, change.value, revision, 1, change.lease))
                 old = 0
@@ -419,8 +419,8 @@
         self.revision = revision
         log, memory = self._log, self._memtable
         memory.add(number, revision, entries, size)
-        waiting = log.pending  # records of one flush share a timestamp
-        log.add(Record(number, revision, waiting[-1].timestamp if waiting else self._clock(), entries), size)
+        pending = log.pending  # records of one flush share a timestamp
+        log.add(Record(number, revision, pending[-1].timestamp if pending else self._clock(), entries), size)
         if has_internal_keys:
             for entry in entries:
                 if entry.key[:1] != DATA:
@@ -492,7 +492,7 @@
         """
         if self._fault is not None or self._syncing or not self._is_open:
             return None
-        before = self._log.written_size
+        size_before = self._log.written_size
         try:
             if self.options.contract == "none" and not sync:
                 self._log.write()
@@ -502,7 +502,7 @@
         except OSError as fault:
             self._enter_read_only(fault)
             return None
-        self.log_bytes_written += self._log.written_size - before
+        self.log_bytes_written += self._log.written_size - size_before
         if file is None:
             self._after_write()
             return None
--- a/rackhub/store/fault_injection.py
+++ b/rackhub/store/fault_injection.py
@@ -188,13 +188,13 @@
             self.violations.append(what)
 
 
-def find_mismatch(store: Store, model: Model, at_least: int, whole_history: bool = True) -> str:
+def find_mismatch(store: Store, model: Model, minimum_revision: int, whole_history: bool = True) -> str:
     """Compare all contents of an opened store with the model. Returns a description of the first mismatch, or ""."""
     revision = store.revision
     if revision > model.revision:
         return f"the store is at revision {revision}, which was never committed"
-    if revision < at_least:
-        return f"revision {at_least} was acknowledged, but the store is at revision {revision}"
+    if revision < minimum_revision:
+        return f"revision {minimum_revision} was acknowledged, but the store is at revision {revision}"
     state = model.states[revision]
     found = store.range()
     if [item.key for item in found] != sorted(state):
@@ -255,7 +255,7 @@
         A file that is identical in an earlier image is skipped.
         """
         seen: set[bytes] = set()
-        for i, (image, _) in enumerate(self.images):
+        for image_index, (image, _) in enumerate(self.images):
             for name in image.names():
                 data = bytes(image.inodes[name].contents)
                 fingerprint = name.encode() + hashlib.sha256(data).digest()
@@ -263,64 +263,73 @@
                     continue
                 seen.add(fingerprint)
                 for offset in range(len(data)):
-                    yield i, name, offset
+                    yield image_index, name, offset
 
-    def try_cut(self, i: int, name: str, offset: int, results: TrialResults) -> None:
+    def try_cut(self, image_index: int, name: str, offset: int, results: TrialResults) -> None:
         """Try the image with one file truncated at `offset`."""
-        image, _ = self.images[i]
-        self._try(i, name, offset, image.with_file_cut(name, offset), f"image {i}, {name} cut at {offset}", results)
+        image, _ = self.images[image_index]
+        self._try(
+            image_index,
+            name,
+            offset,
+            image.with_file_cut(name, offset),
+            f"image {image_index}, {name} cut at {offset}",
+            results,
+        )
 
-    def try_flip(self, i: int, name: str, offset: int, results: TrialResults) -> None:
+    def try_flip(self, image_index: int, name: str, offset: int, results: TrialResults) -> None:
         """Try the image with one bit of the byte at `offset` flipped."""
-        image, _ = self.images[i]
+        image, _ = self.images[image_index]
         self._try(
-            i,
+            image_index,
             name,
             offset,
             image.with_bit_flipped(name, offset, (offset * 7 + 3) % 8),
-            f"image {i}, {name} flipped at {offset}",
+            f"image {image_index}, {name} flipped at {offset}",
             results,
         )
 
-    def _try(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, results: TrialResults) -> None:
+    def _try(
+        self, image_index: int, name: str, offset: int, files: MemoryFiles, case: str, results: TrialResults
+    ) -> None:
         try:
-            self._open_damaged(i, name, offset, files, what, results)
+            self._open_damaged(image_index, name, offset, files, case, results)
         except Exception as error:  # damage must be reported as such, not cause other exceptions
-            results.add_violation(f"{what}: {type(error).__name__}: {error}")
+            results.add_violation(f"{case}: {type(error).__name__}: {error}")
 
     def _open_damaged(
-        self, i: int, name: str, offset: int, files: MemoryFiles, what: str, results: TrialResults
+        self, image_index: int, name: str, offset: int, files: MemoryFiles, case: str, results: TrialResults
     ) -> None:
         """Open the damaged files, and either compare what the damage can affect or salvage them."""
         results.tried += 1
-        acknowledged = self.images[i][1]
+        acknowledged = self.images[image_index][1]
         try:
             store = Store.open("memory", SMALL, files=files.copy_shared(), clock=lambda: START, ticks=lambda: 0)
         except StoreError as error:
             results.refused += 1
             if isinstance(error, Corrupt) and not error.file:
-                results.add_violation(f"{what}: the error names no file")
-            return self._salvage(i, name, files, what, results)
+                results.add_violation(f"{case}: the error names no file")
+            return self._salvage(image_index, name, files, case, results)
         try:
-            mismatch = self._read_damaged_part(store, i, files, name, offset)
+            mismatch = self._read_damaged_part(store, image_index, files, name, offset)
         except Corrupt:
             results.refused += 1
-            return self._salvage(i, name, files, what, results)
+            return self._salvage(image_index, name, files, case, results)
         results.recovered += 1
         results.unharmed += store.revision >= acknowledged
         results.lost_acknowledged = max(results.lost_acknowledged, acknowledged - store.revision)
         if mismatch:
-            results.add_violation(f"{what}: {mismatch}")
+            results.add_violation(f"{case}: {mismatch}")
 
-    def _read_damaged_part(self, store: Store, i: int, image: MemoryFiles, name: str, offset: int) -> str:
+    def _read_damaged_part(self, store: Store, image_index: int, image: MemoryFiles, name: str, offset: int) -> str:
         """Read the part of the damaged file that opening does not read, and describe a mismatch.
 
         Of a table this is the damaged block, of a closed segment its part of the history. Everything else is identical
         to the image, which was read completely. Damage to the active log or the manifest may affect everything, so all
         is read.
         """
-        table = self._tables[i].get(name)
-        segment = self._segments[i].get(name)
+        table = self._tables[image_index].get(name)
+        segment = self._segments[image_index].get(name)
         if table is not None:
             start, end = table.keys_covering(offset)
             found = store.range(start, end)
@@ -341,28 +350,28 @@
             return "" if isinstance(_survey_file(image, name), str) else "damage to a retired table is not detected"
         return find_mismatch(store, self.model, 0)
 
-    def _salvage(self, i: int, name: str, files: MemoryFiles, what: str, results: TrialResults) -> None:
+    def _salvage(self, image_index: int, name: str, files: MemoryFiles, case: str, results: TrialResults) -> None:
         """Check the result of a salvage. Files that are undamaged are not inspected again."""
         results.salvaged += 1
-        surveys = dict(self._surveys[i])
+        surveys = dict(self._surveys[image_index])
         if parse_name(name):
             surveys[name] = _survey_file(files, name)
-        tables = {key: part for key, part in surveys.items() if isinstance(part, salvage.TableInfo)}
-        logs = {key: part for key, part in surveys.items() if isinstance(part, salvage.LogSurvey)}
-        found = salvage.Survey(tables, logs, ())
-        taken = salvage.choose(found)
-        results.lost_acknowledged = max(results.lost_acknowledged, self.images[i][1] - taken.revision)
-        if taken not in self._written:
+        tables = {key: inspected for key, inspected in surveys.items() if isinstance(inspected, salvage.TableInfo)}
+        logs = {key: inspected for key, inspected in surveys.items() if isinstance(inspected, salvage.LogSurvey)}
+        survey = salvage.Survey(tables, logs, ())
+        salvage_plan = salvage.choose(survey)
+        results.lost_acknowledged = max(results.lost_acknowledged, self.images[image_index][1] - salvage_plan.revision)
+        if salvage_plan not in self._written:
             results.written_out += 1
             target = MemoryFiles()
             try:
-                salvage.write_store(found, taken, files, target, START)
+                salvage.write_store(survey, salvage_plan, files, target, START)
                 store = Store.open("memory", SMALL, files=target, clock=lambda: START, ticks=lambda: 0)
-                self._written[taken] = find_mismatch(store, self.model, taken.revision)
+                self._written[salvage_plan] = find_mismatch(store, self.model, salvage_plan.revision)
             except StoreError as error:
-                self._written[taken] = f"the salvaged store can't be opened: {error}"
-        if self._written[taken]:
-            results.add_violation(f"{what}, salvaged: {self._written[taken]}")
+                self._written[salvage_plan] = f"the salvaged store can't be opened: {error}"
+        if self._written[salvage_plan]:
+            results.add_violation(f"{case}, salvaged: {self._written[salvage_plan]}")
 
 
 def _survey_file(files: MemoryFiles, name: str) -> object:
@@ -392,9 +401,9 @@
     warm_up.run(warm_up_bytes)
     warm_up.store.close()
     image = warm_up.files.copy()
-    n = offset
+    failing_call = offset
     while True:
-        n += every
+        failing_call += every
         # Each cut gets a run of its own, with the same commits up to the cut.
         workload = Workload.__new__(Workload)
         workload.random, workload.options, workload.value = random.Random(seed * 1_000 + 1), SMALL, 700
@@ -402,99 +411,108 @@
         workload.model.states, workload.model.changes = list(warm_up.model.states), list(warm_up.model.changes)
         workload.acknowledged = workload.in_doubt = warm_up.model.revision
         workload.files.ignore_syncs = ignore_syncs
-        workload.files.fail_at = n
+        workload.files.fail_at = failing_call
         try:
             workload.open()
             for _ in range(steps):
                 workload.step()
             workload.store.close()
-            return results  # the run has fewer calls than `n`
+            return results  # the run has fewer calls than `failing_call`
         except PowerCut:
             pass
         results.images += 1
         for attempt in range(STATES_PER_CUT):
-            _recover_through_cuts(workload, seed * 31 + n * 7 + attempt, results, f"seed {seed}, power cut at call {n}")
+            _recover_through_cuts(
+                workload,
+                seed * 31 + failing_call * 7 + attempt,
+                results,
+                f"seed {seed}, power cut at call {failing_call}",
+            )
 
 
-def _recover_through_cuts(work: Workload, seed: int, results: TrialResults, what: str) -> None:
+def _recover_through_cuts(workload: Workload, seed: int, results: TrialResults, case: str) -> None:
     """Recover from a power cut while further power cuts interrupt the recovery."""
     random_source = random.Random(seed)
-    files = work.files.after_power_cut(seed)
+    files = workload.files.after_power_cut(seed)
     for attempt in range(MAX_POWER_CUTS):
         results.tried += 1
         files.fail_at = random_source.randrange(1, 8) if attempt < MAX_POWER_CUTS - 1 else 0
         try:
-            store = Store.open("memory", SMALL, files=files, clock=lambda: work.now, ticks=lambda: 0)
+            store = Store.open("memory", SMALL, files=files, clock=lambda: workload.now, ticks=lambda: 0)
         except PowerCut:
             files = files.after_power_cut(random_source.randrange(1 << 30))
             continue
         except StoreError as error:
-            return results.add_violation(f"{what}, recovery {attempt}: opening failed: {error}")
+            return results.add_violation(f"{case}, recovery {attempt}: opening failed: {error}")
         results.recovered += 1
         files.fail_at = 0
-        mismatch = find_mismatch(store, work.model, work.acknowledged)
+        mismatch = find_mismatch(store, workload.model, workload.acknowledged)
         if mismatch:
-            return results.add_violation(f"{what}, recovery {attempt}: {mismatch}")
+            return results.add_violation(f"{case}, recovery {attempt}: {mismatch}")
         # Whatever a recovery has served must survive the next power cut.
         seen = store.revision
         store.close()
         store = Store.open(
-            "memory", SMALL, files=files.after_power_cut(seed + 1), clock=lambda: work.now, ticks=lambda: 0
+            "memory", SMALL, files=files.after_power_cut(seed + 1), clock=lambda: workload.now, ticks=lambda: 0
         )
         if store.revision != seen:
-            results.add_violation(f"{what}: revision {seen} was served after a recovery, then {store.revision}")
+            results.add_violation(f"{case}: revision {seen} was served after a recovery, then {store.revision}")
         return None
 
 
 def run_disk_faults(seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0) -> TrialResults:
     """Let each modifying call fail, once (EIO) or from then on until the disk is repaired (ENOSPC)."""
     results = TrialResults()
-    n = offset
+    failing_call = offset
     while True:
-        n += every
-        work = Workload(seed, MemoryFiles(seed))
-        work.run(warm_up_bytes)
-        work.store.flush()
-        files, calls_before = work.files, work.files.steps
-        files.fail_at, files.keep_failing = calls_before + n, n % 2 == 0
-        files.fault = OSError(28, os.strerror(28)) if n % 2 == 0 else OSError(5, os.strerror(5))
+        failing_call += every
+        workload = Workload(seed, MemoryFiles(seed))
+        workload.run(warm_up_bytes)
+        workload.store.flush()
+        files, calls_before = workload.files, workload.files.steps
+        files.fail_at, files.keep_failing = calls_before + failing_call, failing_call % 2 == 0
+        files.fault = OSError(28, os.strerror(28)) if failing_call % 2 == 0 else OSError(5, os.strerror(5))
         done = 0
         try:
             while done < steps:
                 done += 1
-                work.step()
+                workload.step()
             if files.steps < files.fail_at:
                 return results
         except ReadOnly:
-            work.model.cut(work.store.revision)
+            workload.model.cut(workload.store.revision)
         results.tried += 1
-        if work.store.info().read_only == "":
-            work.store.flush()
+        if workload.store.info().read_only == "":
+            workload.store.flush()
         if files.keep_failing:
             try:
-                work.store.retry()
-                work.store.commit(Batch().put(b"k000", b"x"))
-                results.add_violation(f"seed {seed}: writes are accepted while call {n} still fails")
+                workload.store.retry()
+                workload.store.commit(Batch().put(b"k000", b"x"))
+                results.add_violation(f"seed {seed}: writes are accepted while call {failing_call} still fails")
             except ReadOnly:
                 pass
         files.fail_at = 0
         try:
-            work.store.retry()
+            workload.store.retry()
             for _ in range(20):
-                work.step()
-            work.store.flush()
+                workload.step()
+            workload.store.flush()
         except StoreError as error:
-            results.add_violation(f"seed {seed}, call {n} failed: error after the repair: {error}")
+            results.add_violation(f"seed {seed}, call {failing_call} failed: error after the repair: {error}")
             continue
-        mismatch = find_mismatch(work.store, work.model, work.model.revision)
+        mismatch = find_mismatch(workload.store, workload.model, workload.model.revision)
         if not mismatch:
             store = Store.open(
-                "memory", SMALL, files=files.after_power_cut(seed + n), clock=_fixed_clock(work.now), ticks=lambda: 0
+                "memory",
+                SMALL,
+                files=files.after_power_cut(seed + failing_call),
+                clock=_fixed_clock(workload.now),
+                ticks=lambda: 0,
             )
-            mismatch = find_mismatch(store, work.model, work.acknowledged)
+            mismatch = find_mismatch(store, workload.model, workload.acknowledged)
         results.recovered += 1
         if mismatch:
-            results.add_violation(f"seed {seed}, call {n} failed: {mismatch}")
+            results.add_violation(f"seed {seed}, call {failing_call} failed: {mismatch}")
 
 
 def _fixed_clock(now: int) -> Callable[[], int]:
@@ -507,12 +525,12 @@
 _trials: DamageTrials | None = None
 
 
-def _begin(seed: int, log_bytes: int) -> None:
+def _build_trials(seed: int, log_bytes: int) -> None:
     global _trials
     _trials = DamageTrials(seed, log_bytes)
 
 
-def _slice(mode: Mode, part: int, parts: int) -> TrialResults:
+def _run_slice(mode: Mode, part: int, parts: int) -> TrialResults:
     assert _trials is not None
     results = TrialResults()
     trial = _trials.try_cut if mode == "cut" else _trials.try_flip
@@ -547,11 +565,11 @@
     report = Report(seed, log_bytes, file_bytes, trials.model.revision, {})
     image_files = {(i, name) for i, name, _ in trials.positions()}
     parts = workers * 16
-    with ProcessPoolExecutor(workers, get_context("fork"), _begin, (seed, log_bytes)) as pool:
+    with ProcessPoolExecutor(workers, get_context("fork"), _build_trials, (seed, log_bytes)) as pool:
         for mode in modes:
             total = TrialResults()
             if mode in ("cut", "flip"):
-                futures = [pool.submit(_slice, mode, part, parts) for part in range(parts)]
+                futures = [pool.submit(_run_slice, mode, part, parts) for part in range(parts)]
                 total.images, total.files = len(trials.images), len(image_files)
             elif mode == "power":
                 futures = [
--- a/rackhub/store/memory_files.py
+++ b/rackhub/store/memory_files.py
@@ -33,15 +33,15 @@
         made.durable, made.contents, made.pending = other.durable, other.contents, []
         return made
 
-    def change(self, where: int, what: bytes | None) -> None:
-        """Append `what` at the offset `where`, or truncate there if it is None."""
+    def change(self, offset: int, data: bytes | None) -> None:
+        """Append `data` at `offset`, or truncate to `offset` if `data` is None."""
         if not self.pending:
             self.contents = bytearray(self.contents)
-        self.pending.append((where, what))
-        if what is None:
-            del self.contents[where:]
+        self.pending.append((offset, data))
+        if data is None:
+            del self.contents[offset:]
         else:
-            self.contents += what
+            self.contents += data
 
 
 class MemoryFile:
@@ -228,20 +228,20 @@
         data = bytearray(inode.durable)
         in_order = random_source.random() < 0.5  # half of the cases keep the order of writes and stop at a random one
         stop = random_source.randrange(len(inode.pending) + 1)
-        for i, (where, what) in enumerate(inode.pending):
+        for i, (offset, written) in enumerate(inode.pending):
             if i >= stop if in_order else random_source.random() < 0.5:
-                if in_order and i == stop and what:
-                    what = what[: random_source.randrange(len(what) + 1)]
+                if in_order and i == stop and written:
+                    written = written[: random_source.randrange(len(written) + 1)]
                 else:
                     continue
-            if what is None:
-                del data[where:]
+            if written is None:
+                del data[offset:]
                 continue
             if not in_order and random_source.random() < 0.3:
-                what = what[: random_source.randrange(len(what) + 1)]
-            if len(data) < where and what:
-                data += bytes(where - len(data))
-            data[where : where + len(what)] = what
+                written = written[: random_source.randrange(len(written) + 1)]
+            if len(data) < offset and written:
+                data += bytes(offset - len(data))
+            data[offset : offset + len(written)] = written
         return bytes(data)
 
     def with_file_cut(self, name: str, size: int) -> "MemoryFiles":
--- a/rackhub/store/plan.py
+++ b/rackhub/store/plan.py
@@ -196,7 +196,7 @@
         chosen.insert(0, best)
         end, revision = best.last_record, best.revision
     flushed = end
-    ordered = sorted(ranges, key=lambda s: (s.first_record, -s.last_record))
+    ordered = sorted(ranges, key=lambda found: (found.first_record, -found.last_record))
     continued: list[RecordRange] = []
     for record_range in ordered:
         if record_range.last_record <= end or record_range.first_record > end + 1:
@@ -207,7 +207,7 @@
     history_start = min((record_range.first_record for record_range in continued), default=flushed + 1)
     revision_before = continued[0].revision_before if continued else revision
     history: list[RecordRange] = []
-    for record_range in sorted(ranges, key=lambda s: (s.last_record, -s.first_record), reverse=True):
+    for record_range in sorted(ranges, key=lambda found: (found.last_record, -found.first_record), reverse=True):
         if (
             record_range in continued
             or record_range.first_record >= history_start
