--- a/rackhub/store/engine.py
+++ b/rackhub/store/engine.py
@@ -1,11 +1,11 @@
 """The store engine: commits, reads, leases, flushes and background work. Synchronous, for use by one thread.
 
 The decisions are in `plan`, `records.retained` and `leases`, which access no disk; this module applies them through
-the port `files`.
+the interface `Files`.
 
 A commit goes to the memtable and to the write-ahead log's buffer at once, and is acknowledged when its durability
-contract holds. A full memtable is closed together with its log segment; `work` writes it out as a sorted table and
-merges tables, in time slices. Reads see all commits, acknowledged or not. `changes` returns acknowledged revisions
+contract holds. A full memtable becomes immutable and its log segment is closed; `work` writes it out as a sorted table
+and merges tables, in time slices. Reads see all commits, acknowledged or not. `changes` returns acknowledged revisions
 only, since a crash must not take back what a watch has already delivered.
 """
 
@@ -64,12 +64,12 @@
 )
 from rackhub.store.table import BlockCache, Table, TableBuilder, TableInfo
 
-DATA_END = b"l"  # sorts directly after all DATA keys
-NEWEST = MAX_REVISION
+DATA_END = b"l"  # the end of the range of DATA keys (b"k...")
+NEWEST = MAX_REVISION  # reads the latest version; also above all record numbers of internal keys
 TABLE_SYNC_BYTES = 524_288  # bytes of a new table between syncs: a single sync at its end would block too long
 TRUNCATE_BYTES = 2_097_152  # bytes of a deleted file that are freed in one step
 ENTRIES_PER_STEP = 64  # merged entries between two checks of the time budget
-MAX_IMMUTABLE_MEMTABLES = 2  # if more wait to be written out, each commit does a slice of the work itself
+MAX_IMMUTABLE_MEMTABLES = 2  # if more wait to be written out, each commit does a slice of background work first
 
 AcknowledgeCallback = Callable[[StoreError | None], None]
 
@@ -82,11 +82,14 @@
 
 
 class Recovered(msgspec.Struct, frozen=True):
-    """The actions that opening the store took to recover."""
+    """The actions that opening the store took to recover.
+
+    Names in `msgspec.field` are those of the JSON output, which are stable.
+    """
 
     records: int  # number of records replayed from the log
     torn_bytes: int  # truncated from the end of the log: part of commits that were never acknowledged
-    torn_frames: int = msgspec.field(name="torn_whole")  # number of complete frames in the truncated bytes
+    discarded_frames: int = msgspec.field(name="torn_whole")  # number of valid frames in the truncated bytes
     removed: tuple[str, ...]  # names of incomplete or unused files that were removed
     unknown_files: tuple[str, ...] = msgspec.field(name="strange")  # names that no store creates; left alone
 
@@ -95,7 +98,7 @@
     """Statistics of a store. Sizes in bytes."""
 
     revision: int
-    compacted: int  # latest compacted revision
+    compacted: int  # the lowest revision that can be read without a snapshot
     floor: int  # history up to this revision is no longer in the log
     records: int  # number of records ever committed
     tables: list[TableInfo]
@@ -142,14 +145,15 @@
         self._segment_readers: Counter[str] = Counter()  # open `changes` iterators by segment name
         self._segment_offsets: dict[int, list[tuple[int, int]]] = {}  # `Log.offsets` of closed segments, by number
         self._pending_acks: deque[tuple[int, AcknowledgeCallback]] = deque()  # (record, callback), in order
+        # Yields a file that must be synced before the next step, or None where it may be interrupted.
         self._background_job: Iterator[File | None] | None = None
-        self._fault: OSError | None = None
-        self._damage: Corrupt | None = None
+        self._fault: OSError | None = None  # the disk error that made the store read-only
+        self._damage: Corrupt | None = None  # the corruption that stopped background work
         self._is_open, self._syncing, self._wake_pending, self._working_now = True, False, False, False
         self._acknowledging = False
         self._compaction_record = 0  # number of the latest record that moved the compacted revision
         self._collected_floor = -1  # compaction floor of the latest garbage collection
-        self._idle = False  # the latest check found no work, and none has come up since
+        self._no_work_left = False  # the latest call of `work` found nothing to do, and nothing has come up since
         self.table_bytes_written = 0  # bytes, to compute the write amplification
         self.log_bytes_written = 0
 
@@ -170,8 +174,11 @@
 
         `clock` returns Unix microseconds, for leases; `ticks` returns monotonic microseconds, for time slices. `wake`
         is called once when there is something for `flush` or `work` to do, and again only after `wake_received` was
-        called; without it commits do that work themselves. Raises `Locked`, `Corrupt`, `NewerFormat`, and `OSError`
-        where the disk can't be used; the files on disk are then unchanged.
+        called. Without `wake`, commits do background work themselves, and flush when a log frame or the memtable is
+        full.
+
+        Raises `Locked`, `Corrupt`, `NewerFormat`, and `OSError` if the disk can't be used. No committed data is changed
+        then, but incomplete files and a torn end of the log may have been removed.
         """
         files = files if files is not None else DiskFiles(path)
         files.lock()
@@ -234,14 +241,14 @@
             self._log.file.truncate(tail.end)
         self._log.written_size = self._log.durable_size = tail.end
         self._log.set_replayed(last_record, records[-1].revision if records else manifest.active_revision_before)
-        # Records that are served from now on must not be lost; they may be in the page cache only.
+        # A killed process may have left these records in the page cache only. Sync them before a read returns them.
         self._log.file.sync()
         removed = (*recovery_plan.remove, *(log_name(number) for number in recovery_plan.later_segments))
         for obsolete_name in removed:
             self._files.remove(obsolete_name)
         if removed:
             self._files.sync_directory()
-        self._number = last_record
+        self._last_record = last_record
         self.revision = max(self._log.revision, manifest.flushed_revision)
         self.recovered = Recovered(replayed, tail.torn_bytes, tail.torn_frames, removed, recovery_plan.unknown_files)
         self._restore_internal_state(latest_time)
@@ -288,7 +295,9 @@
             raise Corrupt(name, segment.size, f"ends with record {next_record - 1}, expected {segment.last_record}")
 
     def _restore_internal_state(self, latest_time: int) -> None:
-        """Load leases and the compacted revision from the store's internal keys."""
+        """Load leases and the compacted revision from the internal keys; the limits below are the ranges of their
+        kinds.
+        """
         self.leases = Leases(latest_time)
         for entry in self._scan_visible(LEASE, LEASE + b"\xff" * 9, NEWEST):
             self.leases.restore(
@@ -309,17 +318,20 @@
     def commit(
         self, batch: Batch, conditions: Sequence[Condition] = (), acknowledged: AcknowledgeCallback | None = None
     ) -> Commit:
-        """Apply all changes of `batch` as one revision, if all conditions are met.
+        """Apply all changes of `batch` as one revision, if all conditions are met. Without any change there is no new
+        revision.
 
         Reads see the changes on return. `acknowledged` is called once: with None when the durability contract holds, or
-        with the error where the disk failed first (it is then unknown whether the changes survive, as after a crash).
-        It is called after this method returns, except under `always` and in a store without `wake`. Raises `BadBatch`,
-        `NoLease`, and `ReadOnly` where nothing was written.
+        with the error if the disk failed first (it is then unknown whether the changes survive, as after a crash). It
+        may be called before this method returns: under `always`, without `wake`, and if the batch changes nothing.
+
+        Raises `BadBatch`, `NoLease` and `ReadOnly`. After `ReadOnly` either the store was read-only before and nothing
+        was changed, or the flush of this commit has failed: reads then see the commit, and `retry` writes it.
         """
         if self._fault is not None or not self._is_open:
             self._check_writable()
-        if not self._idle and (self._wake is None or len(self._immutable_memtables) > MAX_IMMUTABLE_MEMTABLES):
-            self.work()  # before the commit is added: it must not be acknowledged before this method has returned it
+        if not self._no_work_left and (self._wake is None or len(self._immutable_memtables) > MAX_IMMUTABLE_MEMTABLES):
+            self.work()  # before this commit is added, so that a flush in `work` can't acknowledge it
         if batch.size > self.options.batch_bytes:
             raise BadBatch(f"batch too large: {batch.size} bytes, at most {self.options.batch_bytes} are allowed")
         for condition in conditions:
@@ -333,15 +345,19 @@
         return Commit(revision, True)
 
     def _commit_without_changes(self, applied: bool, acknowledged: AcknowledgeCallback | None) -> Commit:
-        """Acknowledge only once the commits that the conditions were evaluated against are durable."""
+        """Return the result of a commit that changes nothing. It is acknowledged once all earlier commits are."""
         if acknowledged is not None:
-            self._pending_acks.append((self._number, acknowledged))
+            self._pending_acks.append((self._last_record, acknowledged))
             self._acknowledge()
             self._wake_if_needed()
         return Commit(self.revision, applied)
 
     def _resolve(self, batch: Batch, revision: int) -> list[Entry]:
-        """Turn the batch into entries that a replay can apply without any earlier state."""
+        """Return the batch's entries with create revision, version and lease filled in, so that a replay needs no look-
+        ups.
+
+        Raises `BadBatch` and `NoLease`.
+        """
         entries: list[Entry] = []
         changed: set[bytes] = set()
         for change in batch.changes:
@@ -397,7 +413,7 @@
             self.leases.advance_clock(self._clock())
             if not self.leases.remaining(new):
                 raise NoLease(new)
-        number = self._number + 1
+        number = self._last_record + 1
         if old and old != new:
             entries.append(Entry(LEASED_KEY + old.to_bytes(8, "big") + key, number, None))
         if new and old != new:
@@ -415,7 +431,7 @@
 
         `has_internal_keys`: the entries may include keys of the store itself.
         """
-        number = self._number = self._number + 1
+        number = self._last_record = self._last_record + 1
         self.revision = revision
         log, memory = self._log, self._memtable
         memory.add(number, revision, entries, size)
@@ -446,7 +462,11 @@
             terms = msgspec.msgpack.decode(entry.value or b"", type=LeaseTerms)
             self.leases.restore(int.from_bytes(rest, "big"), terms)
         elif entry.key == COMPACTED:
-            self.compacted, self._compaction_record, self._idle = int(entry.value or 0), self._number, False
+            self.compacted, self._compaction_record, self._no_work_left = (
+                int(entry.value or 0),
+                self._last_record,
+                False,
+            )
 
     def _check_writable(self) -> None:
         if not self._is_open:
@@ -461,20 +481,21 @@
             self._wake(self)
 
     def wake_received(self) -> None:
-        """Report that the caller has acted on `wake`, which is called again for work that comes up from now on."""
+        """Allow the next call of `wake`. Call this first, then `flush` and `work`."""
         self._wake_pending = False
 
     # ---- durability
 
     @property
     def needs_flush(self) -> bool:
-        """True if commits wait for `flush`."""
+        """True if there are commits to write, sync or acknowledge."""
         return self._fault is None and (bool(self._log.pending) or bool(self._pending_acks) and not self._syncing)
 
     def flush(self, sync: bool = False) -> None:
-        """Write and sync all commits so far, once, and acknowledge them. `sync`: sync also under the contract `none`.
+        """Write all buffered commits, sync them unless the contract is `none`, and acknowledge them.
 
-        If the disk fails, the store is read-only afterwards.
+        `sync`: sync also under `none`. Does nothing between `begin_flush` and `end_flush`. If the disk fails, the store
+        is read-only afterwards.
         """
         file = self.begin_flush(sync)
         if file is not None:
@@ -485,10 +506,11 @@
             self.end_flush(None)
 
     def begin_flush(self, sync: bool = False) -> File | None:
-        """Start a flush and return the file to sync, or None if there is nothing to sync.
+        """Write all buffered commits and return the file to sync, or None if there is nothing for the caller to sync.
 
-        The caller syncs it, possibly in another thread, and then calls `end_flush` in this one. Commits made meanwhile
-        wait for the next flush.
+        The caller syncs the file, possibly in another thread, and then calls `end_flush` in this one. Commits made
+        meanwhile wait for the next flush. Does nothing if the store is read-only or closed, or a flush has begun
+        already.
         """
         if self._fault is not None or self._syncing or not self._is_open:
             return None
@@ -519,7 +541,7 @@
         self._wake_if_needed()
 
     def _after_write(self) -> None:
-        """Close the log segment if it is full, then acknowledge what is written, and synced where the contract requires
+        """Close the log segment if it is full, then acknowledge what is written, and synced if the contract requires
         it.
 
         The segment is replaced first, so that a commit made by an acknowledgement goes to the new one. Failing to
@@ -548,18 +570,18 @@
             return
         self._acknowledging = True
         try:
-            while self._pending_acks and self._is_committed(self._pending_acks[0][0]):
+            while self._pending_acks and self._contract_holds(self._pending_acks[0][0]):
                 self._pending_acks.popleft()[1](None)
         finally:
             self._acknowledging = False
 
-    def _is_committed(self, number: int) -> bool:
+    def _contract_holds(self, number: int) -> bool:
         """True if the durability contract holds for record `number`."""
         return number <= self._log.last_record if self.options.contract == "none" else self._is_durable(number)
 
     def _enter_read_only(self, fault: OSError) -> None:
         """Stop writing until `retry`, and report the error to all pending acknowledgements."""
-        self._fault, self._background_job, self._idle = fault, None, False
+        self._fault, self._background_job, self._no_work_left = fault, None, False
         pending, self._pending_acks = self._pending_acks, deque()
         for _, callback in pending:
             callback(ReadOnly(fault))
@@ -587,14 +609,15 @@
             return
         log = self._log
         try:
-            # After a failed sync the state of these bytes is unknown, and a second sync may wrongly report success.
+            # After a failed sync the state of the bytes after `durable_size` is unknown, and a second sync may wrongly
+            # report success. They are cut off, and their records written again.
             log.file.truncate(log.durable_size)
             log.file.sync()
             self._remove_unlisted_files()
             not_durable = [*log.unsynced, *log.pending]
             log.last_record, log.revision = log.durable_record, log.durable_revision
             log.written_size, log.unsynced, log.pending, log.sync_target = log.durable_size, [], [], None
-            log.pending = not_durable  # kept for the next retry if creating the segment fails
+            log.pending = not_durable  # moved to the new segment; kept here if creating that fails
             self._start_segment()
             file = self._log.begin_sync()
             if file is not None:
@@ -615,13 +638,17 @@
                 self._files.remove(name)
 
     def _rotate_if_full(self) -> OSError | None:
-        """Close the memtable and its segment if full. Returns the disk error, if any."""
+        """If the memtable is full, make it immutable and close its segment, which must be durable.
+
+        Also compacts to `retain_revisions`, with a margin of a quarter so that not every rotation compacts. Returns the
+        disk error, if any.
+        """
         if (
             self._memtable.bytes >= self.options.memtable_bytes
             and self._memtable.last_record >= self._memtable.first_record
         ):
             try:
-                if self._log.durable_size < self._log.written_size:  # under `none`; a closed segment must be durable
+                if self._log.durable_size < self._log.written_size:  # happens under `none` only
                     file = self._log.begin_sync()
                     assert file is not None
                     file.sync()
@@ -631,7 +658,7 @@
                 return fault
             self._immutable_memtables.insert(0, self._memtable)
             self._memtable = Memtable(self._memtable.last_record + 1)
-            self._idle = False
+            self._no_work_left = False
             retain = self.options.retain_revisions
             if retain and self.revision - retain > self.compacted + retain // 4:
                 self.compact(self.revision - retain)
@@ -673,7 +700,7 @@
         unlisted = plan.listed_files(self._manifest) - plan.listed_files(manifest)
         self._manifest = manifest
         self._obsolete_files.extend(sorted(unlisted))
-        self._idle = self._idle and not unlisted
+        self._no_work_left = self._no_work_left and not unlisted
 
     # ---- reading
 
@@ -713,9 +740,11 @@
             yield key_value(entry)
 
     def changes(self, since: int) -> Iterator[Change]:
-        """Iterate over the changes of all acknowledged revisions from `since` on, in order.
+        """Iterate over the changes of the revisions from `since` to the one acknowledged last when the iteration
+        starts.
 
-        Raises `Compacted` if the history does not reach back so far, also when it is compacted during the iteration.
+        Raises `Compacted` if the history does not reach back so far, also if a segment that is still to be read has
+        been deleted meanwhile.
         """
         if since <= self.compacted:
             raise Compacted(since, self.compacted)
@@ -815,7 +844,7 @@
     # ---- history
 
     def compact(self, revision: int, acknowledged: AcknowledgeCallback | None = None) -> None:
-        """Discard the history before `revision`, which itself stays readable.
+        """Discard older versions: `get` and `scan` work from `revision` on, `changes` from `revision + 1` on.
 
         Raises `Compacted` if that has been done already, and `FutureRevision` if the store has not reached the
         revision.
@@ -825,10 +854,12 @@
             raise Compacted(revision, self.compacted)
         if revision > self.revision:
             raise FutureRevision(revision, self.revision)
-        self._append([Entry(COMPACTED, self._number + 1, str(revision).encode())], self.revision, 32, acknowledged)
+        self._append([Entry(COMPACTED, self._last_record + 1, str(revision).encode())], self.revision, 32, acknowledged)
 
     def _compaction_floor(self) -> int:
-        """The lowest revision that must stay readable; versions that only earlier ones can see may be dropped."""
+        """The lowest revision that must stay readable, for snapshots too; versions that only earlier ones can see may
+        be dropped.
+        """
         return min([self.compacted, *self._pinned_revisions])
 
     # ---- leases
@@ -841,7 +872,7 @@
         if id and id in self.leases:
             raise BadBatch(f"lease {id} already exists")
         self.leases.advance_clock(self._clock())
-        id = self.leases.new_id(id, self._number)
+        id = self.leases.new_id(id, self._last_record)
         self._append([self._lease_entry(id, ttl)], self.revision, 64, acknowledged)
         return id
 
@@ -860,13 +891,13 @@
     def _lease_entry(self, id: int, ttl: int) -> Entry:
         """The internal entry that stores a lease which ends `ttl` microseconds from now."""
         terms = LeaseTerms(ttl, self.leases.now + ttl)
-        return Entry(LEASE + id.to_bytes(8, "big"), self._number + 1, encode(terms))
+        return Entry(LEASE + id.to_bytes(8, "big"), self._last_record + 1, encode(terms))
 
     def revoke(self, id: int, acknowledged: AcknowledgeCallback | None = None) -> Commit:
-        """Remove a lease and delete its keys, as one revision if it has any."""
+        """Remove a lease and delete its keys, as one revision or, if it has no keys, none. Raises `NoLease`."""
         self._check_writable()
         lease = self.leases.get(id)
-        number, revision = self._number + 1, self.revision + 1
+        number, revision = self._last_record + 1, self.revision + 1
         name = id.to_bytes(8, "big")
         entries = [Entry(DATA + key, revision, None) for key in sorted(lease.keys)]
         entries += [Entry(LEASED_KEY + name + key, number, None) for key in sorted(lease.keys)]
@@ -875,7 +906,7 @@
         return Commit(self.revision, True)
 
     def expire(self, acknowledged: AcknowledgeCallback | None = None) -> list[int]:
-        """Revoke all leases that have expired, and return their ids."""
+        """Revoke all leases that have expired, and return their ids. `acknowledged` is called once for each lease."""
         self._check_writable()
         self.leases.advance_clock(self._clock())
         expired = self.leases.expired()
@@ -887,10 +918,10 @@
 
     @property
     def needs_work(self) -> bool:
-        """True if there is background work for `work`."""
+        """True if `work` should be called, as there may be background work."""
         if self._fault is not None or self._damage is not None or not self._is_open:
             return False
-        return not self._idle
+        return not self._no_work_left
 
     def _choose_merge(self) -> tuple[int, int] | None:
         return plan.choose_merge(
@@ -901,11 +932,13 @@
         return self._collected_floor != self._compaction_floor()
 
     def work(self, budget: int = 0, sync: Callable[[File], bool] | None = None) -> bool:
-        """Do background work for `budget` microseconds, 0: for the options' slice. Returns True if there is more to do.
+        """Do background work for `budget` microseconds, 0: for the options' slice. Returns True if it should be called
+        again.
 
-        The work is writing closed memtables out, merging tables, and deleting obsolete files. `sync`, if given, is
-        called with each file to sync and returns True if it has done so; otherwise the caller syncs the file itself,
-        for example in another thread, and then calls `work` again.
+        The work is writing memtables out, merging tables, and deleting obsolete files. Without `sync` this method syncs
+        files itself. With it, `sync(file)` is called: True means that the file is synced; False means that the caller
+        syncs it later, calls `sync_failed` if that fails, and calls `work` again only after that. An `OSError` that
+        `sync` raises makes the store read-only.
         """
         if self._fault is not None or self._damage is not None or not self._is_open or self._working_now:
             return False
@@ -916,15 +949,15 @@
                 if self._background_job is None:
                     self._background_job = self._next_job()
                     if self._background_job is None:
-                        self._idle = True
+                        self._no_work_left = True
                         return False
-                file = next(self._background_job, self._background_job)
-                if file is self._background_job:
+                step = next(self._background_job, self._background_job)  # the job itself is the end marker
+                if step is self._background_job:
                     self._background_job = None
-                elif file is not None:
+                elif step is not None:
                     if sync is None:
-                        file.sync()  # type: ignore[union-attr]
-                    elif not sync(file):  # type: ignore[arg-type]
+                        step.sync()  # type: ignore[union-attr]
+                    elif not sync(step):  # type: ignore[arg-type]
                         return True
         except OSError as fault:
             self._enter_read_only(fault)
@@ -958,7 +991,7 @@
         return self._collect_garbage() if self._needs_collection() else None
 
     def _flush_memtable(self, memory: Memtable) -> Iterator[File | None]:
-        """Write a closed memtable out as the newest table."""
+        """Write an immutable memtable out as the newest table."""
         floor, is_oldest = self._compaction_floor(), not self._tables
         entries = retained(memory.scan(b"", None), floor, is_oldest)
         for step in self._write_table(
@@ -1035,11 +1068,12 @@
         floor: int,
         sources: tuple[int, ...],
     ) -> Iterator[Any]:
-        """Write a table in steps, yielding files to sync among them and, last, the open table.
+        """Write a table. Yields None to pause, a `File` to sync, and last the open `Table`.
 
-        The table is returned only once all log records it was made from are durable: no table may be ahead of the log.
+        The table is yielded only once all records committed before the writing began are durable: after a crash no
+        table may contain a record, or have applied a compaction, that the log has lost.
         """
-        number, required_record = self._manifest.next_number, self._number
+        number, required_record = self._manifest.next_number, self._last_record
         self._manifest = msgspec.structs.replace(self._manifest, next_number=number + 1)
         name = table_name(number)
         file = self._files.create(name)
@@ -1132,7 +1166,7 @@
             self.revision,
             self.compacted,
             manifest.floor,
-            self._number,
+            self._last_record,
             list(manifest.tables),
             len(manifest.retired),
             len(manifest.segments) + 1,
@@ -1147,7 +1181,8 @@
     def close(self) -> None:
         """Make all commits durable, acknowledge them and unlock the directory.
 
-        An unfinished merge starts over at the next opening. Raises `ReadOnly` where the disk failed before.
+        Between `begin_flush` and `end_flush`, call `abandon_sync` first. An unfinished merge starts over at the next
+        opening. Raises `ReadOnly` if the disk has failed, before or now.
         """
         if not self._is_open:
             return
@@ -1223,7 +1258,7 @@
             self._store._pinned_revisions[self.revision] -= 1
             if not self._store._pinned_revisions[self.revision]:
                 del self._store._pinned_revisions[self.revision]
-                self._store._idle = False
+                self._store._no_work_left = False
                 self._store._wake_if_needed()
 
     def __enter__(self) -> "Snapshot":
--- a/rackhub/store/errors.py
+++ b/rackhub/store/errors.py
@@ -54,7 +54,7 @@
     """
 
     def __init__(self, cause: OSError):
-        super().__init__(f"the store is read-only: {cause}; repair the disk, then retry")
+        super().__init__(f"the store is read-only until its disk is repaired: {cause}")
         self.cause = cause
 
 
--- a/rackhub/store/fault_injection.py
+++ b/rackhub/store/fault_injection.py
@@ -1,13 +1,14 @@
-"""Fault injection: damages a store in every possible place, and checks that nothing is lost or invented.
+"""Fault injection: damages a store in many places, and checks that nothing is lost or invented.
 
-A seeded workload of puts, deletes, ranges, leases, compactions and merges runs on files in memory, next to a model of
-the state at each revision. Images of the directory are taken as a killed process leaves it, and each is damaged in one
-place at a time: truncated at a byte, or with one bit flipped. Opening a damaged image must either give a state that the
-model had at some revision, or fail and name the file; then the result of a salvage must be such a state. Data that was
-never written must never appear.
+A seeded workload of puts, deletions, leases, compactions and merges runs on files in memory, next to a model of the
+state at each revision. The modes are `cut` (truncate one file), `flip` (invert one bit), `power` (lose power at a call
+that changes the disk) and `fault` (such a call fails with an OSError).
 
-A salvaged directory depends only on its salvage plan, so it is written and read back once for each distinct plan;
-planning itself runs for each damaged image. Power cuts and disk errors are injected at each modifying call.
+For `cut` and `flip`, images (copies of the directory) are taken as a killed process leaves it, and each is damaged at
+one byte of one file at a time. Opening a damaged image must either give a state that the model had at some revision, or
+fail and name the file; in the second case the result of a salvage must be such a state. Data that was never written
+must never appear. A salvaged directory depends only on its salvage plan, so it is written and read back once for each
+distinct plan; planning itself runs for each damaged image.
 """
 
 import hashlib
@@ -32,14 +33,15 @@
 
 Mode = Literal["cut", "flip", "power", "fault"]
 MODES: tuple[Mode, ...] = ("cut", "flip", "power", "fault")
-KEYS = 120
-HISTORY = 400  # the workload compacts once its history exceeds so many revisions; this bounds the log
+KEYS = 120  # number of different keys
+HISTORY = 400  # revisions of history from which on the workload compacts at times; this bounds the log
 START = 1_800_000_000_000_000  # initial time of the workload, Unix microseconds
+# Small limits, so that flushes and merges happen often.
 SMALL = Options(
     contract="group", memtable_bytes=24 * 1_024, block_bytes=1_024, cache_bytes=65_536, frame_bytes=8 * 1_024, runs=3
 )
 STATES_PER_CUT = 3  # random states of the disk that are tried after each power cut
-MAX_POWER_CUTS = 6  # attempts of one recovery, all but the last with a power cut
+MAX_RECOVERY_ATTEMPTS = 6  # attempts to recover from one power cut, all but the last with another cut
 
 
 class Model:
@@ -70,7 +72,7 @@
         self.states.append(state)
         self.changes.append(made)
 
-    def cut(self, revision: int) -> None:
+    def drop_after(self, revision: int) -> None:
         """Remove all later revisions, which were not acknowledged and are lost."""
         del self.states[revision + 1 :]
         del self.changes[revision + 1 :]
@@ -79,9 +81,10 @@
 class Workload:
     """A reproducible sequence of commits to a store and the model."""
 
-    def __init__(self, seed: int, files: MemoryFiles, options: Options = SMALL, value: int = 700):
-        self.random, self.files, self.options, self.value = random.Random(seed), files, options, value
-        self.model, self.now, self.acknowledged, self.in_doubt = Model(), START, 0, 0
+    def __init__(self, seed: int, files: MemoryFiles, options: Options = SMALL, max_value_bytes: int = 700):
+        self.random, self.files, self.options = random.Random(seed), files, options
+        self.max_value_bytes = max_value_bytes
+        self.model, self.now, self.acknowledged = Model(), START, 0
 
         self.open()
 
@@ -90,7 +93,7 @@
         self.store = Store.open(
             "memory", self.options, files=self.files, clock=lambda: self.now, ticks=iter(range(1 << 60)).__next__
         )
-        # The power may have failed after the acknowledged revision was recorded and before the model had it.
+        # A power cut inside `_commit` can leave the store behind revisions that the model has.
         self.acknowledged = min(self.acknowledged, self.store.revision)
 
     def step(self) -> None:
@@ -134,9 +137,11 @@
         return b"k%03d" % self.random.randrange(KEYS)
 
     def _value(self) -> bytes:
-        """A value that identifies the revision that wrote it, so that no value can be mistaken for another."""
+        """A value that contains the current revision and random bytes, so that no two values are mistaken for each
+        other.
+        """
         seed = b"%d %d" % (self.model.revision, self.random.randrange(1 << 30))
-        size = self.random.randrange(self.value)
+        size = self.random.randrange(self.max_value_bytes)
         return (seed + hashlib.shake_128(seed).digest(size))[: max(size, len(seed))]
 
     def _acknowledge_callback(self, revision: int) -> Callable[[StoreError | None], None]:
@@ -147,11 +152,9 @@
         return call
 
     def _commit(self, batch: Batch, puts: dict[bytes, tuple[bytes, int]], deletes: set[bytes]) -> None:
-        self.in_doubt = self.model.revision
         if puts or deletes:
             self.model.apply(puts, deletes)
         self.store.commit(batch, acknowledged=self._acknowledge_callback(self.model.revision))
-        self.in_doubt = self.model.revision
         if self.store.revision != self.model.revision:
             raise AssertionError(f"the store is at revision {self.store.revision}, the model at {self.model.revision}")
 
@@ -162,18 +165,18 @@
 
 
 class TrialResults(msgspec.Struct):
-    """Counts of what was tried, and the results."""
+    """Counts of what was tried, and the results. Those of several processes are added."""
 
-    images: int = 0
-    files: int = 0
-    tried: int = 0  # damaged directories that were opened
-    recovered: int = 0  # openings that succeeded
-    refused: int = 0  # openings that reported a fault; each is salvaged
+    images: int = 0  # images (cut, flip), power cuts (power)
+    files: int = 0  # files of all images (cut, flip)
+    tried: int = 0  # damaged images (cut, flip), openings (power), runs with a failing call (fault)
+    recovered: int = 0  # trials in which the store could be opened and read
+    refused: int = 0  # damaged images in which opening or reading reported an error; each is salvaged
     unharmed: int = 0  # openings that kept all acknowledged revisions
     salvaged: int = 0
-    written_out: int = 0  # distinct salvage plans; each is written, opened and read back
-    lost_acknowledged: int = 0  # maximum number of acknowledged revisions lost by damage to durable files
-    violations: list[str] = []
+    written_out: int = 0  # distinct salvage plans of each process; each is written, opened and read back
+    lost_acknowledged: int = 0  # maximum number of acknowledged revisions lost by damage (cut, flip)
+    violations: list[str] = []  # the first 100
 
     def add(self, other: "TrialResults") -> None:
         """Add the results of another process."""
@@ -278,7 +281,7 @@
         )
 
     def try_flip(self, image_index: int, name: str, offset: int, results: TrialResults) -> None:
-        """Try the image with one bit of the byte at `offset` flipped."""
+        """Try the image with one bit of the byte at `offset` flipped; which bit varies with the offset."""
         image, _ = self.images[image_index]
         self._try(
             image_index,
@@ -375,6 +378,7 @@
 
 
 def _survey_file(files: MemoryFiles, name: str) -> object:
+    """Inspect a file. Returns a `TableInfo`, a `LogSurvey` or the text of the error."""
     parsed = parse_name(name)
     assert parsed is not None
     try:
@@ -391,9 +395,10 @@
 def run_power_cuts(
     seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0, ignore_syncs: bool = False
 ) -> TrialResults:
-    """Cut the power at every `every`-th modifying call during `steps` steps of a workload, and during the recoveries.
+    """Cut the power at the modifying call `offset + every`, then at each `every`-th after it, one run of `steps` steps
+    each.
 
-    After each cut several of the possible states of the disk are tried.
+    After each cut several of the possible states of the disk are recovered, with further power cuts.
     """
     results = TrialResults()
     warm_up = Workload(seed, MemoryFiles(seed))
@@ -404,12 +409,12 @@
     failing_call = offset
     while True:
         failing_call += every
-        # Each cut gets a run of its own, with the same commits up to the cut.
+        # Each run continues from the warm-up's state, with the same commits up to the cut.
         workload = Workload.__new__(Workload)
-        workload.random, workload.options, workload.value = random.Random(seed * 1_000 + 1), SMALL, 700
+        workload.random, workload.options, workload.max_value_bytes = random.Random(seed * 1_000 + 1), SMALL, 700
         workload.files, workload.now, workload.model = image.copy(), warm_up.now, Model()
         workload.model.states, workload.model.changes = list(warm_up.model.states), list(warm_up.model.changes)
-        workload.acknowledged = workload.in_doubt = warm_up.model.revision
+        workload.acknowledged = warm_up.model.revision
         workload.files.ignore_syncs = ignore_syncs
         workload.files.fail_at = failing_call
         try:
@@ -434,9 +439,9 @@
     """Recover from a power cut while further power cuts interrupt the recovery."""
     random_source = random.Random(seed)
     files = workload.files.after_power_cut(seed)
-    for attempt in range(MAX_POWER_CUTS):
+    for attempt in range(MAX_RECOVERY_ATTEMPTS):
         results.tried += 1
-        files.fail_at = random_source.randrange(1, 8) if attempt < MAX_POWER_CUTS - 1 else 0
+        files.fail_at = random_source.randrange(1, 8) if attempt < MAX_RECOVERY_ATTEMPTS - 1 else 0
         try:
             store = Store.open("memory", SMALL, files=files, clock=lambda: workload.now, ticks=lambda: 0)
         except PowerCut:
@@ -461,7 +466,11 @@
 
 
 def run_disk_faults(seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0) -> TrialResults:
-    """Let each modifying call fail, once (EIO) or from then on until the disk is repaired (ENOSPC)."""
+    """Let the modifying call `offset + every` fail, then each `every`-th after it, in one run of `steps` steps each.
+
+    Odd calls fail once with EIO (5), even ones with ENOSPC (28) from then on, until the disk is repaired. The store
+    must then accept writes again and contain everything that was committed.
+    """
     results = TrialResults()
     failing_call = offset
     while True:
@@ -480,7 +489,7 @@
             if files.steps < files.fail_at:
                 return results
         except ReadOnly:
-            workload.model.cut(workload.store.revision)
+            workload.model.drop_after(workload.store.revision)
         results.tried += 1
         if workload.store.info().read_only == "":
             workload.store.flush()
--- a/rackhub/store/files.py
+++ b/rackhub/store/files.py
@@ -1,4 +1,4 @@
-"""The port for all file access of a store, and its implementation on the operating system's files."""
+"""The interface for all file access of a store, and its implementation on the operating system's files."""
 
 import errno
 import fcntl
--- a/rackhub/store/memory_files.py
+++ b/rackhub/store/memory_files.py
@@ -1,4 +1,4 @@
-"""The port `files` in memory, with simulated disk failures and power cuts, for tests.
+"""The interface `Files` in memory, with simulated disk failures and power cuts, for tests.
 
 Durable contents are kept apart from contents that were only written. `after_power_cut` returns a directory in a state
 that a machine may find at its next start: unsynced writes are lost, torn, or present out of order, and so are unsynced
--- a/rackhub/store/options.py
+++ b/rackhub/store/options.py
@@ -21,13 +21,9 @@
     cache_bytes: int = 8 * MIB  # capacity of the cache of decoded blocks
     batch_bytes: int = 64 * MIB  # maximum size of a commit
     frame_bytes: int = MIB  # commits are grouped into log frames of this size
-    slice_us: int = (
-        2_000  # background work per event-loop iteration; a started step is finished, which takes less than 5 ms in all
-    )
-    runs: int = 4  # tables of one size tier that are merged into one of the next tier
-    reserve: bool = (
-        True  # keep the inputs of a merged table until it is merged itself, so that any one file may be lost
-    )
+    slice_us: int = 2_000  # background work per event-loop iteration; with the step that exceeds it, below 5 ms
+    runs: int = 4  # number of tables of one size tier that are merged, and the ratio of sizes between tiers
+    reserve: bool = True  # keep the inputs of a merged table until it is merged itself: any one file may be lost
     retain_revisions: int = 0  # compact automatically to so many revisions of history; 0: keep all
 
     def __post_init__(self) -> None:
--- a/rackhub/store/plan.py
+++ b/rackhub/store/plan.py
@@ -17,15 +17,17 @@
 )
 from rackhub.store.table import QUANTILES, TableInfo
 
-STALE_FRACTION = 0.5  # minimum fraction of unreadable entries for which a table is rewritten by itself
-MIN_STALE_ENTRIES = 256  # minimum number of replaced entries for which a table is rewritten by itself
+# A table is rewritten alone if at least this fraction of its entries was replaced and can't be read any more, and at
+# least this number was replaced.
+STALE_FRACTION = 0.5
+MIN_STALE_ENTRIES = 256
 
 
 # ---- merges
 
 
 def size_tier(size: int, base: int, runs: int) -> int:
-    """The size tier of a table: each tier holds tables up to `runs` times as large as the one below."""
+    """Return the size tier of a table: tier 0 holds up to `base` bytes, tier n up to `base * runs**n`."""
     return max(0, math.ceil(math.log(max(size, 1) / base, runs))) if size > base else 0
 
 
@@ -33,13 +35,16 @@
     """The estimated fraction of a table's entries that were replaced in the same table by revisions up to `floor`."""
     if not table.stale_quantiles or not table.entries:
         return 0.0
-    readable = sum(1 for revision in table.stale_quantiles if revision > floor)
-    return table.stale_count / table.entries * (1 - readable / QUANTILES)
+    later_quantiles = sum(1 for revision in table.stale_quantiles if revision > floor)
+    return table.stale_count / table.entries * (1 - later_quantiles / QUANTILES)
 
 
 def choose_merge(tables: Sequence[TableInfo], base: int, runs: int, floor: int) -> tuple[int, int] | None:
     """Return the next tables to merge as a half-open range of positions in `tables` (newest first), or None.
 
+    `base`: the largest size in tier 0, that of a memtable. `runs`: the number of tables of one tier that are merged,
+    and the ratio of sizes between tiers. `floor`: the lowest revision that must stay readable.
+
     Only neighbours are merged, so that every table holds a contiguous range of records; reads and recovery rely on
     that.
     """
@@ -70,8 +75,10 @@
 def without_unneeded_files(manifest: Manifest, floor: int, reserve: bool) -> Manifest:
     """Return the manifest without the closed segments and retired tables that are no longer needed.
 
-    A segment is needed while any of its records is in no table, while its history can be read, and, with `reserve`,
-    while a table written directly from the log may be based on it.
+    A segment is needed while any of its records is in no table, and while its history can be read. `reserve`: keep also
+    what a current table was made from, so that a salvage can rebuild it: for a table written from a memtable the
+    segments with its records, for a merged one its input tables (retired). The result's `floor` is raised to the last
+    revision of the dropped segments.
     """
     from_log = [table for table in manifest.tables if not table.sources] if reserve else []
     segments = [
@@ -105,19 +112,22 @@
 
 
 class RecoveryPlan(msgspec.Struct, frozen=True):
-    """The steps of a recovery, after checking that the listed files exist."""
+    """The steps of a recovery."""
 
     replay: tuple[SegmentInfo, ...]  # closed segments with records that are in no table
     remove: tuple[str, ...]  # incomplete or obsolete files
     unknown_files: tuple[str, ...]  # names that no store creates; left alone
-    later_segments: tuple[int, ...]  # segments after the active one; checked before they are removed
+    later_segments: tuple[
+        int, ...
+    ]  # numbers of unlisted ones after the active one; corrupt if they have records, else removed
 
 
 def plan_recovery(manifest: Manifest, sizes: Mapping[str, int]) -> RecoveryPlan:
     """Plan the recovery of a directory with files of these `sizes`.
 
-    Raises `Corrupt` if a listed file is missing or does not have the size it was closed with: no crash causes that, so
-    no repair is attempted.
+    Raises `Corrupt` if a table or closed segment is missing or has a different size, or the active segment is shorter
+    than its durable size: no crash causes that, so no repair is attempted. Retired tables are not checked, as only a
+    salvage reads them.
     """
     for table in manifest.tables:
         _check_file_size(table_name(table.number), table.size, sizes)
@@ -171,7 +181,7 @@
     """The intact part of a damaged store: the state after `last_record`, which is a prefix of all that was written."""
 
     tables: tuple[TableInfo, ...]  # newest first; together a contiguous range from the first record
-    logs: tuple[RecordRange, ...]  # oldest first, contiguous, up to `last_record`; records also in tables are history
+    logs: tuple[RecordRange, ...]  # oldest first, contiguous; those that tables contain too are kept for `changes`
     last_record: int
     revision: int
     floor: int  # history up to this revision is lost
@@ -179,12 +189,14 @@
 
 
 def plan_salvage(tables: Sequence[TableInfo], ranges: Sequence[RecordRange]) -> SalvagePlan:
-    """Choose among the intact tables and log ranges. Needs no manifest.
+    """Return the longest prefix of records that intact tables and log ranges can restore; empty if none starts at
+    record 1.
 
     Every table holds a contiguous range of records, and the ranges of two tables are nested or disjoint. Starting from
-    record 1, the table that extends furthest is chosen at each step (of several, the one written last, which has
-    dropped most); the logs continue after the last table. A retired table inside the range of a chosen one is not used:
-    it may contain entries that a merge dropped together with their deletion.
+    record 1, the table that extends furthest is chosen at each step; of several, the one written last, from which most
+    unneeded versions are gone. The logs continue after the last table. A retired table inside the range of a chosen one
+    is not used: it may still contain an old version of a key whose deletion the merge has dropped, and the key would
+    reappear.
     """
     chosen: list[TableInfo] = []
     end, revision = 0, 0
@@ -219,6 +231,6 @@
     if not chosen and history_start > 1:  # no table is usable, and the logs do not reach back to the first record
         return SalvagePlan((), (), 0, 0, 0, tuple(ranges))
     skipped = tuple(record_range for record_range in ordered if record_range.first_record > end)
-    # A merge may have applied a compaction whose own record is lost.
+    # The record of a compaction may be lost while a table has dropped the versions before it: its floor counts too.
     floor = max([revision_before if history_start > 1 else 0, *(table.floor for table in chosen)])
     return SalvagePlan(tuple(chosen), (*history, *continued), end, revision, min(floor, revision), skipped)
--- a/rackhub/store/salvage.py
+++ b/rackhub/store/salvage.py
@@ -34,7 +34,7 @@
 from rackhub.store.records import DATA, Record, encode
 from rackhub.store.table import BlockCache, Table, TableInfo
 
-FRAME_BYTES = 1_048_576  # bytes that are read or written at once
+COPY_BYTES = 1_048_576  # bytes that are read or written at once
 
 
 class Finding(msgspec.Struct, frozen=True):
@@ -147,11 +147,11 @@
     )
 
 
-def write_store(found: Survey, taken: plan.SalvagePlan, source: Files, target: Files, seen: int) -> None:
+def write_store(found: Survey, taken: plan.SalvagePlan, source: Files, target: Files, now: int) -> None:
     """Write a new store with the contents of `taken`.
 
     `target` must be empty. Its manifest is written last, so that an incomplete copy is never opened as a store.
-    `seen`: the current time in Unix microseconds.
+    `now`: the current time in Unix microseconds.
     """
     if target.names():
         raise StoreError("the target directory is not empty")
@@ -187,7 +187,7 @@
             flushed.last_record if flushed else 0,
             flushed.revision if flushed else 0,
             taken.floor,
-            seen,
+            now,
             taken.tables,
             (),
             tuple(segments),
@@ -219,7 +219,7 @@
                 buffers += [frame_header(payload, size), payload]
                 size += FRAME_SIZE + len(payload)
                 next_record, revision = records[-1].number + 1, records[-1].revision
-            if sum(map(len, buffers)) > FRAME_BYTES:
+            if sum(map(len, buffers)) > COPY_BYTES:
                 file.append(buffers)
                 buffers = []
         file.append(buffers)
@@ -232,7 +232,7 @@
 
 def _copy(source: File, target: File) -> None:
     offset = 0
-    while data := source.read(offset, FRAME_BYTES):
+    while data := source.read(offset, COPY_BYTES):
         target.append([data])
         offset += len(data)
     target.sync()
@@ -241,15 +241,15 @@
 
 
 def salvage(
-    source: Files, target: Files, seen: int, progress: Callable[[str], None] = lambda name: None
+    source: Files, target: Files, now: int, progress: Callable[[str], None] = lambda name: None
 ) -> tuple[Survey, plan.SalvagePlan]:
     """Read everything in `source` and write the intact part to `target`.
 
-    The first result lists the faults, the second what was `skipped`. `seen`: the current time in Unix microseconds.
+    The first result lists the faults, the second what was `skipped`. `now`: the current time in Unix microseconds.
     """
     found = survey(source, progress)
     taken = choose(found)
-    write_store(found, taken, source, target, seen)
+    write_store(found, taken, source, target, now)
     return found, taken
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -354,7 +354,7 @@
             {**{n: bytes(i.contents) for n, i in harness.files.inodes.items()}, name: bytes(data)}
         )
     )
-    assert store.store.revision == 1 and store.store.recovered.torn_frames == 2
+    assert store.store.revision == 1 and store.store.recovered.discarded_frames == 2
 
 
 def test_missing_files_are_corrupt_and_unlisted_files_removed_or_left_alone():
