--- a/rackhub/store/fault_injection.py
+++ b/rackhub/store/fault_injection.py
@@ -1,12 +1,14 @@
-"""Tries to make a store lose or invent something: every cut, every byte's flip, every step's power cut.
+"""Fault injection: damages a store in many places, and checks that nothing is lost or invented.
 
-A seeded workload of puts, deletes, ranges, leases, compactions and merges runs on files in memory, beside a model of
-what each revision holds. Images of the directory are taken as a killed process leaves it, and each is damaged in one
-place at a time. An opening then either gives a state that the model had at some revision, or refuses and names the
-file; then what `salvage` would take of it must be such a state. Nothing may ever be there that was not written.
+A seeded workload of puts, deletions, leases, compactions and merges runs on files in memory, next to a model of the
+state at each revision. The modes are `cut` (truncate one file), `flip` (invert one bit), `power` (lose power at a call
+that changes the disk) and `fault` (such a call fails with an OSError).
 
-Writing a salvaged directory out is a function of what was chosen and of nothing else, so it is done and read back
-once for each different choice; the choosing itself runs for each damaged image.
+For `cut` and `flip`, images (copies of the directory) are taken as a killed process leaves it, and each is damaged at
+one byte of one file at a time. Opening a damaged image must either give a state that the model had at some revision, or
+fail and name the file; in the second case the result of a salvage must be such a state. Data that was never written
+must never appear. A salvaged directory depends only on its salvage plan, so it is written and read back once for each
+distinct plan; planning itself runs for each damaged image.
 """
 
 import hashlib
@@ -23,7 +25,7 @@
 from rackhub.store.batch import Batch
 from rackhub.store.engine import Store
 from rackhub.store.errors import Corrupt, ReadOnly, StoreError
-from rackhub.store.manifest import SegmentInfo, load, log_name, number_of
+from rackhub.store.manifest import SegmentInfo, load, log_name, parse_name
 from rackhub.store.memory_files import MemoryFiles, PowerCut
 from rackhub.store.options import Options
 from rackhub.store.records import KeyValue
@@ -31,18 +33,19 @@
 
 Mode = Literal["cut", "flip", "power", "fault"]
 MODES: tuple[Mode, ...] = ("cut", "flip", "power", "fault")
-KEYS = 120
-HISTORY = 400  # revisions, from which on the workload compacts: so much log is there at a time, the rest is merged
-START = 1_800_000_000_000_000  # the workload's clock, Unix microseconds
+KEYS = 120  # number of different keys
+HISTORY = 400  # revisions of history from which on the workload compacts at times; this bounds the log
+START = 1_800_000_000_000_000  # initial time of the workload, Unix microseconds
+# Small limits, so that flushes and merges happen often.
 SMALL = Options(
     contract="group", memtable_bytes=24 * 1_024, block_bytes=1_024, cache_bytes=65_536, frame_bytes=8 * 1_024, runs=3
 )
-TRIES_A_CUT = 3  # states that one power cut is tried in
-PATIENCE = 6  # power cuts in a row during one recovery
+STATES_PER_CUT = 3  # random states of the disk that are tried after each power cut
+MAX_RECOVERY_ATTEMPTS = 6  # attempts to recover from one power cut, all but the last with another cut
 
 
 class Model:
-    """What the store must hold at each revision, kept as plain dictionaries."""
+    """The expected state at each revision, as plain dictionaries."""
 
     def __init__(self) -> None:
         self.states: list[dict[bytes, KeyValue]] = [{}]
@@ -50,10 +53,11 @@
 
     @property
     def revision(self) -> int:
+        """The latest revision."""
         return len(self.states) - 1
 
     def apply(self, puts: dict[bytes, tuple[bytes, int]], deletes: set[bytes]) -> None:
-        """One revision more."""
+        """Add one revision."""
         state, revision = dict(self.states[-1]), len(self.states)
         made: list[tuple[bytes, KeyValue | None]] = []
         for key, (value, lease) in puts.items():
@@ -68,55 +72,57 @@
         self.states.append(state)
         self.changes.append(made)
 
-    def cut(self, revision: int) -> None:
-        """What came after was never acknowledged, and is gone."""
+    def drop_after(self, revision: int) -> None:
+        """Remove all later revisions, which were not acknowledged and are lost."""
         del self.states[revision + 1 :]
         del self.changes[revision + 1 :]
 
 
 class Workload:
-    """A run of commits against a store and the model, the same from the same seed."""
+    """A reproducible sequence of commits to a store and the model."""
+
+    def __init__(self, seed: int, files: MemoryFiles, options: Options = SMALL, max_value_bytes: int = 700):
+        self.random, self.files, self.options = random.Random(seed), files, options
+        self.max_value_bytes = max_value_bytes
+        self.model, self.now, self.acknowledged = Model(), START, 0
 
-    def __init__(self, seed: int, files: MemoryFiles, options: Options = SMALL, value: int = 700):
-        self.random, self.files, self.options, self.value = random.Random(seed), files, options, value
-        self.model, self.now, self.acknowledged, self.in_doubt = Model(), START, 0, 0
-        self.written = 0  # bytes of the log
         self.open()
 
     def open(self) -> None:
+        """Open the store and forget acknowledgements of revisions that it lost."""
         self.store = Store.open(
             "memory", self.options, files=self.files, clock=lambda: self.now, ticks=iter(range(1 << 60)).__next__
         )
-        # a step that was cut between the log's write and the model's
+        # A power cut inside `_commit` can leave the store behind revisions that the model has.
         self.acknowledged = min(self.acknowledged, self.store.revision)
 
     def step(self) -> None:
-        """One commit of some kind, or a flush."""
-        chance, model, self.now = self.random, self.model, self.now + 1_000
-        kind, state = chance.random(), model.states[-1]
+        """Make one random commit, or another change, and sometimes flush."""
+        random_source, model, self.now = self.random, self.model, self.now + 1_000
+        kind, state = random_source.random(), model.states[-1]
         if kind < 0.04 and state:
             first, last = sorted((self._key(), self._key()))
             gone = {key for key in state if first <= key < last}
             self._commit(Batch().delete_range(first, last), {}, gone)
         elif kind < 0.14 and state:
-            key = chance.choice(sorted(state))
+            key = random_source.choice(sorted(state))
             self._commit(Batch().delete(key), {}, {key})
         elif kind < 0.18:
-            lease = self.store.grant(chance.randrange(1, 400) * 1_000)
+            lease = self.store.grant(random_source.randrange(1, 400) * 1_000)
             key = self._key()
             self._commit(Batch().put(key, b"leased", lease), {key: (b"leased", lease)}, set())
         elif kind < 0.20:
-            self.store.leases.tick(self.now)
-            for id in self.store.leases.due():
+            self.store.leases.advance_clock(self.now)
+            for id in self.store.leases.expired():
                 keys = set(self.store.leases.get(id).keys)
                 before = self.store.revision
-                self.store.revoke(id, self._told(before + bool(keys)))
+                self.store.revoke(id, self._acknowledge_callback(before + bool(keys)))
                 if keys:
                     model.apply({}, keys)
         elif kind < 0.22 and model.revision - self.store.compacted > HISTORY:
-            self.store.compact(model.revision - chance.randrange(HISTORY // 2, HISTORY * 3 // 4))
+            self.store.compact(model.revision - random_source.randrange(HISTORY // 2, HISTORY * 3 // 4))
         elif kind < 0.26:
-            puts = {self._key(): (self._value(), 0) for _ in range(chance.randrange(2, 8))}
+            puts = {self._key(): (self._value(), 0) for _ in range(random_source.randrange(2, 8))}
             batch = Batch()
             for key, (value, _) in puts.items():
                 batch.put(key, value)
@@ -124,19 +130,21 @@
         else:
             key, value = self._key(), self._value()
             self._commit(Batch().put(key, value), {key: (value, 0)}, set())
-        if chance.random() < 0.3:
+        if random_source.random() < 0.3:
             self.store.flush()
 
     def _key(self) -> bytes:
         return b"k%03d" % self.random.randrange(KEYS)
 
     def _value(self) -> bytes:
-        """Bytes that say which revision wrote them, so that none can pass for another's."""
+        """A value that contains the current revision and random bytes, so that no two values are mistaken for each
+        other.
+        """
         seed = b"%d %d" % (self.model.revision, self.random.randrange(1 << 30))
-        size = self.random.randrange(self.value)
+        size = self.random.randrange(self.max_value_bytes)
         return (seed + hashlib.shake_128(seed).digest(size))[: max(size, len(seed))]
 
-    def _told(self, revision: int) -> Callable[[StoreError | None], None]:
+    def _acknowledge_callback(self, revision: int) -> Callable[[StoreError | None], None]:
         def call(error: StoreError | None) -> None:
             if error is None:
                 self.acknowledged = max(self.acknowledged, revision)
@@ -144,370 +152,411 @@
         return call
 
     def _commit(self, batch: Batch, puts: dict[bytes, tuple[bytes, int]], deletes: set[bytes]) -> None:
-        self.in_doubt = self.model.revision
         if puts or deletes:
             self.model.apply(puts, deletes)
-        self.store.commit(batch, acknowledged=self._told(self.model.revision))
-        self.in_doubt = self.model.revision
+        self.store.commit(batch, acknowledged=self._acknowledge_callback(self.model.revision))
         if self.store.revision != self.model.revision:
             raise AssertionError(f"the store is at revision {self.store.revision}, the model at {self.model.revision}")
 
     def run(self, log_bytes: int) -> None:
-        """Until the log has had so many bytes written."""
-        while self.store.written_log < log_bytes:
+        """Run until the log has had `log_bytes` bytes written."""
+        while self.store.log_bytes_written < log_bytes:
             self.step()
 
 
-class Tally(msgspec.Struct):
-    """What was tried and what came of it."""
+class TrialResults(msgspec.Struct):
+    """Counts of what was tried, and the results. Those of several processes are added."""
 
-    images: int = 0
-    files: int = 0
-    tried: int = 0  # damaged directories, each opened
-    recovered: int = 0  # openings that gave a state
-    refused: int = 0  # openings that named a fault instead, each salvaged
-    unharmed: int = 0  # of the recovered, those that gave the last state
+    images: int = 0  # images (cut, flip), power cuts (power)
+    files: int = 0  # files of all images (cut, flip)
+    tried: int = 0  # damaged images (cut, flip), openings (power), runs with a failing call (fault)
+    recovered: int = 0  # trials in which the store could be opened and read
+    refused: int = 0  # damaged images in which opening or reading reported an error; each is salvaged
+    unharmed: int = 0  # openings that kept all acknowledged revisions
     salvaged: int = 0
-    written_out: int = 0  # different choices of a salvage, each written, opened and read back
-    lost_acknowledged: int = 0  # acknowledged revisions missing after a cut of a file that was on disk, at worst
-    violations: list[str] = []
+    written_out: int = 0  # distinct salvage plans of each process; each is written, opened and read back
+    lost_acknowledged: int = 0  # maximum number of acknowledged revisions lost by damage (cut, flip)
+    violations: list[str] = []  # the first 100
 
-    def add(self, other: "Tally") -> None:
+    def add(self, other: "TrialResults") -> None:
+        """Add the results of another process."""
         for name in ("images", "files", "tried", "recovered", "refused", "unharmed", "salvaged", "written_out"):
             setattr(self, name, getattr(self, name) + getattr(other, name))
         self.lost_acknowledged = max(self.lost_acknowledged, other.lost_acknowledged)
         self.violations = (self.violations + other.violations)[:100]
 
-    def wrong(self, what: str) -> None:
+    def add_violation(self, what: str) -> None:
+        """Record a violation, up to 100."""
         if len(self.violations) < 100:
             self.violations.append(what)
 
 
-def faults_in(store: Store, model: Model, at_least: int, whole_history: bool = True) -> str:
-    """What is wrong with an opened store against the model; nothing: the empty text. Reads all of it."""
+def find_mismatch(store: Store, model: Model, minimum_revision: int, whole_history: bool = True) -> str:
+    """Compare all contents of an opened store with the model. Returns a description of the first mismatch, or ""."""
     revision = store.revision
     if revision > model.revision:
-        return f"revision {revision} was never reached"
-    if revision < at_least:
-        return f"revision {at_least} was acknowledged, and {revision} is the last"
+        return f"the store is at revision {revision}, which was never committed"
+    if revision < minimum_revision:
+        return f"revision {minimum_revision} was acknowledged, but the store is at revision {revision}"
     state = model.states[revision]
     found = store.range()
     if [item.key for item in found] != sorted(state):
-        return f"at revision {revision} the keys are not those that were written"
+        return f"at revision {revision} the keys differ from those written"
     for item in found:
         if item != state[item.key]:
             return f"at revision {revision} key {item.key!r} is {item!r:.120}"
     leases = {lease.id: sorted(lease.keys) for lease in store.leases if lease.keys}
-    held: dict[int, list[bytes]] = {}
+    attached: dict[int, list[bytes]] = {}
     for item in found:
         if item.lease:
-            held.setdefault(item.lease, []).append(item.key)
-    if leases != held:
-        return f"at revision {revision} leases hold other keys than were put under them"
+            attached.setdefault(item.lease, []).append(item.key)
+    if leases != attached:
+        return f"at revision {revision} the keys of leases differ from those attached"
     if whole_history:
         at = store.compacted
-        past: list[tuple[bytes, KeyValue | None]] = []
+        history: list[tuple[bytes, KeyValue | None]] = []
         for change in store.changes(at + 1) if at < revision else ():
-            past.append((change.key, change.now))
+            history.append((change.key, change.now))
             if not at < change.revision <= revision:
-                return f"history gives revision {change.revision} between {at + 1} and {revision}"
-        wanted = [made for one in model.changes[at + 1 : store.acknowledged_revision + 1] for made in one]
-        if past != wanted:
-            return f"the history from revision {at + 1} to {revision} is not what was written"
+                return f"the history from {at + 1} to {revision} contains revision {change.revision}"
+        expected = [change for changes in model.changes[at + 1 : store.acknowledged_revision + 1] for change in changes]
+        if history != expected:
+            return f"the history from revision {at + 1} to {revision} differs from what was written"
     return ""
 
 
-class Bench:
-    """Images of one workload, and the trials on them. Made anew in each process, the same from the same seed."""
+class DamageTrials:
+    """Images of one workload, and the trials on them. Each process builds the same ones from the seed."""
 
     def __init__(self, seed: int, log_bytes: int):
-        self.work = Workload(seed, MemoryFiles(seed))
-        self.images: list[tuple[MemoryFiles, int]] = []  # and the revision acknowledged when it was taken
+        self.workload = Workload(seed, MemoryFiles(seed))
+        self.images: list[tuple[MemoryFiles, int]] = []  # image, and the acknowledged revision at that time
         for part in (1, 2, 3):
-            self.work.run(log_bytes * part // 3)
-            self.images.append((self.work.files.copy(), self.work.acknowledged))
-        self.work.store.close()
-        self.images.append((self.work.files.copy(), self.work.acknowledged))
-        self.model = self.work.model
+            self.workload.run(log_bytes * part // 3)
+            self.images.append((self.workload.files.copy(), self.workload.acknowledged))
+        self.workload.store.close()
+        self.images.append((self.workload.files.copy(), self.workload.acknowledged))
+        self.model = self.workload.model
         self._tables: list[dict[str, Table]] = []
         self._segments: list[dict[str, SegmentInfo]] = []
         for image, acknowledged in self.images:
             store = Store.open("memory", SMALL, files=image.copy_shared(), clock=lambda: START, ticks=lambda: 0)
-            wrong = faults_in(store, self.model, acknowledged)
-            if wrong:
-                raise AssertionError(f"an image that was not damaged: {wrong}")
+            mismatch = find_mismatch(store, self.model, acknowledged)
+            if mismatch:
+                raise AssertionError(f"undamaged image: {mismatch}")
             manifest = load(image)
             self._tables.append({table.name: table for table in store._tables})
             self._segments.append({log_name(segment.number): segment for segment in manifest.segments})
         self._surveys: list[dict[str, object]] = []
         for image, _ in self.images:
-            self._surveys.append({name: _survey_one(image, name) for name in image.names() if number_of(name)})
-        self._written: dict[plan.Rescue, str] = {}
+            self._surveys.append({name: _survey_file(image, name) for name in image.names() if parse_name(name)})
+        self._written: dict[plan.SalvagePlan, str] = {}
+
+    def positions(self) -> Iterator[tuple[int, str, int]]:
+        """Yield every byte of every file of every image, as (image, file name, offset).
 
-    def places(self) -> Iterator[tuple[int, str, int]]:
-        """Every byte of every file of every image: image, file, offset. A file that an earlier image had, the same
-        to the byte, is not gone through again, but for those that each image's opening reads first."""
+        A file that is identical in an earlier image is skipped.
+        """
         seen: set[bytes] = set()
-        for i, (image, _) in enumerate(self.images):
+        for image_index, (image, _) in enumerate(self.images):
             for name in image.names():
-                data = bytes(image.inodes[name].now)
-                print_ = name.encode() + hashlib.sha256(data).digest()
-                if print_ in seen:
+                data = bytes(image.inodes[name].contents)
+                fingerprint = name.encode() + hashlib.sha256(data).digest()
+                if fingerprint in seen:
                     continue
-                seen.add(print_)
+                seen.add(fingerprint)
                 for offset in range(len(data)):
-                    yield i, name, offset
+                    yield image_index, name, offset
 
-    def try_cut(self, i: int, name: str, offset: int, tally: Tally) -> None:
-        image, _ = self.images[i]
-        self._try(i, name, offset, image.cut(name, offset), f"image {i}, {name} cut at {offset}", tally)
+    def try_cut(self, image_index: int, name: str, offset: int, results: TrialResults) -> None:
+        """Try the image with one file truncated at `offset`."""
+        image, _ = self.images[image_index]
+        self._try(
+            image_index,
+            name,
+            offset,
+            image.with_file_cut(name, offset),
+            f"image {image_index}, {name} cut at {offset}",
+            results,
+        )
 
-    def try_flip(self, i: int, name: str, offset: int, tally: Tally) -> None:
-        image, _ = self.images[i]
+    def try_flip(self, image_index: int, name: str, offset: int, results: TrialResults) -> None:
+        """Try the image with one bit of the byte at `offset` flipped; which bit varies with the offset."""
+        image, _ = self.images[image_index]
         self._try(
-            i,
+            image_index,
             name,
             offset,
-            image.flip(name, offset, (offset * 7 + 3) % 8),
-            f"image {i}, {name} flipped at {offset}",
-            tally,
+            image.with_bit_flipped(name, offset, (offset * 7 + 3) % 8),
+            f"image {image_index}, {name} flipped at {offset}",
+            results,
         )
 
-    def _try(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: Tally) -> None:
+    def _try(
+        self, image_index: int, name: str, offset: int, files: MemoryFiles, case: str, results: TrialResults
+    ) -> None:
         try:
-            self._open_damaged(i, name, offset, files, what, tally)
-        except Exception as bad:  # what is damaged must be named, never stumbled over
-            tally.wrong(f"{what}: {type(bad).__name__}: {bad}")
-
-    def _open_damaged(self, i: int, name: str, offset: int, files: MemoryFiles, what: str, tally: Tally) -> None:
-        tally.tried += 1
-        acknowledged = self.images[i][1]
+            self._open_damaged(image_index, name, offset, files, case, results)
+        except Exception as error:  # damage must be reported as such, not cause other exceptions
+            results.add_violation(f"{case}: {type(error).__name__}: {error}")
+
+    def _open_damaged(
+        self, image_index: int, name: str, offset: int, files: MemoryFiles, case: str, results: TrialResults
+    ) -> None:
+        """Open the damaged files, and either compare what the damage can affect or salvage them."""
+        results.tried += 1
+        acknowledged = self.images[image_index][1]
         try:
             store = Store.open("memory", SMALL, files=files.copy_shared(), clock=lambda: START, ticks=lambda: 0)
-        except StoreError as refused:
-            tally.refused += 1
-            if isinstance(refused, Corrupt) and not refused.file:
-                tally.wrong(f"{what}: refused without naming a file")
-            return self._salvage(i, name, files, what, tally)
+        except StoreError as error:
+            results.refused += 1
+            if isinstance(error, Corrupt) and not error.file:
+                results.add_violation(f"{case}: the error names no file")
+            return self._salvage(image_index, name, files, case, results)
         try:
-            wrong = self._read_hit(store, i, files, name, offset)
+            mismatch = self._read_damaged_part(store, image_index, files, name, offset)
         except Corrupt:
-            tally.refused += 1
-            return self._salvage(i, name, files, what, tally)
-        tally.recovered += 1
-        tally.unharmed += store.revision >= acknowledged
-        tally.lost_acknowledged = max(tally.lost_acknowledged, acknowledged - store.revision)
-        if wrong:
-            tally.wrong(f"{what}: {wrong}")
-
-    def _read_hit(self, store: Store, i: int, image: MemoryFiles, name: str, offset: int) -> str:
-        """Read what an opening has not read of the damaged file: of a table the block that was hit, of a closed
-        segment its part of the history. All else is, byte for byte, what was read whole in the image. What an
-        opening goes by itself (the active log, the manifest) may change all: then all is read."""
-        table = self._tables[i].get(name)
-        segment = self._segments[i].get(name)
+            results.refused += 1
+            return self._salvage(image_index, name, files, case, results)
+        results.recovered += 1
+        results.unharmed += store.revision >= acknowledged
+        results.lost_acknowledged = max(results.lost_acknowledged, acknowledged - store.revision)
+        if mismatch:
+            results.add_violation(f"{case}: {mismatch}")
+
+    def _read_damaged_part(self, store: Store, image_index: int, image: MemoryFiles, name: str, offset: int) -> str:
+        """Read the part of the damaged file that opening does not read, and describe a mismatch.
+
+        Of a table this is the damaged block, of a closed segment its part of the history. Everything else is identical
+        to the image, which was read completely. Damage to the active log or the manifest may affect everything, so all
+        is read.
+        """
+        table = self._tables[image_index].get(name)
+        segment = self._segments[image_index].get(name)
         if table is not None:
-            start, end = table.keys_at(offset)
+            start, end = table.keys_covering(offset)
             found = store.range(start, end)
-            wanted = [item for key, item in sorted(self.model.states[store.revision].items()) if start <= key < end]
-            return "" if found == wanted else f"keys from {start!r} to {end!r} are not those that were written"
+            expected = [item for key, item in sorted(self.model.states[store.revision].items()) if start <= key < end]
+            return "" if found == expected else f"keys from {start!r} to {end!r} differ from those written"
         if segment is not None:
-            since = max(segment.before, store.compacted) + 1
-            made: dict[int, list[tuple[bytes, KeyValue | None]]] = {}
+            since = max(segment.revision_before, store.compacted) + 1
+            history: dict[int, list[tuple[bytes, KeyValue | None]]] = {}
             for change in store.changes(since) if since <= store.revision else ():
                 if change.revision > segment.revision:
                     break
-                made.setdefault(change.revision, []).append((change.key, change.now))
+                history.setdefault(change.revision, []).append((change.key, change.now))
             for revision in range(since, segment.revision + 1):
-                if made.get(revision, []) != self.model.changes[revision]:
-                    return f"the history of revision {revision} is not what was written"
+                if history.get(revision, []) != self.model.changes[revision]:
+                    return f"the history of revision {revision} differs from what was written"
             return ""
-        if name.startswith("table-"):  # kept in reserve, which nothing reads but a salvage or a verification
-            return "" if isinstance(_survey_one(image, name), str) else "what is damaged in reserve is not seen"
-        return faults_in(store, self.model, 0)
-
-    def _salvage(self, i: int, name: str, files: MemoryFiles, what: str, tally: Tally) -> None:
-        """What a salvage takes is checked for each; files that are as they were are not read again for it."""
-        tally.salvaged += 1
-        parts = dict(self._surveys[i])
-        if number_of(name):
-            parts[name] = _survey_one(files, name)
-        tables = {key: part for key, part in parts.items() if isinstance(part, salvage.TableInfo)}
-        logs = {key: part for key, part in parts.items() if isinstance(part, salvage.LogSurvey)}
-        found = salvage.Survey(tables, logs, ())
-        taken = salvage.choose(found)
-        tally.lost_acknowledged = max(tally.lost_acknowledged, self.images[i][1] - taken.revision)
-        if taken not in self._written:
-            tally.written_out += 1
+        if name.startswith("table-"):  # a retired table, which only salvage and verify read
+            return "" if isinstance(_survey_file(image, name), str) else "damage to a retired table is not detected"
+        return find_mismatch(store, self.model, 0)
+
+    def _salvage(self, image_index: int, name: str, files: MemoryFiles, case: str, results: TrialResults) -> None:
+        """Check the result of a salvage. Files that are undamaged are not inspected again."""
+        results.salvaged += 1
+        surveys = dict(self._surveys[image_index])
+        if parse_name(name):
+            surveys[name] = _survey_file(files, name)
+        tables = {key: inspected for key, inspected in surveys.items() if isinstance(inspected, salvage.TableInfo)}
+        logs = {key: inspected for key, inspected in surveys.items() if isinstance(inspected, salvage.LogSurvey)}
+        survey = salvage.Survey(tables, logs, ())
+        salvage_plan = salvage.choose(survey)
+        results.lost_acknowledged = max(results.lost_acknowledged, self.images[image_index][1] - salvage_plan.revision)
+        if salvage_plan not in self._written:
+            results.written_out += 1
             target = MemoryFiles()
             try:
-                salvage.write(found, taken, files, target, START)
+                salvage.write_store(survey, salvage_plan, files, target, START)
                 store = Store.open("memory", SMALL, files=target, clock=lambda: START, ticks=lambda: 0)
-                self._written[taken] = faults_in(store, self.model, taken.revision)
-            except StoreError as bad:
-                self._written[taken] = f"what a salvage wrote can't be used: {bad}"
-        if self._written[taken]:
-            tally.wrong(f"{what}, salvaged: {self._written[taken]}")
+                self._written[salvage_plan] = find_mismatch(store, self.model, salvage_plan.revision)
+            except StoreError as error:
+                self._written[salvage_plan] = f"the salvaged store can't be opened: {error}"
+        if self._written[salvage_plan]:
+            results.add_violation(f"{case}, salvaged: {self._written[salvage_plan]}")
 
 
-def _survey_one(files: MemoryFiles, name: str) -> object:
-    told = number_of(name)
-    assert told is not None
+def _survey_file(files: MemoryFiles, name: str) -> object:
+    """Inspect a file. Returns a `TableInfo`, a `LogSurvey` or the text of the error."""
+    parsed = parse_name(name)
+    assert parsed is not None
     try:
-        return (salvage.survey_table if told[0] == "table" else salvage.survey_log)(name, told[1], files.open(name))
-    except StoreError as bad:
-        return str(bad)
+        return (salvage.inspect_table if parsed[0] == "table" else salvage.inspect_log)(
+            name, parsed[1], files.open(name)
+        )
+    except StoreError as error:
+        return str(error)
+
 
+# ---- power cuts and disk errors at each modifying call
 
-# ---- power cuts and failing disks, at each step
 
+def run_power_cuts(
+    seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0, ignore_syncs: bool = False
+) -> TrialResults:
+    """Cut the power at the modifying call `offset + every`, then at each `every`-th after it, one run of `steps` steps
+    each.
 
-def try_power(seed: int, warm_bytes: int, steps: int, every: int = 1, offset: int = 0, lying: bool = False) -> Tally:
-    """Cut the power at each call that changes the disk during `steps` steps of a workload, and again during each
-    recovery. After each cut the machine is tried in several of the states that it may find."""
-    tally = Tally()
-    warm = Workload(seed, MemoryFiles(seed))
-    warm.files.ignore_syncs = lying
-    warm.run(warm_bytes)
-    warm.store.close()
-    image = warm.files.copy()
-    n = offset
+    After each cut several of the possible states of the disk are recovered, with further power cuts.
+    """
+    results = TrialResults()
+    warm_up = Workload(seed, MemoryFiles(seed))
+    warm_up.files.ignore_syncs = ignore_syncs
+    warm_up.run(warm_up_bytes)
+    warm_up.store.close()
+    image = warm_up.files.copy()
+    failing_call = offset
     while True:
-        n += every
-        # a run of its own to each step: the same commits up to the one that the cut falls in
-        again = Workload.__new__(Workload)
-        again.random, again.options, again.value = random.Random(seed * 1_000 + 1), SMALL, 700
-        again.files, again.now, again.model = image.copy(), warm.now, Model()
-        again.model.states, again.model.changes = list(warm.model.states), list(warm.model.changes)
-        again.acknowledged = again.in_doubt = warm.model.revision
-        again.files.ignore_syncs = lying
-        again.files.fail_at = n
+        failing_call += every
+        # Each run continues from the warm-up's state, with the same commits up to the cut.
+        workload = Workload.__new__(Workload)
+        workload.random, workload.options, workload.max_value_bytes = random.Random(seed * 1_000 + 1), SMALL, 700
+        workload.files, workload.now, workload.model = image.copy(), warm_up.now, Model()
+        workload.model.states, workload.model.changes = list(warm_up.model.states), list(warm_up.model.changes)
+        workload.acknowledged = warm_up.model.revision
+        workload.files.ignore_syncs = ignore_syncs
+        workload.files.fail_at = failing_call
         try:
-            again.open()
+            workload.open()
             for _ in range(steps):
-                again.step()
-            again.store.close()
-            return tally  # the run has fewer calls than that
+                workload.step()
+            workload.store.close()
+            return results  # the run has fewer calls than `failing_call`
         except PowerCut:
             pass
-        tally.images += 1
-        for attempt in range(TRIES_A_CUT):
-            _recover_through_cuts(again, seed * 31 + n * 7 + attempt, tally, f"seed {seed}, power cut at call {n}")
+        results.images += 1
+        for attempt in range(STATES_PER_CUT):
+            _recover_through_cuts(
+                workload,
+                seed * 31 + failing_call * 7 + attempt,
+                results,
+                f"seed {seed}, power cut at call {failing_call}",
+            )
 
 
-def _recover_through_cuts(work: Workload, seed: int, tally: Tally, what: str) -> None:
-    chance = random.Random(seed)
-    files = work.files.after_power_cut(seed)
-    for round in range(PATIENCE):
-        tally.tried += 1
-        files.fail_at = chance.randrange(1, 8) if round < PATIENCE - 1 else 0
+def _recover_through_cuts(workload: Workload, seed: int, results: TrialResults, case: str) -> None:
+    """Recover from a power cut while further power cuts interrupt the recovery."""
+    random_source = random.Random(seed)
+    files = workload.files.after_power_cut(seed)
+    for attempt in range(MAX_RECOVERY_ATTEMPTS):
+        results.tried += 1
+        files.fail_at = random_source.randrange(1, 8) if attempt < MAX_RECOVERY_ATTEMPTS - 1 else 0
         try:
-            store = Store.open("memory", SMALL, files=files, clock=lambda: work.now, ticks=lambda: 0)
+            store = Store.open("memory", SMALL, files=files, clock=lambda: workload.now, ticks=lambda: 0)
         except PowerCut:
-            files = files.after_power_cut(chance.randrange(1 << 30))
+            files = files.after_power_cut(random_source.randrange(1 << 30))
             continue
-        except StoreError as bad:
-            return tally.wrong(f"{what}, recovery {round}: refused: {bad}")
-        tally.recovered += 1
+        except StoreError as error:
+            return results.add_violation(f"{case}, recovery {attempt}: opening failed: {error}")
+        results.recovered += 1
         files.fail_at = 0
-        wrong = faults_in(store, work.model, work.acknowledged)
-        if wrong:
-            return tally.wrong(f"{what}, recovery {round}: {wrong}")
-        # what was read must be there still, whatever happens next: the first recovery has served it
+        mismatch = find_mismatch(store, workload.model, workload.acknowledged)
+        if mismatch:
+            return results.add_violation(f"{case}, recovery {attempt}: {mismatch}")
+        # Whatever a recovery has served must survive the next power cut.
         seen = store.revision
         store.close()
         store = Store.open(
-            "memory", SMALL, files=files.after_power_cut(seed + 1), clock=lambda: work.now, ticks=lambda: 0
+            "memory", SMALL, files=files.after_power_cut(seed + 1), clock=lambda: workload.now, ticks=lambda: 0
         )
         if store.revision != seen:
-            tally.wrong(f"{what}: revision {seen} was served after a recovery, then {store.revision}")
+            results.add_violation(f"{case}: revision {seen} was served after a recovery, then {store.revision}")
         return None
 
 
-def try_faults(seed: int, warm_bytes: int, steps: int, every: int = 1, offset: int = 0) -> Tally:
-    """Let the disk refuse each call that changes it, once (EIO) or from there on until it is mended (ENOSPC)."""
-    tally = Tally()
-    n = offset
+def run_disk_faults(seed: int, warm_up_bytes: int, steps: int, every: int = 1, offset: int = 0) -> TrialResults:
+    """Let the modifying call `offset + every` fail, then each `every`-th after it, in one run of `steps` steps each.
+
+    Odd calls fail once with EIO (5), even ones with ENOSPC (28) from then on, until the disk is repaired. The store
+    must then accept writes again and contain everything that was committed.
+    """
+    results = TrialResults()
+    failing_call = offset
     while True:
-        n += every
-        work = Workload(seed, MemoryFiles(seed))
-        work.run(warm_bytes)
-        work.store.flush()
-        files, before = work.files, work.files.steps
-        files.fail_at, files.keep_failing = before + n, n % 2 == 0
-        files.fault = OSError(28, os.strerror(28)) if n % 2 == 0 else OSError(5, os.strerror(5))
+        failing_call += every
+        workload = Workload(seed, MemoryFiles(seed))
+        workload.run(warm_up_bytes)
+        workload.store.flush()
+        files, calls_before = workload.files, workload.files.steps
+        files.fail_at, files.keep_failing = calls_before + failing_call, failing_call % 2 == 0
+        files.fault = OSError(28, os.strerror(28)) if failing_call % 2 == 0 else OSError(5, os.strerror(5))
         done = 0
         try:
             while done < steps:
                 done += 1
-                work.step()
+                workload.step()
             if files.steps < files.fail_at:
-                return tally
+                return results
         except ReadOnly:
-            work.model.cut(work.store.revision)
-        tally.tried += 1
-        if work.store.info().read_only == "":
-            work.store.flush()
+            workload.model.drop_after(workload.store.revision)
+        results.tried += 1
+        if workload.store.info().read_only == "":
+            workload.store.flush()
         if files.keep_failing:
             try:
-                work.store.retry()
-                work.store.commit(Batch().put(b"k000", b"x"))
-                tally.wrong(f"seed {seed}: writes are taken while call {n} still fails")
+                workload.store.retry()
+                workload.store.commit(Batch().put(b"k000", b"x"))
+                results.add_violation(f"seed {seed}: writes are accepted while call {failing_call} still fails")
             except ReadOnly:
                 pass
         files.fail_at = 0
         try:
-            work.store.retry()
+            workload.store.retry()
             for _ in range(20):
-                work.step()
-            work.store.flush()
-        except StoreError as bad:
-            tally.wrong(f"seed {seed}, call {n} failed: after it was mended: {bad}")
+                workload.step()
+            workload.store.flush()
+        except StoreError as error:
+            results.add_violation(f"seed {seed}, call {failing_call} failed: error after the repair: {error}")
             continue
-        wrong = faults_in(work.store, work.model, work.model.revision)
-        if not wrong:
+        mismatch = find_mismatch(workload.store, workload.model, workload.model.revision)
+        if not mismatch:
             store = Store.open(
-                "memory", SMALL, files=files.after_power_cut(seed + n), clock=_standing(work.now), ticks=lambda: 0
+                "memory",
+                SMALL,
+                files=files.after_power_cut(seed + failing_call),
+                clock=_fixed_clock(workload.now),
+                ticks=lambda: 0,
             )
-            wrong = faults_in(store, work.model, work.acknowledged)
-        tally.recovered += 1
-        if wrong:
-            tally.wrong(f"seed {seed}, call {n} failed: {wrong}")
+            mismatch = find_mismatch(store, workload.model, workload.acknowledged)
+        results.recovered += 1
+        if mismatch:
+            results.add_violation(f"seed {seed}, call {failing_call} failed: {mismatch}")
 
 
-def _standing(now: int) -> Callable[[], int]:
+def _fixed_clock(now: int) -> Callable[[], int]:
     return lambda: now
 
 
-# ---- all of it, over all cores
+# ---- complete runs on several processes
 
 
-_bench: Bench | None = None
+_trials: DamageTrials | None = None
 
 
-def _begin(seed: int, log_bytes: int) -> None:
-    global _bench
-    _bench = Bench(seed, log_bytes)
+def _build_trials(seed: int, log_bytes: int) -> None:
+    global _trials
+    _trials = DamageTrials(seed, log_bytes)
 
 
-def _slice(mode: Mode, part: int, parts: int) -> Tally:
-    assert _bench is not None
-    tally = Tally()
-    trial = _bench.try_cut if mode == "cut" else _bench.try_flip
-    for i, (image, name, offset) in enumerate(_bench.places()):
+def _run_slice(mode: Mode, part: int, parts: int) -> TrialResults:
+    assert _trials is not None
+    results = TrialResults()
+    trial = _trials.try_cut if mode == "cut" else _trials.try_flip
+    for i, (image, name, offset) in enumerate(_trials.positions()):
         if i % parts == part:
-            trial(image, name, offset, tally)
-    return tally
+            trial(image, name, offset, results)
+    return results
 
 
 class Report(msgspec.Struct):
-    """A whole run."""
+    """The results of a complete run."""
 
     seed: int
     log_bytes: int
-    file_bytes: int  # of all images' files, each counted once
+    file_bytes: int  # total size of the distinct files of all images
     revisions: int
-    modes: dict[str, Tally]
+    modes: dict[str, TrialResults]
     violations: int = 0
 
 
@@ -518,35 +567,46 @@
     workers: int = 0,
     progress: Callable[[str, int, int], None] = lambda mode, done, of: None,
 ) -> Report:
-    """The whole torture of one seed, over `workers` processes (all cores without a number)."""
+    """Run all trials of one seed in `workers` processes; 0: one per core."""
     workers = workers or os.cpu_count() or 1
-    here = Bench(seed, log_bytes)
-    files = sum(1 for _ in here.places())
-    report = Report(seed, log_bytes, files, here.model.revision, {})
-    count = {(i, name) for i, name, _ in here.places()}
+    trials = DamageTrials(seed, log_bytes)
+    file_bytes = sum(1 for _ in trials.positions())
+    report = Report(seed, log_bytes, file_bytes, trials.model.revision, {})
+    image_files = {(i, name) for i, name, _ in trials.positions()}
     parts = workers * 16
-    with ProcessPoolExecutor(workers, get_context("fork"), _begin, (seed, log_bytes)) as pool:
+    with ProcessPoolExecutor(workers, get_context("fork"), _build_trials, (seed, log_bytes)) as pool:
         for mode in modes:
-            total = Tally()
+            total = TrialResults()
             if mode in ("cut", "flip"):
-                waiting = [pool.submit(_slice, mode, part, parts) for part in range(parts)]
-                total.images, total.files = len(here.images), len(count)
+                futures = [pool.submit(_run_slice, mode, part, parts) for part in range(parts)]
+                total.images, total.files = len(trials.images), len(image_files)
             elif mode == "power":
-                waiting = [
-                    pool.submit(try_power, seed + i // workers, 60_000, 300, workers, i % workers)
+                futures = [
+                    pool.submit(run_power_cuts, seed + i // workers, 60_000, 300, workers, i % workers)
                     for i in range(workers * 2)
                 ]
             else:
-                waiting = [
-                    pool.submit(try_faults, seed + i // workers, 60_000, 200, workers, i % workers)
+                futures = [
+                    pool.submit(run_disk_faults, seed + i // workers, 60_000, 200, workers, i % workers)
                     for i in range(workers * 2)
                 ]
-            for done, future in enumerate(waiting):
+            for done, future in enumerate(futures):
                 total.add(future.result())
-                progress(mode, done + 1, len(waiting))
+                progress(mode, done + 1, len(futures))
             report.modes[mode] = total
             report.violations += len(total.violations)
     return report
 
 
-__all__ = ["MODES", "Bench", "Model", "Report", "Tally", "Workload", "faults_in", "run", "try_faults", "try_power"]
+__all__ = [
+    "MODES",
+    "DamageTrials",
+    "Model",
+    "Report",
+    "TrialResults",
+    "Workload",
+    "find_mismatch",
+    "run",
+    "run_disk_faults",
+    "run_power_cuts",
+]
--- a/rackhub/store/salvage.py
+++ b/rackhub/store/salvage.py
@@ -1,4 +1,7 @@
-"""What is whole in a directory, file by file, and a new store made of it. `plan.rescue` decides what is taken."""
+"""Inspects a damaged store file by file, and writes a new store from the intact parts.
+
+`plan.plan_salvage` decides which parts are used.
+"""
 
 from collections.abc import Callable, Iterator
 
@@ -7,26 +10,35 @@
 from rackhub.store import plan
 from rackhub.store.errors import Corrupt, NewerFormat, StoreError
 from rackhub.store.files import File, Files
-from rackhub.store.framing import FRAME_SIZE, HEADER_SIZE, LOG, beyond, check_header, frame, frames, header
-from rackhub.store.log import following, read_records, read_tail
+from rackhub.store.framing import (
+    FRAME_SIZE,
+    HEADER_SIZE,
+    LOG_KIND,
+    check_header,
+    frame_header,
+    frames,
+    frames_after,
+    header,
+)
+from rackhub.store.log import check_sequence, check_tail, read_records
 from rackhub.store.manifest import (
-    NAME,
+    MANIFEST_NAME,
     Manifest,
     SegmentInfo,
     install,
     load,
     log_name,
-    number_of,
+    parse_name,
     table_name,
 )
 from rackhub.store.records import DATA, Record, encode
 from rackhub.store.table import BlockCache, Table, TableInfo
 
-FRAME_BYTES = 1_048_576
+COPY_BYTES = 1_048_576  # bytes that are read or written at once
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """Something wrong in one file."""
+    """A fault in a file, at a byte offset."""
 
     file: str
     offset: int
@@ -34,128 +46,135 @@
 
 
 class LogSurvey(msgspec.Struct, frozen=True):
-    """Rows of whole records in one log with the byte ranges of their frames, and what is wrong with the rest."""
+    """The ranges of intact records in a log with the byte ranges of their frames, and the faults between them."""
 
-    stretches: tuple[plan.Stretch, ...]
-    places: tuple[tuple[int, int], ...]
+    ranges: tuple[plan.RecordRange, ...]
+    byte_ranges: tuple[tuple[int, int], ...]
     findings: tuple[Finding, ...]
 
 
 class Survey(msgspec.Struct, frozen=True):
-    """All that is whole in a directory."""
+    """The intact parts of a directory, and the faults found."""
 
     tables: dict[str, TableInfo]
     logs: dict[str, LogSurvey]
     findings: tuple[Finding, ...]
 
 
-def survey_table(name: str, number: int, file: File) -> TableInfo:
-    """What a table holds, every byte of it read; `Corrupt` at the first that is not as it was written."""
+def inspect_table(name: str, number: int, file: File) -> TableInfo:
+    """Read the whole table and return its description. Raises `Corrupt` at the first mismatch."""
     table = Table(name, number, file, BlockCache(0))
-    table.check()
+    table.verify()
     return table.info
 
 
-def survey_log(name: str, number: int, file: File) -> LogSurvey:
-    """Whole records of a log wherever they stand: after a bad place the next marker is looked for."""
+def inspect_log(name: str, number: int, file: File) -> LogSurvey:
+    """Find the intact records of a log; after a damaged frame the search continues at the next marker."""
     data = memoryview(file.read(0, file.size()))
     findings: list[Finding] = []
     try:
-        check_header(name, bytes(data[:HEADER_SIZE]), LOG, number)
+        check_header(name, bytes(data[:HEADER_SIZE]), LOG_KIND, number)
     except NewerFormat:
         raise
-    except Corrupt as bad:
-        findings.append(Finding(name, bad.offset, bad.why))
-    stretches: list[plan.Stretch] = []
-    places: list[tuple[int, int]] = []
-    at = HEADER_SIZE
-    while at < len(data):
-        end = at
-        for found in frames(data, at):
-            end = found.end
+    except Corrupt as error:
+        findings.append(Finding(name, error.offset, error.reason))
+    ranges: list[plan.RecordRange] = []
+    byte_ranges: list[tuple[int, int]] = []
+    offset = HEADER_SIZE
+    while offset < len(data):
+        end = offset
+        for frame in frames(data, offset):
+            end = frame.end
             try:
-                records = read_records(name, found)
-            except Corrupt as bad:
-                findings.append(Finding(name, found.start, bad.why))
+                records = read_records(name, frame)
+            except Corrupt as error:
+                findings.append(Finding(name, frame.start, error.reason))
                 continue
             first, last = records[0], records[-1]
-            if stretches and places[-1][1] == found.start and stretches[-1].last_record + 1 == first.number:
-                stretches[-1] = msgspec.structs.replace(stretches[-1], last_record=last.number, revision=last.revision)
-                places[-1] = (places[-1][0], end)
+            if ranges and byte_ranges[-1][1] == frame.start and ranges[-1].last_record + 1 == first.number:
+                ranges[-1] = msgspec.structs.replace(ranges[-1], last_record=last.number, revision=last.revision)
+                byte_ranges[-1] = (byte_ranges[-1][0], end)
             else:
-                stretches.append(plan.Stretch(number, first.number, last.number, revision_before(first), last.revision))
-                places.append((found.start, end))
+                ranges.append(
+                    plan.RecordRange(number, first.number, last.number, revision_before(first), last.revision)
+                )
+                byte_ranges.append((frame.start, end))
         if end < len(data):
-            findings.append(Finding(name, end, "no whole frame begins here"))
-            later = next(beyond(data, end), None)
-            if later is None:
+            findings.append(Finding(name, end, "no valid frame at this offset"))
+            next_frame = next(frames_after(data, end), None)
+            if next_frame is None:
                 break
-            end = later.start
-        at = end
-    return LogSurvey(tuple(stretches), tuple(places), tuple(findings))
+            end = next_frame.start
+        offset = end
+    return LogSurvey(tuple(ranges), tuple(byte_ranges), tuple(findings))
 
 
 def revision_before(record: Record) -> int:
-    """The store's revision before a record: one that changes keys has a revision of its own."""
+    """The store's revision before a record. Only a record that changes user keys has a revision of its own."""
     return record.revision - any(entry.key[:1] == DATA for entry in record.entries)
 
 
 def survey(files: Files, progress: Callable[[str], None] = lambda name: None) -> Survey:
-    """Read every file of a directory. Raises `NewerFormat`, as a format that is not known can't be judged."""
+    """Read every file of a directory. Raises `NewerFormat`, as files of an unknown format can't be judged."""
     tables: dict[str, TableInfo] = {}
     logs: dict[str, LogSurvey] = {}
     findings: list[Finding] = []
     for name in files.names():
-        told = number_of(name)
-        if told is None:
+        parsed = parse_name(name)
+        if parsed is None:
             continue
         progress(name)
         file = files.open(name)
         try:
-            if told[0] == "table":
-                tables[name] = survey_table(name, told[1], file)
+            if parsed[0] == "table":
+                tables[name] = inspect_table(name, parsed[1], file)
             else:
-                logs[name] = survey_log(name, told[1], file)
+                logs[name] = inspect_log(name, parsed[1], file)
                 findings += logs[name].findings
-        except Corrupt as bad:
-            findings.append(Finding(name, bad.offset, bad.why))
-        except OSError as fault:
-            findings.append(Finding(name, 0, str(fault)))
+        except Corrupt as error:
+            findings.append(Finding(name, error.offset, error.reason))
+        except OSError as error:
+            findings.append(Finding(name, 0, str(error)))
         finally:
             file.close()
     return Survey(tables, logs, tuple(findings))
 
 
-def choose(found: Survey) -> plan.Rescue:
-    """What is taken of it."""
-    return plan.rescue(
-        list(found.tables.values()), [stretch for log in found.logs.values() for stretch in log.stretches]
+def choose(found: Survey) -> plan.SalvagePlan:
+    """Plan the salvage of a surveyed directory."""
+    return plan.plan_salvage(
+        list(found.tables.values()), [record_range for log in found.logs.values() for record_range in log.ranges]
     )
 
 
-def write(found: Survey, taken: plan.Rescue, source: Files, target: Files, seen: int) -> None:
-    """Make a store of what is `taken`. `target` must be empty; its manifest comes last, so that a half-written one
-    is never taken for a store."""
+def write_store(found: Survey, taken: plan.SalvagePlan, source: Files, target: Files, now: int) -> None:
+    """Write a new store with the contents of `taken`.
+
+    `target` must be empty. Its manifest is written last, so that an incomplete copy is never opened as a store.
+    `now`: the current time in Unix microseconds.
+    """
     if target.names():
-        raise StoreError("the directory to write to is not empty")
+        raise StoreError("the target directory is not empty")
     for info in taken.tables:
         _copy(source.open(table_name(info.number)), target.create(table_name(info.number)))
     number = max([table.number for table in taken.tables], default=0) + 1
     segments: list[SegmentInfo] = []
-    due, revision = (
-        (taken.logs[0].first_record, taken.logs[0].before) if taken.logs else (taken.last_record + 1, taken.revision)
+    next_record, revision = (
+        (taken.logs[0].first_record, taken.logs[0].revision_before)
+        if taken.logs
+        else (taken.last_record + 1, taken.revision)
     )
-    for stretch in taken.logs:
-        if stretch.last_record < due:  # all of it stands in the one before too
+    for record_range in taken.logs:
+        if record_range.last_record < next_record:  # the preceding range contains all of these records
             continue
-        segment = _write_segment(found, stretch, source, target, number, due, revision)
+        segment = _write_segment(found, record_range, source, target, number, next_record, revision)
         segments.append(segment)
-        number, due, revision = number + 1, segment.last_record + 1, segment.revision
+        number, next_record, revision = number + 1, segment.last_record + 1, segment.revision
     file = target.create(log_name(number))
-    file.append([header(LOG, number)])
+    file.append([header(LOG_KIND, number)])
     file.sync()
     file.close()
-    target.sync_names()
+    target.sync_directory()
     flushed = taken.tables[0] if taken.tables else None
     install(
         target,
@@ -168,7 +187,7 @@
             flushed.last_record if flushed else 0,
             flushed.revision if flushed else 0,
             taken.floor,
-            seen,
+            now,
             taken.tables,
             (),
             tuple(segments),
@@ -177,58 +196,68 @@
 
 
 def _write_segment(
-    found: Survey, stretch: plan.Stretch, source: Files, target: Files, number: int, due: int, before: int
+    found: Survey,
+    record_range: plan.RecordRange,
+    source: Files,
+    target: Files,
+    number: int,
+    next_record: int,
+    before: int,
 ) -> SegmentInfo:
-    """The records of a stretch from `due` on, in a segment of their own."""
-    name = log_name(stretch.log)
+    """Write the records of a range from record `next_record` on as a segment of their own."""
+    name = log_name(record_range.log)
     log = found.logs[name]
-    start, end = log.places[log.stretches.index(stretch)]
-    parts, size, revision, first = [header(LOG, number)], HEADER_SIZE, before, due
+    start, end = log.byte_ranges[log.ranges.index(record_range)]
+    buffers, size, revision, first = [header(LOG_KIND, number)], HEADER_SIZE, before, next_record
     old, file = source.open(name), target.create(log_name(number))
     try:
         data = memoryview(old.read(0, end))
-        for one in frames(data, start):
-            some = [record for record in read_records(name, one) if record.number >= due]
-            if some:
-                payload = encode(some)
-                parts += [frame(payload, size), payload]
+        for frame in frames(data, start):
+            records = [record for record in read_records(name, frame) if record.number >= next_record]
+            if records:
+                payload = encode(records)
+                buffers += [frame_header(payload, size), payload]
                 size += FRAME_SIZE + len(payload)
-                due, revision = some[-1].number + 1, some[-1].revision
-            if sum(map(len, parts)) > FRAME_BYTES:
-                file.append(parts)
-                parts = []
-        file.append(parts)
+                next_record, revision = records[-1].number + 1, records[-1].revision
+            if sum(map(len, buffers)) > COPY_BYTES:
+                file.append(buffers)
+                buffers = []
+        file.append(buffers)
         file.sync()
     finally:
         old.close()
         file.close()
-    return SegmentInfo(number, first, due - 1, before, revision, size)
+    return SegmentInfo(number, first, next_record - 1, before, revision, size)
 
 
-def _copy(old: File, new: File) -> None:
-    at = 0
-    while data := old.read(at, FRAME_BYTES):
-        new.append([data])
-        at += len(data)
-    new.sync()
-    old.close()
-    new.close()
+def _copy(source: File, target: File) -> None:
+    offset = 0
+    while data := source.read(offset, COPY_BYTES):
+        target.append([data])
+        offset += len(data)
+    target.sync()
+    source.close()
+    target.close()
 
 
 def salvage(
-    source: Files, target: Files, seen: int, progress: Callable[[str], None] = lambda name: None
-) -> tuple[Survey, plan.Rescue]:
-    """Read all that is in `source`, write what is provably whole to `target`. What could not be taken is told by
-    both results: the findings of the one and what the other has `skipped`."""
+    source: Files, target: Files, now: int, progress: Callable[[str], None] = lambda name: None
+) -> tuple[Survey, plan.SalvagePlan]:
+    """Read everything in `source` and write the intact part to `target`.
+
+    The first result lists the faults, the second what was `skipped`. `now`: the current time in Unix microseconds.
+    """
     found = survey(source, progress)
     taken = choose(found)
-    write(found, taken, source, target, seen)
+    write_store(found, taken, source, target, now)
     return found, taken
 
 
 def verify(files: Files, progress: Callable[[str], None] = lambda name: None) -> Iterator[Finding]:
-    """Read everything there is and compare it with the manifest, changing nothing. A tail that a crash has torn off
-    is no fault: the next opening cuts it away."""
+    """Read all files and compare them with the manifest, without changing anything.
+
+    A torn tail of the log is no fault: the next opening truncates it.
+    """
     try:
         manifest = load(files)
         sizes = {}
@@ -236,58 +265,65 @@
             file = files.open(name)
             sizes[name] = file.size()
             file.close()
-        todo = plan.recovery(manifest, sizes)
-    except Corrupt as bad:
-        yield Finding(bad.file, bad.offset, bad.why)
+        recovery_plan = plan.plan_recovery(manifest, sizes)
+    except Corrupt as error:
+        yield Finding(error.file, error.offset, error.reason)
         return
     except FileNotFoundError:
-        yield Finding(NAME, 0, "is not there")
+        yield Finding(MANIFEST_NAME, 0, "missing")
         return
-    for number in todo.later:
+    for number in recovery_plan.later_segments:
         if sizes[log_name(number)] > HEADER_SIZE:
-            yield Finding(log_name(number), HEADER_SIZE, "holds records, and the manifest does not name it")
+            yield Finding(log_name(number), HEADER_SIZE, "contains records, but the manifest does not list it")
     for info in (*manifest.tables, *manifest.retired):
         name = table_name(info.number)
         progress(name)
         try:
-            if survey_table(name, info.number, files.open(name)) != info:
-                yield Finding(name, 0, "is not the table that the manifest names")
-        except Corrupt as bad:
-            yield Finding(bad.file, bad.offset, bad.why)
+            if inspect_table(name, info.number, files.open(name)) != info:
+                yield Finding(name, 0, "does not match the table that the manifest lists")
+        except Corrupt as error:
+            yield Finding(error.file, error.offset, error.reason)
         except FileNotFoundError:
-            yield Finding(name, 0, "the manifest names it and it is not there")
-    due, revision = None, 0
+            yield Finding(name, 0, "listed in the manifest, but missing")
+    next_record, revision = None, 0
     for segment in manifest.segments:
         name = log_name(segment.number)
         progress(name)
-        found = survey_log(name, segment.number, files.open(name))
-        yield from found.findings
-        if not found.findings:
-            one = found.stretches[0] if len(found.stretches) == 1 else None
-            if one is None or (one.first_record, one.last_record) != (segment.first_record, segment.last_record):
+        log_survey = inspect_log(name, segment.number, files.open(name))
+        yield from log_survey.findings
+        if not log_survey.findings:
+            only_range = log_survey.ranges[0] if len(log_survey.ranges) == 1 else None
+            if only_range is None or (only_range.first_record, only_range.last_record) != (
+                segment.first_record,
+                segment.last_record,
+            ):
                 yield Finding(
-                    name, HEADER_SIZE, f"does not hold records {segment.first_record} to {segment.last_record}"
+                    name,
+                    HEADER_SIZE,
+                    f"does not contain exactly the records {segment.first_record} to {segment.last_record}",
                 )
-        if due is not None and (segment.first_record, segment.before) != (due, revision):
-            yield Finding(name, HEADER_SIZE, f"begins with record {segment.first_record} where {due} is due")
-        due, revision = segment.last_record + 1, segment.revision
+        if next_record is not None and (segment.first_record, segment.revision_before) != (next_record, revision):
+            yield Finding(
+                name, HEADER_SIZE, f"starts with record {segment.first_record}, expected record {next_record}"
+            )
+        next_record, revision = segment.last_record + 1, segment.revision
     yield from _verify_active(files, manifest)
 
 
 def _verify_active(files: Files, manifest: Manifest) -> Iterator[Finding]:
-    name = log_name(manifest.active)
+    name = log_name(manifest.active_segment)
     file = files.open(name)
     data = memoryview(file.read(0, file.size()))
     file.close()
-    end, due, revision = HEADER_SIZE, manifest.active_first, manifest.active_before
+    end, next_record, revision = HEADER_SIZE, manifest.active_first_record, manifest.active_revision_before
     try:
-        check_header(name, bytes(data[:HEADER_SIZE]), LOG, manifest.active)
-        for one in frames(data):
-            for record in read_records(name, one):
-                due, revision = following(name, one.start, record, due, revision)
-            end = one.end
-        read_tail(name, data, end)
-        if end < manifest.active_durable:
-            raise Corrupt(name, end, f"cut short: {manifest.active_durable} bytes of it were on disk")
-    except Corrupt as bad:
-        yield Finding(bad.file, bad.offset, bad.why)
+        check_header(name, bytes(data[:HEADER_SIZE]), LOG_KIND, manifest.active_segment)
+        for frame in frames(data):
+            for record in read_records(name, frame):
+                next_record, revision = check_sequence(name, frame.start, record, next_record, revision)
+            end = frame.end
+        check_tail(name, data, end)
+        if end < manifest.active_durable_bytes:
+            raise Corrupt(name, end, f"truncated: {manifest.active_durable_bytes} bytes were durable")
+    except Corrupt as error:
+        yield Finding(error.file, error.offset, error.reason)
