--- a/rackhub/cli/__init__.py
+++ b/rackhub/cli/__init__.py
@@ -6,26 +6,27 @@
 
 Commands:
   serve          Serve until SIGTERM. SIGHUP reloads the configuration, SIGUSR1 prints the counters.
-  config         Check, explain and compare the operator's file; print its schema.
-  check-config   Read and check the configuration, print a summary, serve nothing.
-  hash-password  Read a password from standard input, print what the operator's file holds for it.
-  bench          What parts of the program do and cost on this machine.
-  rig            A whole fleet of real processes on this machine's loopback: up, asked, tortured.
-  rules          The fleet's rule book: shown, edited, undone, on trial.
-  store          Look into, check, mend, measure and torture an embedded store.
+  config         Check, explain and compare operator files; print the JSON Schema of the file.
+  check-config   Check the configuration and print a summary, without serving.
+  hash-password  Read a password from standard input and print its hash for the operator file.
+  bench          Benchmark components of the program on this machine.
+  rig            Run, query and stress-test a fleet of real processes on the loopback interface.
+  rules          Show, edit, undo and try out the fleet's versioned rule set.
+  store          Inspect, verify, salvage, benchmark and stress-test an embedded store.
   version        Print the version.
 
-`rackhub <command> --help` tells more. Exit status: 0 done, 1 something was found (each command says what), 2 bad
-usage or configuration.
+`rackhub <command> --help` describes one command. Exit status: 0 success, 1 the command found a problem or a difference
+(see its help), 2 bad usage or configuration.
 """
 
 import sys
 from collections.abc import Sequence
 from importlib import import_module
 
-from rackhub.cli.words import Ended, parse
+from rackhub.cli.words import CommandExit, parse
 
-# one module a command, each with `run(words)`; loaded when it is called, so that none pays for another
+# Command name to module. Each module has `run(arguments)` and is imported only when its command is called, so that no
+# command pays for the imports of another.
 COMMANDS = {
     "serve": "serve",
     "config": "config",
@@ -39,20 +40,20 @@
 }
 
 
-def main(words: Sequence[str] | None = None) -> int:
-    """Run one command; its exit status."""
-    given = list(sys.argv[1:] if words is None else words)
+def main(command_line: Sequence[str] | None = None) -> int:
+    """Run one command and return its exit status."""
+    arguments = list(sys.argv[1:] if command_line is None else command_line)
     try:
-        told = parse(__doc__ or "", given, options_first=True)
-        name = told["<command>"]
+        options = parse(__doc__ or "", arguments, options_first=True)
+        name = options["<command>"]
         if name not in COMMANDS:
-            print(f"rackhub: {name!r} is no command; there are {', '.join(COMMANDS)}", file=sys.stderr)
+            print(f"rackhub: {name!r} is not a command; the commands are {', '.join(COMMANDS)}", file=sys.stderr)
             return 2
-        return import_module(f"rackhub.cli.{COMMANDS[name]}").run(given)
-    except Ended as end:
+        return import_module(f"rackhub.cli.{COMMANDS[name]}").run(arguments)
+    except CommandExit as end:
         return end.status
 
 
 def command() -> None:
-    """The entry point of the installed `rackhub`."""
+    """Entry point of the installed `rackhub` script."""
     sys.exit(main())
--- a/rackhub/cli/bench.py
+++ b/rackhub/cli/bench.py
@@ -1,4 +1,4 @@
-"""rackhub bench: what parts of the program do and cost on this machine.
+"""rackhub bench: benchmark components of the program on this machine.
 
 Usage:
   rackhub bench timings [--seeds N] [--seconds N] [--workers N] [--json]
@@ -6,55 +6,55 @@
   rackhub bench (-h | --help)
 
 Commands:
-  timings  Second copies, budgets and routes on plain engines in virtual time, and their cost; takes minutes.
-  fleet    CPU a request of the core with the decision module, with 8, 60 and 300 engines in the list.
+  timings  Hedging, retry budgets and routes against simple engines in virtual time, and their CPU cost; takes minutes.
+  fleet    CPU time per request of the core and its decision module, with 8, 60 and 300 listed engines.
 
 Options:
-  --rounds N   Of 400 requests at each size, 3 to 1000 [default: 21].
-  --seeds N    Runs of each, 1 to 1000 [default: 8].
-  --seconds N  Of each run at most, in virtual time, 5 to 600 [default: 60].
-  --workers N  Processes; 0: one a core [default: 0].
-  --json       One JSON document instead of text.
+  --rounds N   Rounds of 400 requests for each fleet size, 3 to 1000 [default: 21].
+  --seeds N    Runs of each variant, 1 to 1000 [default: 8].
+  --seconds N  Maximum duration of a run in virtual seconds, 5 to 600 [default: 60].
+  --workers N  Worker processes; 0: one per core [default: 0].
+  --json       Print one JSON document instead of text.
 
-Exit status: 0 done, 1 an answer was doubled or missing, 2 bad usage.
+Exit status: 0 success, 1 a request was answered twice or never, 2 bad usage.
 """
 
 import os
 import sys
 from collections.abc import Sequence
 
-from rackhub.cli.words import as_json, number, parse
+from rackhub.cli.words import parse, parse_number, print_json
 
 
-def run(words: Sequence[str]) -> int:
-    options = parse(__doc__ or "", words)
+def run(arguments: Sequence[str]) -> int:
+    options = parse(__doc__ or "", arguments)
     if options["fleet"]:
-        return fleet(number(options, "--rounds", 3, 1_000), options["--json"])
+        return fleet(parse_number(options, "--rounds", 3, 1_000), options["--json"])
     from rackhub.timings import bench
 
-    seeds, seconds = number(options, "--seeds", 1, 1_000), number(options, "--seconds", 5, 600)
-    bar = None
+    seeds, seconds = parse_number(options, "--seeds", 1, 1_000), parse_number(options, "--seconds", 5, 600)
+    progress_bar = None
     if sys.stderr.isatty():
         from tqdm import tqdm
 
-        bar = tqdm(total=seeds * sum(len(ways) for _, ways in bench.SCENARIOS.values()), leave=False)
+        progress_bar = tqdm(total=seeds * sum(len(variants) for _, variants in bench.SCENARIOS.values()), leave=False)
     report = bench.run(
         seeds,
         seconds,
-        number(options, "--workers", 0, 1_024) or os.cpu_count() or 1,
-        bar.update if bar is not None else lambda: None,
+        parse_number(options, "--workers", 0, 1_024) or os.cpu_count() or 1,
+        progress_bar.update if progress_bar is not None else lambda: None,
     )
-    if bar is not None:
-        bar.close()
+    if progress_bar is not None:
+        progress_bar.close()
     if options["--json"]:
-        as_json(report)
+        print_json(report)
     else:
-        scene = ""
+        scenario = ""
         for row in report.rows:
-            if row.scenario != scene:
-                scene = row.scenario
+            if row.scenario != scenario:
+                scenario = row.scenario
                 print(
-                    f"\n{scene}\n{'':<28}{'p50':>6}{'p99':>7}{'p99.9':>7}{'good/s':>8}{'served':>8}{'attempts':>9}"
+                    f"\n{scenario}\n{'':<28}{'p50':>6}{'p99':>7}{'p99.9':>7}{'good/s':>8}{'served':>8}{'attempts':>9}"
                     f"{'copies':>8}{'work':>7}"
                 )
             print(
@@ -62,7 +62,7 @@
                 f"{row.served:>8.3f}{row.attempts:>9.3f}{row.copies:>8.3f}{row.work:>7.3f}"
             )
         print(
-            f"\nCPU a request: {report.cost.none_us:.1f} us without routes, {report.cost.routes_us:.1f} us with "
+            f"\nCPU per request: {report.cost.none_us:.1f} us without routes, {report.cost.routes_us:.1f} us with "
             f"{report.cost.routes}: ratio {report.cost.ratio:.3f}"
         )
     return 1 if any(row.wrong for row in report.rows) else 0
@@ -73,8 +73,8 @@
 
     rows = measure(SIZES, rounds)
     if json:
-        as_json(rows)
+        print_json(rows)
     else:
         for row in rows:
-            print(f"{row.engines:4} engines: {row.us:6.1f} us of CPU a request, {row.ratio:.2f} times")
+            print(f"{row.engines:4} engines: {row.us:6.1f} us of CPU per request, {row.ratio:.2f} times")
     return 0
--- a/rackhub/cli/hash_password.py
+++ b/rackhub/cli/hash_password.py
@@ -1,4 +1,4 @@
-"""rackhub hash-password: read a password from standard input, print what the operator's file holds for it.
+"""rackhub hash-password: read a password from standard input and print its hash for the operator file.
 
 Usage:
   rackhub hash-password
@@ -12,7 +12,7 @@
 from rackhub.operatorfile import hash_password
 
 
-def run(words: Sequence[str]) -> int:
-    parse(__doc__ or "", words)
+def run(arguments: Sequence[str]) -> int:
+    parse(__doc__ or "", arguments)
     print(hash_password(sys.stdin.readline().rstrip("\r\n")))
     return 0
--- a/rackhub/cli/relayed_rules.py
+++ b/rackhub/cli/relayed_rules.py
@@ -1,83 +1,83 @@
-"""How `rackhub rules` prints what a process of a fleet with relays answers to status, edit and undo."""
+"""Prints replies to `rackhub rules` status, edit and undo from a fleet with relays."""
 
 from collections.abc import Mapping
 from typing import Any
 
-MILLISECONDS_A_SECOND = 1_000
+MILLISECONDS_PER_SECOND = 1_000
 
-Told = Mapping[str, Any]
+Reply = Mapping[str, Any]
 
 
-def print_relayed(command: str, told: Told) -> None:
-    """`told` has a revision in place of a version."""
+def print_relayed(command: str, reply: Reply) -> None:
+    """Print a reply that has a revision in place of a version."""
     if command != "status":
-        return _print_change(told)
-    if told["role"] == "voter":
-        _print_voter(told)
-    elif told["role"] == "relay":
-        _print_relay(told)
+        return _print_change(reply)
+    if reply["role"] == "voter":
+        _print_voter(reply)
+    elif reply["role"] == "relay":
+        _print_relay(reply)
     else:
-        _print_coordinator(told)
-    if told.get("damage"):
-        print(f"damage: {told['damage']}")
-    for row in told["by_sender"]:
+        _print_coordinator(reply)
+    if reply.get("damage"):
+        print(f"damage: {reply['damage']}")
+    for row in reply["by_sender"]:
         print(f"  {row['counter']} of {row['sender']}: {row['count']}")
 
 
-def in_force(told: Told) -> str:
-    """Where a revision is in force, by the relays' reports."""
-    line = f"revision {told['revision']} in force at {told['in_force']:,} of {told['expected']:,}"
-    if told["lagging"]:
-        line += f", {told['lagging']:,} lag, oldest {_seconds(told['oldest_ms'])}"
+def format_applied(reply: Reply) -> str:
+    """Say at how many coordinators a revision is active, as the relays report it."""
+    line = f"revision {reply['revision']} in force at {reply['in_force']:,} of {reply['expected']:,}"
+    if reply["lagging"]:
+        line += f", {reply['lagging']:,} lagging, the oldest by {_format_seconds(reply['oldest_ms'])}"
     return line
 
 
-def _print_change(told: Told) -> None:
-    print(f"{in_force(told)}, after {told['took_ms']} ms (id {told['id']})")
-    if told["unasked"]:
-        print(f"zones that did not answer the check: {', '.join(told['unasked'])}")
-    _print_worst(told)
-    _print_refused(told)
+def _print_change(reply: Reply) -> None:
+    print(f"{format_applied(reply)}, after {reply['took_ms']} ms (id {reply['id']})")
+    if reply["unasked"]:
+        print(f"zones that did not answer the validation request: {', '.join(reply['unasked'])}")
+    _print_most_behind(reply)
+    _print_rejected(reply)
 
 
-def _print_voter(told: Told) -> None:
-    print(in_force(told))
-    _print_worst(told)
-    if told["refusing"]:
-        print(f"{told['refusing']:,} can't take a key, and go on with the value before")
-    _print_refused(told)
-    vote = "votes" if told["votes"] else "does not vote yet: its disk is new"
-    print(f"{told['name']}  voter, {vote}; a majority of the voters has revision {told['replicated']}")
-    for row in told["voters"]:
-        print(f"  {row['name']}  voter  revision {row['revision']}, heard {_seconds(row['age_ms'])} ago")
+def _print_voter(reply: Reply) -> None:
+    print(format_applied(reply))
+    _print_most_behind(reply)
+    if reply["refusing"]:
+        print(f"{reply['refusing']:,} rejected a key and kept its previous value")
+    _print_rejected(reply)
+    vote = "votes" if reply["votes"] else "does not vote yet because its disk is new"
+    print(f"{reply['name']}  voter, {vote}; a majority of the voters has revision {reply['replicated']}")
+    for row in reply["voters"]:
+        print(f"  {row['name']}  voter  revision {row['revision']}, last seen {_format_seconds(row['age_ms'])} ago")
 
 
-def _print_relay(told: Told) -> None:
-    upstream = told["upstream"] or "no voter"
+def _print_relay(reply: Reply) -> None:
+    upstream = reply["upstream"] or "no voter"
     print(
-        f"{told['name']}  relay of zone {told['zone']}  holds revision {told['revision']} from {upstream}; "
-        f"{told['watchers']} watch it, {told['members']} live in its zone"
+        f"{reply['name']}  relay of zone {reply['zone']}  holds revision {reply['revision']} from {upstream}; "
+        f"{reply['watchers']} watch it, {reply['members']} live in its zone"
     )
 
 
-def _print_coordinator(told: Told) -> None:
-    upstream = told["upstream"] or "no relay"
+def _print_coordinator(reply: Reply) -> None:
+    upstream = reply["upstream"] or "no relay"
     print(
-        f"{told['name']}  coordinator of zone {told['zone']}  revision {told['revision']} in force, "
-        f"{told['held']} on its disk, from {upstream}"
+        f"{reply['name']}  coordinator of zone {reply['zone']}  revision {reply['revision']} in force, "
+        f"{reply['held']} on its disk, from {upstream}"
     )
-    _print_refused(told)
+    _print_rejected(reply)
 
 
-def _print_worst(told: Told) -> None:
-    for row in told["worst"]:
-        print(f"  {row['name']}  has revision {row['revision']}, {_seconds(row['behind_ms'])} behind")
+def _print_most_behind(reply: Reply) -> None:
+    for row in reply["worst"]:
+        print(f"  {row['name']}  has revision {row['revision']}, behind by {_format_seconds(row['behind_ms'])}")
 
 
-def _print_refused(told: Told) -> None:
-    for row in told["refused"]:
-        print(f"  refused: {row['key']}: {row['reason']}")
+def _print_rejected(reply: Reply) -> None:
+    for row in reply["refused"]:
+        print(f"  rejected: {row['key']}: {row['reason']}")
 
 
-def _seconds(milliseconds: int) -> str:
-    return f"{milliseconds / MILLISECONDS_A_SECOND:.0f} s"
+def _format_seconds(milliseconds: int) -> str:
+    return f"{milliseconds / MILLISECONDS_PER_SECOND:.0f} s"
--- a/rackhub/cli/rig/__init__.py
+++ b/rackhub/cli/rig/__init__.py
@@ -1,4 +1,4 @@
-"""rackhub rig: a whole fleet of real processes on this machine's loopback, from a site that is made up for it.
+"""rackhub rig: run, query and stress-test a fleet of real processes on the loopback interface, for a generated site.
 
 Usage:
   rackhub rig up [--gateways N] [--sites K] [--engines N] [--cores X] [--seed N] [--fleet] [--keepers N] [--for S]
@@ -14,46 +14,47 @@
   rackhub rig (-h | --help)
 
 Commands:
-  up       Start gateways, stand-in engines and a resolver, print where they listen, run until Ctrl-C or SIGTERM.
-  query    Send one request to the rig that runs, print the rows.
-  torture  Hard cases in turn under traffic, each on a fleet of its own, with a verdict on safety and final state.
-  overload The same arrivals at gateways that share nothing, at the same with [fleet] on, and at one that sees all.
-  undos    How long an undo takes under load until the last gateway holds it.
-  probes   How often each engine is probed, by the number of gateways; of the fleet's it must be flat within a fifth.
-  cases    What hard cases there are.
+  up       Start gateways, simulated engines and a resolver, print their addresses, run until Ctrl-C or SIGTERM.
+  query    Send one request to the running rig and print the rows.
+  torture  Run fault cases in turn under traffic, each on its own fleet, and judge safety and final state.
+  overload Compare independent gateways, the same with [fleet] on, and a single gateway under the same overload.
+  undos    Measure the time under load until the last gateway applies an undo.
+  probes   Measure health checks per engine by number of gateways; with [fleet] on it must be flat within a fifth.
+  cases    List the fault cases.
 
 Options:
-  --gateways N      1 to 16 [default: 3].
-  --sites K         1 to 8 [default: 2].
-  --engines N       Of all sites together, 1 to 40 [default: 4].
-  --cores X         Of each engine, 0.5 to 64 [default: 4].
-  --seed N          Of the site and of chance [default: 1].
-  --fleet           Let gateways speak to one another: the site allows peers, the operators' files have `[fleet]`.
-  --keepers N       Of the rule book: none, 1, 3 or 5, with --fleet [default: 0].
-  --for S           End after so many seconds by itself; 0: never [default: 0].
+  --gateways N      Number of gateways, 1 to 16 [default: 3].
+  --sites K         Number of sites, 1 to 8 [default: 2].
+  --engines N       Number of engines of all sites, 1 to 40 [default: 4].
+  --cores X         Cores of each engine, 0.5 to 64 [default: 4].
+  --seed N          Seed of the generated site and of the random numbers [default: 1].
+  --fleet           Connect the gateways: the site allows peers, the operator files have `[fleet]`.
+  --keepers N       Keepers of the rule set: 0, 1, 3 or 5; needs --fleet [default: 0].
+  --for S           Stop after this many seconds; 0: never [default: 0].
   --class NAME      lookup, report or depot-load.
-  --statement TEXT  What to ask. A comment such as /* work=50000 rows=3 */ says what it costs and gives.
-  --tenant NAME     Without it the site's first.
-  --key TEXT        Of a keyed class; without it one is drawn.
-  --budget-ms N     How long to wait; 0: the class's deadline [default: 0].
-  --gateway NAME    Which to ask; without it the first that answers.
-  --processes N     Gateways, 2 to 16 [default: 4].
-  --cycles N        Cases to run in all, in turn, 1 to 10000; 0: each once [default: 0].
-  --case NAME       Only this one.
-  --brief           Shorter pauses and cuts.
-  --times LIST      What the engines can do, so many times, while it lasts [default: 0.8,1.2,2,4].
-  --ways LIST       Of alone, fleet and one (overload only) [default: alone,fleet,one].
-  --counts LIST     Gateways of each run, 1 to 16 [default: 2,4,8].
-  --seeds N         Runs of each, from --seed on, 1 to 100 [default: 1].
-  --lasts S         Seconds of overload, or of counting probes, 1 to 600 [default: 6].
-  --count N         Undos, 1 to 1000 [default: 50].
-  --load X          Of what the engines can do, 0 to 4 [default: 0.6].
-  --heedless        Clients do not heed the back-off of a refusal.
-  --at ADDRESS      Ask at this address and port; without it the rig that runs here is found by its file.
-  --json            One JSON document instead of text.
+  --statement TEXT  The statement; a comment such as /* work=50000 rows=3 */ sets its cost and its number of rows.
+  --tenant NAME     The tenant; default: the first of the site.
+  --key TEXT        The idempotency key, for a class that has one; default: a random key.
+  --budget-ms N     Time budget of the request in milliseconds; 0: the deadline of the class [default: 0].
+  --gateway NAME    The gateway to query; default: the first that answers.
+  --processes N     Number of gateways, 2 to 16 [default: 4].
+  --cycles N        Total number of cases to run in turn, 1 to 10000; 0: each once [default: 0].
+  --case NAME       Run only this case.
+  --brief           Use shorter pauses and network cuts.
+  --times LIST      Overload levels, as multiples of the engines' capacity [default: 0.8,1.2,2,4].
+  --ways LIST       From alone (independent gateways), fleet and one (a single gateway; overload only)
+                    [default: alone,fleet,one].
+  --counts LIST     Number of gateways of each run, 1 to 16 [default: 2,4,8].
+  --seeds N         Runs of each kind, with seeds from --seed on, 1 to 100 [default: 1].
+  --lasts S         Seconds of overload, or of counting health checks, 1 to 600 [default: 6].
+  --count N         Number of undos, 1 to 1000 [default: 50].
+  --load X          Load as a multiple of the engines' capacity, 0 to 4 [default: 0.6].
+  --heedless        Clients ignore the back-off that a rejection asks for.
+  --at ADDRESS      Send to this address and port; default: the rig running here, found by its file.
+  --json            Print one JSON document instead of text.
 
-Exit status: 0 done, 1 the request was refused or failed, a gateway ended by itself, a case found a fault, or none could
-be run, probes are not flat, 2 bad usage, or no rig runs.
+Exit status: 0 success; 1 the request was rejected or failed, a gateway crashed, a case found a fault, no case could be
+run, or health checks are not flat; 2 bad usage, or no rig is running.
 """
 
 import sys
@@ -63,6 +64,7 @@
 
 from rackhub.cli.words import parse
 
+# Command name to module.
 COMMANDS = {
     "up": "fleet",
     "query": "fleet",
@@ -71,12 +73,12 @@
     "overload": "overload",
     "undos": "measures",
     "probes": "measures",
-}  # each with the module that has it
+}
 
 
-def run(words: Sequence[str]) -> int:
-    options = parse(__doc__ or "", words)
-    module, name = next((module, word) for word, module in COMMANDS.items() if options[word])
+def run(arguments: Sequence[str]) -> int:
+    options = parse(__doc__ or "", arguments)
+    module, name = next((module, command) for command, module in COMMANDS.items() if options[command])
     call: Callable[[dict[str, Any]], int] = getattr(import_module(f"rackhub.cli.rig.{module}"), name)
     if name in ("up", "query", "cases"):
         return call(options)
--- a/rackhub/cli/rig/fleet.py
+++ b/rackhub/cli/rig/fleet.py
@@ -1,32 +1,34 @@
-"""rackhub rig up, query: a fleet that stays up, and one request to it."""
+"""rackhub rig up, query: run a fleet until it is stopped, and send one request to it."""
 
 import sys
 from typing import Any
 
-from rackhub.cli.words import as_json, number, refuse
+from rackhub.cli.words import parse_number, print_json, report_error
 
 
-def plan_of(options: dict[str, Any]) -> Any:
+def make_plan(options: dict[str, Any]) -> Any:
     from rackhub.trials.processes.site import Plan
 
-    keepers = number(options, "--keepers", 0, 5)
-    gateways = number(options, "--gateways", 1, 16)
+    keepers = parse_number(options, "--keepers", 0, 5)
+    gateways = parse_number(options, "--gateways", 1, 16)
     if keepers not in (0, 1, 3, 5) or keepers > gateways or keepers and not options["--fleet"]:
-        raise refuse(f"--keepers: {keepers}: none, 1, 3 or 5, at most as many as gateways, and with --fleet")
+        raise report_error(
+            f"--keepers: {keepers}: has to be 0, 1, 3 or 5, at most the number of gateways, and needs --fleet"
+        )
     return Plan(
         gateways=gateways,
-        sites=number(options, "--sites", 1, 8),
+        sites=parse_number(options, "--sites", 1, 8),
         keepers=keepers,
-        engines=number(options, "--engines", 1, 40),
-        cores=number(options, "--cores", 0.5, 64, float),
-        seed=number(options, "--seed", 0, 2**31),
+        engines=parse_number(options, "--engines", 1, 40),
+        cores=parse_number(options, "--cores", 0.5, 64, float),
+        seed=parse_number(options, "--seed", 0, 2**31),
         peers=options["--fleet"],
         fleet=options["--fleet"],
     )
 
 
 def up(options: dict[str, Any]) -> int:
-    plan, seconds = plan_of(options), number(options, "--for", 0, 86_400, float)
+    plan, seconds = make_plan(options), parse_number(options, "--for", 0, 86_400, float)
     from twisted.internet import reactor
 
     from rackhub.trials.processes import running
@@ -35,18 +37,18 @@
 
     stop_on_signals()
     clock, path = Monotonic(), running.place()
-    spin: Any = reactor
+    untyped_reactor: Any = reactor
     with Rig(plan, reactor) as rig:
         try:
             rig.up()
         except KeyboardInterrupt:
             return 0
-        here = running.of(rig)
-        running.write(here, path)
+        running_rig = running.of(rig)
+        running.write(running_rig, path)
         try:
-            show(here, options["--json"])
-            until = clock.now() + int(seconds * 1_000_000) if seconds else 0
-            while not (until and clock.now() > until):
+            print_rig(running_rig, options["--json"])
+            end_at = clock.now() + int(seconds * 1_000_000) if seconds else 0
+            while not (end_at and clock.now() > end_at):
                 turn(reactor)
                 if any(not process.running() for process in rig.processes.by_name.values()):
                     break
@@ -54,21 +56,21 @@
             pass
         finally:
             running.remove(path)
-        rig.processes.end_in_order(lambda: spin.iterate(0.02))
-        crashed = [text for process in rig.processes.by_name.values() for text in process.crashed]
-    for text in crashed:
-        print(f"rackhub: {text}", file=sys.stderr)
+        rig.processes.end_in_order(lambda: untyped_reactor.iterate(0.02))
+        crashed = [crash for process in rig.processes.by_name.values() for crash in process.crashed]
+    for crash in crashed:
+        print(f"rackhub: {crash}", file=sys.stderr)
     return 1 if crashed else 0
 
 
-def show(here: Any, json: bool) -> None:
+def print_rig(running_rig: Any, json: bool) -> None:
     if json:
-        as_json(here)
+        print_json(running_rig)
     else:
-        for each in here.gateways:
-            more = f"  control {each.control}  fleet {each.fleet}" if each.fleet else ""
-            print(f"{each.name} at {each.site}: clients {each.clients}  staff {each.staff}{more}")
-        print(f"{len(here.engines)} engines, logs in {here.logs}; Ctrl-C ends all")
+        for gateway in running_rig.gateways:
+            more = f"  control {gateway.control}  fleet {gateway.fleet}" if gateway.fleet else ""
+            print(f"{gateway.name} at {gateway.site}: clients {gateway.clients}  staff {gateway.staff}{more}")
+        print(f"{len(running_rig.engines)} engines, logs in {running_rig.logs}; Ctrl-C stops all processes")
     sys.stdout.flush()
 
 
@@ -76,39 +78,40 @@
     from rackhub.trials.processes import running
     from rackhub.trials.processes.one import ask
 
-    budget = number(options, "--budget-ms", 0, 3_600_000)
-    here = running.read(running.place())
-    if here is None and not options["--at"]:
-        raise refuse("no rig runs here: start one with 'rackhub rig up', or name one with --at")
-    gateways = here.gateways if here else []
+    budget = parse_number(options, "--budget-ms", 0, 3_600_000)
+    running_rig = running.read(running.place())
+    if running_rig is None and not options["--at"]:
+        raise report_error("no rig is running here: start one with 'rackhub rig up', or name one with --at")
+    gateways = running_rig.gateways if running_rig else []
     addresses = (
         [options["--at"]]
         if options["--at"]
-        else [each.clients for each in gateways if options["--gateway"] in (None, each.name)]
+        else [gateway.clients for gateway in gateways if options["--gateway"] in (None, gateway.name)]
     )
     if not addresses:
-        raise refuse(
-            f"--gateway: the rig has no {options['--gateway']!r}; it has {', '.join(each.name for each in gateways)}"
+        raise report_error(
+            f"--gateway: the rig has no {options['--gateway']!r}; "
+            f"it has {', '.join(gateway.name for gateway in gateways)}"
         )
-    told = {each.name: each for each in here.classes} if here else {}
-    cls = told.get(options["--class"])
-    if told and cls is None:
-        raise refuse(f"--class: the rig has no {options['--class']!r}; it has {', '.join(told)}")
-    tenant = options["--tenant"] or (here.tenants[0] if here and here.tenants else "")
+    class_by_name = {known.name: known for known in running_rig.classes} if running_rig else {}
+    request_class = class_by_name.get(options["--class"])
+    if class_by_name and request_class is None:
+        raise report_error(f"--class: the rig has no {options['--class']!r}; it has {', '.join(class_by_name)}")
+    tenant = options["--tenant"] or (running_rig.tenants[0] if running_rig and running_rig.tenants else "")
     try:
         answer = ask(
             addresses,
             options["--class"],
             options["--statement"].encode(),
             tenant,
-            budget or (cls.deadline_ms if cls else 10_000),
+            budget or (request_class.deadline_ms if request_class else 10_000),
             options["--key"],
-            bool(cls and cls.keyed),
+            bool(request_class and request_class.keyed),
         )
-    except ValueError as bad:
-        raise refuse(f"--at: {bad}") from None
+    except ValueError as error:
+        raise report_error(f"--at: {error}") from None
     if options["--json"]:
-        as_json(answer)
+        print_json(answer)
     elif answer.how == "served":
         sys.stdout.write("".join("\t".join(row) + "\n" for row in answer.rows))
     else:
--- a/rackhub/cli/rig/overload.py
+++ b/rackhub/cli/rig/overload.py
@@ -1,9 +1,9 @@
-"""rackhub rig overload: the same arrivals in three ways."""
+"""rackhub rig overload: compare independent gateways, a fleet and a single gateway under the same arrivals."""
 
 import sys
 from typing import Any
 
-from rackhub.cli.words import as_json, number, refuse
+from rackhub.cli.words import parse_number, print_json, report_error
 
 
 def overload(options: dict[str, Any]) -> int:
@@ -14,12 +14,14 @@
     ways = options["--ways"].split(",")
     for way in ways:
         if way not in compare.WAYS:
-            raise refuse(f"--ways: {way!r} is none of {', '.join(compare.WAYS)}")
-    times = [number({"--times": each}, "--times", 0.1, 20, float) for each in options["--times"].split(",")]
-    first = number(options, "--seed", 0, 2**31)
-    seeds = range(first, first + number(options, "--seeds", 1, 100))
-
-    def told(row: Any) -> None:
+            raise report_error(f"--ways: {way!r} is none of {', '.join(compare.WAYS)}")
+    times = [
+        parse_number({"--times": multiple}, "--times", 0.1, 20, float) for multiple in options["--times"].split(",")
+    ]
+    first = parse_number(options, "--seed", 0, 2**31)
+    seeds = range(first, first + parse_number(options, "--seeds", 1, 100))
+
+    def print_row(row: Any) -> None:
         print(
             f"{row.way:<6} {row.times:g} times, seed {row.seed}: worth {row.worth} before {row.before} after "
             f"{row.after} attempts {row.attempts} tries {row.tries} carried on {row.carried_on} back after s "
@@ -29,19 +31,19 @@
         )
 
     rows = compare.run(
-        number(options, "--processes", 1, 16),
-        number(options, "--engines", 1, 40),
+        parse_number(options, "--processes", 1, 16),
+        parse_number(options, "--engines", 1, 40),
         times,
         ways,
         seeds,
-        number(options, "--lasts", 1, 600, float),
+        parse_number(options, "--lasts", 1, 600, float),
         not options["--heedless"],
         reactor,
-        told,
+        print_row,
     )
     summary = compare.summary(rows)
     if options["--json"]:
-        as_json({"rows": rows, "summary": summary})
+        print_json({"rows": rows, "summary": summary})
     else:
         print(
             f"{'way':<7}{'times':>6}{'worth':>7}{'of one':>8}{'attempts':>9}{'tries':>7}{'carried on':>11}"
--- a/rackhub/cli/rig/torture.py
+++ b/rackhub/cli/rig/torture.py
@@ -1,8 +1,8 @@
-"""rackhub rig torture, cases: hard cases in turn, and what there are."""
+"""rackhub rig torture, cases: run fault cases in turn, and list them."""
 
 from typing import Any
 
-from rackhub.cli.words import as_json, number, refuse
+from rackhub.cli.words import parse_number, print_json, report_error
 
 
 def torture(options: dict[str, Any]) -> int:
@@ -13,19 +13,19 @@
 
     name = options["--case"]
     if name is not None and name not in CASES:
-        raise refuse(f"--case: there is no {name!r}; there are {', '.join(CASES)}")
-    cycles = number(options, "--cycles", 0, 10_000) or (1 if name else len(CASES))
-    processes, seed = number(options, "--processes", 2, 16), number(options, "--seed", 0, 2**31)
+        raise report_error(f"--case: there is no {name!r}; the cases are {', '.join(CASES)}")
+    cycles = parse_number(options, "--cycles", 0, 10_000) or (1 if name else len(CASES))
+    processes, seed = parse_number(options, "--processes", 2, 16), parse_number(options, "--seed", 0, 2**31)
 
-    def told(verdict: Any) -> None:
+    def print_verdict(verdict: Any) -> None:
         if not options["--json"]:
-            print(line(verdict), flush=True)
+            print(format_verdict(verdict), flush=True)
 
     report = torture.run(
-        processes, cycles, seed, [name] if name else [], reactor, options["--brief"], options["--fleet"], told
+        processes, cycles, seed, [name] if name else [], reactor, options["--brief"], options["--fleet"], print_verdict
     )
     if options["--json"]:
-        as_json(report)
+        print_json(report)
     else:
         for case, why in report.skipped.items():
             print(f"{case:<20} not run: {why}")
@@ -36,11 +36,11 @@
     return 0 if report.good() else 1
 
 
-def line(verdict: Any) -> str:
-    """One verdict in words."""
+def format_verdict(verdict: Any) -> str:
+    """Return one verdict as a line of text."""
     figures = verdict.figures
-    told = [f"{verdict.case:<20} seed {verdict.seed}"]
-    for key, word in (
+    columns = [f"{verdict.case:<20} seed {verdict.seed}"]
+    for key, label in (
         ("worth_before", "before"),
         ("worth_during", "during"),
         ("worth_after", "after"),
@@ -50,12 +50,12 @@
         ("cold_worst", "cold"),
     ):
         if key in figures:
-            told.append(f"{word} {figures[key]}")
+            columns.append(f"{label} {figures[key]}")
     if verdict.totals is not None:
-        told.append(f"carried on {verdict.totals.carried_on} of {verdict.totals.requests}")
-    told.append("safe" if verdict.safe() else f"FAULTS {verdict.faults} {verdict.examples}")
-    told += [f"NOT SETTLED: {why}" for why in verdict.unsettled]
-    return "  ".join(told)
+        columns.append(f"carried on {verdict.totals.carried_on} of {verdict.totals.requests}")
+    columns.append("safe" if verdict.safe() else f"FAULTS {verdict.faults} {verdict.examples}")
+    columns += [f"NOT SETTLED: {why}" for why in verdict.unsettled]
+    return "  ".join(columns)
 
 
 def cases(options: dict[str, Any]) -> int:
@@ -63,7 +63,7 @@
     from rackhub.trials.processes.torture import missing
 
     if options["--json"]:
-        as_json([{"name": case.name, "about": case.about, "not_run": missing(case)} for case in CASES.values()])
+        print_json([{"name": case.name, "about": case.about, "not_run": missing(case)} for case in CASES.values()])
     else:
         for case in CASES.values():
             why = missing(case)
--- a/rackhub/cli/rules.py
+++ b/rackhub/cli/rules.py
@@ -1,4 +1,4 @@
-"""rackhub rules: the rule book that all gateways of a fleet hold: look into it, edit it, undo.
+"""rackhub rules: show, edit and undo the versioned rule set that all gateways of a fleet apply.
 
 Usage:
   rackhub rules show [VERSION] --at ADDRESS [--json]
@@ -13,35 +13,36 @@
   rackhub rules (-h | --help)
 
 Commands:
-  show     One version whole; without a number the newest that the gateway knows.
-  history  The kept versions, newest first: who, why, what became of it.
-  diff     What differs between two versions; without numbers what the newest changed.
-  edit     A new version: each part (timings, gather, shed) that FILE has takes the place of the one in --on.
-  undo     A new version with the content of the one before --on, or of --to.
-  confirm  Keep what is on trial.
-  status   Who holds what, who can't take it, the keepers, the trial.
+  show     Print one version; without a number the newest that the gateway knows.
+  history  List the retained versions, newest first, with author and reason.
+  diff     Compare two versions; without numbers show what the newest changed.
+  edit     Make a new version: each section of FILE (timings, gather, shed) replaces that section of version --on.
+  undo     Make a new version with the content of the version before --on, or of version --to.
+  confirm  Keep the version that is on trial.
+  status   Show which gateway applies which version, which rejected it and why, the keepers, and the trial.
 
 Options:
   --at ADDRESS    The control port of any gateway: host:port of its [fleet] control.
-  --on VERSION    What the change builds on; undo and confirm: the newest that the gateway knows.
-  --to VERSION    Any kept version; 0: what the files say.
-  --author NAME   Who wants it.
-  --reason TEXT   Why.
-  --id ID         Of the change: said again under the same one it does nothing twice; without it one is drawn, and
-                  printed where the outcome is unknown.
-  --drop PART     Take a part out: the files hold for it.
-  --trial TIME    Hold it for so long, such as 30s, then undo it, unless it is confirmed.
-  --first N       The trial at N gateways; without it a quarter.
-  --wait TIME     Until all that live hold it, so long at most [default: 0s].
-  --limit N       So many versions [default: 20].
-  --json          One JSON document instead of text.
-
-In a fleet with relays a version is a revision, changes are asked of a voter, and there are no trials.
-
-FILE is TOML (or JSON, by its name) with tables timings, gather, shed, as in the operator's file.
-
-Exit status: 0 done, and with --wait held by all that live; 1 refused, unknown, or not held by all: the words name who
-and why; 2 bad usage, a file that can't be read, content that a gateway's check refuses, no answer at ADDRESS.
+  --on VERSION    The version that the change is based on; undo and confirm: by default the newest known.
+  --to VERSION    Any retained version; 0: the content of the gateways' own files.
+  --author NAME   Who makes the change.
+  --reason TEXT   Why the change is made.
+  --id ID         The idempotency key of the change: a retry with the same ID has no further effect. Default: a random
+                  ID, which is printed where the outcome is unknown.
+  --drop PART     Remove a section, so that the gateways' own files apply for it.
+  --trial TIME    Undo the version after this time, such as 30s, unless it is confirmed.
+  --first N       Number of gateways that try the version; default: a quarter of them.
+  --wait TIME     Maximum time to wait until all live gateways apply the version [default: 0s].
+  --limit N       Maximum number of versions [default: 20].
+  --json          Print one JSON document instead of text.
+
+In a fleet with relays a version is called a revision, changes are sent to a voter, and there are no trials.
+
+FILE is TOML (or JSON if its name ends in .json) with tables timings, gather, shed, as in the operator file.
+
+Exit status: 0 success, and with --wait applied by all live gateways; 1 rejected, unknown, or not applied by all: the
+output names the gateways and the reasons; 2 bad usage, an unreadable file, content that a gateway's validation rejects,
+no answer at ADDRESS.
 """
 
 import json
@@ -55,156 +56,162 @@
 
 from rackhub.address import parse_ipv4_address
 from rackhub.cli.relayed_rules import print_relayed
-from rackhub.cli.words import Ended, as_json, number, parse, refuse
+from rackhub.cli.words import CommandExit, parse, parse_number, print_json, report_error
 
-MOST = 1 << 53
-PATIENCE = 15.0  # seconds for an answer, beyond what is to be waited for
-PARTS = ("timings", "gather", "shed")
+MAX_VERSION = 1 << 53
+ANSWER_TIMEOUT = 15.0  # seconds for an answer, in addition to --wait
+SECTIONS = ("timings", "gather", "shed")
 
 
-def ask(at: tuple[str, int], words: dict[str, Any], timeout: float) -> dict[str, Any]:
-    """One call at a gateway's control port."""
-    from rackhub.fleet.control.client import send_request  # loaded where it is used
+def ask(address: tuple[str, int], call: dict[str, Any], timeout: float) -> dict[str, Any]:
+    """Send a call to a gateway's control port and return its reply."""
+    from rackhub.fleet.control.client import send_request
 
-    return dict(send_request(at, words, timeout))
+    return dict(send_request(address, call, timeout))
 
 
-def run(words: Sequence[str]) -> int:
-    options = parse(__doc__ or "", words)
+def run(arguments: Sequence[str]) -> int:
+    options = parse(__doc__ or "", arguments)
     name = next(name for name in HANDLERS if options[name])
     try:
-        at = parse_ipv4_address(options["--at"], "--at")
-    except ValueError as bad:
-        raise refuse(str(bad)) from None
-    call, shown = HANDLERS[name]
-    asked = call(options)
+        address = parse_ipv4_address(options["--at"], "--at")
+    except ValueError as error:
+        raise report_error(str(error)) from None
+    build_parameters, print_reply = HANDLERS[name]
+    parameters = build_parameters(options)
     try:
-        told = ask(at, {"call": f"rules.{name}", **asked}, PATIENCE + asked.get("wait_ms", 0) / 1_000)
-    except (OSError, ValueError) as bad:
-        said = f"; what was asked may have been done: say it again with --id {asked['id']}" if "id" in asked else ""
-        raise refuse(f"--at {options['--at']}: {bad}{said}") from None
+        reply = ask(
+            address, {"call": f"rules.{name}", **parameters}, ANSWER_TIMEOUT + parameters.get("wait_ms", 0) / 1_000
+        )
+    except (OSError, ValueError) as error:
+        retry_hint = (
+            f"; the change may have been made: retry with --id {parameters['id']}" if "id" in parameters else ""
+        )
+        raise report_error(f"--at {options['--at']}: {error}{retry_hint}") from None
     if options["--json"]:
-        as_json(told)
-    elif "revision" in told:
-        print_relayed(name, told)
-    elif "error" not in told or "version" in told:
-        shown(told)
-    if "error" in told:
-        refuse(f"rules {name}: {told['error']}")
-        raise Ended(2 if told.get("exit") == 2 else 1)
+        print_json(reply)
+    elif "revision" in reply:
+        print_relayed(name, reply)
+    elif "error" not in reply or "version" in reply:
+        print_reply(reply)
+    if "error" in reply:
+        report_error(f"rules {name}: {reply['error']}")
+        raise CommandExit(2 if reply.get("exit") == 2 else 1)
     return 0
 
 
-# ---- what is asked
+# ---- parameters of the calls
 
 
-def _span(options: dict[str, Any], name: str) -> int:
-    """A time such as 30s, 500ms or 2m, in milliseconds."""
-    found = re.fullmatch(r"(\d{1,9})(ms|s|m)", options[name])
-    if not found:
-        raise refuse(f"{name}: {options[name]!r} is no time such as 500ms, 30s or 2m")
-    return int(found[1]) * {"ms": 1, "s": 1_000, "m": 60_000}[found[2]]
+def _duration_ms(options: dict[str, Any], name: str) -> int:
+    """Parse a duration such as 500ms, 30s or 2m; return milliseconds."""
+    match = re.fullmatch(r"(\d{1,9})(ms|s|m)", options[name])
+    if not match:
+        raise report_error(
+            f"{name}: {options[name]!r} is no time: use a whole number and a unit, such as 500ms, 30s or 2m"
+        )
+    return int(match[1]) * {"ms": 1, "s": 1_000, "m": 60_000}[match[2]]
 
 
-def _version(options: dict[str, Any], name: str) -> int:
-    return -1 if options[name] is None else int(number(options, name, 0, MOST))
+def _version_number(options: dict[str, Any], name: str) -> int:
+    return -1 if options[name] is None else int(parse_number(options, name, 0, MAX_VERSION))
 
 
-def _show(options: dict[str, Any]) -> dict[str, Any]:
-    return {"version": _version(options, "VERSION")}
+def _show_parameters(options: dict[str, Any]) -> dict[str, Any]:
+    return {"version": _version_number(options, "VERSION")}
 
 
-def _history(options: dict[str, Any]) -> dict[str, Any]:
-    return {"limit": number(options, "--limit", 1, 1_000)}
+def _history_parameters(options: dict[str, Any]) -> dict[str, Any]:
+    return {"limit": parse_number(options, "--limit", 1, 1_000)}
 
 
-def _diff(options: dict[str, Any]) -> dict[str, Any]:
-    return {"old": _version(options, "OLD"), "version": _version(options, "NEW")}
+def _diff_parameters(options: dict[str, Any]) -> dict[str, Any]:
+    return {"old": _version_number(options, "OLD"), "version": _version_number(options, "NEW")}
 
 
-def _change(options: dict[str, Any]) -> dict[str, Any]:
+def _change_parameters(options: dict[str, Any]) -> dict[str, Any]:
     for name in ("--author", "--reason"):
         if not options[name].strip():
-            raise refuse(f"{name}: {options[name]!r} is empty")
+            raise report_error(f"{name}: {options[name]!r} is empty")
     return {
         "author": options["--author"],
         "reason": options["--reason"],
-        "on": _version(options, "--on"),
+        "on": _version_number(options, "--on"),
         "id": options["--id"] or os.urandom(8).hex(),
-        "wait_ms": _span(options, "--wait"),
+        "wait_ms": _duration_ms(options, "--wait"),
     }
 
 
-def _edit(options: dict[str, Any]) -> dict[str, Any]:
-    parts: dict[str, Any] = _file(Path(options["FILE"]))
+def _edit_parameters(options: dict[str, Any]) -> dict[str, Any]:
+    sections: dict[str, Any] = _read_sections(Path(options["FILE"]))
     for name in options["--drop"]:
-        if name not in PARTS or name in parts:
-            raise refuse(f"--drop: {name!r} is none of {', '.join(PARTS)}, or the file has it too")
-        parts[name] = None
-    trial = 0 if options["--trial"] is None else _span(options, "--trial")
-    first = 0 if options["--first"] is None else number(options, "--first", 1, 10_000)
-    return {**_change(options), "parts": parts, "trial_ms": trial, "first": first}
+        if name not in SECTIONS or name in sections:
+            raise report_error(f"--drop: {name!r} is not one of {', '.join(SECTIONS)}, or the file has it too")
+        sections[name] = None
+    trial = 0 if options["--trial"] is None else _duration_ms(options, "--trial")
+    first = 0 if options["--first"] is None else parse_number(options, "--first", 1, 10_000)
+    return {**_change_parameters(options), "parts": sections, "trial_ms": trial, "first": first}
 
 
-def _file(path: Path) -> dict[str, Any]:
+def _read_sections(path: Path) -> dict[str, Any]:
     try:
         text = path.read_text()
-        parts = json.loads(text) if path.suffix == ".json" else tomllib.loads(text)
-    except (OSError, ValueError) as bad:
-        raise refuse(f"{path}: {bad}") from None
-    if not isinstance(parts, dict):
-        raise refuse(f"{path}: is not a table of parts")
-    for name, part in parts.items():
-        if name not in PARTS or not isinstance(part, dict):
-            raise refuse(f"{path}: {name} = {part!r}: the book has tables {', '.join(PARTS)}, and no other")
-    return parts
+        sections = json.loads(text) if path.suffix == ".json" else tomllib.loads(text)
+    except (OSError, ValueError) as error:
+        raise report_error(f"{path}: {error}") from None
+    if not isinstance(sections, dict):
+        raise report_error(f"{path}: is not a table of sections")
+    for name, section in sections.items():
+        if name not in SECTIONS or not isinstance(section, dict):
+            raise report_error(f"{path}: {name} = {section!r}: the book has tables {', '.join(SECTIONS)} only")
+    return sections
 
 
-def _undo(options: dict[str, Any]) -> dict[str, Any]:
-    return {**_change(options), "to": _version(options, "--to")}
+def _undo_parameters(options: dict[str, Any]) -> dict[str, Any]:
+    return {**_change_parameters(options), "to": _version_number(options, "--to")}
 
 
-def _status(options: dict[str, Any]) -> dict[str, Any]:
+def _status_parameters(options: dict[str, Any]) -> dict[str, Any]:
     return {}
 
 
-# ---- what is shown
+# ---- printing of the replies
 
 
-def _line(one: dict[str, Any]) -> str:
-    when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(one["told"])) + "Z" if one["told"] else "-"
-    of = f" to {one.get('of', 0)}" if one["kind"] == "undo" else ""
+def _format_version(version: dict[str, Any]) -> str:
+    when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(version["told"])) + "Z" if version["told"] else "-"
+    undone_to = f" to {version.get('of', 0)}" if version["kind"] == "undo" else ""
     trial = (
-        f", on trial {one['trial']['span_ms'] / 1_000:g} s at {', '.join(one['trial']['first'])}"
-        if one.get("trial")
+        f", on trial {version['trial']['span_ms'] / 1_000:g} s at {', '.join(version['trial']['first'])}"
+        if version.get("trial")
         else ""
     )
     return (
-        f"version {one['number']}  {one['kind']}{of}{trial}  {one['author']} at {one['gateway']}, {when}: "
-        f"{one['reason']}  (id {one['id']})"
+        f"version {version['number']}  {version['kind']}{undone_to}{trial}  {version['author']} "
+        f"at {version['gateway']}, {when}: {version['reason']}  (id {version['id']})"
     )
 
 
-def _shown(told: dict[str, Any]) -> None:
-    one = told["version"]
-    print(_line(one))
-    print(json.dumps(one["content"], indent=2))
-    if told["held"] != one["number"]:
-        print(f"this gateway holds version {told['held']}")
+def _print_version(reply: dict[str, Any]) -> None:
+    version = reply["version"]
+    print(_format_version(version))
+    print(json.dumps(version["content"], indent=2))
+    if reply["held"] != version["number"]:
+        print(f"this gateway applies version {reply['held']}")
 
 
-def _histories(told: dict[str, Any]) -> None:
-    for one in told["versions"]:
-        print(_line(one))
-    if not told["versions"]:
-        print("no version yet: the files hold")
+def _print_history(reply: dict[str, Any]) -> None:
+    for version in reply["versions"]:
+        print(_format_version(version))
+    if not reply["versions"]:
+        print("no version yet: the gateways' own files apply")
 
 
-def _diffs(told: dict[str, Any]) -> None:
-    print(f"from version {told['old']} to version {told['new']}")
-    for name, both in told["parts"].items():
+def _print_diff(reply: dict[str, Any]) -> None:
+    print(f"from version {reply['old']} to version {reply['new']}")
+    for name, contents in reply["parts"].items():
         for mark, key in (("-", "old"), ("+", "new")):
-            text = "the files hold" if both[key] is None else json.dumps(both[key], indent=2)
+            text = "the files hold" if contents[key] is None else json.dumps(contents[key], indent=2)
             print(
                 "\n".join(
                     f"{mark} {name}: {line}" if i == 0 else f"{mark}   {line}"
@@ -213,50 +220,53 @@
             )
 
 
-def _changed(told: dict[str, Any]) -> None:
+def _print_change(reply: dict[str, Any]) -> None:
     print(
-        f"version {told['version']} is made (id {told['id']}); held by {len(told['held'])} of "
-        f"{len(told['held']) + len(told['missing'])} that live, after {told['took_ms']} ms"
+        f"version {reply['version']} is made (id {reply['id']}); applied by {len(reply['held'])} of "
+        f"{len(reply['held']) + len(reply['missing'])} live gateways after {reply['took_ms']} ms"
     )
-    if told.get("unasked"):
-        print(f"not asked, as they are cut off: {', '.join(told['unasked'])}")
-    for one in told["missing"]:
-        print(f"  {one['name']} holds {one['version'] if one['version'] is not None else '?'}: {one['why']}")
+    if reply.get("unasked"):
+        print(f"not reachable for validation: {', '.join(reply['unasked'])}")
+    for gateway in reply["missing"]:
+        print(
+            f"  {gateway['name']} applies version "
+            f"{gateway['version'] if gateway['version'] is not None else '?'}: {gateway['why']}"
+        )
 
 
-def _statuses(told: dict[str, Any]) -> None:
+def _print_status(reply: dict[str, Any]) -> None:
     print(
-        f"{told['gateway']} holds version {told['version']}, knows {told['newest']}; keepers "
-        f"{', '.join(told['keepers']) or 'none'}"
+        f"{reply['gateway']} holds version {reply['version']}, knows {reply['newest']}; keepers "
+        f"{', '.join(reply['keepers']) or 'none'}"
     )
-    if told["damage"]:
-        print(f"damage: {told['damage']}")
-    trial = told["trial"]
+    if reply["damage"]:
+        print(f"damage: {reply['damage']}")
+    trial = reply["trial"]
     if trial:
         print(
             f"version {trial['version']} by {trial['author']} is on trial at {', '.join(trial['first'])}, "
-            f"{trial['left_ms'] / 1_000:g} s left; requests, refused, late: on it {trial['on']}, "
-            f"off it {trial['off']}"
+            f"{trial['left_ms'] / 1_000:g} s left; requests, rejected, late: with it {trial['on']}, "
+            f"without it {trial['off']}"
         )
-    for one in told["gateways"]:
-        if one["version"] is None:
-            held = "has said nothing"
+    for gateway in reply["gateways"]:
+        if gateway["version"] is None:
+            applied = "has not reported"
         else:
-            held = (
-                f"holds {one['version']}{' on trial' if one['on_trial'] else ''}"
-                + (f", keeper: {one['keeper']}" if one["keeper"] else "")
-                + (f", can't take {one['newest']}: {one['why']}" if one["why"] else "")
+            applied = (
+                f"holds {gateway['version']}{' on trial' if gateway['on_trial'] else ''}"
+                + (f", keeper: {gateway['keeper']}" if gateway["keeper"] else "")
+                + (f", rejected {gateway['newest']}: {gateway['why']}" if gateway["why"] else "")
             )
-        print(f"  {one['name']}  {one['state']}  {held}")
+        print(f"  {gateway['name']}  {gateway['state']}  {applied}")
 
 
 Handler = tuple[Callable[[dict[str, Any]], dict[str, Any]], Callable[[dict[str, Any]], None]]
 HANDLERS: dict[str, Handler] = {
-    "show": (_show, _shown),
-    "history": (_history, _histories),
-    "diff": (_diff, _diffs),
-    "edit": (_edit, _changed),
-    "undo": (_undo, _changed),
-    "confirm": (_change, _changed),
-    "status": (_status, _statuses),
+    "show": (_show_parameters, _print_version),
+    "history": (_history_parameters, _print_history),
+    "diff": (_diff_parameters, _print_diff),
+    "edit": (_edit_parameters, _print_change),
+    "undo": (_undo_parameters, _print_change),
+    "confirm": (_change_parameters, _print_change),
+    "status": (_status_parameters, _print_status),
 }
--- a/rackhub/cli/serve.py
+++ b/rackhub/cli/serve.py
@@ -5,10 +5,10 @@
   rackhub serve (-h | --help)
 
 Options:
-  --config FILE    The configuration; without it the file that BALANCER_CONFIG names.
-  --operator FILE  The operator's file, which sets up TDS, the store and timings; without it all are off.
+  --config FILE    The configuration file; default: the file that BALANCER_CONFIG names.
+  --operator FILE  The operator file, which configures TDS, the store, timings and so on; without it all are off.
 
-Exit status: 0 ended as told, 2 the configuration can't be used.
+Exit status: 0 shut down on request, 2 the configuration is invalid or the daemon could not start.
 """
 
 import os
@@ -21,52 +21,52 @@
 
 from rackhub import config as configuration
 from rackhub import logs
-from rackhub.cli.words import parse, refuse
+from rackhub.cli.words import parse, report_error
 from rackhub.operatorfile import Operator
 
 
-class Configured(NamedTuple):
-    """A configuration as it is used, as its file has it, the operator's, and where it came from."""
+class LoadedConfiguration(NamedTuple):
+    """A configuration with adjusted limits (`config`) and as read (`file_config`), the operator file, both paths."""
 
     config: configuration.Config
-    told: configuration.Config
+    file_config: configuration.Config
     operator: Operator
     path: Path
     operator_path: Path | None
 
 
-def configured(options: dict[str, Any]) -> Configured:
-    """The configuration that the options name, checked; ends with 2 where it can't be used."""
+def load_configuration(options: dict[str, Any]) -> LoadedConfiguration:
+    """Load and check the configuration that the options name; an invalid one ends the command with status 2."""
     try:
         path = configuration.config_path(os.environ, options["--config"])
-        told = configuration.load(path)
+        file_config = configuration.load(path)
         operator_path = Path(options["--operator"]) if options["--operator"] else None
         operator = configuration.load_operator(operator_path)
-        configuration.check_operator(operator, told.settings, told.name)
-    except configuration.ConfigError as bad:
-        raise refuse(f"bad configuration: {bad}") from None
-    config = msgspec.structs.replace(told, limits=configuration.share_descriptors(told.limits, operator))
-    return Configured(config, told, operator, path, operator_path)
+        configuration.check_operator(operator, file_config.settings, file_config.name)
+    except configuration.ConfigError as error:
+        raise report_error(f"bad configuration: {error}") from None
+    config = msgspec.structs.replace(file_config, limits=configuration.share_descriptors(file_config.limits, operator))
+    return LoadedConfiguration(config, file_config, operator, path, operator_path)
 
 
-def run(words: Sequence[str]) -> int:
-    config, told, operator, path, operator_path = configured(parse(__doc__ or "", words))
+def run(arguments: Sequence[str]) -> int:
+    config, file_config, operator, path, operator_path = load_configuration(parse(__doc__ or "", arguments))
     logs.configure()
     from twisted.internet.error import CannotListenError
 
     from rackhub.core.component import ComponentStartError
-    from rackhub.daemon import Daemon  # here: it takes hold of the reactor, which no other needs
+    from rackhub.daemon import Daemon  # imported here because it installs the reactor, which no other command needs
 
     try:
         Daemon(
             config,
             operator,
-            told,
+            file_config,
             partial(configuration.load, path),
             partial(configuration.load_operator, operator_path) if operator_path else None,
         ).run()
-    except CannotListenError as fault:
-        raise refuse(f"bad configuration: listen: {fault}") from None
-    except ComponentStartError as fault:
-        raise refuse(str(fault)) from None
+    except CannotListenError as error:
+        raise report_error(f"bad configuration: listen: {error}") from None
+    except ComponentStartError as error:
+        raise report_error(str(error)) from None
     return 0
--- a/rackhub/cli/show_version.py
+++ b/rackhub/cli/show_version.py
@@ -11,7 +11,7 @@
 from rackhub.version import VERSION
 
 
-def run(words: Sequence[str]) -> int:
-    parse(__doc__ or "", words)
+def run(arguments: Sequence[str]) -> int:
+    parse(__doc__ or "", arguments)
     print(f"rackhub {VERSION}")
     return 0
--- a/rackhub/cli/words.py
+++ b/rackhub/cli/words.py
@@ -1,4 +1,4 @@
-"""What all commands share: reading the command line, and saying what came of it."""
+"""Functions that all commands share: parsing the command line, reporting errors, printing JSON."""
 
 import sys
 from collections.abc import Sequence
@@ -8,43 +8,43 @@
 from docopt import docopt
 
 
-class Ended(Exception):
-    """The command is over with this exit status; what there is to say has been said."""
+class CommandExit(Exception):
+    """Ends the command with an exit status. Its message has already been printed."""
 
     def __init__(self, status: int):
         super().__init__(status)
         self.status = status
 
 
-def parse(usage: str, words: Sequence[str], options_first: bool = False) -> dict[str, Any]:
-    """The words as `usage` has them; help ends with 0, bad usage with 2."""
+def parse(usage: str, arguments: Sequence[str], options_first: bool = False) -> dict[str, Any]:
+    """Parse the arguments by a docopt usage text. Help ends the command with status 0, bad usage with 2."""
     try:
-        return dict(docopt(usage, list(words), options_first=options_first))
+        return dict(docopt(usage, list(arguments), options_first=options_first))
     except SystemExit as end:
         if end.code:
             print(end.code, file=sys.stderr)
-            raise Ended(2) from None
-        raise Ended(0) from None
+            raise CommandExit(2) from None
+        raise CommandExit(0) from None
 
 
-def refuse(what: str) -> Ended:
-    """Bad usage or configuration, in one line; to be raised."""
-    print(f"rackhub: {what}", file=sys.stderr)
-    return Ended(2)
+def report_error(message: str) -> CommandExit:
+    """Print a one-line error and return the exception with status 2, which the caller raises."""
+    print(f"rackhub: {message}", file=sys.stderr)
+    return CommandExit(2)
 
 
-def number(options: dict[str, Any], name: str, least: float, most: float, kind: type = int) -> Any:
-    """A numeric option or argument within its bounds."""
+def parse_number(options: dict[str, Any], name: str, minimum: float, maximum: float, kind: type = int) -> Any:
+    """Return a numeric option or argument; one outside the bounds ends the command with status 2."""
     text = options[name]
     try:
         value = kind(text)
     except ValueError:
         value = None
-    if value is None or not least <= value <= most:
-        raise refuse(f"{name}: {text!r} is not a number from {least:g} to {most:g}")
+    if value is None or not minimum <= value <= maximum:
+        raise report_error(f"{name}: {text!r} is not a number from {minimum:g} to {maximum:g}")
     return value
 
 
-def as_json(told: object) -> None:
-    """One JSON document on standard output."""
-    print(msgspec.json.encode(told).decode())
+def print_json(document: object) -> None:
+    """Print one JSON document to standard output."""
+    print(msgspec.json.encode(document).decode())
