--- a/rackhub/cli/relayed_rules.py
+++ b/rackhub/cli/relayed_rules.py
@@ -44,7 +44,7 @@
     print(format_applied(reply))
     _print_most_behind(reply)
     if reply["refusing"]:
-        print(f"{reply['refusing']:,} rejected a key and kept its previous value")
+        print(f"{reply['refusing']:,} cannot apply a key and keep its previous value")
     _print_rejected(reply)
     vote = "votes" if reply["votes"] else "does not vote yet because its disk is new"
     print(f"{reply['name']}  voter, {vote}; a majority of the voters has revision {reply['replicated']}")
--- a/rackhub/cli/rig/__init__.py
+++ b/rackhub/cli/rig/__init__.py
@@ -53,8 +53,8 @@
   --at ADDRESS      Send to this address and port; default: the rig running here, found by its file.
   --json            Print one JSON document instead of text.
 
-Exit status: 0 success; 1 the request was rejected or failed, a gateway crashed, a case found a fault, no case could be
-run, or health checks are not flat; 2 bad usage, or no rig is running.
+Exit status: 0 success; 1 the request was rejected or failed, a gateway ended unexpectedly, a case found a fault, no
+case could be run, or health checks are not flat; 2 bad usage, or no rig is running.
 """
 
 import sys
--- a/rackhub/cli/rules.py
+++ b/rackhub/cli/rules.py
@@ -19,7 +19,7 @@
   edit     Make a new version: each section of FILE (timings, gather, shed) replaces that section of version --on.
   undo     Make a new version with the content of the version before --on, or of version --to.
   confirm  Keep the version that is on trial.
-  status   Show which gateway applies which version, which rejected it and why, the keepers, and the trial.
+  status   Show which gateway applies which version, which cannot apply it and why, the keepers and the trial.
 
 Options:
   --at ADDRESS    The control port of any gateway: host:port of its [fleet] control.
@@ -114,6 +114,7 @@
 
 
 def _version_number(options: dict[str, Any], name: str) -> int:
+    """Return the version that an option or argument names; -1, which stands for the newest, if it is absent."""
     return -1 if options[name] is None else int(parse_number(options, name, 0, MAX_VERSION))
 
 
@@ -154,6 +155,7 @@
 
 
 def _read_sections(path: Path) -> dict[str, Any]:
+    """Return the rule-set sections of a TOML or JSON file; an invalid file ends the command with status 2."""
     try:
         text = path.read_text()
         sections = json.loads(text) if path.suffix == ".json" else tomllib.loads(text)
@@ -255,7 +257,7 @@
             applied = (
                 f"holds {gateway['version']}{' on trial' if gateway['on_trial'] else ''}"
                 + (f", keeper: {gateway['keeper']}" if gateway["keeper"] else "")
-                + (f", rejected {gateway['newest']}: {gateway['why']}" if gateway["why"] else "")
+                + (f", cannot apply {gateway['newest']}: {gateway['why']}" if gateway["why"] else "")
             )
         print(f"  {gateway['name']}  {gateway['state']}  {applied}")
 
--- a/rackhub/cli/store.py
+++ b/rackhub/cli/store.py
@@ -91,10 +91,13 @@
 
 
 def bytes_to_text(data: bytes) -> str:
+    """Decode UTF-8; write other bytes as \\xNN and double each backslash."""
     return data.replace(b"\\", b"\\\\").decode("utf-8", "backslashreplace")
 
 
 def text_to_bytes(text: str) -> bytes:
+    """Reverse `bytes_to_text`; a backslash that begins neither escape ends the command with status 2."""
+
     def unescape(match: re.Match[bytes]) -> bytes:
         return b"\\" if match[0] == b"\\\\" else bytes([int(match[1], 16)])
 
@@ -404,7 +407,8 @@
         )
     finally:
         progress.close()
-    if not tally.violations:  # after violations the directory stays for inspection
+    # If there are violations, the directory is kept for inspection.
+    if not tally.violations:
         shutil.rmtree(path)
     if options["--json"]:
         print_json(tally)
