--- a/rackhub/cli/rules.py
+++ b/rackhub/cli/rules.py
@@ -114,7 +114,7 @@
 
 
 def _version_number(options: dict[str, Any], name: str) -> int:
-    """Return the version that an option or argument names; -1, which stands for the newest, if it is absent."""
+    """Return the version that an option or argument names, or -1 if it is absent: the gateway then uses its default."""
     return -1 if options[name] is None else int(parse_number(options, name, 0, MAX_VERSION))
 
 
