--- a/rackhub/net/resp.py
+++ b/rackhub/net/resp.py
@@ -207,7 +207,7 @@
 
     # ---- sending
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         """Send the queued attempts.
 
         If the oldest one has waited longer than `limits.late_iteration_delay`, the sockets of clients are read first:
@@ -285,7 +285,7 @@
         self.last_received = self.clock.now()
         log.debug("engine_connected", engine=self.pool.name, waiting=len(self.open))
         self.transport.setTcpNoDelay(True)
-        self._out = SocketWriter(self.transport, self._writable)
+        self._out = SocketWriter(self.transport, self._on_writable)
         for id, attempt in list(self.open.items()):
             # The dial may have outlasted `Attempt.send_by` or the endpoint lease.
             if outcome := attempt.send_blocked_by(self.last_received, self.core.lease):
--- a/tests/test_unread_clients.py
+++ b/tests/test_unread_clients.py
@@ -169,7 +169,7 @@
     client.served_by.resumeProducing()
     socket_state.blocked = False
     (link,) = (link for pool in site.pools.pools.values() for link in pool.links if link.load())
-    link._writable()  # The event of the engine's socket comes first in the iteration.
+    link._on_writable()  # The event of the engine's socket comes first in the iteration.
     assert received_requests(site) == [] and attempt.unsent
     run_iterations(site)
     spin(lambda: run_iteration(site) or len(received_requests(site)) == (not leaves))
