--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -705,3 +705,13 @@
 
 MODEL_SETTINGS = hypothesis_settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
 test_the_store_matches_a_model_of_its_history = coverage_test(StoreModel, MODEL_SETTINGS)
+
+
+# Guards against a commit that reports success and drops a delete: the entries of a lease are counted as changes.
+def test_a_batch_that_puts_a_key_with_a_lease_also_deletes_another_key():
+    with Store.open("memory", files=MemoryFiles()) as store:
+        store.commit(Batch().put(b"old", b"1"))
+        lease = store.grant(3_600 * S)
+        assert store.commit(Batch().put(b"new", b"2", lease).delete(b"old")).applied
+        assert store.get(b"new").value == b"2"
+        assert store.get(b"old") is None
