--- a/rackhub/trials/scale/engines.py
+++ b/rackhub/trials/scale/engines.py
@@ -13,7 +13,7 @@
 from rackhub.trials.processes.resolver import answer
 from rackhub.trials.processes.site import Engine
 from rackhub.trials.scale.measurement import Measurement, measured, median_ratios
-from rackhub.trials.virtual.cost import Answers
+from rackhub.trials.virtual.cost import CoordinatorTestBed
 
 SIZES = (8, 60, 300, 1_000, 3_000, 10_000, 30_000)
 QUICK_SIZES = (8, 16, 32, 64)
@@ -32,7 +32,7 @@
     """One coordinator in virtual time, with a list of so many engines."""
 
     def __init__(self, engines: int):
-        self.rig = Answers(engines)
+        self.rig = CoordinatorTestBed(engines)
         self._asked = 0
         self._revision = 1
         self._entries = [interface.EngineEntry(f"e{number:03}", kind="std") for number in range(engines)]
@@ -40,7 +40,7 @@
     def requests(self, count: int) -> None:
         for _ in range(count):
             self._asked += 1
-            self.rig.ask(self._asked)
+            self.rig.submit_request(self._asked)
 
     def change_list(self) -> None:
         """One engine goes from ready to draining, or back."""
--- a/rackhub/trials/virtual/__init__.py
+++ b/rackhub/trials/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""What the size of a fleet does to one coordinator. Nothing here is loaded by what serves."""
+"""Simulations in virtual time of how fleet size affects coordinators; the daemon imports nothing from here."""
--- a/rackhub/trials/virtual/cost.py
+++ b/rackhub/trials/virtual/cost.py
@@ -1,7 +1,7 @@
-"""CPU a request through the core and the decision module, by the number of engines in the list.
+"""Measures the CPU time per request in the core and the decision module, by the number of engines in the list.
 
-One coordinator of a fleet that grows with its engines: requests come one by one, 20 are out at any time, each engine
-answers with its load. What is not the core's or the module's is the same at each size, and small.
+One coordinator of a fleet that grows with its engines. Requests arrive one by one, 20 are in flight at any time, and
+each engine reports its load with its answer. The overhead outside core and module is small and the same at each size.
 """
 
 import gc
@@ -19,9 +19,9 @@
 from rackhub.limits import Limits
 
 MS, SECOND = 1_000, 1_000_000
-OUT = 20  # requests that wait for their engine at any time
+MAX_IN_FLIGHT = 20  # requests
 SIZES = (8, 60, 300)
-APART = 10 * MS  # from one request to the next
+REQUEST_INTERVAL = 10 * MS
 CLASSES = (
     t.ClassSettings("lookup", deadline=3 * SECOND, latency_objective=600 * MS, idempotency="retryable"),
     t.ClassSettings(
@@ -37,12 +37,12 @@
 
 class Row(msgspec.Struct, frozen=True):
     engines: int
-    us: float  # of CPU a request, the middle one of the rounds
-    ratio: float  # against the first size
+    us: float  # CPU time per request: the median of the rounds
+    ratio: float  # median ratio to the first size
 
 
-class Virtual:
-    """A clock that is moved by hand, and the one wake-up of the core's timers."""
+class VirtualClock:
+    """A clock that the test bed advances, with the single wake-up that the core's timers need."""
 
     def __init__(self) -> None:
         self.time, self._due = 1_000 * SECOND, 0
@@ -54,20 +54,20 @@
     def wake_after(self, delay: int, call: Callable[[], None]) -> None:
         self._due, self._call = self.time + delay, call
 
-    def move(self, span: int) -> None:
-        until = self.time + span
+    def advance(self, duration: int) -> None:
+        until = self.time + duration
         while self._call is not None and self._due <= until:
             call, self._call, self.time = self._call, None, max(self.time, self._due)
             call()
         self.time = until
 
 
-class Answers(Reply):
-    """Engines, and the clients that take what they say: the oldest attempt is answered when room is needed."""
+class CoordinatorTestBed(Reply):
+    """A coordinator with simulated engines and clients; the oldest attempt is answered when too many are in flight."""
 
     def __init__(self, engines: int):
-        self.out: deque[Attempt] = deque()
-        self.world = Virtual()
+        self.in_flight: deque[Attempt] = deque()
+        self.clock = VirtualClock()
         settings = t.Settings(
             classes=CLASSES,
             tenants=(t.TenantSettings("one"), t.TenantSettings("two")),
@@ -85,38 +85,38 @@
             slow_start_budget_multiple=2.0,
             load_report_source="piggyback",
         )
-        self.core = Coordinator(settings, 1, self.world, Timers(self.world, self.world), Limits(), Counters())
+        self.core = Coordinator(settings, 1, self.clock, Timers(self.clock, self.clock), Limits(), Counters())
         entries = [t.EngineEntry(f"e{i:03}", kind="std") for i in range(engines)]
         self.core.start(self, entries, 1)
 
     def send(self, attempt: Attempt) -> None:
-        self.out.append(attempt)
+        self.in_flight.append(attempt)
 
     def give_up(self, attempt: Attempt) -> None:
-        self.out.remove(attempt)
+        self.in_flight.remove(attempt)
 
     def promote(self, attempt: Attempt) -> None: ...
 
     def close_idle(self, engine: str) -> None: ...
 
-    def ask(self, number: int) -> None:
-        """One request in, and as many answers as leave `OUT` waiting."""
-        self.world.move(APART)
+    def submit_request(self, number: int) -> None:
+        """Submit one request, and answer the oldest attempts until `MAX_IN_FLIGHT` are in flight."""
+        self.clock.advance(REQUEST_INTERVAL)
         cls = CLASSES[number % 8 == 7]
         query = Query(
             f"{number:016x}",
             cls.name,
             b"select 1 from sales_1.rides",
-            self.world.time + cls.deadline,
+            self.clock.time + cls.deadline,
             self,
             tenant="one" if number % 5 else "two",
             estimate=(20 + number % 7 * 40) * MS,
             tables=number % 9,
         )
         self.core.submit(query)
-        while len(self.out) > OUT:
+        while len(self.in_flight) > MAX_IN_FLIGHT:
             report = {"busy_reqs": 6.0 + number % 5, "pending": 0.0}
-            self.core.complete_attempt(self.out.popleft(), "GOOD", report, (b"a\tb\tc\n",))
+            self.core.complete_attempt(self.in_flight.popleft(), "GOOD", report, (b"a\tb\tc\n",))
 
     def served(self, query: Query, rows: Sequence[bytes]) -> None: ...
 
@@ -126,25 +126,25 @@
 
 
 def measure(sizes: Sequence[int], rounds: int = 9, requests: int = 400) -> list[Row]:
-    """The sizes take turns, as the pace of a machine changes; ratios are of neighbours in time."""
-    rigs = [Answers(engines) for engines in sizes]
-    took: list[list[float]] = [[] for _ in sizes]
+    """Measure the sizes in turn, as a machine's speed varies; each ratio compares measurements of the same round."""
+    test_beds = [CoordinatorTestBed(engines) for engines in sizes]
+    times_by_size: list[list[float]] = [[] for _ in sizes]
     gc.disable()
     try:
-        for turn in range(rounds + 1):
-            for rig, times in zip(rigs, took, strict=True):
+        for round_number in range(rounds + 1):
+            for test_bed, times in zip(test_beds, times_by_size, strict=True):
                 start = time.process_time()
-                for number in range(turn * requests, (turn + 1) * requests):
-                    rig.ask(number + 1)
-                if turn:  # the first round warms up
+                for number in range(round_number * requests, (round_number + 1) * requests):
+                    test_bed.submit_request(number + 1)
+                if round_number:  # the first round warms up
                     times.append((time.process_time() - start) / requests * 1e6)
                 gc.collect()
     finally:
         gc.enable()
-    if any(rig.core.counters["served"] < rounds * requests * 9 // 10 for rig in rigs):
-        raise AssertionError("not served: what was measured is no usual request")
+    if any(test_bed.core.counters["served"] < rounds * requests * 9 // 10 for test_bed in test_beds):
+        raise AssertionError("fewer than 90% of the requests were served: the measurement is not representative")
     rows = []
-    for engines, times in zip(sizes, took, strict=True):
-        ratios = sorted(mine / first for mine, first in zip(times, took[0], strict=True))
+    for engines, times in zip(sizes, times_by_size, strict=True):
+        ratios = sorted(own / first for own, first in zip(times, times_by_size[0], strict=True))
         rows.append(Row(engines, sorted(times)[len(times) // 2], ratios[len(ratios) // 2]))
     return rows
--- a/rackhub/trials/virtual/rig.py
+++ b/rackhub/trials/virtual/rig.py
@@ -1,9 +1,10 @@
-"""A whole fleet in virtual time: the real cores, decision modules, resolver clients and pools of many coordinators on
-one clock, plain engines and a plain resolver. It shows what is harmless in one coordinator and harmful in forty.
+"""Simulates a whole fleet in virtual time, to find effects that are harmless in one coordinator and harmful in forty.
 
-An engine takes so many connections, shares its cores among what it runs, tells its load with each answer, sends a note
-each second; it can die with a reset of all that is open, and comes back cold, ramping up in a straight line. The
-resolver tells of both some time later, and can fall silent. Seeded, and the same every time.
+Cores, decision modules, resolver clients and pools of many coordinators are the real ones, on one clock; engines and
+resolver are simulated. An engine has a connection limit, shares its cores among its attempts, reports its load with
+each answer and progress each second. When it fails, all its connections are reset; it restarts in slow start, with
+capacity growing linearly. The resolver reports both after a delay, and can stop answering. A seed always gives the
+same run.
 """
 
 import heapq
@@ -27,7 +28,7 @@
 
 MS, SECOND = 1_000, 1_000_000
 START = 1_000 * SECOND
-WIRE = 0.0004  # seconds one way, to engines and resolver
+NETWORK_DELAY = 0.0004  # one-way network delay in seconds, to engines and resolver
 LOOKUP = t.ClassSettings(
     "lookup", deadline=3 * SECOND, latency_objective=600 * MS, latency_objective_multiplier=1.5, idempotency="retryable"
 )
@@ -40,19 +41,19 @@
     threads=3,
     priority_weight=7.5,
 )
-WORK = {"lookup": 150 * MS, "report": 3_500 * MS}  # the mean, of all threads together
+WORK = {"lookup": 150 * MS, "report": 3_500 * MS}  # mean work of a request, summed over its threads
 
 
-class Call:
-    """One call to come, as a reactor gives it."""
+class DelayedCall:
+    """A delayed call, with the interface of Twisted's."""
 
-    __slots__ = ("at", "order", "call", "words")
+    __slots__ = ("at", "order", "call", "arguments")
 
-    def __init__(self, at: float, order: int, call: Callable[..., None], words: tuple[Any, ...]):
-        self.at, self.order, self.words = at, order, words
+    def __init__(self, at: float, order: int, call: Callable[..., None], arguments: tuple[Any, ...]):
+        self.at, self.order, self.arguments = at, order, arguments
         self.call: Callable[..., None] | None = call
 
-    def __lt__(self, other: "Call") -> bool:
+    def __lt__(self, other: "DelayedCall") -> bool:
         return (self.at, self.order) < (other.at, other.order)
 
     def active(self) -> bool:
@@ -63,42 +64,42 @@
 
 
 class Clock:
-    """A reactor's time in the rig's hands; Twisted's own for tests sorts all calls at each new one."""
+    """A simulated reactor clock. Twisted's `task.Clock` sorts all calls whenever one is added."""
 
     def __init__(self) -> None:
         self._now, self._order = 0.0, 0
-        self._calls: list[Call] = []
+        self._calls: list[DelayedCall] = []
 
     def seconds(self) -> float:
         return self._now
 
-    def callLater(self, delay: float, call: Callable[..., None], *words: Any) -> Call:
+    def callLater(self, delay: float, call: Callable[..., None], *arguments: Any) -> DelayedCall:
         self._order += 1
-        made = Call(self._now + delay, self._order, call, words)
-        heapq.heappush(self._calls, made)
-        return made
+        delayed = DelayedCall(self._now + delay, self._order, call, arguments)
+        heapq.heappush(self._calls, delayed)
+        return delayed
 
     def step(self) -> None:
         due = heapq.heappop(self._calls)
         self._now = max(self._now, due.at)
         if due.call is not None:
             call, due.call = due.call, None
-            call(*due.words)
+            call(*due.arguments)
 
 
 class Scene(msgspec.Struct, frozen=True):
-    """What is played. Times are seconds from the start."""
+    """Parameters of a run. Times are in seconds from the start."""
 
     coordinators: int = 40
     engines: int = 30
     zones: int = 3
     cores: float = 8.0
-    places: int = 90  # connections that an engine takes
-    load: float = 0.75  # of what all cores can do
+    places: int = 90  # maximum connections per engine
+    load: float = 0.75  # fraction of the capacity of all cores
     seconds: float = 18.0
-    lost: tuple[float, float] | None = (4.0, 9.0)  # when zone 0 dies, and when it is back
+    lost: tuple[float, float] | None = (4.0, 9.0)  # when zone 0 fails, and when it restarts
     told_after: float = 3.5
-    silent: tuple[float, float] | None = (13.5, 16.5)  # no answer of the resolver
+    silent: tuple[float, float] | None = (13.5, 16.5)  # when the resolver does not answer
     cold_from: float = 0.32
     ramp: float = 13.0
     multiple: float = 2.0
@@ -106,7 +107,7 @@
 
 
 class Report(msgspec.Struct):
-    """Counts over the whole fleet, by second where they are lists."""
+    """Counts over the whole fleet; lists have one value per second."""
 
     requests: int
     served: int
@@ -116,115 +117,115 @@
     unanswered: int
     list_calls: list[int]
     dials: list[int]
-    dials_refused: list[int]  # by engines that are dead or full
+    dials_refused: list[int]  # refused by engines that are down or full
     attempts: list[int]
     further: list[int]
-    most_connections: int  # at one engine
-    after_told: int  # attempts to an engine more than 1 s after its coordinator was told that it is gone
-    cold_work: float  # the most that a cold engine was sent in any window, as a part of what pushes it over
+    most_connections: int  # maximum connections at one engine
+    after_told: int  # attempts to an engine more than 1 s after its coordinator was notified of its removal
+    cold_work: float  # maximum work sent to an engine in slow start in any window, as a fraction of its budget
 
 
 class Engine:
-    """One engine process, and the machine that it runs on."""
+    """An engine process and its machine."""
 
     def __init__(self, world: "World", name: str, zone: str):
         self.world, self.name, self.zone = world, name, zone
         self.up, self.came_up = True, 0.0
-        self.links: set[Wire] = set()
-        self.running: dict[Attempt, list[float]] = {}  # work left, all work; seconds on one core
-        self.sent: list[tuple[float, float]] = []  # when, and the usual work of its class: while cold
-        self._since, self._turn = 0.0, 0
+        self.connections: set[Connection] = set()
+        self.running: dict[Attempt, list[float]] = {}  # [remaining work, total work] in core-seconds
+        self.sent: list[tuple[float, float]] = []  # (time, mean work of the class) of each attempt since a restart
+        self._settled_at, self._schedule_number = 0.0, 0
 
-    def warm(self) -> float:
+    def capacity_fraction(self) -> float:
         scene, age = self.world.scene, self.world.time() - self.came_up
         return 1.0 if not self.came_up else min(scene.cold_from + (1 - scene.cold_from) * age / scene.ramp, 1.0)
 
     def settle(self) -> None:
         now = self.world.time()
-        passed, self._since = now - self._since, now
+        passed, self._settled_at = now - self._settled_at, now
         threads = sum(3 if attempt.query.cls == "report" else 1 for attempt in self.running)
-        share = min(1.0, self.world.scene.cores * self.warm() / max(threads, 1))
+        share = min(1.0, self.world.scene.cores * self.capacity_fraction() / max(threads, 1))
         for attempt, left in self.running.items():
             left[0] -= passed * share * (3 if attempt.query.cls == "report" else 1)
 
-    def take(self, wire: "Wire", attempt: Attempt) -> None:
+    def take(self, connection: "Connection", attempt: Attempt) -> None:
         self.settle()
-        usual = WORK[attempt.query.cls] / SECOND
+        mean_work = WORK[attempt.query.cls] / SECOND
         if self.came_up:
-            self.sent.append((self.world.time(), usual))
+            self.sent.append((self.world.time(), mean_work))
         self.running[attempt] = [attempt.query.estimate / SECOND] * 2
-        self.plan()
-        self.world.clock.callLater(1.0, self.note, attempt)
+        self.schedule_completion()
+        self.world.clock.callLater(1.0, self.report_progress, attempt)
 
     def drop(self, attempt: Attempt) -> None:
         self.settle()
         self.running.pop(attempt, None)
-        self.plan()
+        self.schedule_completion()
 
-    def note(self, attempt: Attempt) -> None:
+    def report_progress(self, attempt: Attempt) -> None:
         if attempt in self.running and attempt.connection is not None:
             self.settle()
             left, whole = self.running[attempt]
-            attempt.connection.noted(attempt, max(1 - left / whole, 0.0))
-            self.world.clock.callLater(1.0, self.note, attempt)
+            attempt.connection.progress_received(attempt, max(1 - left / whole, 0.0))
+            self.world.clock.callLater(1.0, self.report_progress, attempt)
 
-    def plan(self) -> None:
-        """Look again when the next one may be through; shares change with each that comes and goes."""
-        self._turn += 1
+    def schedule_completion(self) -> None:
+        """Schedule the next completion; each start and end of an attempt changes the shares of the cores."""
+        self._schedule_number += 1
         if self.running:
             threads = sum(3 if attempt.query.cls == "report" else 1 for attempt in self.running)
-            share = min(1.0, self.world.scene.cores * self.warm() / threads)
+            share = min(1.0, self.world.scene.cores * self.capacity_fraction() / threads)
             soonest = min(
                 left[0] / (3 if attempt.query.cls == "report" else 1) for attempt, left in self.running.items()
             )
-            self.world.clock.callLater(max(soonest / share, 0.0005), self._due, self._turn)
+            self.world.clock.callLater(max(soonest / share, 0.0005), self._due, self._schedule_number)
 
-    def _due(self, turn: int) -> None:
-        if turn != self._turn:
+    def _due(self, schedule_number: int) -> None:
+        if schedule_number != self._schedule_number:
             return
         self.settle()
         for attempt in [attempt for attempt, left in self.running.items() if left[0] <= 1e-9]:
             del self.running[attempt]
             if attempt.connection is not None:
                 attempt.connection.answered(attempt, len(self.running))
-        self.plan()
+        self.schedule_completion()
 
-    def die(self) -> None:
+    def fail(self) -> None:
         self.up = False
         self.running.clear()
-        self._turn += 1
-        for link in list(self.links):
-            link.lost()
+        self._schedule_number += 1
+        for connection in list(self.connections):
+            connection.lost()
 
-    def come_back(self) -> None:
-        self.up, self.came_up, self._since = True, self.world.time(), self.world.time()
+    def restart(self) -> None:
+        self.up, self.came_up, self._settled_at = True, self.world.time(), self.world.time()
 
 
-class Wire:
-    """One connection to an engine, as the pool sees one."""
+class Connection:
+    """A connection to an engine, with the interface that the pool uses."""
 
     def __init__(self, site: "Site", pool: EnginePool):
         self.site, self.pool, self.world = site, pool, site.world
         self.engine = self.world.engines[pool.name]
-        self.open: dict[Attempt, bool] = {}  # and whether it has left
+        self.open: dict[Attempt, bool] = {}  # value: the request has been sent
         self.closed = self.up = self.retired = False
         self.used = site.now()
         self.world.count("dials")
-        self.world.clock.callLater(2 * WIRE, self._dialled)
+        self.world.clock.callLater(2 * NETWORK_DELAY, self._dialled)
 
     def _dialled(self) -> None:
-        if not self.engine.up or len(self.engine.links) >= self.world.scene.places:
+        if not self.engine.up or len(self.engine.connections) >= self.world.scene.places:
             self.world.count("dials_refused")
             return self.pool.dial_failed(self)
         self.up = True
-        self.engine.links.add(self)
-        self.world.most = max(self.world.most, len(self.engine.links))
+        self.engine.connections.add(self)
+        self.world.max_connections = max(self.world.max_connections, len(self.engine.connections))
         for attempt in list(self.open):
             self._write(attempt)
 
     def _write(self, attempt: Attempt) -> None:
         self.open[attempt] = True
-        self.world.clock.callLater(WIRE, self._arrive, attempt)
+        self.world.clock.callLater(NETWORK_DELAY, self._arrive, attempt)
 
     def _arrive(self, attempt: Attempt) -> None:
         if attempt in self.open and self.engine.up:
@@ -234,21 +235,23 @@
         if self.open.pop(attempt, None) is not None:
             self.used = self.site.now()
             report = {"busy_reqs": float(running), "pending": 0.0}
-            self.world.clock.callLater(WIRE, self.site.core.complete_attempt, attempt, "GOOD", report, (b"a\tb\tc\n",))
+            self.world.clock.callLater(
+                NETWORK_DELAY, self.site.core.complete_attempt, attempt, "GOOD", report, (b"a\tb\tc\n",)
+            )
 
-    def noted(self, attempt: Attempt, share: float) -> None:
+    def progress_received(self, attempt: Attempt, share: float) -> None:
         if attempt in self.open:
-            self.world.clock.callLater(WIRE, self.site.core.report_progress, attempt, 1, share)
+            self.world.clock.callLater(NETWORK_DELAY, self.site.core.report_progress, attempt, 1, share)
 
     def lost(self) -> None:
         self.closed, self.up = True, False
-        self.engine.links.discard(self)
+        self.engine.connections.discard(self)
         self.pool.connection_closed(self)
         ended, self.open = list(self.open), {}
         for attempt in ended:
             self.site.core.complete_attempt(attempt, "RST")
 
-    # ---- what the pool asks
+    # ---- connection interface used by the pool
 
     def accepts(self, attempt: Attempt) -> bool:
         return not self.closed and len(self.open) < 100
@@ -260,7 +263,7 @@
 
     def give_up(self, attempt: Attempt) -> None:
         if self.open.pop(attempt, None):
-            self.world.clock.callLater(WIRE, self.engine.drop, attempt)
+            self.world.clock.callLater(NETWORK_DELAY, self.engine.drop, attempt)
         self.used = self.site.now()
         if self.retired:
             self.close_if_idle()
@@ -270,7 +273,7 @@
     def close_if_idle(self) -> None:
         if self.up and not self.open:
             self.closed, self.up = True, False
-            self.engine.links.discard(self)
+            self.engine.connections.discard(self)
             self.pool.connection_closed(self)
 
     def idle_since(self) -> int:
@@ -293,7 +296,7 @@
 
 
 class Site:
-    """One coordinator: its clients, its core, its pools and its way of asking the resolver."""
+    """One coordinator: its clients, core, pools and resolver client."""
 
     def __init__(self, world: "World", number: int, settings: t.Settings, limits: Limits):
         self.world, self.random = world, random.Random(number * 1_000 + world.seed)
@@ -302,15 +305,20 @@
             settings, number + 1, self, Timers(self, ReactorWaker(world.clock)), limits, self.counters
         )
         self.pools = EnginePools(
-            lambda pool: Wire(self, pool), self, limits, self.counters, self.core, limits.max_connections_per_engine
+            lambda pool: Connection(self, pool),
+            self,
+            limits,
+            self.counters,
+            self.core,
+            limits.max_connections_per_engine,
         )
-        self.asking, self._next = PollSchedule(limits, self.random.random), None
-        self.gone: dict[str, float] = {}  # engines that it was told are gone, and when
+        self.poll_schedule, self._next = PollSchedule(limits, self.random.random), None
+        self.gone: dict[str, float] = {}  # engines removed from its endpoint list, and when it was notified
         self._send, self.pools.send = self.pools.send, self.send
-        listing = world.listing()
-        self.pools.update_endpoints(listing.addresses)
-        self.core.start(self.pools, listing.entries, listing.revision)
-        world.clock.callLater(self.random.random() * 0.25, self.ask_list)
+        snapshot = world.snapshot()
+        self.pools.update_endpoints(snapshot.addresses)
+        self.core.start(self.pools, snapshot.entries, snapshot.revision)
+        world.clock.callLater(self.random.random() * 0.25, self.poll_endpoints)
         world.clock.callLater(0.1, self.sweep)
 
     def now(self) -> int:
@@ -328,34 +336,35 @@
             self.world.after_told += 1
         self._send(attempt)
 
-    def ask_list(self) -> None:
+    def poll_endpoints(self) -> None:
         self.world.count("list_calls")
-        self._again(self.asking.poll_sent())
-        if not self.world.is_silent():
-            self.world.clock.callLater(2 * WIRE, self.told, self.world.listing())
+        self._schedule_poll(self.poll_schedule.poll_sent())
+        if not self.world.is_resolver_unresponsive():
+            self.world.clock.callLater(2 * NETWORK_DELAY, self.endpoints_received, self.world.snapshot())
 
-    def _again(self, delay: int) -> None:
+    def _schedule_poll(self, delay: int) -> None:
         if self._next is not None and self._next.active():
             self._next.cancel()
-        self._next = self.world.clock.callLater(delay / SECOND, self.ask_list)
+        self._next = self.world.clock.callLater(delay / SECOND, self.poll_endpoints)
 
-    def told(self, listing: EndpointSnapshot) -> None:
-        self._again(self.asking.answer_received())
-        if listing.revision <= self.rev:
+    def endpoints_received(self, snapshot: EndpointSnapshot) -> None:
+        self._schedule_poll(self.poll_schedule.answer_received())
+        if snapshot.revision <= self.rev:
             return
-        self.rev = listing.revision
+        self.rev = snapshot.revision
         for name in self.world.engines:
-            if name in listing.addresses:
+            if name in snapshot.addresses:
                 self.gone.pop(name, None)
             else:
                 self.gone.setdefault(name, self.world.time())
-        self.core.update_endpoints(listing.entries, listing.revision)
-        self.pools.update_endpoints(listing.addresses)
+        self.core.update_endpoints(snapshot.entries, snapshot.revision)
+        self.pools.update_endpoints(snapshot.addresses)
 
     def request(self) -> None:
         cls = REPORT if self.random.random() < 0.15 else LOOKUP
         mean = WORK[cls.name]
-        work = max(round(mean * self.random.lognormvariate(-0.32, 0.8)), MS)  # mean 1, so that loads add up
+        # The random factor has mean 1, which keeps the configured load.
+        work = max(round(mean * self.random.lognormvariate(-0.32, 0.8)), MS)
         number = self.world.requests = self.world.requests + 1
         self.core.submit(
             Query(
@@ -372,19 +381,19 @@
 
 
 class World(Reply):
-    """The clock, the engines, the resolver, and what is counted."""
+    """The clock, the engines, the resolver and the counters."""
 
     def __init__(self, scene: Scene, seed: int = 1, limits: Limits | None = None):
         self.scene, self.seed, self.clock, self.random = scene, seed, Clock(), random.Random(seed)
         self.counts: dict[str, Counter[int]] = defaultdict(Counter)
-        self.requests = self.most = self.after_told = 0
+        self.requests = self.max_connections = self.after_told = 0
         self.answers: Counter[str] = Counter()
         self.engines: dict[str, Engine] = {}
         for i in range(scene.engines):
             name = f"e{i:03}"
             self.engines[name] = Engine(self, name, f"z{i % scene.zones}")
         self.history: list[tuple[float, EndpointSnapshot]] = []
-        self._list()
+        self._publish_endpoints()
         settings = t.Settings(
             classes=(LOOKUP, REPORT),
             tenants=(t.TenantSettings("one"),),
@@ -410,15 +419,15 @@
     def count(self, what: str) -> None:
         self.counts[what][int(self.time())] += 1
 
-    def is_silent(self) -> bool:
+    def is_resolver_unresponsive(self) -> bool:
         return self.scene.silent is not None and self.scene.silent[0] <= self.time() < self.scene.silent[1]
 
-    def listing(self) -> EndpointSnapshot:
-        """As the resolver knows it by now."""
-        return [listing for due, listing in self.history if due <= self.time()][-1]
+    def snapshot(self) -> EndpointSnapshot:
+        """Return the endpoint list that the resolver has now."""
+        return [snapshot for due, snapshot in self.history if due <= self.time()][-1]
 
-    def _list(self, after: float = 0.0) -> None:
-        there = [engine for engine in self.engines.values() if engine.up]
+    def _publish_endpoints(self, after: float = 0.0) -> None:
+        live = [engine for engine in self.engines.values() if engine.up]
         entries = tuple(
             t.EngineEntry(
                 engine.name,
@@ -429,22 +438,22 @@
                 1.0,
                 START + round(engine.came_up * SECOND) if engine.came_up else 0,
             )
-            for engine in there
+            for engine in live
         )
         self.history.append(
             (
                 self.time() + after,
-                EndpointSnapshot(len(self.history) + 1, entries, {engine.name: (engine.name, 1) for engine in there}),
+                EndpointSnapshot(len(self.history) + 1, entries, {engine.name: (engine.name, 1) for engine in live}),
             )
         )
 
-    def _zone(self, back: bool) -> None:
+    def _switch_zone(self, back: bool) -> None:
         for engine in self.engines.values():
             if engine.zone == "z0":
-                engine.come_back() if back else engine.die()
-        self._list(self.scene.told_after)
+                engine.restart() if back else engine.fail()
+        self._publish_endpoints(self.scene.told_after)
 
-    # what clients hear
+    # answers to clients
     def served(self, query: Query, rows: Sequence[bytes]) -> None:
         self._answer(query, "served")
 
@@ -463,12 +472,12 @@
         mean = 0.85 * WORK["lookup"] + 0.15 * WORK["report"]
         rate = scene.load * scene.engines * scene.cores / (mean / SECOND)
         at = 0.0
-        while at < scene.seconds:  # drawn ahead: no answer slows what comes
+        while at < scene.seconds:  # arrivals are drawn in advance, independently of the answers
             at += self.random.expovariate(rate)
             self.clock.callLater(at, self.random.choice(self.sites).request)
         if scene.lost:
-            self.clock.callLater(scene.lost[0], self._zone, False)
-            self.clock.callLater(scene.lost[1], self._zone, True)
+            self.clock.callLater(scene.lost[0], self._switch_zone, False)
+            self.clock.callLater(scene.lost[1], self._switch_zone, True)
         while self.time() < scene.seconds + 21 and (
             self.time() < scene.seconds or sum(self.answers.values()) < self.requests
         ):
@@ -478,28 +487,28 @@
             what: [self.counts[what][second] for second in seconds]
             for what in ("list_calls", "dials", "dials_refused", "attempts", "further")
         }
-        told = sum(self.answers[how] for how in ("served", "refused", "failed"))
+        answered_count = sum(self.answers[how] for how in ("served", "refused", "failed"))
         return Report(
             self.requests,
             self.answers["served"],
             self.answers["refused"],
             self.answers["failed"],
             self.answers["twice"],
-            self.requests - told,
-            most_connections=self.most,
+            self.requests - answered_count,
+            most_connections=self.max_connections,
             after_told=self.after_told,
             cold_work=self._cold_work(),
             **by_second,
         )
 
     def _cold_work(self) -> float:
-        """The most that was sent to a cold engine within any window of the rule, against what it may be sent."""
+        """Return the maximum work sent to an engine in slow start in any budget window, as a fraction of the budget."""
         scene, worst = self.scene, 0.0
         for engine in self.engines.values():
             for begin, (since, _) in enumerate(engine.sent):
                 age = since - engine.came_up
                 if age < scene.ramp:
-                    work = sum(usual for when, usual in engine.sent[begin:] if when < since + scene.fall)
+                    work = sum(mean_work for when, mean_work in engine.sent[begin:] if when < since + scene.fall)
                     warm = min(scene.cold_from + (1 - scene.cold_from) * (age + scene.fall / 2) / scene.ramp, 1.0)
                     worst = max(worst, work / (scene.multiple * scene.cores * warm * scene.fall))
         return worst
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 from rackhub.policy.outliers import OutlierDetector
 from rackhub.policy.router import Router
 from rackhub.policy.slow_start import SlowStart
-from rackhub.trials.virtual.cost import SIZES, Answers
+from rackhub.trials.virtual.cost import SIZES, CoordinatorTestBed
 from rackhub.trials.virtual.rig import Scene, World
 
 S, MS = 1_000_000, 1_000
@@ -25,11 +25,11 @@
         count += event in ("call", "c_call")
 
     for number in range(1, 201):
-        test_bed.ask(number)
+        test_bed.submit_request(number)
     sys.setprofile(count_call)
     try:
         for number in range(201, 201 + requests):
-            test_bed.ask(number)
+            test_bed.submit_request(number)
     finally:
         sys.setprofile(None)
     return count / requests
@@ -37,14 +37,14 @@
 
 def test_calls_per_request_grow_little_with_the_engines():
     """It made six calls per engine, most to recompute its weight: two thirds of all calls with 60 engines."""
-    small, _, large = (calls_per_request(Answers(engines), 200) for engines in SIZES)
+    small, _, large = (calls_per_request(CoordinatorTestBed(engines), 200) for engines in SIZES)
     assert (large - small) / (SIZES[2] - SIZES[0]) < 3
 
 
 def test_the_measured_requests_are_served():
-    test_bed = Answers(60)
+    test_bed = CoordinatorTestBed(60)
     for number in range(1, 301):
-        test_bed.ask(number)
+        test_bed.submit_request(number)
     assert test_bed.core.counters["served"] > 250 and not test_bed.core.counters["module_errors"]
 
 
