--- a/rackhub/trials/gather/audit.py
+++ b/rackhub/trials/gather/audit.py
@@ -1,4 +1,4 @@
-"""What an answer to a gathered request must be: exactly the rows of the sites that it names fresh, and marked."""
+"""Checks answers to gathered requests: exactly the rows of the sites that the gather mark names as present."""
 
 import base64
 from collections.abc import Callable, Sequence
@@ -12,8 +12,8 @@
 Judge = Callable[[Request, dict[str, Any]], str | None]
 
 
-class Seen(msgspec.Struct):
-    """Gathered answers by kind; times in microseconds; `used`: parts whose rows are in an answer."""
+class GatherCounts(msgspec.Struct):
+    """Counts of gathered answers. `used`: fresh subrequests with rows in an answer; `filled`: stored answers used."""
 
     whole: int = 0
     partial: int = 0
@@ -21,29 +21,29 @@
     filled: int = 0
 
 
-def judge(sites: Sequence[str], cls: str, partial: bool, seen: Seen) -> Judge:
-    """What is wrong with a served answer; None: nothing. Answers of other classes must have no mark."""
+def make_judge(sites: Sequence[str], cls: str, partial: bool, counts: GatherCounts) -> Judge:
+    """Return a check of served answers, which returns the fault found or None. Other classes must have no mark."""
 
-    def wrong(request: Request, result: dict[str, Any]) -> str | None:
+    def find_fault(request: Request, result: dict[str, Any]) -> str | None:
         arrival = request.arrival
         body = base64.b64decode(result["body"])
-        told = result.get("gather")
+        mark = result.get("gather")
         if arrival.kind.name != cls:
-            return "a mark on no gather" if told else rows.fault(body, arrival.statement)
-        made = rows.makers(body, arrival.statement)
-        if told is None or made is None:
-            return "no mark, or rows that no engine made"
-        inside = [site["site"] for site in told["sites"] if not site.get("missing")]
-        aged = sum(bool(site.get("age_ms")) for site in told["sites"])
-        whole = inside == list(sites) and not aged
-        seen.whole += whole
-        seen.partial += not whole
-        seen.filled += aged
-        seen.used += len(inside) - aged
-        if [site for _, site in made] != inside:
-            return f"rows of {made}, told {inside}"
-        if bool(told["whole"]) != whole:
-            return "partial passed as whole"
-        return None if whole or partial else "partial to who does not allow it"
-
-    return wrong
+            return "gather mark on an answer that was not gathered" if mark else rows.fault(body, arrival.statement)
+        row_sources = rows.makers(body, arrival.statement)
+        if mark is None or row_sources is None:
+            return "gather mark missing, or rows that no engine produced"
+        fresh_or_filled = [site["site"] for site in mark["sites"] if not site.get("missing")]
+        filled_count = sum(bool(site.get("age_ms")) for site in mark["sites"])
+        whole = fresh_or_filled == list(sites) and not filled_count
+        counts.whole += whole
+        counts.partial += not whole
+        counts.filled += filled_count
+        counts.used += len(fresh_or_filled) - filled_count
+        if [site for _, site in row_sources] != fresh_or_filled:
+            return f"rows from {row_sources}, but the mark names {fresh_or_filled}"
+        if bool(mark["whole"]) != whole:
+            return "`whole` does not match the sites in the mark"
+        return None if whole or partial else "partial answer where partial answers are not allowed"
+
+    return find_fault
--- a/rackhub/trials/gather/policies.py
+++ b/rackhub/trials/gather/policies.py
@@ -1,10 +1,10 @@
-"""Gathers over four sites with one of them slow, silent or cut off, by policy, on real processes.
+"""Measures gather policies on real processes, over four sites with one slow, unresponsive or cut off.
 
     python -m rackhub.trials.gather.policies [--seconds N] [--seed N] [--json]
 
-For each fault and policy: the part of reports answered whole or partial, in time, the median time, and the part of
-the engines' runs whose rows are in no answer. `needs = "all"` is the baseline. Statements come again, so `fill` has
-last answers to stand in. Exit status 1 where an answer was wrong, lost or doubled.
+For each fault and policy: the fraction of reports answered whole, partially and in time, the median latency, and the
+fraction of engine runs whose rows are in no answer. `needs = "all"` is the baseline. Statements repeat, so that `fill`
+has earlier answers to use. Exit status 1 if an answer was wrong, lost or duplicated.
 """
 
 import sys
@@ -15,7 +15,7 @@
 from docopt import docopt
 from twisted.internet import reactor
 
-from rackhub.trials.gather.audit import Seen, judge
+from rackhub.trials.gather.audit import GatherCounts, make_judge
 from rackhub.trials.processes.arrivals import Arrival, Load, drawn
 from rackhub.trials.processes.rig import Rig
 from rackhub.trials.processes.schedule import Schedule, Step
@@ -52,24 +52,24 @@
     in_time: float
     p50_ms: float
     p99_ms: float
-    unused: float  # part of the engines' runs whose rows are in no answer
+    unused: float  # fraction of engine runs whose rows are in no answer
     filled: int
     wrong: dict[str, int]
 
 
-def again(arrivals: Iterator[Arrival], every: int) -> Iterator[Arrival]:
-    """The same statements over and over, as reports that a screen asks for are."""
+def repeat_statements(arrivals: Iterator[Arrival], every: int) -> Iterator[Arrival]:
+    """Repeat the first `every` statements, as a dashboard does."""
     known: list[Arrival] = []
     for number, arrival in enumerate(arrivals):
         if number < every:
             known.append(arrival)
-        like = known[number % len(known)]
-        yield msgspec.structs.replace(arrival, statement=like.statement, work=like.work, tenant=like.tenant)
+        repeated = known[number % len(known)]
+        yield msgspec.structs.replace(arrival, statement=repeated.statement, work=repeated.work, tenant=repeated.tenant)
 
 
-def one(fault: str, policy: str, seconds: int, seed: int, rate: float = 3.0) -> Row:
+def measure(fault: str, policy: str, seconds: int, seed: int, rate: float = 3.0) -> Row:
     plan = Plan(gateways=2, sites=4, engines=4, seed=seed, fleet=True, operator_more=TOML + RULE + POLICIES[policy])
-    seen, partial = Seen(), policy != "all"
+    counts, partial = GatherCounts(), policy != "all"
     with Rig(plan, reactor) as rig:
         rig.up()
         trial = Trial(
@@ -77,13 +77,13 @@
             [Load(rate=rate, end=seconds * SECOND, kinds=("report",))],
             seed,
             steps=Schedule(step=FAULTS[fault]),
-            judge=judge(SITES, "report", partial, seen),
+            judge=make_judge(SITES, "report", partial, counts),
         )
         run = trial.clients.run
-        trial.clients.run = lambda arrivals: run(again(drawn(plan, trial.loads, seed), 12))  # type: ignore[method-assign]
+        trial.clients.run = lambda arrivals: run(repeat_statements(drawn(plan, trial.loads, seed), 12))  # type: ignore[method-assign]
         trial.run()
         verdict, totals = trial.verdict("gather"), trial.clients.totals
-        ran = [sent for sent in rig.attempts.all if sent.how]
+        completed_attempts = [sent for sent in rig.attempts.all if sent.how]
         late = trial.clients.totals.late
         trial.close()
     asked = max(totals.requests, 1)
@@ -92,26 +92,30 @@
         fault,
         policy,
         totals.requests,
-        round(seen.whole / asked, 3),
-        round(seen.partial / asked, 3),
+        round(counts.whole / asked, 3),
+        round(counts.partial / asked, 3),
         round(totals.refused / asked, 3),
         round((totals.served - late) / asked, 3),
         times.get("p50_ms", 0.0),
         times.get("p99_ms", 0.0),
-        round(1 - seen.used / max(len(ran), 1), 3),
-        seen.filled,
+        round(1 - counts.used / max(len(completed_attempts), 1), 3),
+        counts.filled,
         verdict.faults,
     )
 
 
-def main(words: list[str]) -> int:
-    told = docopt(
+def main(arguments: list[str]) -> int:
+    options = docopt(
         "Usage: policies [--seconds N] [--seed N] [--json]\n\nOptions:\n  --seconds N  [default: 8]\n"
         "  --seed N     [default: 1]\n  --json       One JSON document instead of a table.\n",
-        words,
+        arguments,
     )
-    rows = [one(fault, policy, int(told["--seconds"]), int(told["--seed"])) for fault in FAULTS for policy in POLICIES]
-    show(rows, told["--json"])
+    rows = [
+        measure(fault, policy, int(options["--seconds"]), int(options["--seed"]))
+        for fault in FAULTS
+        for policy in POLICIES
+    ]
+    show(rows, options["--json"])
     return 1 if any(row.wrong for row in rows) else 0
 
 
--- a/tests/test_gather_processes.py
+++ b/tests/test_gather_processes.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet import reactor
 
-from rackhub.trials.gather.audit import Seen, judge
+from rackhub.trials.gather.audit import GatherCounts, make_judge
 from rackhub.trials.processes import rows
 from rackhub.trials.processes.arrivals import Load
 from rackhub.trials.processes.places import text
@@ -41,12 +41,12 @@
 
 
 def sites_fresh(partial, seen):
-    return judge(("s0", "s1"), "report", partial, seen)
+    return make_judge(("s0", "s1"), "report", partial, seen)
 
 
 def run_trial(rules, steps, partial, seconds=5, sites=SITES, audit=sites_fresh):
     """Run a trial and return its verdict. `sites` may contain `{g0}` and `{g1}` for the addresses of the gateways."""
-    seen = Seen()
+    seen = GatherCounts()
     with Rig(Plan(gateways=2, sites=2, engines=2, seed=3, fleet=True), reactor) as rig:
         addresses = {name: json.dumps(text(each.listen)) for name, each in rig.gateways.items()}
         rig.plan = msgspec.structs.replace(rig.plan, operator_more=sites.format(**addresses) + rules)
