--- a/rackhub/trials/fleet/__init__.py
+++ b/rackhub/trials/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Faulty twins of the ports of `rackhub.fleet`, and trials in virtual time on them."""
+"""Simulated ports of `rackhub.fleet` with fault injection, and trials on them in virtual time."""
--- a/rackhub/trials/fleet/cost.py
+++ b/rackhub/trials/fleet/cost.py
@@ -1,9 +1,9 @@
-"""What the fleet's part costs: CPU of the gateways for each request, and idle, with `[fleet]` on and off.
+"""Measures the cost of fleet membership: CPU time of gateways, per request and idle, with and without `[fleet]`.
 
     python -m rackhub.trials.fleet.cost [--processes N] [--seconds N] [--seed N] [--json]
 
-The same arrivals both ways, at half of what the engines can do, on as many real processes. CPU is what the kernel
-counts for them (user and system); datagrams and bytes are what each member counts itself.
+Both runs get the same arrivals, at half of the engines' capacity, on the same number of real processes. CPU is user
+and system time as counted by the kernel; datagrams and bytes are counted by each member.
 """
 
 import os
@@ -25,8 +25,8 @@
 
 
 class Row(msgspec.Struct):
-    """`idle_ms`: CPU of one gateway in a second without a request. `us_a_request`: of all gateways, for each request
-    that clients began, idle part and all. Datagrams and bytes: sent by one member in a second under load."""
+    """`idle_ms`: CPU time of one gateway per second without requests. `us_a_request`: CPU time of all gateways per
+    request, including the idle share. `packets_s`, `bytes_s`: sent by one member per second under load."""
 
     way: str
     requests: int
@@ -36,8 +36,8 @@
     bytes_s: float
 
 
-def cpu(rig: Rig) -> float:
-    """Seconds of CPU of all gateways so far."""
+def cpu_seconds(rig: Rig) -> float:
+    """Return the CPU time of all gateways so far, in seconds."""
     ticks = 0
     for process in rig.processes.by_name.values():
         with open(f"/proc/{process.pid}/stat") as file:
@@ -46,25 +46,25 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-def sent(rig: Rig, fleet: bool) -> tuple[float, float]:
-    told: dict[str, Any] = ask_all(rig, {"call": "figures"}) if fleet else {}
-    figures = [each["figures"] for each in told.values() if each]
+def datagrams_and_bytes(rig: Rig, fleet: bool) -> tuple[float, float]:
+    answers: dict[str, Any] = ask_all(rig, {"call": "figures"}) if fleet else {}
+    figures = [each["figures"] for each in answers.values() if each]
     return (sum(each["fleet_packets_out"] for each in figures), sum(each["fleet_bytes_out"] for each in figures))
 
 
-def one(fleet: bool, processes: int, seconds: int, seed: int) -> Row:
+def measure(fleet: bool, processes: int, seconds: int, seed: int) -> Row:
     plan = Plan(
         gateways=processes, engines=max(4, processes // 2), cores=4.0, seed=seed, fleet=fleet, keepers=3 if fleet else 0
     )
     with Rig(plan, reactor) as rig:
         rig.up()
         pass_time(reactor, 3.0)
-        before = cpu(rig)
+        before = cpu_seconds(rig)
         pass_time(reactor, float(seconds))
-        idle = (cpu(rig) - before) / seconds / processes
-        began, packets = cpu(rig), sent(rig, fleet)
+        idle = (cpu_seconds(rig) - before) / seconds / processes
+        cpu_before, packets = cpu_seconds(rig), datagrams_and_bytes(rig, fleet)
         trial = Trial(rig, [steady(rig, 0.5, float(seconds))], seed).run()
-        spent, after = cpu(rig) - began, sent(rig, fleet)
+        spent, after = cpu_seconds(rig) - cpu_before, datagrams_and_bytes(rig, fleet)
         requests = trial.clients.totals.requests
         trial.close()
     return Row(
@@ -77,15 +77,15 @@
     )
 
 
-def main(words: list[str]) -> int:
-    told = docopt(
+def main(arguments: list[str]) -> int:
+    options = docopt(
         "Usage: cost [--processes N] [--seconds N] [--seed N] [--json]\n\nOptions:\n  --processes N  "
         "[default: 8]\n  --seconds N    [default: 10]\n  --seed N       [default: 1]\n  --json\n",
-        words,
+        arguments,
     )
-    words_ = [int(told[name]) for name in ("--processes", "--seconds", "--seed")]
-    rows = [one(fleet, *words_) for fleet in (False, True)]
-    show(rows, told["--json"])
+    numbers = [int(options[name]) for name in ("--processes", "--seconds", "--seed")]
+    rows = [measure(fleet, *numbers) for fleet in (False, True)]
+    show(rows, options["--json"])
     return 0
 
 
--- a/rackhub/trials/fleet/history.py
+++ b/rackhub/trials/fleet/history.py
@@ -1,7 +1,7 @@
-"""Whether what the editors saw fits one order in which each change took effect at one moment of its call.
+"""Checks a history of calls for linearizability: each change takes effect at call moment between its call and answer.
 
-The search is that of Wing and Gong, with Lowe's memory of what was tried: a call may come next if no other had ended
-before it began. A call of unknown outcome may take effect at any later time, or never.
+The search is that of Wing and Gong, with Lowe's cache of visited states: a call may be next if no other pending call
+ended before it began. A call with unknown outcome may take effect at any later time, or never.
 """
 
 from collections.abc import Sequence
@@ -11,8 +11,8 @@
 
 
 class Op(NamedTuple):
-    """One call at the rule book. `on`: the version it builds on; -1: a read. `got`: the version that it made or found
-    (for a read, the newest); what it was refused for is a later version than `on`, or nothing at all (`failed`)."""
+    """One call to the rule set. `on`: its base version; -1 for a read. `got`: the version that it created or found (the
+    newest for a read). A conflict means that a version later than `on` exists; a failed call has no effect."""
 
     begin: int
     end: int
@@ -22,11 +22,11 @@
     got: int = 0
 
 
-State = tuple[str, ...]  # the ids of all versions, in order
+State = tuple[str, ...]  # ids of all versions, in order
 
 
 def after(state: State, op: Op) -> State | None:
-    """The state after it took effect there; None: it can't have, with the answer that it gave."""
+    """Return the state after the call takes effect, or None if that contradicts its answer."""
     if op.on < 0:
         return state if op.got == len(state) else None
     if op.kind == "conflict":
@@ -39,27 +39,27 @@
 
 
 def linearizable(ops: Sequence[Op]) -> tuple[bool, list[str]]:
-    """Whether there is such an order, and the longest one found."""
+    """Return whether the history is linearizable, and the longest order found."""
     ops = sorted(
-        (one if one.kind != "unknown" else one._replace(end=NEVER) for one in ops if one.kind != "failed"),
-        key=lambda one: (one.begin, one.end),
+        (call if call.kind != "unknown" else call._replace(end=NEVER) for call in ops if call.kind != "failed"),
+        key=lambda call: (call.begin, call.end),
     )
-    must = sum(1 << i for i, one in enumerate(ops) if one.kind != "unknown")
-    tried: set[tuple[int, State]] = set()
+    required = sum(1 << i for i, call in enumerate(ops) if call.kind != "unknown")
+    visited: set[tuple[int, State]] = set()
     best: State = ()
     stack: list[tuple[int, State]] = [(0, ())]
     while stack:
         done, state = stack.pop()
-        if (done, state) in tried:
+        if (done, state) in visited:
             continue
-        tried.add((done, state))
+        visited.add((done, state))
         best = max(best, state, key=len)
-        if done & must == must:
+        if done & required == required:
             return True, list(state)
-        soonest = min(one.end for i, one in enumerate(ops) if not done >> i & 1)
+        earliest_end = min(call.end for i, call in enumerate(ops) if not done >> i & 1)
         for i in range(len(ops) - 1, -1, -1):
-            if not done >> i & 1 and ops[i].begin <= soonest:
-                came = after(state, ops[i])
-                if came is not None:
-                    stack.append((done | 1 << i, came))
+            if not done >> i & 1 and ops[i].begin <= earliest_end:
+                next_state = after(state, ops[i])
+                if next_state is not None:
+                    stack.append((done | 1 << i, next_state))
     return False, list(best)
--- a/rackhub/trials/fleet/rules_torture.py
+++ b/rackhub/trials/fleet/rules_torture.py
@@ -181,7 +181,7 @@
                     cut = {(name, other), (other, name)} & self.net.cuts or nodes[other].paused
                     state = MemberState.GONE if not nodes[other].up else MemberState.CUT if cut else MemberState.ALIVE
                     if node._states.get(other, MemberState.ALIVE) is not state:
-                        node.say(other, state)
+                        node.set_member_state(other, state)
 
     def _look(self) -> None:
         for name, rules in self.rules.items():
--- a/rackhub/trials/fleet/twin.py
+++ b/rackhub/trials/fleet/twin.py
@@ -1,7 +1,7 @@
-"""Faulty twins of the fleet's ports: members, board, mail and timers of many gateways on one clock, from one seed.
+"""Simulates the fleet's ports with fault injection: members, gossip state, messages and timers on one virtual clock.
 
-Mail and records are lost, delayed, doubled and cut by direction; a gateway can stand still, end and come back. The same
-seed gives the same run, byte for byte.
+Messages and records can be lost, delayed and duplicated, and cut off per direction; a gateway can be paused, killed
+and restarted. The same seed gives the same run, byte for byte.
 """
 
 import heapq
@@ -15,23 +15,23 @@
 
 
 class Time:
-    """One clock for all, and what is due on it."""
+    """The virtual clock that all gateways share, with its scheduled calls."""
 
     def __init__(self) -> None:
-        self._now, self._asked = 1_000 * SECOND, 0
+        self._now, self._call_count = 1_000 * SECOND, 0
         self._due: list[tuple[int, int, Callable[[], None]]] = []
 
     def now(self) -> int:
         return self._now
 
     def later(self, delay: int, call: Callable[[], None]) -> Callable[[], None]:
-        on = [True]
-        self._asked += 1
-        heapq.heappush(self._due, (self._now + max(delay, 0), self._asked, lambda: call() if on[0] else None))
-        return lambda: on.__setitem__(0, False)
+        active = [True]
+        self._call_count += 1
+        heapq.heappush(self._due, (self._now + max(delay, 0), self._call_count, lambda: call() if active[0] else None))
+        return lambda: active.__setitem__(0, False)
 
     def run(self, span: int, until: Callable[[], bool] = lambda: False) -> bool:
-        """Go on for so long, or until the condition holds; whether it came to hold."""
+        """Run for `span` microseconds or until the condition holds; return whether it holds."""
         end = self._now + span
         while self._due and self._due[0][0] <= end:
             at, _, call = heapq.heappop(self._due)
@@ -44,13 +44,13 @@
 
 
 class Net:
-    """What lies between the gateways. Probabilities are by message; times microseconds."""
+    """The simulated network. Probabilities are per message; times are in microseconds."""
 
     def __init__(self, names: list[Name], seed: int = 0):
         self.time, self.random, self.counts = Time(), random.Random(seed), Counter[str]()
         self.lose = self.double = 0.0
         self.least, self.most = 1 * MS, 5 * MS
-        self.cuts: set[tuple[Name, Name]] = set()  # from whom to whom nothing comes
+        self.cuts: set[tuple[Name, Name]] = set()  # (source, destination) pairs that lose everything
         self.records: dict[tuple[Name, str], tuple[int, int, int, bytes]] = {}
         self.nodes = {name: Node(self, name) for name in names}
 
@@ -80,20 +80,22 @@
 
 
 class Node:
-    """One gateway's members, board and mail, and its timers."""
+    """The ports of one gateway: members, gossip state, messages and timers."""
 
     def __init__(self, net: Net, name: Name):
         self.net, self.local_name, self.up, self.paused, self.boot, self._number = net, name, True, False, 1, 0
         self.held: list[Callable[[], None]] = []
         self.counts = Counter[str]()
-        self._seen: dict[tuple[Name, str], tuple[int, int, int, bytes]] = {}  # boot, number, when it was so old, body
+        self._seen: dict[
+            tuple[Name, str], tuple[int, int, int, bytes]
+        ] = {}  # generation, number, time of publication, body
         self._states: dict[Name, MemberState] = {}
-        self._takers: dict[str, Callable[[Name, bytes], None]] = {}
-        self._board: dict[str, list[Callable[[Record], None]]] = {}
-        self._members: list[Callable[[Member], None]] = []
+        self._subscribers: dict[str, Callable[[Name, bytes], None]] = {}
+        self._record_listeners: dict[str, list[Callable[[Record], None]]] = {}
+        self._member_listeners: list[Callable[[Member], None]] = []
 
     def fleet(self, seed: int = 0) -> Fleet:
-        """What a part of the fleet is handed here."""
+        """Return the ports that a component of the fleet gets."""
         return Fleet(self, self, self, self, self._count, self.later, seed)
 
     def _count(self, name: str, by: int = 1) -> None:
@@ -117,23 +119,23 @@
         self.paused = True
 
     def wake(self) -> None:
-        """All that came and was due meanwhile is there at once, as after SIGCONT."""
+        """Deliver everything that arrived or was due during the pause at once, as after SIGCONT."""
         self.paused, held, self.held = False, self.held, []
         for call in held:
             call()
 
     def kill(self) -> None:
-        """The process ends: what it held is gone; the net's other nodes learn of it by `say`."""
+        """End the process and lose its memory. The other nodes learn of it only through `set_member_state`."""
         self.up, self.paused, self.held = False, False, []
-        self._seen, self._takers, self._board, self._members = {}, {}, {}, []
+        self._seen, self._subscribers, self._record_listeners, self._member_listeners = {}, {}, {}, []
 
     def restart(self) -> None:
         self.up, self.boot, self._number = True, self.boot + 1, 0
 
-    def say(self, name: Name, state: MemberState) -> None:
-        """What this node holds of another from now on; a failure detector's word, right or wrong."""
+    def set_member_state(self, name: Name, state: MemberState) -> None:
+        """Set the state of another member in this node's view, as a failure detector does, rightly or wrongly."""
         self._states[name] = state
-        for call in list(self._members):
+        for call in list(self._member_listeners):
             call(self.all()[name])
 
     # ---- members
@@ -168,33 +170,35 @@
     def receives_from(self, one: Name, other: Name) -> bool | None:
         return (other, one) not in self.net.cuts
 
-    def follow(self, *words: object) -> None:
-        """As members: a call; as board: a kind and a call."""
-        if len(words) == 1:
-            self._members.append(words[0])  # type: ignore[arg-type]
+    def follow(self, *arguments: object) -> None:
+        """Follow member changes (one argument: a call) or records (two arguments: a kind and a call)."""
+        if len(arguments) == 1:
+            self._member_listeners.append(arguments[0])  # type: ignore[arg-type]
         else:
-            self._board.setdefault(str(words[0]), []).append(words[1])  # type: ignore[arg-type]
+            self._record_listeners.setdefault(str(arguments[0]), []).append(arguments[1])  # type: ignore[arg-type]
 
-    # ---- board
+    # ---- gossip state
 
     def publish(self, kind: str, body: bytes) -> None:
         if len(body) > MAX_RECORD_BYTES:
-            raise ValueError(f"a record of {len(body)} bytes, more than {MAX_RECORD_BYTES}")
+            raise ValueError(f"record too large: {len(body)} bytes, at most {MAX_RECORD_BYTES} are allowed")
         self._number += 1
         boot, number, at = self.boot, self._number, self.now()
         self._seen[self.local_name, kind] = (boot, number, at, body)
         for name in self.net.nodes:
-            if name != self.local_name:  # its age is what the way took: here the clock is one
+            if name != self.local_name:  # the clock is shared, so the age on arrival is the transit time
                 self.net.carry(
-                    self.local_name, name, lambda node: node._posted(self.local_name, kind, boot, number, at, body)
+                    self.local_name,
+                    name,
+                    lambda node: node._record_received(self.local_name, kind, boot, number, at, body),
                 )
 
-    def _posted(self, owner: Name, kind: str, boot: int, number: int, at: int, body: bytes) -> None:
+    def _record_received(self, owner: Name, kind: str, boot: int, number: int, at: int, body: bytes) -> None:
         known = self._seen.get((owner, kind))
         if known is not None and known[:2] >= (boot, number):
             return
         self._seen[owner, kind] = (boot, number, at, body)
-        for call in list(self._board.get(kind, ())):
+        for call in list(self._record_listeners.get(kind, ())):
             call(Record(owner, kind, boot, number, self.now() - at, body))
 
     def read(self, kind: str) -> Mapping[Name, Record]:
@@ -207,16 +211,16 @@
             if of == kind
         }
 
-    # ---- mail
+    # ---- messages
 
     def send(self, to: Name, kind: str, body: bytes) -> None:
         if len(body) > MAX_MESSAGE_BYTES:
-            raise ValueError(f"mail of {len(body)} bytes, more than {MAX_MESSAGE_BYTES}")
-        self.net.carry(self.local_name, to, lambda node: node._mailed(self.local_name, kind, body))
+            raise ValueError(f"message too large: {len(body)} bytes, at most {MAX_MESSAGE_BYTES} are allowed")
+        self.net.carry(self.local_name, to, lambda node: node._message_received(self.local_name, kind, body))
 
-    def _mailed(self, source: Name, kind: str, body: bytes) -> None:
-        if kind in self._takers:
-            self._takers[kind](source, body)
+    def _message_received(self, source: Name, kind: str, body: bytes) -> None:
+        if kind in self._subscribers:
+            self._subscribers[kind](source, body)
 
     def subscribe(self, kind: str, call: Callable[[Name, bytes], None]) -> None:
-        self._takers[kind] = call
+        self._subscribers[kind] = call
--- a/tests/test_distribution_shells.py
+++ b/tests/test_distribution_shells.py
@@ -380,5 +380,5 @@
     net, voter, disks = fleet_of()
     relay = relay_on(net, "r0")
     assert relay.metrics()["distribution_members"] == 2
-    net.nodes["r0"].say("c1", MemberState.GONE)
+    net.nodes["r0"].set_member_state("c1", MemberState.GONE)
     assert relay.metrics()["distribution_members"] == 1
--- a/tests/test_fleet_overload.py
+++ b/tests/test_fleet_overload.py
@@ -239,7 +239,7 @@
 
     def update_view(one, other):
         separated = (one in cut) != (other in cut) or other in dead
-        net.nodes[one].say(other, MemberState.GONE if separated else MemberState.ALIVE)
+        net.nodes[one].set_member_state(other, MemberState.GONE if separated else MemberState.ALIVE)
 
     def detect():  # each gateway detects a change of another one at a time of its own
         for one in names:
@@ -344,7 +344,7 @@
 
 def disagreement(world):
     """Return the fraction of requests with another verdict when they are repeated at another gateway."""
-    thresholds = [gateway.part.controller.threshold for gateway in world.gateways]
+    thresholds = [gateway.overload.controller.threshold for gateway in world.gateways]
     statements = [
         ((cls.name, tenant.name), b"select %d" % i) for cls in CLASSES for tenant in TENANTS for i in range(60)
     ]
@@ -357,7 +357,7 @@
     world = World(4, 4, True, lambda at: 2.0, 1, hot=0.5)
     for gateway in world.gateways:
         if ignore_records:  # injected bug: the records of other gateways are ignored
-            gateway.part._decode = lambda record: None
+            gateway.overload._decode = lambda record: None
     fractions = []
     world.run(5, lambda: fractions.append(disagreement(world)) if world.seconds() > 3 else None)
     return world, sum(fractions) / len(fractions)
@@ -365,7 +365,7 @@
 
 def test_thresholds_without_the_others_records_are_detected():
     world, shared = overloaded_world()
-    assert all(gateway.part.controller.shedding for gateway in world.gateways) and shared < 0.1
+    assert all(gateway.overload.controller.shedding for gateway in world.gateways) and shared < 0.1
     assert world.counts["attempts"] <= 1.1 * world.counts["served"] + 40  # requests that are still open at the end
     _, separate = overloaded_world(ignore_records=True)
     assert separate > 0.1 and separate > 3 * shared, (separate, shared)
@@ -373,7 +373,7 @@
 
 def test_thread_shares_sum_up_to_one_and_load_records_fit():
     world, _ = overloaded_world()
-    assert sum(gateway.part.controller.thread_share for gateway in world.gateways) <= 1 + 1e-3
+    assert sum(gateway.overload.controller.thread_share for gateway in world.gateways) <= 1 + 1e-3
     assert all(
         len(record.body) <= MAX_RECORD_BYTES for record in world.net.nodes["g0"].read(records.LOAD_KIND).values()
     )
@@ -579,7 +579,7 @@
     publish = faulty.publish
     faulty.publish = lambda kind, body: publish(kind, b"\xff" + body)
     world.run(3)
-    overload = world.gateways[0].part
+    overload = world.gateways[0].overload
     assert (
         overload.controller.participants.unresponsive == {"g2"}
         and world.net.nodes["g0"].counts["overload_nonsense"] > 0
@@ -593,11 +593,11 @@
     gateway, node = world.gateways[0], world.net.nodes["g0"]
     node.pause()
     world.run(10)
-    before = gateway.part._ticked_at
+    before = gateway.overload._ticked_at
     query = Query("x", "lookup", b"select 1", node.now() + SECOND, None, tenant="north")
-    gateway.part.request_received(query, node.now())
-    assert gateway.part._ticked_at == node.now() > before + 6 * SECOND
-    controller = gateway.part.controller
+    gateway.overload.request_received(query, node.now())
+    assert gateway.overload._ticked_at == node.now() > before + 6 * SECOND
+    controller = gateway.overload.controller
     # the records of the other gateways are too old
     assert controller.participants.unresponsive == {"g1", "g2"} and controller.thread_share <= 1 / 3
 
@@ -664,7 +664,7 @@
         for i, gateway in enumerate(world.gateways):  # each gateway receives it at a different time
             world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.core.update_endpoints(snapshot.entries, rev))
             if coordinated:
-                world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.part.endpoints_changed(snapshot))
+                world.time.later(i * 70 * MS, lambda gateway=gateway: gateway.overload.endpoints_changed(snapshot))
 
     world.run(3)
     engine.up = False
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -87,6 +87,6 @@
     net.nodes["b"].wake()
     assert net.nodes["b"].read("load")["a"].body == b"3"
     net.nodes["b"].kill()
-    net.nodes["a"].say("b", MemberState.GONE)
+    net.nodes["a"].set_member_state("b", MemberState.GONE)
     net.nodes["b"].restart()
     assert not net.nodes["b"].read("load") and net.nodes["a"].live() == {"a"}
