--- a/rackhub/trials/fleet/members_measure.py
+++ b/rackhub/trials/fleet/members_measure.py
@@ -1,4 +1,4 @@
-"""What members cost and how fast and how rightly they find who is gone.
+"""Measures the cost of fleet membership, and the speed and accuracy of its failure detection.
 
 Run as `python -m rackhub.trials.fleet.members_measure`.
 
@@ -9,17 +9,17 @@
   members_measure one ADDRESS JOIN SECONDS
 
 Options:
-  --gateways N  How many [default: 8].
-  --seconds N   Measured [default: 15].
-  --every MS    Between two postings of each record, there [default: 500].
-  --seed N      Of all chance [default: 1].
-  --json        For machines.
+  --gateways N  Number of gateways [default: 8].
+  --seconds N   Length of the measurement [default: 15].
+  --every MS    Interval between publications of each record [default: 500].
+  --seed N      Seed of all random choices [default: 1].
+  --json        Print JSON.
 
 Commands:
-  loopback  Processes of their own on 127.0.0.0/8, each with three records of 150 bytes, two a second each.
-  virtual   The same in virtual time: simulated, with the real frames.
-  detect    In virtual time, by loss: suspicions and members given up wrongly, and the time until a killed one is gone.
-  one       One such process; prints its figures.
+  loopback  Separate processes on 127.0.0.0/8; each publishes three records of 150 bytes twice per second.
+  virtual   The same load in virtual time, with the real frames.
+  detect    Virtual time, by loss: false suspicions and removals, and the time until a killed member is gone.
+  one       Run one process of `loopback` and print its metrics.
 """
 
 import json
@@ -37,8 +37,12 @@
 from rackhub.trials.fleet.members_wire import Gateway, Wire
 from rackhub.trials.fleet.twin import MS, SECOND
 
-KINDS, SIZE, EACH = ("demand", "probes", "version"), 150, 500  # records of the load, bytes, milliseconds
-WARM = 15  # seconds until a fleet stands
+RECORD_KINDS, RECORD_BYTES, RECORD_INTERVAL_MS = (
+    ("demand", "probes", "version"),
+    150,
+    500,
+)  # record kinds, size in bytes, interval in ms
+WARM_UP_SECONDS = 15  # seconds until membership is stable
 
 
 def loopback(gateways: int, seconds: int) -> dict[str, Any]:
@@ -59,12 +63,12 @@
         "processes": gateways,
         "measured": "loopback",
         "all_heard": all(f["heard"] == gateways for f in figures),
-        "records_posted_s_each": len(KINDS) * 1_000 / EACH,
+        "records_posted_s_each": len(RECORD_KINDS) * 1_000 / RECORD_INTERVAL_MS,
         "per_member_s": {key: round(sum(figure[key] for figure in figures) / gateways, 1) for key in keys},
     }
 
 
-def one(address: str, join: str, seconds: int) -> None:
+def run_one(address: str, join: str, seconds: int) -> None:
     from twisted.internet import reactor as any_reactor
 
     from rackhub.fleet.members.part import Membership
@@ -81,26 +85,28 @@
         return (used.ru_utime + used.ru_stime) * 1_000
 
     def post() -> None:
-        reactor.callLater(EACH / 1_000, post)
-        for kind in KINDS:
-            part.gossip_state.publish(kind, os.urandom(SIZE))
+        reactor.callLater(RECORD_INTERVAL_MS / 1_000, post)
+        for kind in RECORD_KINDS:
+            part.gossip_state.publish(kind, os.urandom(RECORD_BYTES))
 
     def begin() -> None:
-        kept.update({name: getattr(part.port, name) for name in NAMES}, cpu_ms=cpu())
+        kept.update({name: getattr(part.port, name) for name in COUNTER_NAMES}, cpu_ms=cpu())
 
     def end() -> None:
-        told: dict[str, float] = {name: (getattr(part.port, name) - kept[name]) / seconds for name in NAMES}
-        told |= {"cpu_ms": (cpu() - kept["cpu_ms"]) / seconds, "heard": len(part.members.reachable())}
-        print(json.dumps(told), flush=True)
-        reactor.callLater(5, lambda: part.leave().addCallback(lambda _: reactor.stop()))  # the others are not ready yet
+        results: dict[str, float] = {name: (getattr(part.port, name) - kept[name]) / seconds for name in COUNTER_NAMES}
+        results |= {"cpu_ms": (cpu() - kept["cpu_ms"]) / seconds, "heard": len(part.members.reachable())}
+        print(json.dumps(results), flush=True)
+        reactor.callLater(
+            5, lambda: part.leave().addCallback(lambda _: reactor.stop())
+        )  # the other processes may still be measuring
 
     reactor.callLater(0.5, post)
-    reactor.callLater(WARM, begin)
-    reactor.callLater(WARM + seconds, end)
+    reactor.callLater(WARM_UP_SECONDS, begin)
+    reactor.callLater(WARM_UP_SECONDS + seconds, end)
     reactor.run()
 
 
-NAMES = ("bytes_in", "bytes_out", "packets_in", "packets_out")
+COUNTER_NAMES = ("bytes_in", "bytes_out", "packets_in", "packets_out")
 
 
 def virtual(gateways: int, seconds: int, every: int) -> dict[str, Any]:
@@ -110,15 +116,15 @@
     def post() -> None:
         wire.time.later(every * MS, post)
         for gateway in wire.running():
-            for kind in KINDS:
-                gateway.post(kind, wire.random.randbytes(SIZE))
+            for kind in RECORD_KINDS:
+                gateway.post(kind, wire.random.randbytes(RECORD_BYTES))
 
     rows = {}
-    wire.time.run(gateways * wire.timing.probe_period)  # each has probed each
+    wire.time.run(gateways * wire.timing.probe_period)  # every member has probed every other
     for load in ("idle", "with records"):
         if load != "idle":
             wire.time.later(0, post)
-        wire.time.run(WARM * SECOND)
+        wire.time.run(WARM_UP_SECONDS * SECOND)
         before = [(gateway.bytes, gateway.packets) for gateway in wire.gateways.values()]
         wire.time.run(seconds * SECOND)
         after = [(gateway.bytes, gateway.packets) for gateway in wire.gateways.values()]
@@ -128,29 +134,29 @@
             "packets_out": round(sum(b[1] - a[1] for a, b in zip(before, after, strict=True)) / count, 1),
         }
     ages = sorted(
-        gateway.core.records.read(KINDS[0])[name].age
+        gateway.core.records.read(RECORD_KINDS[0])[name].age
         for gateway in wire.gateways.values()
-        for name in gateway.core.records.read(KINDS[0])
+        for name in gateway.core.records.read(RECORD_KINDS[0])
     )
     return {
         "gateways": gateways,
         "simulated": True,
-        "records_posted_s_each": len(KINDS) * 1_000 / every,
+        "records_posted_s_each": len(RECORD_KINDS) * 1_000 / every,
         "per_member_s": rows,
         "records_held_of": len(ages) / gateways**2,
         "age_ms": {part: ages[min(len(ages) - 1, len(ages) * part // 100)] // MS for part in (50, 99, 100)},
     }
 
 
-class Finder:
-    """Counts what is said of members that run, and when the first and the last holds one gone that was killed."""
+class DetectionRecorder:
+    """Counts false suspicions and removals, and records when each gateway removes a killed member."""
 
     def __init__(self, wire: Wire):
         self.wire, self.suspected, self.given_up = wire, 0, 0
         self.gone: dict[str, list[int]] = {}
-        wire.seen.append(self.saw)
+        wire.seen.append(self.record_effect)
 
-    def saw(self, gateway: Gateway, effect: Effect) -> None:
+    def record_effect(self, gateway: Gateway, effect: Effect) -> None:
         if not isinstance(effect, MemberChanged):
             return
         name, state = effect.member.name, effect.member.state
@@ -170,20 +176,20 @@
     rows = []
     for lose in (0.0, 0.01, 0.05, 0.1, 0.2, 0.3):
         wire = Wire(gateways, seed)
-        finder = Finder(wire)
+        recorder = DetectionRecorder(wire)
         wire.start()
         wire.time.run(30 * SECOND)
         wire.lose = lose
         wire.time.run(1_200 * SECOND)
         hours = gateways * 1_200 / 3_600
-        quiet = (finder.suspected / hours, finder.given_up / hours)
+        quiet = (recorder.suspected / hours, recorder.given_up / hours)
         first, last = [], []
         for _ in range(20):
             gateway = wire.random.choice(wire.running())
             gateway.kill()
             began = wire.time.now()
-            seen = finder.gone[gateway.name] = []
-            wire.time.run(60 * SECOND, partial(finder.all_know, gateway.name, gateways - 1))
+            seen = recorder.gone[gateway.name] = []
+            wire.time.run(60 * SECOND, partial(recorder.all_know, gateway.name, gateways - 1))
             if len(seen) >= gateways - 1:
                 first.append(seen[0] - began)
                 last.append(seen[-1] - began)
@@ -210,18 +216,18 @@
     options = docopt(__doc__ or "", argv)
     gateways, seconds = int(options["--gateways"]), int(options["--seconds"])
     if options["one"]:
-        one(options["ADDRESS"], options["JOIN"], int(options["SECONDS"]))
+        run_one(options["ADDRESS"], options["JOIN"], int(options["SECONDS"]))
         return 0
     if options["detect"]:
-        told: Any = detect(gateways, int(options["--seed"]))
+        results: Any = detect(gateways, int(options["--seed"]))
     else:
-        told = (
+        results = (
             loopback(gateways, seconds) if options["loopback"] else virtual(gateways, seconds, int(options["--every"]))
         )
     if options["--json"]:
-        print(json.dumps(told))
+        print(json.dumps(results))
     else:
-        for row in told if isinstance(told, list) else [told]:
+        for row in results if isinstance(results, list) else [results]:
             print(row)
     return 0
 
--- a/rackhub/trials/fleet/members_plants.py
+++ b/rackhub/trials/fleet/members_plants.py
@@ -1,4 +1,4 @@
-"""Planted mistakes, each with the fault under which the torture must find it, and by which of its checks."""
+"""Injected bugs, each with the fault under which the stress test must find it, and the check that must find it."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -16,13 +16,13 @@
 from rackhub.trials.fleet.members_wire import Make
 
 
-class Plant(NamedTuple):
+class InjectedBug(NamedTuple):
     make: Make
-    fault: str  # of `members_faults`
-    check: str  # the count of `Watch` that must show it
+    fault: str  # name in `members_faults.FAULTS`
+    check: str  # count of `InvariantChecker` that must be raised
 
 
-def planted(change: Callable[[Core], None], timing: dict[str, Any] | None = None) -> Make:
+def core_with_bug(change: Callable[[Core], None], timing: dict[str, Any] | None = None) -> Make:
     def make(start: Start, times: Timing, limits: Limits, now: int) -> Core:
         core = Core(start, msgspec.structs.replace(times, **timing or {}), limits, now)
         change(core)
@@ -31,23 +31,23 @@
     return make
 
 
-class OlderTaken(GossipRecords):
+class OlderRecordAccepted(GossipRecords):
     def merge(self, update: f.RecordUpdate, transit_time: int) -> bool:
         self._owners.get(update.owner, {}).pop(update.kind, None)
         return super().merge(update, transit_time)
 
 
-class AgeAnew(GossipRecords):
+class AgeResetOnMerge(GossipRecords):
     def merge(self, update: f.RecordUpdate, transit_time: int) -> bool:
         return super().merge(msgspec.structs.replace(update, age=0), 0)
 
 
-class WayForgotten(GossipRecords):
+class TransitTimeIgnored(GossipRecords):
     def merge(self, update: f.RecordUpdate, transit_time: int) -> bool:
         return super().merge(update, 0)
 
 
-class AnyBoot(MemberTable):
+class AnyGenerationAccepted(MemberTable):
     def merge(self, claim: f.Claim, sender: str) -> None:
         peer = self.peers.get(claim.name)
         if peer is not None and claim.generation < peer.generation:
@@ -56,69 +56,77 @@
         super().merge(claim, sender)
 
 
-def of(kind: type[Any]) -> Callable[[Core], None]:
-    """The core's part of that kind becomes the planted one."""
+def replace_component(kind: type[Any]) -> Callable[[Core], None]:
+    """Return a change that replaces the core's component by the faulty subclass `kind`."""
 
     def change(core: Core) -> None:
-        for part in list(vars(core).values()):
-            if type(part) in kind.__mro__ and type(part) is not object:
-                part.__class__ = kind
+        for component in list(vars(core).values()):
+            if type(component) in kind.__mro__ and type(component) is not object:
+                component.__class__ = kind
 
     return change
 
 
-class Forgetful(Inbox):
+class CompletedIdsForgotten(Inbox):
     def _finish(self, id: int) -> None:
         super()._finish(id)
         self._completed_ids.clear()
 
 
-def takes_any_boot(core: Core) -> None:
-    of(AnyBoot)(core)
+def accept_any_generation(core: Core) -> None:
+    replace_component(AnyGenerationAccepted)(core)
     receive = core._receive
-    ask = receive._accept_sender
+    accept_sender = receive._accept_sender
 
     def sender(packet: f.Packet) -> Any:
         peer, claim = core.table.peers.get(packet.name), f.first_claim(packet)
         if peer is not None and packet.generation < peer.generation and claim is not None:
             core.table.merge(claim, packet.name)
-        return ask(packet)
+        return accept_sender(packet)
 
     receive.__dict__["_accept_sender"] = sender
 
 
-def forgets_mail(core: Core) -> None:
+def forget_completed_messages(core: Core) -> None:
     receive = core._receive
-    page = receive._handle_page
+    handle_page = receive._handle_page
 
     def _handle_page(peer: Any, frame: f.Page) -> None:
         if peer.inbox is None:
-            peer.inbox = Forgetful(core.context.limits, core.context.count)
-        page(peer, frame)
+            peer.inbox = CompletedIdsForgotten(core.context.limits, core.context.count)
+        handle_page(peer, frame)
 
     receive.__dict__["_handle_page"] = _handle_page
 
 
-def lets_the_gone_be(core: Core) -> None:
+def never_probe_unreachable(core: Core) -> None:
     core.probing._probe_unreachable = lambda: None  # type: ignore[method-assign]
     core._seeds = []
 
 
-def refutes_nothing(core: Core) -> None:
+def never_refute(core: Core) -> None:
     core.local_member.handle_claim = lambda claim: True  # type: ignore[method-assign]
 
 
-def keeps_silent_when_it_was_wrong(core: Core) -> None:
+def never_mark_reachable(core: Core) -> None:
     core.probing._mark_reachable = lambda peer: None  # type: ignore[method-assign]
 
 
-PLANTS = {
-    "suspicion is never refuted": Plant(planted(refutes_nothing), "halves", "lost_for_good"),
-    "the gone are never probed again": Plant(planted(lets_the_gone_be), "halves", "lost_for_good"),
-    "a cut is never taken back": Plant(planted(keeps_silent_when_it_was_wrong), "one_way", "not_settled"),
-    "claims of an earlier boot are taken": Plant(planted(takes_any_boot), "reborn", "views_going_back"),
-    "the board takes an older number": Plant(planted(of(OlderTaken)), "disorder", "board_going_back"),
-    "a record's age begins anew at each holder": Plant(planted(of(AgeAnew)), "disorder", "records_too_young"),
-    "the time on the way is left out of an age": Plant(planted(of(WayForgotten)), "late", "records_too_young"),
-    "mail that was taken is forgotten": Plant(planted(forgets_mail), "double", "mail_twice"),
+INJECTED_BUGS = {
+    "suspicion is never refuted": InjectedBug(core_with_bug(never_refute), "halves", "lost_for_good"),
+    "the gone are never probed again": InjectedBug(core_with_bug(never_probe_unreachable), "halves", "lost_for_good"),
+    "a cut is never taken back": InjectedBug(core_with_bug(never_mark_reachable), "one_way", "not_settled"),
+    "claims of an earlier boot are taken": InjectedBug(
+        core_with_bug(accept_any_generation), "reborn", "views_going_back"
+    ),
+    "the board takes an older number": InjectedBug(
+        core_with_bug(replace_component(OlderRecordAccepted)), "disorder", "board_going_back"
+    ),
+    "a record's age begins anew at each holder": InjectedBug(
+        core_with_bug(replace_component(AgeResetOnMerge)), "disorder", "records_too_young"
+    ),
+    "the time on the way is left out of an age": InjectedBug(
+        core_with_bug(replace_component(TransitTimeIgnored)), "late", "records_too_young"
+    ),
+    "mail that was taken is forgotten": InjectedBug(core_with_bug(forget_completed_messages), "double", "mail_twice"),
 }
--- a/rackhub/trials/fleet/members_wire.py
+++ b/rackhub/trials/fleet/members_wire.py
@@ -1,7 +1,7 @@
-"""A faulty twin of the wire: many cores of `rackhub.fleet.members` on one virtual clock, from one seed.
+"""Simulated network with fault injection: many cores of `rackhub.fleet.members` on one virtual clock.
 
-What is lost, late, doubled, damaged or cut goes by direction. Each gateway has a clock of its own, which began at
-another moment and runs a little faster or slower. The same seed gives the same run, byte for byte.
+Datagrams can be lost, delayed, duplicated, damaged or cut off, per direction. Each gateway has its own clock, with an
+offset and a small drift. The same seed gives the same run, byte for byte.
 """
 
 import random
@@ -17,47 +17,47 @@
 from rackhub.trials.fleet.twin import MS, SECOND, Time
 
 CLUSTER = "trial"
-HELD = 200  # datagrams that the system keeps for a process that stands still
-DRIFT = 50  # millionths by which a clock is fast or slow at the most
+SOCKET_BUFFER_DATAGRAMS = 200  # datagrams that the socket buffer keeps for a paused process
+DRIFT = 50  # maximum clock drift, in parts per million
 Seen = Callable[["Gateway", Effect], None]
 Make = Callable[[Start, Timing, Limits, int], Core]
 
 
 class Gateway:
-    """One process. `up`: it runs, or stands still; `core` is of its present start."""
+    """One process. `up`: it is running or paused; `core` belongs to its current start."""
 
     def __init__(self, wire: "Wire", name: Name, address: Address, seed: int):
         self.wire, self.name, self.address, self._seed = wire, name, address, seed
-        self._offset, self._ppm = wire.random.randrange(1, 10_000) * SECOND, wire.random.randint(-DRIFT, DRIFT)
+        self._offset, self._drift_ppm = wire.random.randrange(1, 10_000) * SECOND, wire.random.randint(-DRIFT, DRIFT)
         self.up = self.paused = False
         self.boot, self.starts = wire.random.randrange(1_000_000, 2_000_000), 0
         self.held: list[bytes] = []
         self.bytes = self.packets = 0
-        self.changed = wire.time.now()  # when something last befell it
-        self._timer = 0  # when it is due, by the own clock
+        self.changed = wire.time.now()  # time of the last start, pause, wake-up or kill
+        self._timer = 0  # due time, by the local clock
         self.core: Core
 
-    def local(self) -> int:
+    def local_time(self) -> int:
         now = self.wire.time.now()
-        return self._offset + now + now * self._ppm // 1_000_000
+        return self._offset + now + now * self._drift_ppm // 1_000_000
 
     def start(self, boot: int | None = None) -> None:
-        """With the number kept of its last start, or a later one of its clock. `boot`: nothing was kept, and that is
-        the number that its clock gives."""
+        """Start with a generation above the stored one. `boot`: nothing was stored, and this generation comes from its
+        clock."""
         kept = self.core.local_member.generation + 1 if self.starts else 0
         self.boot = boot if boot is not None else max(kept, self.boot + self.wire.random.randrange(1, 100_000))
         self.up, self.paused, self.held, self.starts = True, False, [], self.starts + 1
         self._timer = 0
         self.changed = self.wire.time.now()
         start = Start(CLUSTER, self.name, self.address, self.boot, seeds=self.wire.seeds, seed=self._seed + self.starts)
-        self.core = self.wire.make(start, self.wire.timing, self.wire.limits, self.local())
+        self.core = self.wire.make(start, self.wire.timing, self.wire.limits, self.local_time())
         self.step(Tick())
 
     def step(self, event: Event) -> None:
         if not self.up or self.paused:
             return
         core = self.core
-        for effect in core.step(self.local(), event):
+        for effect in core.step(self.local_time(), event):
             if isinstance(effect, SendDatagram):
                 self.wire.carry(self, effect.to, effect.data)
             else:
@@ -65,7 +65,7 @@
         self._wake(core)
 
     def _wake(self, core: Core) -> None:
-        """One timer, at the core's next time; waking ticks anyway."""
+        """Set the single timer to the core's next due time."""
         due = core.due()
         if self._timer == due:
             return
@@ -76,13 +76,13 @@
                 self._timer = 0
                 self.step(Tick())
 
-        self.wire.time.later(max(0, due - self.local()), tick)
+        self.wire.time.later(max(0, due - self.local_time()), tick)
 
     def take(self, data: bytes) -> None:
         if not self.up:
             return
         if self.paused:
-            if len(self.held) < HELD:
+            if len(self.held) < SOCKET_BUFFER_DATAGRAMS:
                 self.held.append(data)
             return
         self.step(DatagramReceived(data))
@@ -97,7 +97,7 @@
         self.paused, self.changed = True, self.wire.time.now()
 
     def wake(self) -> None:
-        """As after SIGCONT: timers first or sockets first, whichever."""
+        """Resume as after SIGCONT: timers or sockets first, at random."""
         self.paused, self.changed = False, self.wire.time.now()
         held, self.held = self.held, []
         if self.wire.random.random() < 0.5:
@@ -111,7 +111,7 @@
 
 
 class Wire:
-    """`seen` gets every effect that is no datagram. Probabilities are by datagram, times microseconds."""
+    """`seen` is called with every effect but datagrams. Probabilities are per datagram, times in microseconds."""
 
     def __init__(
         self,
@@ -170,9 +170,9 @@
                 self.counts["lost"] += 1
                 continue
             if self.random.random() < self.damage:
-                spoilt = bytearray(data)
-                spoilt[self.random.randrange(len(data))] ^= 1 << self.random.randrange(8)
-                data = bytes(spoilt)
+                damaged = bytearray(data)
+                damaged[self.random.randrange(len(data))] ^= 1 << self.random.randrange(8)
+                data = bytes(damaged)
                 self.counts["damaged"] += 1
             delay = self.late.get((source.name, target.name), 0) + self.random.randint(self.least, self.most)
             self.time.later(delay, lambda data=data: target.take(data))  # type: ignore[misc]
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -23,9 +23,9 @@
 from rackhub.fleet.members.timing import Timing
 from rackhub.fleet.members.views import MembersView
 from rackhub.fleet.ports import MemberState
-from rackhub.trials.fleet.members_check import Watch
-from rackhub.trials.fleet.members_plants import PLANTS
-from rackhub.trials.fleet.members_torture import Torture, found
+from rackhub.trials.fleet.members_check import InvariantChecker
+from rackhub.trials.fleet.members_plants import INJECTED_BUGS
+from rackhub.trials.fleet.members_torture import Torture, find_injected_bug
 from rackhub.trials.fleet.members_wire import Wire
 from rackhub.trials.fleet.twin import MS, SECOND
 
@@ -40,7 +40,7 @@
 
 def start_fleet(count, seed=1, span=20, **options):
     wire = Wire(count, seed, **options)
-    watch = Watch(wire)
+    watch = InvariantChecker(wire)
     wire.start()
     wire.time.run(span * SECOND)
     return wire, watch, [wire.gateways[name] for name in sorted(wire.gateways)]
@@ -253,7 +253,7 @@
     gateways[2].wake()
     assert gateways[2].core.context.counts["stood_still"] == 1
     assert wire.time.run(wire.timing.settling_bound(5), lambda: not watch.unsettled()[:1])
-    assert not watch.worded and gateways[2].core.context.counts["gone"] == 0
+    assert not watch.violations and gateways[2].core.context.counts["gone"] == 0
 
 
 def test_packets_of_strangers_other_clusters_and_over_the_rate_are_dropped():
@@ -292,7 +292,7 @@
     def run():
         torture = Torture(4, 5)
         torture.cycle()
-        return torture.told() | {"bytes": [gateway.bytes for gateway in torture.wire.gateways.values()]}
+        return torture.summary() | {"bytes": [gateway.bytes for gateway in torture.wire.gateways.values()]}
 
     assert run() == run()
 
@@ -302,15 +302,15 @@
     torture = Torture(gateways, seed)
     for _ in range(4):
         torture.cycle()
-    assert not torture.watch.worded and torture.watch.counts["lost_for_good"] == 0
-    assert torture.watch.counts["mail_taken"] and torture.watch.over
+    assert not torture.checker.violations and torture.checker.counts["lost_for_good"] == 0
+    assert torture.checker.counts["mail_taken"] and torture.checker.over
 
 
-@pytest.mark.parametrize("name", PLANTS)
+@pytest.mark.parametrize("name", INJECTED_BUGS)
 def test_fault_injection_finds_each_injected_bug(name):
-    plant = PLANTS[name]
-    assert found(plant, 4, 3, 1) is not None
-    assert found(plant._replace(make=Core), 4, 3, 1) is None
+    bug = INJECTED_BUGS[name]
+    assert find_injected_bug(bug, 4, 3, 1) is not None
+    assert find_injected_bug(bug._replace(make=Core), 4, 3, 1) is None
 
 
 # ---- the stored generation and the control port
