--- a/rackhub/trials/fleet/register_explore.py
+++ b/rackhub/trials/fleet/register_explore.py
@@ -1,12 +1,12 @@
-"""Explore the register's core through all orders of message, loss, repetition, crash, restart and lost disk.
+"""Explores the register's core over all orders of delivery, loss, duplication, crash, restart and disk loss.
 
-The real `acceptor` and `round` are run. A message that was sent stays there: it may arrive at any time, twice, or
-never. A reply is sent when its acceptor's state is durable; a crash takes what was not. A proposer may give a round up
-at any moment and begin the next one, as after a time-out or a restart: a restarted editor says its edit again under
-its id. Join requests and their replies come once at most to each.
+The real `acceptor` and `round` are run. A sent message may arrive at any time, more than once, or never. A reply is
+sent once its acceptor's state is durable; a crash loses what was not synced. A proposer may abandon a round at any time
+and start the next one, as after a time-out or a restart; a restarted editor repeats its edit with the same id. Join
+requests and their replies arrive at most once.
 
-Bounds are those of `Bounds`. What is checked in every state that a choice leads to: all values chosen are prefixes of
-one another, none comes twice into one, and each round's value holds all that was known chosen when the round began.
+`Bounds` limits the search. Checked in every state with a chosen value: all chosen values are prefixes of one another,
+no edit is in a value twice, and each round's value includes all that was known to be chosen when the round began.
 
     python -m rackhub.trials.fleet.register_explore [--small] [--json]
 """
@@ -40,9 +40,9 @@
 
 
 class Bounds(NamedTuple):
-    """`rounds`: of each editor; those after its edit has ended are reads. `born`: the acceptors begin with new disks.
-    `unsynced`, `empty` plant the mistakes: replies sent before the state is durable; an acceptor with an empty disk
-    that votes."""
+    """`rounds`: per editor; rounds after its edit has completed are reads. `born`: the acceptors start with new disks.
+    `unsynced` and `empty` inject bugs: replies are sent before the state is durable; an acceptor with an empty disk
+    votes."""
 
     rounds: tuple[int, int] = (1, 1)
     crashes: int = 0
@@ -63,7 +63,7 @@
 
 
 class Editor(NamedTuple):
-    """One editor between two steps. `floor`: what was chosen when its round began; `done`: its edit has its answer."""
+    """State of an editor. `floor`: the value chosen when its round began; `done`: its edit has been answered."""
 
     round: Round | None = None
     left: int = 0
@@ -73,8 +73,8 @@
     value: bytes | None = None
 
 
-class _Ids:
-    """Small numbers for things, so that a state is a tuple of numbers."""
+class _Numbering:
+    """Assigns consecutive numbers to objects, so that a state is a tuple of numbers."""
 
     def __init__(self) -> None:
         self.of: dict[Hashable, int] = {}
@@ -89,7 +89,7 @@
 
 
 class World(NamedTuple):
-    """All there is between two steps. `sent`: bits of messages under way; `held`: those that wait for each disk."""
+    """The state between two steps. `sent`: bit set of messages in transit; `held`: those awaiting each disk's sync."""
 
     memory: tuple[int, ...]
     disks: tuple[int, ...]
@@ -102,54 +102,56 @@
 
 
 class Explorer:
-    """Breadth first, so that the way to a violation is a shortest one."""
+    """Searches breadth first, so that a reported path to a violation is a shortest one."""
 
     def __init__(self, bounds: Bounds, most: int = 5_000_000):
         self.bounds, self.most = bounds, most
-        self.acceptors, self.rounds, self.mail, self.values = _Ids(), _Ids(), _Ids(), _Ids()
+        self.acceptors, self.rounds, self.messages, self.values = _Numbering(), _Numbering(), _Numbering(), _Numbering()
         self.values(b"")
         self._handled: dict[tuple[int, int], tuple[int, int]] = {}
 
-    # ---- the beginning
+    # ---- initial state
 
-    def _begin(self) -> World:
-        full = []
-        for me in ACCEPTORS:
-            incarnation = DiskIncarnation(1, me)
-            state = new_acceptor(ACCEPTORS, me, incarnation)
+    def _initial_state(self) -> World:
+        states = []
+        for local_name in ACCEPTORS:
+            incarnation = DiskIncarnation(1, local_name)
+            state = new_acceptor(ACCEPTORS, local_name, incarnation)
             if not self.bounds.born:
-                known = tuple(KnownIncarnation(name, DiskIncarnation(1, name)) for name in ACCEPTORS if name != me)
+                known = tuple(
+                    KnownIncarnation(name, DiskIncarnation(1, name)) for name in ACCEPTORS if name != local_name
+                )
                 state = msgspec.structs.replace(state, voting=True, known_incarnations=known)
-            full.append(state)
-        ids = tuple(self.acceptors(state) for state in full)
+            states.append(state)
+        ids = tuple(self.acceptors(state) for state in states)
         sent = 0
         if self.bounds.born:
-            for state in full:
+            for state in states:
                 sent |= self._request_join(state)
         editors = tuple(self.rounds(Editor(left=many)) for many in self.bounds.rounds)
         return World(ids, ids, (0,) * len(ids), editors, sent, self.bounds.crashes, self.bounds.wipes, 0)
 
     def _request_join(self, state: AcceptorState) -> int:
-        return self._post(
+        return self._message_bits(
             [(name, JoinRequest(state.local_name, state.incarnation)) for name in ACCEPTORS if name != state.local_name]
         )
 
-    def _post(self, mail: Sequence[tuple[str, Message]]) -> int:
+    def _message_bits(self, messages: Sequence[tuple[str, Message]]) -> int:
         bits = 0
-        for one in mail:
-            bits |= 1 << self.mail(one)
+        for one in messages:
+            bits |= 1 << self.messages(one)
         return bits
 
-    # ---- one step
+    # ---- steps
 
     def steps(self, world: World) -> Iterator[tuple[str, World, str]]:
-        """What may happen next: its words, the state after it, and what is wrong with it or nothing."""
+        """Yield each possible step: its description, the state after it, and the violation or an empty text."""
         rest = world.sent
         while rest:
             low = rest & -rest
             rest ^= low
             number = low.bit_length() - 1
-            to, message = self.mail.all[number]
+            to, message = self.messages.all[number]
             if to in ACCEPTORS:
                 yield from self._to_acceptor(world, ACCEPTORS.index(to), number)
             else:
@@ -168,26 +170,28 @@
         key = world.memory[at], number
         found = self._handled.get(key)
         if found is None:
-            message = self.mail.all[number][1]
+            message = self.messages.all[number][1]
             after, replies = handle(self.acceptors.all[key[0]], message)
             to = message.ballot.proposer if isinstance(message, Prepare | Accept) else message.acceptor
-            told = [(to, reply) for reply in replies if not isinstance(reply, Vote) or hasattr(reply, "incarnation")]
-            found = self._handled[key] = self.acceptors(after), self._post(told)
-        after_id, told_bits = found
-        if isinstance(self.mail.all[number][1], JoinRequest | JoinAccepted):
+            result = [(to, reply) for reply in replies if not isinstance(reply, Vote) or hasattr(reply, "incarnation")]
+            found = self._handled[key] = self.acceptors(after), self._message_bits(result)
+        after_id, reply_bits = found
+        if isinstance(self.messages.all[number][1], JoinRequest | JoinAccepted):
             world = world._replace(sent=world.sent & ~(1 << number))
-        if after_id == key[0] and not told_bits & ~(world.sent | world.held[at]):
+        if after_id == key[0] and not reply_bits & ~(world.sent | world.held[at]):
             return
-        memory = _put(world.memory, at, after_id)
-        sure = not world.crashes or after_id == key[0] and not world.held[at] and world.disks[at] == key[0]
-        if sure:  # without a crash to come, a sync that takes long is a message that does
-            world = world._replace(memory=memory, disks=_put(world.disks, at, after_id), sent=world.sent | told_bits)
-            world = self._without_dead(world) if told_bits else world
+        memory = _replace_at(world.memory, at, after_id)
+        is_durable = not world.crashes or after_id == key[0] and not world.held[at] and world.disks[at] == key[0]
+        if is_durable:  # without further crashes a slow sync is the same as a slow message
+            world = world._replace(
+                memory=memory, disks=_replace_at(world.disks, at, after_id), sent=world.sent | reply_bits
+            )
+            world = self._without_obsolete_replies(world) if reply_bits else world
         elif self.bounds.unsynced:
-            world = world._replace(memory=memory, sent=world.sent | told_bits)
+            world = world._replace(memory=memory, sent=world.sent | reply_bits)
         else:
-            world = world._replace(memory=memory, held=_put(world.held, at, world.held[at] | told_bits))
-        yield f"{ACCEPTORS[at]} gets {number}", world, ""
+            world = world._replace(memory=memory, held=_replace_at(world.held, at, world.held[at] | reply_bits))
+        yield f"{ACCEPTORS[at]} receives message {number}", world, ""
 
     def _to_editor(self, world: World, at: int, message: Any) -> Iterator[tuple[str, World, str]]:
         editor: Editor = self.rounds.all[world.editors[at]]
@@ -196,38 +200,38 @@
         after, effects = handle_reply(editor.round, message, self._change(at, editor.done))
         if after == editor.round:
             return
-        if after.accept_sent:  # what led there can do nothing any more
+        if after.accept_sent:  # the promises have no further effect
             after = msgspec.structs.replace(after, promises=(), known_ballot=NO_BALLOT)
         editor, wrong = editor._replace(round=after), ""
         for effect in effects:
             if isinstance(effect, Accept):
-                world = world._replace(sent=world.sent | self._post([(name, effect) for name in ACCEPTORS]))
+                world = world._replace(sent=world.sent | self._message_bits([(name, effect) for name in ACCEPTORS]))
             elif isinstance(effect, Chosen):
                 world, wrong = self._chosen(world, editor, effect)
                 editor = Editor(None, editor.left, b"", True, effect.ballot, effect.value)
-        world = world._replace(editors=_put(world.editors, at, self.rounds(editor)))
-        yield f"{EDITORS[at]} hears {message}", self._without_dead(world), wrong
+        world = world._replace(editors=_replace_at(world.editors, at, self.rounds(editor)))
+        yield f"{EDITORS[at]} receives {message}", self._without_obsolete_replies(world), wrong
 
     def _chosen(self, world: World, editor: Editor, effect: Chosen) -> tuple[World, str]:
         value, longest = effect.value or b"", self.values.all[world.longest]
         if not (value.startswith(longest) or longest.startswith(value)):
-            return world, f"chosen {value!r} and {longest!r}"
+            return world, f"chosen values {value!r} and {longest!r} diverge"
         if not value.startswith(editor.floor):
-            return world, f"chosen {value!r} after {editor.floor!r} was known"
+            return world, f"chosen {value!r} although {editor.floor!r} was known to be chosen"
         if any(value.count(bytes([one])) > 1 for one in value):
-            return world, f"an edit twice in {value!r}"
+            return world, f"chosen value {value!r} contains an edit twice"
         if len(value) > len(longest):
             world = world._replace(longest=self.values(value))
         return world, ""
 
     @staticmethod
     def _change(at: int, reads: bool) -> ChangeFunction:
-        mine = EDITORS[at].encode()
+        own_edit = EDITORS[at].encode()
 
         def change(value: bytes | None) -> tuple[bytes | None, Any]:
-            if reads or mine in (value or b""):
+            if reads or own_edit in (value or b""):
                 return value, None
-            return (value or b"") + mine, None
+            return (value or b"") + own_edit, None
 
         return change
 
@@ -250,21 +254,23 @@
             ballot = Ballot(number, EDITORS[at], 10 - editor.left)
             began, prepare = start_round(ACCEPTORS, ballot, editor.known, editor.value)
             after = editor._replace(round=began, left=editor.left - 1, floor=self.values.all[world.longest])
-            sent = world.sent | self._post([(name, prepare) for name in ACCEPTORS])
+            sent = world.sent | self._message_bits([(name, prepare) for name in ACCEPTORS])
             yield (
                 f"{EDITORS[at]} begins {ballot}",
-                self._without_dead(world._replace(sent=sent, editors=_put(world.editors, at, self.rounds(after)))),
+                self._without_obsolete_replies(
+                    world._replace(sent=sent, editors=_replace_at(world.editors, at, self.rounds(after)))
+                ),
                 "",
             )
 
-    def _without_dead(self, world: World) -> World:
-        """Replies to a round that is over can do nothing any more."""
+    def _without_obsolete_replies(self, world: World) -> World:
+        """Remove replies to finished rounds, which have no further effect."""
         ballots = {EDITORS[i]: self.rounds.all[one].round for i, one in enumerate(world.editors)}
         sent, rest = world.sent, world.sent
         while rest:
             low = rest & -rest
             rest ^= low
-            to, message = self.mail.all[low.bit_length() - 1]
+            to, message = self.messages.all[low.bit_length() - 1]
             now = ballots.get(to)
             if isinstance(message, JoinAccepted):
                 if self.acceptors.all[world.memory[ACCEPTORS.index(to)]].voting:
@@ -277,18 +283,20 @@
 
     def _synced(self, world: World, at: int) -> World:
         return world._replace(
-            disks=_put(world.disks, at, world.memory[at]),
-            held=_put(world.held, at, 0),
+            disks=_replace_at(world.disks, at, world.memory[at]),
+            held=_replace_at(world.held, at, 0),
             sent=world.sent | world.held[at],
         )
 
     def _crashed(self, world: World, at: int) -> World:
         return world._replace(
-            memory=_put(world.memory, at, world.disks[at]), held=_put(world.held, at, 0), crashes=world.crashes - 1
+            memory=_replace_at(world.memory, at, world.disks[at]),
+            held=_replace_at(world.held, at, 0),
+            crashes=world.crashes - 1,
         )
 
     def _wiped(self, world: World, at: int) -> Iterator[tuple[str, World, str]]:
-        """Its disk is replaced. Two of three at once are more than any register bears."""
+        """Replace the disk, if the others vote: no register tolerates the loss of two disks of three at once."""
         if not all(self.acceptors.all[one].voting for i, one in enumerate(world.memory) if i != at):
             return
         old: AcceptorState = self.acceptors.all[world.memory[at]]
@@ -299,77 +307,79 @@
         yield (
             f"{old.local_name} loses its disk",
             world._replace(
-                memory=_put(world.memory, at, number),
-                disks=_put(world.disks, at, number),
-                held=_put(world.held, at, 0),
+                memory=_replace_at(world.memory, at, number),
+                disks=_replace_at(world.disks, at, number),
+                held=_replace_at(world.held, at, 0),
                 wipes=world.wipes - 1,
                 sent=world.sent | (0 if self.bounds.empty else self._request_join(fresh)),
             ),
             "",
         )
 
-    # ---- all of them
+    # ---- search
 
     def run(self) -> Explored:
-        """States are told apart by 64 bits of their hash: at five million, that two fall together is one in a million
-        runs."""
+        """Explore all states. They are compared by 64-bit hashes: with five million states, one run in a million has a
+        collision."""
         began = time.monotonic()
-        told = Explored(self.bounds._asdict())
-        first = self._begin()
-        came = {hash(first): 0}
+        result = Explored(self.bounds._asdict())
+        first = self._initial_state()
+        predecessors = {hash(first): 0}
         layer = [first]
-        while layer and told.complete and not told.violations:
+        while layer and result.complete and not result.violations:
             following: list[World] = []
             for world in layer:
-                told.chosen += bool(world.longest)
-                here = hash(world)
+                result.chosen += bool(world.longest)
+                state_hash = hash(world)
                 for words, after, wrong in self.steps(world):
-                    told.steps += 1
+                    result.steps += 1
                     if wrong:
-                        told.violations.append(wrong + ": " + "; ".join([*self._way(came, here), words]))
+                        result.violations.append(
+                            wrong + ": " + "; ".join([*self._path(predecessors, state_hash), words])
+                        )
                         break
                     at = hash(after)
-                    if at not in came:
-                        came[at] = here
+                    if at not in predecessors:
+                        predecessors[at] = state_hash
                         following.append(after)
-                if told.violations or len(came) > self.most:
-                    told.complete = bool(told.violations)
+                if result.violations or len(predecessors) > self.most:
+                    result.complete = bool(result.violations)
                     break
             layer = following
-        told.states, told.seconds = len(came), round(time.monotonic() - began, 1)
-        return told
-
-    def _way(self, came: dict[int, int], here: int) -> list[str]:
-        """The steps to a state, gone once more."""
-        chain = [here]
-        while came[chain[-1]]:
-            chain.append(came[chain[-1]])
-        world, words = self._begin(), []
+        result.states, result.seconds = len(predecessors), round(time.monotonic() - began, 1)
+        return result
+
+    def _path(self, predecessors: dict[int, int], state_hash: int) -> list[str]:
+        """Return the steps to a state, by replaying them."""
+        chain = [state_hash]
+        while predecessors[chain[-1]]:
+            chain.append(predecessors[chain[-1]])
+        world, words = self._initial_state(), []
         for at in chain[-2::-1]:
             word, world = next((word, after) for word, after, _ in self.steps(world) if hash(after) == at)
             words.append(word)
         return words
 
     def walk(self, seed: int, walks: int, longest: int = 200) -> Explored:
-        """So many ways by chance instead of all: deep, where there are too many."""
-        told, random = Explored(self.bounds._asdict(), complete=False), Random(seed)
+        """Take `walks` random paths, for bounds with too many states to explore all."""
+        result, random = Explored(self.bounds._asdict(), complete=False), Random(seed)
         for _ in range(walks):
-            world, way = self._begin(), []
+            world, path = self._initial_state(), []
             for _ in range(longest):
-                able = [one for one in self.steps(world) if one[1] != world or one[2]]
-                if not able:
+                possible = [one for one in self.steps(world) if one[1] != world or one[2]]
+                if not possible:
                     break
-                words, world, wrong = able[random.randrange(len(able))]
-                way.append(words)
-                told.steps += 1
+                words, world, wrong = possible[random.randrange(len(possible))]
+                path.append(words)
+                result.steps += 1
                 if wrong:
-                    told.violations.append(wrong + ": " + "; ".join(way))
-                    return told
-            told.chosen += bool(world.longest)
-        return told
+                    result.violations.append(wrong + ": " + "; ".join(path))
+                    return result
+            result.chosen += bool(world.longest)
+        return result
 
 
-def _put(things: tuple[int, ...], at: int, thing: int) -> tuple[int, ...]:
+def _replace_at(things: tuple[int, ...], at: int, thing: int) -> tuple[int, ...]:
     return (*things[:at], thing, *things[at + 1 :])
 
 
--- a/rackhub/trials/fleet/rules_torture.py
+++ b/rackhub/trials/fleet/rules_torture.py
@@ -1,7 +1,7 @@
-"""Edits, undos and trials of the rule set under faults, on the twin, from one seed: what must never be is counted.
+"""Stress test of the versioned rule set: edits, undos and trials under injected faults, in virtual time.
 
-Cuts of both ways and of one, pauses, kills between accept and answer, restarts, lost disks, editors in a minority,
-gateways asleep through an edit and its undo. Time is virtual. All calls go into a history, which is checked.
+Faults are cuts in one or both directions, pauses, kills between accept and answer, restarts, lost disks, editors in a
+minority, and gateways paused during an edit and its undo. The history of all calls is checked for linearizability.
 
     python -m rackhub.trials.fleet.rules_torture [--edits N] [--gateways N] [--keepers N] [--seed N] [--json]
 """
@@ -26,7 +26,7 @@
 
 
 class Report(msgspec.Struct):
-    """What was done, and what must be 0 or none. Times are virtual milliseconds."""
+    """Counts of calls and of violations. Times are virtual milliseconds; `seconds` is real time."""
 
     seed: int
     gateways: int
@@ -38,11 +38,11 @@
     versions: int = 0
     trials: int = 0
     faults: dict[str, int] = {}
-    lost: int = 0  # acknowledged edits
-    two_contents: int = 0  # under one number
-    back: int = 0  # versions going back at a gateway
-    still_held: int = 0  # gateways that hold another than the newest after all is healed
-    trials_kept: int = 0  # a trial on after its time
+    lost: int = 0  # acknowledged edits that were lost
+    two_contents: int = 0  # differing contents of one version
+    back: int = 0  # decreases of a gateway's version
+    still_held: int = 0  # gateways without the newest version after healing
+    trials_kept: int = 0  # trials active beyond their duration
     linearizable: bool = True
     undo_p50_ms: float = 0.0
     undo_p99_ms: float = 0.0
@@ -54,8 +54,8 @@
         return self.lost + self.two_contents + self.back + self.still_held + self.trials_kept + (not self.linearizable)
 
 
-class Words:
-    """The control port without a socket."""
+class ControlCalls:
+    """The control port, without a socket."""
 
     def __init__(self) -> None:
         self.calls: dict[str, Callable[[Mapping[str, Any], Answer], None]] = {}
@@ -65,21 +65,21 @@
 
 
 class Shed:
-    """A section of the rules that takes tables with a whole `level`, and reports what applies."""
+    """A section of the rules with an integer `level`; it reports what is applied."""
 
-    def __init__(self, told: Callable[[Mapping[str, Any] | None, int], None]):
-        self._told = told
+    def __init__(self, on_applied: Callable[[Mapping[str, Any] | None, int], None]):
+        self._on_applied = on_applied
 
     def check(self, part: Mapping[str, Any] | None) -> None:
         if part is not None and not isinstance(part.get("level"), int):
-            raise ValueError(f"shed.level = {part.get('level')!r}: is not a whole number")
+            raise ValueError(f"shed.level = {part.get('level')!r}: has to be an integer")
 
     def apply(self, part: Mapping[str, Any] | None, version: int) -> None:
-        self._told(part, version)
+        self._on_applied(part, version)
 
 
-class Stand:
-    """Gateways with their rules on one net; the first `keepers` keep the register."""
+class RulesTestBed:
+    """Gateways with their rules on one simulated network; the first `keepers` are acceptors of the register."""
 
     def __init__(self, seed: int = 1, gateways: int = 5, keepers: int = 3):
         self.names = [f"g{i:02}" for i in range(gateways)]
@@ -87,12 +87,12 @@
         self.net, self.report = Net(self.names, seed), Report(seed, gateways)
         self.disks = {name: MemoryDisk(self.net.time.later, f"{name}-1") for name in self.names}
         self.rules: dict[str, VersionedRules] = {}
-        self.words: dict[str, Words] = {}
+        self.words: dict[str, ControlCalls] = {}
         self.ops: list[Op] = []
-        self.seen: dict[int, Version] = {}  # all that any gateway ever learned
-        self.acked: dict[str, int] = {}
-        self.began: dict[str, int] = {}  # a change's id -> when it was first asked for
-        self.top = dict.fromkeys(self.names, 0)
+        self.learned_versions: dict[int, Version] = {}  # all versions that any gateway has learned
+        self.acknowledged_versions: dict[str, int] = {}
+        self.began: dict[str, int] = {}  # change id -> time of its first call
+        self.highest_version = dict.fromkeys(self.names, 0)
         self.held: dict[str, tuple[Any, int]] = {}
         self.counts: dict[str, tuple[int, int, int]] = dict.fromkeys(self.names, (0, 0, 0))
         for name in self.names:
@@ -101,32 +101,32 @@
     # ---- gateways
 
     def up(self, name: str) -> None:
-        node, words = self.net.nodes[name], Words()
+        node, words = self.net.nodes[name], ControlCalls()
         settings = FleetSettings(cluster="t", listen="127.0.0.1:1", name=name, keepers=self.keepers, state="/x")
         rules = VersionedRules(
             node.fleet(self.report.seed), settings, words, self.disks[name], lambda: self.counts[name]
         )
-        rules.add_section("shed", Shed(lambda part, version: self._holds(name, part, version)))
+        rules.add_section("shed", Shed(lambda part, version: self._section_applied(name, part, version)))
         learn, change = rules.tracker.learn, rules.changes.propose
 
         def learned(versions: tuple[Version, ...], trial_age: int, now: int) -> LearnResult:
             for one in versions:
-                self.report.two_contents += self.seen.setdefault(one.number, one) != one
+                self.report.two_contents += self.learned_versions.setdefault(one.number, one) != one
             return learn(versions, trial_age, now)
 
         def changed(request: EditRequest, done: Callable[[Outcome], None]) -> None:
             begin, ended = self.net.time.now(), [False]
             self.began.setdefault(request.id, begin)
 
-            def over(outcome: Outcome) -> None:
+            def completed(outcome: Outcome) -> None:
                 ended[0] = True
                 self.ops[at] = self._op(request, begin, outcome)
                 done(outcome)
 
             at = len(self.ops)
-            # it stays unknown where its gateway is killed
+            # the outcome stays unknown if the gateway is killed
             self.ops.append(Op(begin, 0, request.id, request.base_version, "unknown"))
-            change(request, over)
+            change(request, completed)
 
         rules.tracker.learn, rules.changes.propose = learned, changed  # type: ignore[method-assign]
         self.rules[name], self.words[name] = rules, words
@@ -135,7 +135,7 @@
     def _op(self, request: EditRequest, begin: int, outcome: Outcome) -> Op:
         now = self.net.time.now()
         if outcome.kind == "done":
-            self.acked[request.id] = outcome.answer.number
+            self.acknowledged_versions[request.id] = outcome.answer.number
             return Op(begin, now, request.id, request.base_version, "done", outcome.answer.number)
         if outcome.kind == "unknown":
             return Op(begin, now, request.id, request.base_version, "unknown")
@@ -143,35 +143,35 @@
             begin, now, request.id, request.base_version, "conflict" if "since then" in outcome.reason else "failed"
         )
 
-    def _holds(self, name: str, part: Any, version: int) -> None:
-        self.report.back += version < self.top[name]
-        self.top[name] = max(self.top[name], version)
+    def _section_applied(self, name: str, part: Any, version: int) -> None:
+        self.report.back += version < self.highest_version[name]
+        self.highest_version[name] = max(self.highest_version[name], version)
         self.held[name] = (part, version)
 
     def down(self, name: str) -> None:
         self.net.nodes[name].kill()
         self.disks[name].crash()
-        self.rules.pop(name)._stopped = True  # nothing of it is told any more, not even that it ends
+        self.rules.pop(name)._stopped = True  # no further calls, not even for the end
 
     def again(self, name: str, empty: bool = False) -> None:
         self.net.nodes[name].restart()
         if empty:
             self.disks[name].wipe(f"{name}-{self.net.nodes[name].boot}")
-            self.top[name] = 0  # it knows nothing any more, and says so
+            self.highest_version[name] = 0  # its versions start again from 0
         self.up(name)
 
     def run(self, span: int, until: Callable[[], bool] = lambda: False) -> bool:
-        """On, a tenth of a second at a time, with a failure detector's word and a look at the trials."""
+        """Run in steps of 100 ms; after each, update the members' states and check the trials."""
         end = self.net.time.now() + span
         while self.net.time.now() < end:
             if self.net.time.run(min(100 * MS, end - self.net.time.now()), until):
                 return True
             self._detect()
-            self._look()
+            self._check_trials()
         return until()
 
     def _detect(self) -> None:
-        """What a detector would say by now: nothing comes from the dead, the paused, the cut."""
+        """Set member states as a failure detector would: no messages come from killed, paused or cut-off gateways."""
         nodes = self.net.nodes
         for name, node in nodes.items():
             if not node.up or node.paused:
@@ -183,10 +183,10 @@
                     if node._states.get(other, MemberState.ALIVE) is not state:
                         node.set_member_state(other, state)
 
-    def _look(self) -> None:
+    def _check_trials(self) -> None:
         for name, rules in self.rules.items():
-            self.report.back += rules.version < self.top[name]
-            trial = self.seen.get(rules.active.version)
+            self.report.back += rules.version < self.highest_version[name]
+            trial = self.learned_versions.get(rules.active.version)
             if (
                 rules.active.on_trial
                 and not self.net.nodes[name].paused
@@ -202,7 +202,7 @@
         self.words[name].calls[f"rules.{word}"](words, then)
 
     def ask(self, name: str, word: str, within: int = 20 * SECOND, **words: Any) -> Mapping[str, Any]:
-        """The answer; empty where none came."""
+        """Return the answer, or an empty mapping if there is none within the time."""
         got: list[Mapping[str, Any]] = []
         self.call(name, word, got.append, **{"author": "ann", "reason": "a try", **words})
         self.run(within, lambda: bool(got))
@@ -211,31 +211,32 @@
     def edit(self, name: str, level: int, on: int, id: str, **words: Any) -> Mapping[str, Any]:
         return self.ask(name, "edit", parts={"shed": {"level": level}}, on=on, id=id, **words)
 
-    # ---- the verdict
+    # ---- result
 
     def judge(self) -> Report:
-        """After all is healed and up: what was counted, with the history."""
-        report, newest = self.report, max(self.seen, default=0)
+        """Return the counts and the result of the history check; all faults have to be healed."""
+        report, newest = self.report, max(self.learned_versions, default=0)
         report.versions = newest
-        for id, number in self.acked.items():
-            report.lost += number not in self.seen or self.seen[number].id != id
-        last = self.seen.get(newest)
+        for id, number in self.acknowledged_versions.items():
+            report.lost += number not in self.learned_versions or self.learned_versions[number].id != id
+        last = self.learned_versions.get(newest)
         for rules in self.rules.values():
             report.still_held += last is not None and (
                 rules.active.version != newest
-                or rules.active.content != (last.content if last.trial is None else self.seen[newest - 1].content)
+                or rules.active.content
+                != (last.content if last.trial is None else self.learned_versions[newest - 1].content)
             )
         for part, version in self.held.values():
-            able = (
+            candidates = (
                 [
-                    self.seen[one].content.get("shed") if one else None
+                    self.learned_versions[one].content.get("shed") if one else None
                     for one in (version, version - 1)
-                    if one >= 0 and (one == version or self.seen[version].trial is not None)
+                    if one >= 0 and (one == version or self.learned_versions[version].trial is not None)
                 ]
                 if version
                 else [None]
             )
-            report.two_contents += part not in able
+            report.two_contents += part not in candidates
         report.linearizable, _ = linearizable(self.ops)
         report.calls, report.acknowledged = len(self.ops), sum(one.kind == "done" for one in self.ops)
         report.conflicts = sum(one.kind == "conflict" for one in self.ops)
@@ -245,26 +246,26 @@
 
 
 class Torture:
-    """Edits and faults by chance."""
+    """Random edits and faults."""
 
     def __init__(self, seed: int, edits: int, gateways: int = 12, keepers: int = 3, undos: int = 50):
-        self.stand, self.random, self.edits = Stand(seed, gateways, keepers), random.Random(seed), edits
-        self.many = undos
-        self.doubtful: list[tuple[str, dict[str, Any]]] = []
-        self.asked = 0
+        self.test_bed, self.random, self.edits = RulesTestBed(seed, gateways, keepers), random.Random(seed), edits
+        self.undo_count = undos
+        self.unknown_changes: list[tuple[str, dict[str, Any]]] = []
+        self.edit_count = 0
         self.undos: list[float] = []
-        self.stand.net.lose = self.stand.net.double = 0.03
+        self.test_bed.net.lose = self.test_bed.net.double = 0.03
 
     def run(self) -> Report:
-        began, stand = time.monotonic(), self.stand
-        stand.run(2 * SECOND)
-        while self.asked < self.edits:
+        began, test_bed = time.monotonic(), self.test_bed
+        test_bed.run(2 * SECOND)
+        while self.edit_count < self.edits:
             self._fault()
             self._edit()
-            stand.run(self.random.randrange(50, 1_500) * MS)
-        self._mend()
-        stand.run(25 * SECOND)
-        report = stand.judge()
+            test_bed.run(self.random.randrange(50, 1_500) * MS)
+        self._heal()
+        test_bed.run(25 * SECOND)
+        report = test_bed.judge()
         self._undos()
         times = sorted(self.undos)
         if times:
@@ -277,114 +278,116 @@
         return report
 
     def _count(self, what: str) -> None:
-        self.stand.report.faults[what] = self.stand.report.faults.get(what, 0) + 1
+        self.test_bed.report.faults[what] = self.test_bed.report.faults.get(what, 0) + 1
 
     def _edit(self) -> None:
-        stand, draw = self.stand, self.random
-        able = [name for name in stand.rules if not stand.net.nodes[name].paused]
-        if not able:
+        test_bed, rng = self.test_bed, self.random
+        candidates = [name for name in test_bed.rules if not test_bed.net.nodes[name].paused]
+        if not candidates:
             return
-        name = draw.choice(able)
-        self.asked += 1
+        name = rng.choice(candidates)
+        self.edit_count += 1
         words: dict[str, Any] = {
-            "author": draw.choice(["ann", "bob"]),
-            "reason": f"number {self.asked}",
-            "id": f"e{self.asked}",
-            "on": stand.rules[name].tracker.rule_set.newest_number,
+            "author": rng.choice(["ann", "bob"]),
+            "reason": f"number {self.edit_count}",
+            "id": f"e{self.edit_count}",
+            "on": test_bed.rules[name].tracker.rule_set.newest_number,
         }
-        what = draw.choice(["edit", "edit", "undo", "undo", "trial", "confirm"])
-        if self.doubtful and draw.random() < 0.5:
-            what, words = self.doubtful.pop()
+        what = rng.choice(["edit", "edit", "undo", "undo", "trial", "confirm"])
+        if self.unknown_changes and rng.random() < 0.5:
+            what, words = self.unknown_changes.pop()
             self._count("said again")
         elif what in ("edit", "trial"):
-            words["parts"] = {"shed": {"level": self.asked}}
+            words["parts"] = {"shed": {"level": self.edit_count}}
             if what == "trial":
-                words |= {"trial_ms": draw.choice([1_000, 3_000, 8_000]), "first": draw.randint(1, 4)}
-                stand.report.trials += 1
+                words |= {"trial_ms": rng.choice([1_000, 3_000, 8_000]), "first": rng.randint(1, 4)}
+                test_bed.report.trials += 1
 
-        def answered(told: Mapping[str, Any]) -> None:
-            open_.clear()
-            if told.get("unknown"):
-                self.doubtful.append((what, words))
+        def answered(reply: Mapping[str, Any]) -> None:
+            open_calls.clear()
+            if reply.get("unknown"):
+                self.unknown_changes.append((what, words))
 
-        open_ = [name]
-        stand.call(name, "edit" if what == "trial" else what, answered, **words)
-        if what == "trial" and draw.random() < 0.4:
+        open_calls = [name]
+        test_bed.call(name, "edit" if what == "trial" else what, answered, **words)
+        if what == "trial" and rng.random() < 0.4:
             self._cut_off()
-        if draw.random() < 0.15:  # another editor at the same time
-            other = draw.choice(able)
-            stand.call(other, "undo", lambda told: None, **{**words, "id": f"u{self.asked}", "author": "eve", "to": -1})
-        if draw.random() < 0.1:
-            stand.net.time.run(draw.randrange(1, 12) * MS)
-            victim = draw.choice([name, *stand.keepers])
-            if victim in stand.rules and len(stand.rules) > stand.report.gateways - 2:
-                stand.down(victim)
+        if rng.random() < 0.15:  # a concurrent editor
+            other = rng.choice(candidates)
+            test_bed.call(
+                other, "undo", lambda reply: None, **{**words, "id": f"u{self.edit_count}", "author": "eve", "to": -1}
+            )
+        if rng.random() < 0.1:
+            test_bed.net.time.run(rng.randrange(1, 12) * MS)
+            victim = rng.choice([name, *test_bed.keepers])
+            if victim in test_bed.rules and len(test_bed.rules) > test_bed.report.gateways - 2:
+                test_bed.down(victim)
                 self._count("killed in the middle")
-                if open_ == [victim]:  # its editor has no answer, and says it again elsewhere
-                    self.doubtful.append((what, words))
+                if open_calls == [victim]:  # its editor has no answer, and retries at another gateway
+                    self.unknown_changes.append((what, words))
 
     def _cut_off(self) -> None:
-        """Cut one from all others that holds a trial by now, until past its end."""
-        stand = self.stand
-        stand.run(300 * MS)
-        on = [name for name, rules in stand.rules.items() if rules.active.on_trial]
+        """Cut off a gateway with an active trial, until after the trial's end."""
+        test_bed = self.test_bed
+        test_bed.run(300 * MS)
+        on = [name for name, rules in test_bed.rules.items() if rules.active.on_trial]
         if on:
-            stand.net.cut({self.random.choice(on)}, set(stand.names))
+            test_bed.net.cut({self.random.choice(on)}, set(test_bed.names))
             self._count("cut off on trial")
-            stand.run(4 * SECOND)
+            test_bed.run(4 * SECOND)
 
     def _fault(self) -> None:
-        stand, draw = self.stand, self.random
-        name, roll = draw.choice(stand.names), draw.random()
-        down = [one for one in stand.names if one not in stand.rules]
+        test_bed, rng = self.test_bed, self.random
+        name, roll = rng.choice(test_bed.names), rng.random()
+        down = [one for one in test_bed.names if one not in test_bed.rules]
         if roll < 0.12:
-            some = set(draw.sample(stand.names, draw.randint(1, len(stand.names) // 2)))
-            stand.net.cut(some, set(stand.names), both=draw.random() < 0.6)
+            some = set(rng.sample(test_bed.names, rng.randint(1, len(test_bed.names) // 2)))
+            test_bed.net.cut(some, set(test_bed.names), both=rng.random() < 0.6)
             self._count("cut")
         elif roll < 0.3:
-            stand.net.heal()
+            test_bed.net.heal()
             self._count("healed")
-        elif roll < 0.4 and name in stand.rules:
-            node = stand.net.nodes[name]
+        elif roll < 0.4 and name in test_bed.rules:
+            node = test_bed.net.nodes[name]
             node.pause()
-            stand.net.time.later(draw.randrange(500, 8_000) * MS, node.wake)
+            test_bed.net.time.later(rng.randrange(500, 8_000) * MS, node.wake)
             self._count("paused")
-        elif roll < 0.5 and name in stand.rules and len(down) < 2:
-            stand.down(name)
+        elif roll < 0.5 and name in test_bed.rules and len(down) < 2:
+            test_bed.down(name)
             self._count("killed")
-        if down and draw.random() < 0.5:
-            name = draw.choice(down)
-            others = [stand.rules[one].acceptor for one in stand.keepers if one != name and one in stand.rules]
-            sound = sum(one is not None and one.state.voting for one in others) > len(stand.keepers) // 2
-            empty = draw.random() < 0.4 and (name not in stand.keepers or sound)
-            stand.again(name, empty)
+        if down and rng.random() < 0.5:
+            name = rng.choice(down)
+            others = [test_bed.rules[one].acceptor for one in test_bed.keepers if one != name and one in test_bed.rules]
+            has_majority = sum(one is not None and one.state.voting for one in others) > len(test_bed.keepers) // 2
+            empty = rng.random() < 0.4 and (name not in test_bed.keepers or has_majority)
+            test_bed.again(name, empty)
             self._count("back with an empty disk" if empty else "back")
 
-    def _mend(self) -> None:
-        stand = self.stand
-        stand.net.heal()
-        stand.net.lose = stand.net.double = 0.0
-        for name in stand.names:
-            if name not in stand.rules:
-                stand.again(name)
-            elif stand.net.nodes[name].paused:
-                stand.net.nodes[name].wake()
+    def _heal(self) -> None:
+        test_bed = self.test_bed
+        test_bed.net.heal()
+        test_bed.net.lose = test_bed.net.double = 0.0
+        for name in test_bed.names:
+            if name not in test_bed.rules:
+                test_bed.again(name)
+            elif test_bed.net.nodes[name].paused:
+                test_bed.net.nodes[name].wake()
 
     def _undos(self) -> None:
-        """Undos with 3% of all messages lost, and nothing else: until the last gateway holds each."""
-        stand, rules = self.stand, self.stand.rules
-        stand.net.lose = stand.net.double = 0.03
-        for number in range(self.many):
-            name = self.random.choice(stand.names)
-            began, before = stand.net.time.now(), rules[name].tracker.rule_set.newest_number
-            stand.call(name, "undo", lambda told: None, on=before, author="ann", reason="timed", id=f"t{number}")
+        """Measure the time until all gateways have applied an undo, with 3% of all messages lost and no other fault."""
+        test_bed, rules = self.test_bed, self.test_bed.rules
+        test_bed.net.lose = test_bed.net.double = 0.03
+        for number in range(self.undo_count):
+            name = self.random.choice(test_bed.names)
+            began, before = test_bed.net.time.now(), rules[name].tracker.rule_set.newest_number
+            test_bed.call(name, "undo", lambda reply: None, on=before, author="ann", reason="timed", id=f"t{number}")
 
             def everywhere(at: int = before) -> bool:
                 return all(one.version > at for one in rules.values())
 
-            if stand.net.time.run(10 * SECOND, everywhere):
-                self.undos.append((stand.net.time.now() - began) / MS)
-            stand.run(SECOND)
+            if test_bed.net.time.run(10 * SECOND, everywhere):
+                self.undos.append((test_bed.net.time.now() - began) / MS)
+            test_bed.run(SECOND)
 
 
 def main(words: list[str]) -> int:
--- a/rackhub/trials/scale/rule_changes.py
+++ b/rackhub/trials/scale/rule_changes.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from rackhub.fleet.ports import Name
-from rackhub.trials.fleet.rules_torture import Stand
+from rackhub.trials.fleet.rules_torture import RulesTestBed
 from rackhub.trials.fleet.twin import MS, SECOND, Node
 from rackhub.trials.scale.measurement import Measurement, measured
 
@@ -59,7 +59,7 @@
     """A fleet with its rule book, whose traffic is counted at each member."""
 
     def __init__(self, coordinators: int, voters: int = VOTERS, seed: int = 1):
-        self.stand = Stand(seed, coordinators, min(voters, coordinators))
+        self.stand = RulesTestBed(seed, coordinators, min(voters, coordinators))
         self.traffic = {name: Traffic() for name in self.stand.names}
         self.total = Traffic()
         self.version = 0
--- a/tests/golden_disk.py
+++ b/tests/golden_disk.py
@@ -68,7 +68,7 @@
 def rules_records() -> Records:
     """A gateway that proposes and accepts: the rule set with two edits, an undo and a trial."""
     with mock.patch("secrets.randbits", return_value=1):
-        stand = rules_torture.Stand(1, gateways=3)
+        stand = rules_torture.RulesTestBed(1, gateways=3)
         stand.run(3 * SECOND)
         for number, one in enumerate(
             (EDIT, EDIT | {"id": "2", "base_version": 1, "changes": {"shed": {"level": 2}}}, UNDO, TRIAL)
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -31,7 +31,7 @@
 from rackhub.timings.table import Table, read_table
 from rackhub.trials.fleet import rules_torture
 from rackhub.trials.fleet.history import Op, linearizable
-from rackhub.trials.fleet.rules_torture import Stand, Torture
+from rackhub.trials.fleet.rules_torture import RulesTestBed, Torture
 from rackhub.trials.fleet.twin import MS, SECOND
 
 
@@ -177,7 +177,7 @@
 
 
 def test_an_edit_reaches_all_gateways_and_an_undo_names_those_that_lack_it():
-    fleet = Stand()
+    fleet = RulesTestBed()
     fleet.run(SECOND)
     assert fleet.edit("g04", 7, 0, "a", wait_ms=2_000)["held"] == fleet.names
     assert {section["level"] for section, _ in fleet.held.values()} == {7}
@@ -196,7 +196,7 @@
 
 
 def test_an_edit_that_a_gateway_rejects_or_does_not_answer_changes_nothing():
-    fleet = Stand()
+    fleet = RulesTestBed()
     fleet.run(SECOND)
 
     def check_level(section):
@@ -218,13 +218,13 @@
         assert answer["exit"] == 2 and fault in answer["error"]
     fleet.net.nodes["g02"].pause()
     unanswered = fleet.ask("g00", "edit", parts={"shed": {"level": 1}}, on=0, id="c", within=50 * MS)
-    assert not unanswered and not fleet.seen  # the edit waits for the answer to the check
+    assert not unanswered and not fleet.learned_versions  # the edit waits for the answer to the check
     fleet.run(5 * SECOND)  # g02 counts as cut off after this time
-    assert fleet.acked == {"c": 1} and fleet.rules["g02"].version == 0
+    assert fleet.acknowledged_versions == {"c": 1} and fleet.rules["g02"].version == 0
 
 
 def test_a_restarted_gateway_that_cannot_apply_a_version_reports_why():
-    fleet = Stand()
+    fleet = RulesTestBed()
     fleet.run(SECOND)
     fleet.down("g04")
     fleet.run(SECOND)
@@ -247,20 +247,20 @@
 
 
 def test_two_operators_undo_at_once_and_the_bad_version_is_undone_once():
-    fleet, answers = Stand(), []
+    fleet, answers = RulesTestBed(), []
     fleet.run(SECOND)
     fleet.edit("g00", 1, 0, "a")
     fleet.edit("g00", 2, 1, "b", wait_ms=1_000)
     for name, author in (("g03", "ann"), ("g04", "bob")):
         fleet.call(name, "undo", answers.append, on=2, author=author, reason="bad", id=author)
     fleet.run(5 * SECOND)
-    assert sorted("error" in answer for answer in answers) == [False, True] and max(fleet.seen) == 3
+    assert sorted("error" in answer for answer in answers) == [False, True] and max(fleet.learned_versions) == 3
     assert "since then there is version 3" in next(answer["error"] for answer in answers if "error" in answer)
     assert {section["level"] for section, _ in fleet.held.values()} == {1}
 
 
 def test_a_minority_rejects_edits_and_applies_only_the_newest_version_after_healing():
-    fleet = Stand()
+    fleet = RulesTestBed()
     fleet.run(SECOND)
     fleet.edit("g00", 1, 0, "a", wait_ms=1_000)
     fleet.net.cut({"g00", "g04"}, set(fleet.names))
@@ -278,7 +278,7 @@
 
 def test_an_acceptor_learns_a_change_whose_gateway_was_killed():
     for delay_ms in range(2, 26, 2):
-        fleet = Stand(seed=delay_ms)
+        fleet = RulesTestBed(seed=delay_ms)
         fleet.run(SECOND)
         fleet.call(
             "g04", "edit", lambda answer: None, parts={"shed": {"level": 1}}, on=0, id="a", author="ann", reason="a try"
@@ -287,13 +287,13 @@
         fleet.down("g04")
         fleet.run(8 * SECOND)
         repeated = fleet.edit("g01", 1, 0, "a")
-        assert repeated["version"] == 1 and max(fleet.seen) == 1
+        assert repeated["version"] == 1 and max(fleet.learned_versions) == 1
         fleet.run(2 * SECOND)
         assert {fleet.rules[name].version for name in fleet.rules} == {1}
 
 
 def test_rules_of_a_newer_program_are_applied_but_not_written_by_an_older_one():
-    fleet = Stand()
+    fleet = RulesTestBed()
     fleet.run(SECOND)
     newer_format = {
         "format": 2,
@@ -329,12 +329,12 @@
 
 
 def test_a_trial_applies_at_its_gateways_and_lapses_or_is_confirmed():
-    fleet = Stand()
+    fleet = RulesTestBed()
     gateways = start_trial(fleet)
     assert gateways == ["g00", "g01"] and [fleet.held[name][0]["level"] for name in fleet.names] == [2, 2, 1, 1, 1]
     fleet.run(4 * SECOND)
-    assert {section["level"] for section, _ in fleet.held.values()} == {1} and fleet.seen[3].kind == "lapse"
-    fleet = Stand(2)
+    assert {section["level"] for section, _ in fleet.held.values()} == {1} and fleet.learned_versions[3].kind == "lapse"
+    fleet = RulesTestBed(2)
     start_trial(fleet)
     assert fleet.ask("g03", "confirm", id="c", wait_ms=1_000)["held"] == fleet.names
     fleet.run(5 * SECOND)
@@ -343,7 +343,7 @@
 
 
 def test_the_guard_ends_a_trial_that_rejects_more_requests_early():
-    fleet = Stand()
+    fleet = RulesTestBed()
     assert start_trial(fleet, 60_000) == ["g00", "g01"]
     began = fleet.net.time.now()
     for _ in range(30):
@@ -351,14 +351,16 @@
             requests, rejected, late = fleet.counts[name]
             fleet.counts[name] = requests + 20, rejected + (6 if index < 2 else 0), late
         fleet.run(200 * MS)
-        if 3 in fleet.seen:
+        if 3 in fleet.learned_versions:
             break
-    assert fleet.seen[3].kind == "lapse" and fleet.seen[3].reason.startswith("guard: refused: 0.3")
+    assert fleet.learned_versions[3].kind == "lapse" and fleet.learned_versions[3].reason.startswith(
+        "guard: refused: 0.3"
+    )
     assert fleet.net.time.now() - began < 10 * SECOND
 
 
 def test_a_trial_ends_by_the_local_clock_if_cut_off_and_is_not_resumed_by_a_restart():
-    fleet = Stand()
+    fleet = RulesTestBed()
     start_trial(fleet, 3_000)
     fleet.net.cut({"g01"}, set(fleet.names))
     fleet.run(3 * SECOND)
@@ -367,7 +369,7 @@
         and not fleet.rules["g01"].active.on_trial
         and fleet.held["g01"][0] == {"level": 1}
     )
-    fleet = Stand(3)
+    fleet = RulesTestBed(3)
     start_trial(fleet, 30_000)
     fleet.down("g01")
     fleet.again("g01")
@@ -376,7 +378,7 @@
 
 
 def test_a_delayed_answer_does_not_lower_the_age_of_a_trial():
-    fleet = Stand()
+    fleet = RulesTestBed()
     tracker, node = fleet.rules["g03"].tracker, fleet.net.nodes["g03"]
     learned = []
     dissemination = Dissemination(node.fleet(1), tracker, lambda versions, age: learned.append(age))
@@ -389,7 +391,7 @@
 
 
 def test_undecodable_messages_gossip_and_disk_records_are_counted_and_reported():
-    fleet = Stand()
+    fleet = RulesTestBed()
     fleet.run(SECOND)
     fleet.edit("g00", 1, 0, "a", wait_ms=1_000)
     for body in (b"", b"\xc1", encode({"type": "what"}), encode(FetchVersions(MAX_BALLOT_NUMBER, -1))):
@@ -523,7 +525,7 @@
 
     Returns a function that runs the command, the fleet, a file with valid rules, and the directory of that file.
     """
-    fleet = Stand()
+    fleet = RulesTestBed()
     fleet.run(SECOND)
 
     def ask_gateway(at, parameters, timeout):
@@ -581,7 +583,7 @@
     (path / "wrong.toml").write_text("[shed]\nlevel = 'x'")
     files = {"rules": rules, **{name: str(path / f"{name}.toml") for name in ("none", "bad", "wrong")}}
     assert run_command(*(argument.format(**files) for argument in arguments)) == status
-    assert error in capsys.readouterr().err and not fleet.seen
+    assert error in capsys.readouterr().err and not fleet.learned_versions
 
 
 def test_without_an_answer_the_id_for_the_retry_is_printed(capsys, monkeypatch):
--- a/tests/test_golden_disk.py
+++ b/tests/test_golden_disk.py
@@ -145,7 +145,7 @@
 
 
 def test_a_gateway_goes_on_from_a_recorded_rule_set():
-    stand = rules_torture.Stand(1, gateways=3)
+    stand = rules_torture.RulesTestBed(1, gateways=3)
     stand.run(2 * SECOND)
     for name in ("g00", "g01", "g02"):
         stand.down(name)
