--- a/rackhub/store/__init__.py
+++ b/rackhub/store/__init__.py
@@ -1,7 +1,7 @@
-"""An embedded, crash-safe, multi-version key-value store on a directory of ordinary files.
+"""An embedded, crash-safe, multi-version key-value store in a directory of ordinary files.
 
-`from rackhub.store import Store` is the whole interface; the names below are loaded on first use, so that the reader
-of the operator's file can import `rackhub.store.options` without loading the engine of a store that is off.
+This package's names are the whole interface. They are loaded on first use, so that reading the operator's file, which
+imports `rackhub.store.options`, does not load the engine of a store that is disabled.
 Design: docs/design/store.md. Use: docs/operators/store.md.
 """
 
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from rackhub.store.batch import Batch, When
+    from rackhub.store.batch import Batch, Condition
     from rackhub.store.engine import Commit, Snapshot, Store
     from rackhub.store.errors import (
         BadBatch,
@@ -25,9 +25,9 @@
     from rackhub.store.options import Options
     from rackhub.store.records import Change, KeyValue
 
-_HOMES = {
+_MODULES = {
     "Batch": "batch",
-    "When": "batch",
+    "Condition": "batch",
     "Commit": "engine",
     "Snapshot": "engine",
     "Store": "engine",
@@ -62,11 +62,11 @@
     "Snapshot",
     "Store",
     "StoreError",
-    "When",
+    "Condition",
 ]
 
 
 def __getattr__(name: str) -> Any:
-    if name not in _HOMES:
+    if name not in _MODULES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    return getattr(import_module(f"{__name__}.{_HOMES[name]}"), name)
+    return getattr(import_module(f"{__name__}.{_MODULES[name]}"), name)
--- a/rackhub/store/leases.py
+++ b/rackhub/store/leases.py
@@ -1,8 +1,8 @@
-"""Which leases there are, which keys hang on them, and when they run out. Pure: the clock is handed in.
+"""The leases of a store: their keys and deadlines. No I/O; the caller passes the time in.
 
-A deadline is kept as a Unix time, since time passes while a store is closed. Two clocks can lie: one that is behind
-the last time on record has jumped back, and every deadline is moved back by as much, so that no lease lives longer
-for it; and no lease has ever more left than its length.
+Deadlines are Unix times, because time passes while a store is closed. The clock may be wrong: if it is behind the last
+recorded time, it was set back, and all deadlines move back by the difference so that no lease is prolonged; and the
+remaining time of a lease never exceeds its ttl.
 """
 
 from rackhub.store.errors import NoLease
@@ -10,7 +10,7 @@
 
 
 class Lease:
-    """One lease: length and end in microseconds, and the keys that go with it."""
+    """A lease: its ttl and deadline in microseconds, and its keys."""
 
     __slots__ = ("id", "ttl", "deadline", "keys")
 
@@ -20,74 +20,77 @@
 
 
 class Leases:
-    """All leases of a store. `now` is the time of the last event that it was told of."""
+    """All leases of a store. `now`: the latest time passed in, in Unix microseconds."""
 
     def __init__(self, now: int = 0):
         self.now = now
-        self._all: dict[int, Lease] = {}
+        self._leases: dict[int, Lease] = {}
 
     def __len__(self) -> int:
-        return len(self._all)
+        return len(self._leases)
 
     def __contains__(self, id: int) -> bool:
-        return id in self._all
+        return id in self._leases
 
     def __iter__(self):
-        return iter(self._all.values())
+        return iter(self._leases.values())
 
     def get(self, id: int) -> Lease:
-        """`NoLease` where it is not there."""
-        lease = self._all.get(id)
+        """Return a lease. Raises `NoLease`."""
+        lease = self._leases.get(id)
         if lease is None:
             raise NoLease(id)
         return lease
 
     def restore(self, id: int, terms: LeaseTerms) -> None:
-        """One lease as it is on disk."""
-        have = self._all.get(id)
-        if have is None:
-            self._all[id] = Lease(id, terms.ttl, terms.deadline)
+        """Set a lease as it is stored."""
+        existing = self._leases.get(id)
+        if existing is None:
+            self._leases[id] = Lease(id, terms.ttl, terms.deadline)
         else:
-            have.ttl, have.deadline = terms.ttl, terms.deadline
+            existing.ttl, existing.deadline = terms.ttl, terms.deadline
 
-    def drop(self, id: int) -> None:
-        self._all.pop(id, None)
+    def remove(self, id: int) -> None:
+        """Remove a lease, if it exists."""
+        self._leases.pop(id, None)
 
     def attach(self, id: int, key: bytes) -> None:
-        if id in self._all:
-            self._all[id].keys.add(key)
+        """Add a key to a lease, if the lease exists."""
+        if id in self._leases:
+            self._leases[id].keys.add(key)
 
     def detach(self, id: int, key: bytes) -> None:
-        if id in self._all:
-            self._all[id].keys.discard(key)
-
-    def tick(self, now: int) -> None:
-        """The clock says `now`. Where that is before the last time it said, it has jumped back."""
-        back = self.now - now
-        for lease in self._all.values() if back > 0 else ():
-            lease.deadline -= back
+        """Remove a key from a lease."""
+        if id in self._leases:
+            self._leases[id].keys.discard(key)
+
+    def advance_clock(self, now: int) -> None:
+        """Set the current time. A time before the previous one means that the clock was set back."""
+        step_back = self.now - now
+        for lease in self._leases.values() if step_back > 0 else ():
+            lease.deadline -= step_back
         self.now = now
-        for lease in self._all.values() if back > 0 else ():
+        for lease in self._leases.values() if step_back > 0 else ():
             lease.deadline = min(lease.deadline, now + lease.ttl)
 
-    def fresh_id(self, wanted: int, seen: int) -> int:
-        """An id that no lease has: `wanted`, or the first free one after `seen`."""
+    def new_id(self, wanted: int, seen: int) -> int:
+        """Return `wanted`, or if that is 0 the first unused id after `seen`."""
         if wanted:
             return wanted
         id = seen + 1
-        while id in self._all:
+        while id in self._leases:
             id += 1
         return id
 
-    def due(self) -> list[int]:
-        """Those that have run out, the earliest first."""
-        over = [lease for lease in self._all.values() if lease.deadline <= self.now]
+    def expired(self) -> list[int]:
+        """The ids of the leases that have expired, earliest deadline first."""
+        over = [lease for lease in self._leases.values() if lease.deadline <= self.now]
         return [lease.id for lease in sorted(over, key=lambda lease: (lease.deadline, lease.id))]
 
     def next_deadline(self) -> int | None:
-        """When the next one runs out unless it is kept alive."""
-        return min((lease.deadline for lease in self._all.values()), default=None)
+        """The earliest deadline, or None without leases."""
+        return min((lease.deadline for lease in self._leases.values()), default=None)
 
-    def left(self, id: int) -> int:
-        """Microseconds until it runs out."""
+    def remaining(self, id: int) -> int:
+        """Microseconds until the lease expires. Raises `NoLease`."""
         return max(self.get(id).deadline - self.now, 0)
--- a/rackhub/store/memory_files.py
+++ b/rackhub/store/memory_files.py
@@ -1,8 +1,8 @@
-"""The port's faulty twin: files in memory with a power switch.
+"""The interface `Files` in memory, with simulated disk failures and power cuts, for tests.
 
-It keeps apart what is on disk and what was only written: `after_power_cut` gives the directory as a machine could find
-it on its next start, with unsynced writes lost, torn or there out of order, and unsynced names likewise. On the way
-it can fail any call: at step N with ENOSPC or EIO, or by the cut itself.
+Durable contents are kept apart from contents that were only written. `after_power_cut` returns a directory in a state
+that a machine may find at its next start: unsynced writes are lost, torn, or present out of order, and so are unsynced
+changes of names. Any modifying call can be made to fail, with ENOSPC, EIO or the power cut itself.
 """
 
 import os
@@ -13,98 +13,112 @@
 
 
 class PowerCut(BaseException):
-    """The machine is off: no call after this one does anything."""
+    """The machine is off: calls have no further effect."""
 
 
 class Inode:
-    """The contents of one file: what is on disk, and the changes since, oldest first."""
+    """The contents of one file: the durable part, and the changes since then, oldest first."""
 
-    __slots__ = ("disk", "pending", "now")
+    __slots__ = ("durable", "pending", "contents")
 
-    def __init__(self, disk: bytes = b""):
-        self.disk = disk
-        self.now = bytearray(disk)
-        self.pending: list[tuple[int, bytes | None]] = []  # (where, what is written there, None: cut there)
+    def __init__(self, durable: bytes = b""):
+        self.durable = durable
+        self.contents = bytearray(durable)
+        self.pending: list[tuple[int, bytes | None]] = []  # (offset, data written there; None: truncated there)
 
     @staticmethod
-    def sharing(other: "Inode") -> "Inode":
+    def share(other: "Inode") -> "Inode":
+        """Return an inode with the contents of `other`, which are copied on the first change."""
         made = Inode.__new__(Inode)
-        made.disk, made.now, made.pending = other.disk, other.now, []
+        made.durable, made.contents, made.pending = other.durable, other.contents, []
         return made
 
-    def change(self, where: int, what: bytes | None) -> None:
-        """Write at the end, or cut; bytes shared with another are copied first."""
+    def change(self, offset: int, data: bytes | None) -> None:
+        """Append `data` at `offset`, or truncate to `offset` if `data` is None."""
         if not self.pending:
-            self.now = bytearray(self.now)
-        self.pending.append((where, what))
-        if what is None:
-            del self.now[where:]
+            self.contents = bytearray(self.contents)
+        self.pending.append((offset, data))
+        if data is None:
+            del self.contents[offset:]
         else:
-            self.now += what
+            self.contents += data
 
 
 class MemoryFile:
-    """One open file of `MemoryFiles`."""
+    """An open file of `MemoryFiles`."""
 
-    def __init__(self, home: "MemoryFiles", inode: Inode):
-        self._home, self._inode = home, inode
+    def __init__(self, directory: "MemoryFiles", inode: Inode):
+        self._directory, self._inode = directory, inode
 
     def append(self, parts: Sequence[bytes]) -> None:
+        """Write at the end. On a simulated error a random prefix is written."""
         data = b"".join(parts)
         try:
-            self._home.step("append", len(data))
+            self._directory.count_call("append", len(data))
         except OSError:
-            half = data[: self._home.random.randrange(len(data) + 1)] if data else b""  # a part may be there
-            self._inode.change(len(self._inode.now), half)
+            half = (
+                data[: self._directory.random.randrange(len(data) + 1)] if data else b""
+            )  # a failed write may leave any prefix
+            self._inode.change(len(self._inode.contents), half)
             raise
         except PowerCut:
-            self._inode.change(len(self._inode.now), data)
+            self._inode.change(len(self._inode.contents), data)
             raise
-        self._inode.change(len(self._inode.now), data)
+        self._inode.change(len(self._inode.contents), data)
 
     def read(self, offset: int, size: int) -> bytes:
-        self._home.alive()
-        return bytes(self._inode.now[offset : offset + size])
+        """Read up to `size` bytes."""
+        self._directory.check_power()
+        return bytes(self._inode.contents[offset : offset + size])
 
     def size(self) -> int:
-        self._home.alive()
-        return len(self._inode.now)
+        """Return the size in bytes."""
+        self._directory.check_power()
+        return len(self._inode.contents)
 
     def sync(self) -> None:
-        self._home.step("sync", 0)
-        if not self._home.ignore_syncs:
-            self._inode.disk = bytes(self._inode.now)
+        """Make the contents durable, unless syncs are ignored."""
+        self._directory.count_call("sync", 0)
+        if not self._directory.ignore_syncs:
+            self._inode.durable = bytes(self._inode.contents)
             self._inode.pending = []
 
     def truncate(self, size: int) -> None:
-        self._home.step("truncate", 0)
+        """Cut the file to `size` bytes."""
+        self._directory.count_call("truncate", 0)
         self._inode.change(size, None)
 
     def close(self) -> None:
+        """Do nothing."""
         pass
 
 
 class MemoryFiles:
-    """A directory in memory. `fail_at`: the number of the call, from 1, that fails with `fault`; a `PowerCut` lasts,
-    an `OSError` too while `keep_failing` is set. `capacity`: bytes that may be written in all.
-    `ignore_syncs`: sync does nothing."""
+    """A directory in memory.
+
+    `fail_at`: the number of the modifying call, counted from 1 in `steps`, that fails with `fault`. A `PowerCut` is
+    permanent; an `OSError` fails once or, with `keep_failing`, from then on. `capacity`: bytes that may still be
+    written, or None. `ignore_syncs`: syncs have no effect.
+    """
 
     def __init__(self, seed: int = 0):
         self.random = random.Random(seed)
         self.inodes: dict[str, Inode] = {}
-        self.names_on_disk: dict[str, Inode] = {}
+        self.durable_names: dict[str, Inode] = {}
         self._name_changes: list[tuple[str, Inode | None]] = []
         self.steps, self.fail_at, self.keep_failing, self.ignore_syncs = 0, 0, False, False
         self.fault: BaseException = PowerCut()
         self.capacity: int | None = None
         self.locked, self._off = False, False
 
-    def alive(self) -> None:
+    def check_power(self) -> None:
+        """Raise `PowerCut` if the power is off."""
         if self._off:
             raise PowerCut
 
-    def step(self, what: str, size: int) -> None:
-        self.alive()
+    def count_call(self, what: str, size: int) -> None:
+        """Count a modifying call that writes `size` bytes, and raise the configured fault if it is due."""
+        self.check_power()
         self.steps += 1
         if self.capacity is not None and size:
             if size > self.capacity:
@@ -116,120 +130,133 @@
             raise self.fault
 
     def names(self) -> list[str]:
-        self.alive()
+        """Return the file names, sorted."""
+        self.check_power()
         return sorted(self.inodes)
 
     def create(self, name: str) -> MemoryFile:
-        self.step("create", 0)
+        """Create an empty file."""
+        self.count_call("create", 0)
         self.inodes[name] = Inode()
         self._name_changes.append((name, self.inodes[name]))
         return MemoryFile(self, self.inodes[name])
 
     def open(self, name: str) -> MemoryFile:
-        self.alive()
+        """Open a file. Raises `FileNotFoundError`."""
+        self.check_power()
         if name not in self.inodes:
             raise FileNotFoundError(2, os.strerror(2), name)
         return MemoryFile(self, self.inodes[name])
 
     def rename(self, old: str, new: str) -> None:
-        self.step("rename", 0)
+        """Rename a file."""
+        self.count_call("rename", 0)
         inode = self.inodes.pop(old)
         self.inodes[new] = inode
         self._name_changes += [(new, inode), (old, None)]
 
     def remove(self, name: str) -> None:
-        self.step("remove", 0)
+        """Remove a file. Raises `FileNotFoundError`."""
+        self.count_call("remove", 0)
         if name not in self.inodes:
             raise FileNotFoundError(2, os.strerror(2), name)
         del self.inodes[name]
         self._name_changes.append((name, None))
 
-    def sync_names(self) -> None:
-        self.step("sync_names", 0)
+    def sync_directory(self) -> None:
+        """Make changes of names durable, unless syncs are ignored."""
+        self.count_call("sync_directory", 0)
         if not self.ignore_syncs:
-            self.names_on_disk = dict(self.inodes)
+            self.durable_names = dict(self.inodes)
             self._name_changes = []
 
     def lock(self) -> None:
+        """Lock the directory. Raises `Locked`."""
         if self.locked:
             raise Locked("memory")
         self.locked = True
 
     def unlock(self) -> None:
+        """Release the lock."""
         self.locked = False
 
-    # ---- what a test does to it
+    # ---- copies and damage
 
     def copy(self) -> "MemoryFiles":
-        """As a process that is killed leaves it: all that was written is there."""
-        return MemoryFiles.of({name: bytes(inode.now) for name, inode in self.inodes.items()})
+        """Return the directory as a killed process leaves it: everything written is there."""
+        return MemoryFiles.from_contents({name: bytes(inode.contents) for name, inode in self.inodes.items()})
 
     def copy_shared(self) -> "MemoryFiles":
-        """The same files under a directory of its own, for an opening that may change it. Each file is copied when
-        it is changed first."""
+        """Return an independent directory with the same files; each file's contents are copied on its first change."""
         made = MemoryFiles()
-        made.inodes = {name: Inode.sharing(inode) for name, inode in self.inodes.items()}
-        made.names_on_disk = dict(made.inodes)
+        made.inodes = {name: Inode.share(inode) for name, inode in self.inodes.items()}
+        made.durable_names = dict(made.inodes)
         return made
 
     @staticmethod
-    def of(contents: dict[str, bytes]) -> "MemoryFiles":
+    def from_contents(contents: dict[str, bytes]) -> "MemoryFiles":
+        """Return a directory with these files, all durable."""
         made = MemoryFiles()
         made.inodes = {name: Inode(data) for name, data in contents.items()}
-        made.names_on_disk = dict(made.inodes)
+        made.durable_names = dict(made.inodes)
         return made
 
     def after_power_cut(self, seed: int) -> "MemoryFiles":
-        """One of the ways in which the machine may find the directory. Of each file any of the unsynced writes may
-        be there, the last of those torn at any byte, holes between them zeros; of unsynced names any beginning."""
-        chance = random.Random(seed)
-        names = dict(self.names_on_disk)
+        """Return one of the states in which a machine may find the directory after a power cut.
+
+        Of each file any of the unsynced writes may survive, torn at any byte, with zeros in the gaps between them; of
+        the unsynced changes of each name any prefix.
+        """
+        random_source = random.Random(seed)
+        names = dict(self.durable_names)
         by_name: dict[str, list[Inode | None]] = {}
         for name, inode in self._name_changes:
             by_name.setdefault(name, []).append(inode)
         for name, changes in by_name.items():
-            upto = chance.randrange(len(changes) + 1)
-            if upto:
-                last = changes[upto - 1]
+            survivors = random_source.randrange(len(changes) + 1)
+            if survivors:
+                last = changes[survivors - 1]
                 names.pop(name, None)
                 if last is not None:
                     names[name] = last
-        return MemoryFiles.of({name: self._left_of(inode, chance) for name, inode in names.items()})
+        return MemoryFiles.from_contents(
+            {name: self._surviving_contents(inode, random_source) for name, inode in names.items()}
+        )
 
     @staticmethod
-    def _left_of(inode: Inode, chance: random.Random) -> bytes:
-        data = bytearray(inode.disk)
-        in_order = chance.random() < 0.5  # half of all disks keep the order and stop somewhere
-        stop = chance.randrange(len(inode.pending) + 1)
-        for i, (where, what) in enumerate(inode.pending):
-            if i >= stop if in_order else chance.random() < 0.5:
-                if in_order and i == stop and what:
-                    what = what[: chance.randrange(len(what) + 1)]
+    def _surviving_contents(inode: Inode, random_source: random.Random) -> bytes:
+        data = bytearray(inode.durable)
+        in_order = random_source.random() < 0.5  # half of the cases keep the order of writes and stop at a random one
+        stop = random_source.randrange(len(inode.pending) + 1)
+        for i, (offset, written) in enumerate(inode.pending):
+            if i >= stop if in_order else random_source.random() < 0.5:
+                if in_order and i == stop and written:
+                    written = written[: random_source.randrange(len(written) + 1)]
                 else:
                     continue
-            if what is None:
-                del data[where:]
+            if written is None:
+                del data[offset:]
                 continue
-            if not in_order and chance.random() < 0.3:
-                what = what[: chance.randrange(len(what) + 1)]
-            if len(data) < where and what:
-                data += bytes(where - len(data))
-            data[where : where + len(what)] = what
+            if not in_order and random_source.random() < 0.3:
+                written = written[: random_source.randrange(len(written) + 1)]
+            if len(data) < offset and written:
+                data += bytes(offset - len(data))
+            data[offset : offset + len(written)] = written
         return bytes(data)
 
-    def cut(self, name: str, size: int) -> "MemoryFiles":
-        """A copy with one file cut to `size`; the other files are shared with this one."""
-        return self._with(name, bytes(self.inodes[name].now[:size]))
+    def with_file_cut(self, name: str, size: int) -> "MemoryFiles":
+        """Return a copy in which one file is cut to `size` bytes; all other files are shared with this one."""
+        return self._with_file(name, bytes(self.inodes[name].contents[:size]))
 
-    def flip(self, name: str, offset: int, bit: int) -> "MemoryFiles":
-        """A copy with one bit of one file turned."""
-        data = bytearray(self.inodes[name].now)
+    def with_bit_flipped(self, name: str, offset: int, bit: int) -> "MemoryFiles":
+        """Return a copy in which one bit of one file is inverted."""
+        data = bytearray(self.inodes[name].contents)
         data[offset] ^= 1 << bit
-        return self._with(name, bytes(data))
+        return self._with_file(name, bytes(data))
 
-    def _with(self, name: str, data: bytes) -> "MemoryFiles":
+    def _with_file(self, name: str, data: bytes) -> "MemoryFiles":
         made = MemoryFiles()
         made.inodes = dict(self.inodes)
         made.inodes[name] = Inode(data)
-        made.names_on_disk = dict(made.inodes)
+        made.durable_names = dict(made.inodes)
         return made
